--- a/adapter/src/main/java/dockrelay/adapter/Adapter.java
+++ b/adapter/src/main/java/dockrelay/adapter/Adapter.java
@@ -2,7 +2,7 @@
 
 import dockrelay.Balancer;
 import dockrelay.Balancer.Backend;
-import dockrelay.Balancer.ListScope;
+import dockrelay.Balancer.ListUpdateType;
 import dockrelay.Balancer.LoadReport;
 import dockrelay.Balancer.Outcome;
 import dockrelay.Balancer.Phase;
@@ -169,7 +169,7 @@
     private void hello(long who) throws IOException {
         long seed = whole();
         parser.nextToken();
-        Object profile = Json.value(parser);
+        Object profile = Json.readValue(parser);
         finish();
         if (!(profile instanceof Map)) {
             throw new WireException("the settings are not an object");
@@ -191,12 +191,12 @@
     private void deliver(String event, Balancer to) throws IOException {
         switch (event) {
             case "Announce": {
-                ListScope scope = scope((int) whole());
+                ListUpdateType scope = scope((int) whole());
                 whole();
                 List<Backend> entries = entries();
                 finish();
                 if (to != null) {
-                    to.onMembers(now, scope, entries);
+                    to.onBackendList(now, scope, entries);
                 }
                 break;
             }
@@ -244,7 +244,7 @@
                 String id = needed(text());
                 finish();
                 if (to != null) {
-                    to.onClientGone(now, id);
+                    to.onClientDisconnected(now, id);
                 }
                 break;
             }
@@ -263,7 +263,7 @@
                 LoadReport report = report();
                 finish();
                 if (to != null) {
-                    to.onProbe(now, backend, outcome, lag, report);
+                    to.onProbeResult(now, backend, outcome, lag, report);
                 }
                 break;
             }
@@ -281,16 +281,16 @@
         }
     }
 
-    private static ListScope scope(int code) {
+    private static ListUpdateType scope(int code) {
         switch (code) {
             case SCOPE_FULL:
-                return ListScope.FULL;
+                return ListUpdateType.FULL;
             case SCOPE_DELTA:
-                return ListScope.DELTA;
+                return ListUpdateType.DELTA;
             case SCOPE_FAILED:
-                return ListScope.FAILED;
+                return ListUpdateType.FAILED;
             case SCOPE_CACHED:
-                return ListScope.CACHED;
+                return ListUpdateType.CACHED;
             default:
                 throw new WireException("unknown scope " + code);
         }
--- a/adapter/src/main/java/dockrelay/adapter/ReplyWriter.java
+++ b/adapter/src/main/java/dockrelay/adapter/ReplyWriter.java
@@ -96,7 +96,7 @@
     }
 
     @Override
-    public void hangUp(long backend) {
+    public void closeIdleConnections(long backend) {
         line("HangUp", null, backend);
     }
 
@@ -106,7 +106,7 @@
     }
 
     @Override
-    public void tellPeers(String message) {
+    public void broadcastToPeers(String message) {
         try {
             open("Post");
             json.writeNull();
--- a/decision/src/main/java/dockrelay/Allowances.java
+++ b/decision/src/main/java/dockrelay/Allowances.java
@@ -1,6 +1,6 @@
 package dockrelay;
 
-import dockrelay.Balancer.BudgetPart;
+import dockrelay.Balancer.BudgetShare;
 import dockrelay.Balancer.BudgetUse;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -25,13 +25,13 @@
         return buckets.containsKey(budget);
     }
 
-    void told(long now, long number, long end, List<BudgetPart> parts) {
+    void told(long now, long number, long end, List<BudgetShare> parts) {
         buckets.values().forEach(bucket -> fill(now, bucket));
         if (number < telling) {
             return;
         }
         until = end;
-        for (BudgetPart part : number > telling ? parts : List.<BudgetPart>of()) {
+        for (BudgetShare part : number > telling ? parts : List.<BudgetShare>of()) {
             Bucket bucket = buckets.computeIfAbsent(part.budget(), name -> new Bucket());
             bucket.filledAt = Math.max(bucket.filledAt, now); // what is new earns from now on
             bucket.rate = part.rate();
--- a/decision/src/main/java/dockrelay/Balancer.java
+++ b/decision/src/main/java/dockrelay/Balancer.java
@@ -29,22 +29,22 @@
      * What discovery says; CACHED is a full list that may be stale, FAILED has no entries. OPERATED are
      * changes that the operators made: they say nothing of discovery.
      */
-    enum ListScope { FULL, DELTA, CACHED, FAILED, OPERATED }
+    enum ListUpdateType { FULL, DELTA, CACHED, FAILED, OPERATED }
 
     /** How an attempt or a probe ended. */
     enum Outcome {
         OK(false), ERROR(false), REJECTED(true), TIMEOUT(false), CONNECT_FAILURE(true), RESET(false),
         CANCELLED(false), NOT_SENT(true);
 
-        private final boolean neverRan;
+        private final boolean provesNotExecuted;
 
         Outcome(boolean neverRan) {
-            this.neverRan = neverRan;
+            this.provesNotExecuted = neverRan;
         }
 
         /** Whether this outcome proves that the backend did not run the request. */
-        public boolean neverRan() {
-            return neverRan;
+        public boolean provesNotExecuted() {
+            return provesNotExecuted;
         }
     }
 
@@ -102,7 +102,7 @@
      * fallMultiple times what it can do for fallTime. Idle connections to a draining backend are to be closed
      * within closeOnDrainWithin; 0 where there is no such rule.
      */
-    record Rules(double coldShare, long coldTime, double fallMultiple, long fallTime, long askWithin,
+    record Rules(double coldShare, long coldTime, double fallMultiple, long fallTime, long subscribeWithin,
         long closeOnDrainWithin) {
         /** Where nothing is said of the time: a second. */
         public Rules(double coldShare, long coldTime, double fallMultiple, long askWithin,
@@ -115,14 +115,14 @@
             require(coldTime >= 0, "rules coldTime");
             require(fallMultiple > 0, "rules fallMultiple");
             require(fallTime > 0, "rules fallTime");
-            require(askWithin >= 0, "rules askWithin");
+            require(subscribeWithin >= 0, "rules askWithin");
             require(closeOnDrainWithin >= 0, "rules closeOnDrainWithin");
         }
     }
 
     /** All that an instance is told at its start. */
     record Settings(int proxies, int me, String zone, List<ServiceClass> classes, List<Tenant> tenants,
-                    boolean askedDiscovery, Limits limits, Rules rules, double crossZonePrice) {
+                    boolean mustSubscribe, Limits limits, Rules rules, double crossZonePrice) {
         public Settings {
             require(proxies >= 1, "proxies");
             require(me >= 0 && me < proxies, "me");
@@ -146,12 +146,12 @@
      * of it is at first hand, else others may count otherwise meanwhile and nothing shared may be spent by
      * counts.
      */
-    record Fleet(int proxies, int me, double share, double leastShare, Agreement agreement, long age,
+    record FleetView(int proxies, int me, double share, double minShare, Agreement agreement, long age,
                  long countsAge) {
-        public Fleet {
+        public FleetView {
             require(proxies >= 1, "fleet proxies");
             require(me >= 0 && me < proxies, "fleet me");
-            require(leastShare >= 0 && leastShare <= share && share <= 1, "fleet share");
+            require(minShare >= 0 && minShare <= share && share <= 1, "fleet share");
             require(agreement != null, "fleet agreement");
             require(age >= 0 && countsAge >= 0, "fleet age");
         }
@@ -161,8 +161,8 @@
      * What this proxy may spend of a budget of the whole fleet: a bucket of at most {@code burst} that earns
      * {@code rate} a second; {@code add} goes into it once.
      */
-    record BudgetPart(String budget, double rate, double burst, double add) {
-        public BudgetPart {
+    record BudgetShare(String budget, double rate, double burst, double add) {
+        public BudgetShare {
             require(budget != null, "budget name");
             require(rate >= 0 && burst >= 0 && add >= 0, "budget part");
         }
@@ -196,7 +196,7 @@
     }
 
     /** The list, changes to it, or the failure of a subscription or fetch. */
-    void onMembers(long now, ListScope scope, List<Backend> entries);
+    void onBackendList(long now, ListUpdateType scope, List<Backend> entries);
 
     /** A client's request, to be answered once within its time budget. */
     void onRequest(long now, Request request);
@@ -209,17 +209,17 @@
     void onStreamStart(long now, String requestId, int attempt, long backend, long latency);
 
     /** The client left; its request needs no answer any more. */
-    void onClientGone(long now, String requestId);
+    void onClientDisconnected(long now, String requestId);
 
     /** A timer set by this instance is due. */
     void onTimer(long now, long token);
 
     /** What a probe found; report may be null. */
-    default void onProbe(long now, long backend, Outcome outcome, long latency, LoadReport report) {
+    default void onProbeResult(long now, long backend, Outcome outcome, long latency, LoadReport report) {
     }
 
     /** What is known of the other proxies now; without a word of it the settings' number of them holds. */
-    void onFleet(long now, Fleet fleet);
+    void onFleetView(long now, FleetView fleet);
 
     /**
      * What may be spent of the fleet's budgets, until {@code until} at the latest. A telling that was
@@ -228,11 +228,11 @@
      * told of
      * restricts nothing; one that was told of once does for good, also when its time is over.
      */
-    default void onBudgets(long now, long telling, long until, List<BudgetPart> parts) {
+    default void onBudgetShares(long now, long telling, long until, List<BudgetShare> parts) {
     }
 
     /** What was made of the parts so far, for who divides them. */
-    default List<BudgetUse> budgets(long now) {
+    default List<BudgetUse> budgetUsage(long now) {
         return List.of();
     }
 
@@ -263,13 +263,13 @@
         void probe(long backend);
 
         /** Closes this proxy's idle connections to a backend; busy ones are left alone. */
-        void hangUp(long backend);
+        void closeIdleConnections(long backend);
 
         /** Subscribes to changes of the list. */
         void subscribe();
 
         /** Sends a short message to every other proxy. */
-        void tellPeers(String message);
+        void broadcastToPeers(String message);
     }
 
     private static void require(boolean holds, String setting) {
--- a/decision/src/main/java/dockrelay/RiqBalancer.java
+++ b/decision/src/main/java/dockrelay/RiqBalancer.java
@@ -93,7 +93,7 @@
     private double provenWins; // not hoped for: copies start once hedges were seen to win
     private double mostOpen = Double.MAX_VALUE; // the limit on own requests in flight
     private final Allowances allowances = new Allowances(); // nothing, unless proxies share budgets
-    private Fleet fleet; // null until something is told of it
+    private FleetView fleet; // null until something is told of it
     private boolean subscribed, asking;
     private int open, inflightOfAll, failedAsks;
     private int overLimit, shedNow, noBackend, gaveUp, copiesSent, hedgesSent, retriesSent, ejections;
@@ -160,18 +160,18 @@
         }
     }
 
-    @Override public void onMembers(long now, ListScope scope, List<Backend> entries) {
-        if (scope == ListScope.CACHED) {
+    @Override public void onBackendList(long now, ListUpdateType scope, List<Backend> entries) {
+        if (scope == ListUpdateType.CACHED) {
             okRateAt = now;
             if (settings.limits().peers() && !tenants.isEmpty() && settings.proxies() > 1) {
                 actions.setTimer((long) (TELL_EVERY * (0.5 + uniform())), TELL_TOKEN);
             }
         }
-        if (settings.askedDiscovery() && scope != ListScope.OPERATED) {
+        if (settings.mustSubscribe() && scope != ListUpdateType.OPERATED) {
             followDiscovery(scope);
         }
-        if (scope != ListScope.FAILED) {
-            roster.take(now, scope == ListScope.FULL || scope == ListScope.CACHED, entries, this);
+        if (scope != ListUpdateType.FAILED) {
+            roster.take(now, scope == ListUpdateType.FULL || scope == ListUpdateType.CACHED, entries, this);
             rebuild(now);
         }
     }
@@ -182,12 +182,12 @@
     }
 
     /** Subscribes once, and after failures within waits that grow: discovery is shared. */
-    private void followDiscovery(ListScope scope) {
-        double within = settings.rules().askWithin();
-        asking = asking && scope == ListScope.CACHED;
-        if (scope == ListScope.CACHED) {
+    private void followDiscovery(ListUpdateType scope) {
+        double within = settings.rules().subscribeWithin();
+        asking = asking && scope == ListUpdateType.CACHED;
+        if (scope == ListUpdateType.CACHED) {
             actions.setTimer((long) (within * FIRST_ASK_SHARE * uniform()), SUBSCRIBE_TOKEN);
-        } else if (scope == ListScope.FAILED) {
+        } else if (scope == ListUpdateType.FAILED) {
             subscribed = false;
             failedAsks = Math.min(failedAsks + 1, 4);
             double wait = within * FIRST_ASK_SHARE * 0.5 * (1 << (failedAsks - 1));
@@ -535,12 +535,12 @@
         }
         Attempt a = p.attempts.get(attempt);
         a.ended = true;
-        a.neverRan = outcome.neverRan();
+        a.neverRan = outcome.provesNotExecuted();
         p.out--;
         settle(a);
         a.node.queuedAt = report == null ? a.node.queuedAt : report.queued() > 0 ? now : 0;
         if (a.sentAt <= a.node.drainedAt) {
-            actions.hangUp(a.entry.id()); // guards against a drain that waits for one idle from now on
+            actions.closeIdleConnections(a.entry.id()); // guards against a drain that waits for one idle from now on
         }
         learn(now, p, a, outcome, latency);
         if (requestClosed && !p.closed) {
@@ -745,14 +745,14 @@
         }
     }
 
-    @Override public void onClientGone(long now, String requestId) {
+    @Override public void onClientDisconnected(long now, String requestId) {
         Pending p = pending.get(requestId);
         if (p != null && !p.closed) {
             close(p, -1);
         }
     }
 
-    @Override public void onFleet(long now, Fleet told) {
+    @Override public void onFleetView(long now, FleetView told) {
         boolean moved = !fleetKnown(now) || told.proxies() != fleet.proxies() || told.me() != fleet.me();
         fleet = told;
         fleetAsOf = now - told.age();
@@ -761,11 +761,11 @@
         }
     }
 
-    @Override public void onBudgets(long now, long telling, long until, List<BudgetPart> parts) {
+    @Override public void onBudgetShares(long now, long telling, long until, List<BudgetShare> parts) {
         allowances.told(now, telling, until, parts);
     }
 
-    @Override public List<BudgetUse> budgets(long now) {
+    @Override public List<BudgetUse> budgetUsage(long now) {
         return allowances.uses(now);
     }
 
@@ -797,7 +797,7 @@
     // Guards against quotas that add up to more than the whole while nobody knows who takes which part.
     double partOfQuotas(long now, double even, double byDemand) {
         boolean settled = fleetSettled(now) && (fleet == null || fleet.countsAge() == 0); // at first hand
-        return settled ? Math.max(byDemand, even / 4) : fleetKnown(now) ? fleet.share() : fleet.leastShare();
+        return settled ? Math.max(byDemand, even / 4) : fleetKnown(now) ? fleet.share() : fleet.minShare();
     }
 
     // Tells what each tenant asked here, and takes this proxy's part of each quota by its part of the demand.
@@ -822,7 +822,7 @@
             tenant.perSecond = tenant.quota * partOfQuotas(now, even, part);
             message.append(i++ == 0 ? "" : " ").append(Math.round(tenant.asked));
         }
-        actions.tellPeers(message.toString());
+        actions.broadcastToPeers(message.toString());
         actions.setTimer(TELL_EVERY, TELL_TOKEN);
     }
 
--- a/decision/src/main/java/dockrelay/Roster.java
+++ b/decision/src/main/java/dockrelay/Roster.java
@@ -156,7 +156,7 @@
             boolean drained = place.entry.phase() != Phase.READY && rules.closeOnDrainWithin() > 0;
             if (drained && !place.drained) {
                 place.node().drainedAt = now;
-                by.actions.hangUp(place.entry.id());
+                by.actions.closeIdleConnections(place.entry.id());
             }
             place.drained = drained;
         }
--- a/decision/src/test/java/dockrelay/ChangeCostTest.java
+++ b/decision/src/test/java/dockrelay/ChangeCostTest.java
@@ -6,7 +6,7 @@
 import dockrelay.Balancer.Backend;
 import dockrelay.Balancer.DedupScope;
 import dockrelay.Balancer.Idempotency;
-import dockrelay.Balancer.ListScope;
+import dockrelay.Balancer.ListUpdateType;
 import dockrelay.Balancer.Phase;
 import dockrelay.Balancer.Request;
 import dockrelay.Balancer.Rules;
@@ -80,7 +80,7 @@
             for (int i = 0; i < size; i++) {
                 entries.add(backend(i, Phase.READY, 0));
             }
-            module.onMembers(host.now, ListScope.CACHED, entries);
+            module.onBackendList(host.now, ListUpdateType.CACHED, entries);
         }
 
         /** Drains, restarts and new ones, each followed by a request. */
@@ -97,11 +97,11 @@
 
         private void change(Backend entry) {
             host.now += 1_000;
-            module.onMembers(host.now, ListScope.DELTA, List.of(entry));
+            module.onBackendList(host.now, ListUpdateType.DELTA, List.of(entry));
             String id = "r" + host.now;
             module.onRequest(host.now, new Request(id, "c" + host.now / 1_000 % CLASSES, null, null, 600_000,
                 0, false));
-            module.onClientGone(host.now, id);
+            module.onClientDisconnected(host.now, id);
             host.actions.clear();
         }
     }
--- a/decision/src/test/java/dockrelay/ColdFleetTest.java
+++ b/decision/src/test/java/dockrelay/ColdFleetTest.java
@@ -5,7 +5,7 @@
 import dockrelay.Balancer.Backend;
 import dockrelay.Balancer.DedupScope;
 import dockrelay.Balancer.Idempotency;
-import dockrelay.Balancer.ListScope;
+import dockrelay.Balancer.ListUpdateType;
 import dockrelay.Balancer.LoadReport;
 import dockrelay.Balancer.Outcome;
 import dockrelay.Balancer.Phase;
@@ -91,7 +91,7 @@
                 all.add(backend(id, id <= cold ? coldSince : 0));
             }
             knows = coldSince > 0;
-            module.onMembers(now, ListScope.CACHED, all);
+            module.onBackendList(now, ListUpdateType.CACHED, all);
         }
 
         void told() {
@@ -100,7 +100,7 @@
                 changes.add(backend(id, STARTS));
             }
             knows = true;
-            module.onMembers(now, ListScope.DELTA, changes);
+            module.onBackendList(now, ListUpdateType.DELTA, changes);
         }
 
         private Backend backend(long id, long startedAt) {
@@ -113,7 +113,7 @@
             for (int id = 2; id <= BACKENDS; id++) {
                 changes.add(new Backend(id, "a", "k", 1, Phase.GONE, 1, 0));
             }
-            module.onMembers(now, ListScope.DELTA, changes);
+            module.onBackendList(now, ListUpdateType.DELTA, changes);
         }
 
         void request() {
@@ -178,7 +178,7 @@
         }
 
         @Override
-        public void hangUp(long backend) {
+        public void closeIdleConnections(long backend) {
             return;
         }
 
@@ -188,7 +188,7 @@
         }
 
         @Override
-        public void tellPeers(String message) {
+        public void broadcastToPeers(String message) {
             return;
         }
     }
--- a/decision/src/test/java/dockrelay/EmbeddingTest.java
+++ b/decision/src/test/java/dockrelay/EmbeddingTest.java
@@ -47,7 +47,7 @@
         }
 
         @Override
-        public void hangUp(long backend) {
+        public void closeIdleConnections(long backend) {
             done.add("close idle connections to " + backend);
         }
 
@@ -57,7 +57,7 @@
         }
 
         @Override
-        public void tellPeers(String message) {
+        public void broadcastToPeers(String message) {
             done.add("tell the other proxies: " + message);
         }
     }
@@ -71,7 +71,7 @@
         PrintingHost host = new PrintingHost();
         Balancer balancer = new RiqBalancer(settings, 42, host);
         long now = 1_000_000; // microseconds of the host's own clock
-        balancer.onMembers(now, Balancer.ListScope.CACHED, List.of(
+        balancer.onBackendList(now, Balancer.ListUpdateType.CACHED, List.of(
             new Balancer.Backend(17, "north", "large", 1, Balancer.Phase.READY, 1, 0)));
         balancer.onRequest(now, new Balancer.Request("r1", "search", null, null, 600_000, 0, false));
         balancer.onOutcome(now + 20_000, "r1", 0, 17, Balancer.Outcome.OK, 20_000, true, null);
--- a/decision/src/test/java/dockrelay/EventScript.java
+++ b/decision/src/test/java/dockrelay/EventScript.java
@@ -2,12 +2,12 @@
 
 import dockrelay.Balancer.Agreement;
 import dockrelay.Balancer.Backend;
-import dockrelay.Balancer.BudgetPart;
+import dockrelay.Balancer.BudgetShare;
 import dockrelay.Balancer.DedupScope;
-import dockrelay.Balancer.Fleet;
+import dockrelay.Balancer.FleetView;
 import dockrelay.Balancer.Idempotency;
 import dockrelay.Balancer.Limits;
-import dockrelay.Balancer.ListScope;
+import dockrelay.Balancer.ListUpdateType;
 import dockrelay.Balancer.LoadReport;
 import dockrelay.Balancer.Outcome;
 import dockrelay.Balancer.Phase;
@@ -132,9 +132,9 @@
         return number * 0x9E3779B97F4A7C15L; // anywhere among the longs, as names' ids are
     }
 
-    private void members(ListScope scope) {
+    private void members(ListUpdateType scope) {
         List<Backend> entries = new ArrayList<>();
-        if (scope == ListScope.FULL || scope == ListScope.CACHED) {
+        if (scope == ListUpdateType.FULL || scope == ListUpdateType.CACHED) {
             boolean rarely = random.nextBoolean();
             for (Backend before : new ArrayList<>(list.values())) {
                 if (random.nextInt(rarely ? 50 : 6) > 0) {
@@ -154,7 +154,7 @@
         }
         entries.forEach(entry -> list.put(entry.id(), entry));
         list.values().removeIf(entry -> entry.phase() == Phase.GONE);
-        module.onMembers(now, scope, entries);
+        module.onBackendList(now, scope, entries);
     }
 
     private void request() {
@@ -189,17 +189,17 @@
     private void fleet() {
         int proxies = 1 + random.nextInt(settings.proxies() + 1);
         double least = 0.5 / proxies;
-        module.onFleet(now, new Fleet(proxies, random.nextInt(proxies), Math.min(1, least * 2), least,
+        module.onFleetView(now, new FleetView(proxies, random.nextInt(proxies), Math.min(1, least * 2), least,
             Agreement.values()[random.nextInt(3)], random.nextInt(3) == 0 ? 2 * SECOND : random.nextInt(900)
             * MS, 0));
     }
 
     private void budgets() {
         telling += random.nextInt(3) - (random.nextInt(5) == 0 ? 2 : 0);
-        module.onBudgets(now, Math.max(0, telling), now + random.nextInt(3) * SECOND,
-            List.of(new BudgetPart(Allowances.EXTRA, random.nextInt(50), 20, random.nextInt(10)),
-                new BudgetPart(Allowances.TENANT + "t0", random.nextInt(90), 30, 5)));
-        module.budgets(now).forEach(use -> note("use " + use));
+        module.onBudgetShares(now, Math.max(0, telling), now + random.nextInt(3) * SECOND,
+            List.of(new BudgetShare(Allowances.EXTRA, random.nextInt(50), 20, random.nextInt(10)),
+                new BudgetShare(Allowances.TENANT + "t0", random.nextInt(90), 30, 5)));
+        module.budgetUsage(now).forEach(use -> note("use " + use));
     }
 
     private void step() {
@@ -210,13 +210,13 @@
             int which = random.nextInt(3) > 0 ? 0 : random.nextInt(out.size());
             outcome(which, some());
         } else if (what < 900) {
-            members(ListScope.DELTA);
+            members(ListUpdateType.DELTA);
         } else if (what < 908) {
-            members(ListScope.OPERATED);
+            members(ListUpdateType.OPERATED);
         } else if (what < 915) {
-            members(ListScope.FULL);
+            members(ListUpdateType.FULL);
         } else if (what < 920) {
-            module.onMembers(now, ListScope.FAILED, List.of());
+            module.onBackendList(now, ListUpdateType.FAILED, List.of());
         } else if (what < 940) {
             fleet();
         } else if (what < 945) {
@@ -227,7 +227,7 @@
             module.onStreamStart(now, attempt.request, attempt.attempt, attempt.backend,
                 now - attempt.sentAt);
         } else if (what < 970 && requests > 0) {
-            module.onClientGone(now, "r" + Math.max(0, requests - 1 - random.nextInt(4)));
+            module.onClientDisconnected(now, "r" + Math.max(0, requests - 1 - random.nextInt(4)));
         } else if (what < 980) {
             module.onPeerMessage(now, random.nextInt(settings.proxies() + 1),
                 random.nextInt(5) == 0 ? "x" : random.nextInt(90) + " " + random.nextInt(90));
@@ -251,7 +251,7 @@
             Backend entry = backend(id());
             list.put(entry.id(), entry);
         }
-        members(ListScope.CACHED);
+        members(ListUpdateType.CACHED);
         for (int i = 0; i < EVENTS; i++) {
             long until = now + pause();
             while (!timers.isEmpty() && timers.peek().due <= until) {
@@ -307,7 +307,7 @@
     }
 
     @Override
-    public void hangUp(long backend) {
+    public void closeIdleConnections(long backend) {
         note("hangUp " + backend);
     }
 
@@ -317,7 +317,7 @@
     }
 
     @Override
-    public void tellPeers(String message) {
+    public void broadcastToPeers(String message) {
         note("tell " + message);
     }
 }
--- a/decision/src/test/java/dockrelay/FleetFactTest.java
+++ b/decision/src/test/java/dockrelay/FleetFactTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dockrelay.Balancer.Agreement;
-import dockrelay.Balancer.Fleet;
+import dockrelay.Balancer.FleetView;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
@@ -19,15 +19,15 @@
     }
 
     /** What one of these takes that hears nobody's demand, told so and so many microseconds ago. */
-    private static double taken(Fleet fleet, long ago) {
+    private static double taken(FleetView fleet, long ago) {
         RiqBalancer balancer = balancer();
-        balancer.onFleet(0, fleet);
+        balancer.onFleetView(0, fleet);
         double even = 1.0 / fleet.proxies();
         return balancer.partOfQuotas(ago, even, even);
     }
 
-    private static Fleet fleet(int proxies, Agreement agreement, double share, long countsAge) {
-        return new Fleet(proxies, 0, share, 1.0 / ALL / 2, agreement, 0, countsAge);
+    private static FleetView fleet(int proxies, Agreement agreement, double share, long countsAge) {
+        return new FleetView(proxies, 0, share, 1.0 / ALL / 2, agreement, 0, countsAge);
     }
 
     /** A group that is cut off keeps its even part: the others, who all agree without it, leave it that. */
@@ -41,7 +41,7 @@
     /** Counts of this age are used; the share beside them is as short-lived as ever. */
     @Test
     void theShareEndsSoonerThanTheCounts() {
-        Fleet fleet = fleet(ALL, Agreement.ALL, 1.0 / ALL, AGE);
+        FleetView fleet = fleet(ALL, Agreement.ALL, 1.0 / ALL, AGE);
         assertEquals(1.0 / ALL, taken(fleet, Host.SECOND), 1e-9);
         assertEquals(1.0 / ALL / 2, taken(fleet, 2 * Host.SECOND), 1e-9, "the least part");
     }
@@ -51,9 +51,9 @@
     void atFirstHandDemandDivides() {
         RiqBalancer balancer = balancer();
         assertEquals(0.4, balancer.partOfQuotas(0, 0.25, 0.4), 1e-9);
-        balancer.onFleet(0, fleet(4, Agreement.ALL, 1.0 / ALL, 0));
+        balancer.onFleetView(0, fleet(4, Agreement.ALL, 1.0 / ALL, 0));
         assertEquals(0.4, balancer.partOfQuotas(0, 0.25, 0.4), 1e-9);
-        balancer.onFleet(0, fleet(4, Agreement.MAJORITY, 1.0 / ALL, 0));
+        balancer.onFleetView(0, fleet(4, Agreement.MAJORITY, 1.0 / ALL, 0));
         assertEquals(1.0 / ALL, balancer.partOfQuotas(0, 0.25, 0.4), 1e-9);
         assertTrue(balancer.partOfQuotas(2 * Host.SECOND, 0.25, 0.4) < 1.0 / ALL);
     }
--- a/decision/src/test/java/dockrelay/Host.java
+++ b/decision/src/test/java/dockrelay/Host.java
@@ -3,7 +3,7 @@
 import dockrelay.Balancer.Backend;
 import dockrelay.Balancer.DedupScope;
 import dockrelay.Balancer.Idempotency;
-import dockrelay.Balancer.ListScope;
+import dockrelay.Balancer.ListUpdateType;
 import dockrelay.Balancer.Outcome;
 import dockrelay.Balancer.Phase;
 import dockrelay.Balancer.Request;
@@ -86,12 +86,12 @@
         for (int id = 1; id <= count; id++) {
             entries.add(backend(id, Phase.READY, 0));
         }
-        balancer.onMembers(now, ListScope.CACHED, entries);
+        balancer.onBackendList(now, ListUpdateType.CACHED, entries);
         return this;
     }
 
     void change(Backend... entries) {
-        balancer.onMembers(now, ListScope.DELTA, List.of(entries));
+        balancer.onBackendList(now, ListUpdateType.DELTA, List.of(entries));
     }
 
     void request(String id, String serviceClass) {
@@ -208,7 +208,7 @@
     }
 
     @Override
-    public void hangUp(long backend) {
+    public void closeIdleConnections(long backend) {
         actions.add("hangUp " + backend);
     }
 
@@ -219,7 +219,7 @@
     }
 
     @Override
-    public void tellPeers(String message) {
+    public void broadcastToPeers(String message) {
         actions.add("tell " + message);
         messages.add(message);
     }
--- a/decision/src/test/java/dockrelay/OrdinaryPathTest.java
+++ b/decision/src/test/java/dockrelay/OrdinaryPathTest.java
@@ -187,7 +187,7 @@
             List.of(new Balancer.Tenant(tenant, 100)), false, Host.limits(),
             base.rules(), base.crossZonePrice());
         Host host = Host.of(settings, 11);
-        host.balancer.onMembers(host.now, Balancer.ListScope.CACHED, List.of(
+        host.balancer.onBackendList(host.now, Balancer.ListUpdateType.CACHED, List.of(
             new Balancer.Backend(1, zone, "k", 0, Balancer.Phase.READY, 1, 0),
             new Balancer.Backend(2, zone, "k", 0, Balancer.Phase.READY, 1, 0),
             new Balancer.Backend(3, zone + "2", "k", 0, Balancer.Phase.READY, 1, 0)));
--- a/decision/src/test/java/dockrelay/RandomEventsTest.java
+++ b/decision/src/test/java/dockrelay/RandomEventsTest.java
@@ -6,7 +6,7 @@
 
 import dockrelay.Balancer.Backend;
 import dockrelay.Balancer.Limits;
-import dockrelay.Balancer.ListScope;
+import dockrelay.Balancer.ListUpdateType;
 import dockrelay.Balancer.Outcome;
 import dockrelay.Balancer.Phase;
 import dockrelay.Balancer.Request;
@@ -41,8 +41,8 @@
         for (int id = 1; id <= 8; id++) {
             first.add(Host.backend(id, Phase.READY, 0));
         }
-        checker.members(ListScope.CACHED, first);
-        module.onMembers(host.now, ListScope.CACHED, first);
+        checker.members(ListUpdateType.CACHED, first);
+        module.onBackendList(host.now, ListUpdateType.CACHED, first);
         List<int[]> out = new ArrayList<>();
         for (int i = 0; i < EVENTS || !out.isEmpty(); i++) {
             long step = random.nextInt(8) * Host.MS;
@@ -83,15 +83,15 @@
                 Phase phase = Phase.values()[random.nextInt(3)];
                 Backend entry = Host.backend(id, random.nextBoolean() ? Phase.READY : phase,
                     random.nextBoolean() ? host.now - random.nextInt(5_000_000) : 0);
-                checker.members(ListScope.DELTA, List.of(entry));
-                module.onMembers(host.now, ListScope.DELTA, List.of(entry));
+                checker.members(ListUpdateType.DELTA, List.of(entry));
+                module.onBackendList(host.now, ListUpdateType.DELTA, List.of(entry));
             } else if (what < 93) {
-                module.onMembers(host.now, ListScope.FAILED, List.of());
+                module.onBackendList(host.now, ListUpdateType.FAILED, List.of());
             } else if (what < 95 && !open.isEmpty()) {
                 String id = open.get(open.size() - 1);
                 if (host.answers(id) == 0 && out.stream().anyMatch(o -> id.equals(open.get(o[0])))) {
                     checker.clientGone(id);
-                    module.onClientGone(host.now, id);
+                    module.onClientDisconnected(host.now, id);
                 }
             } else if (what < 97) {
                 module.onPeerMessage(host.now, random.nextInt(6), random.nextBoolean() ? "40" : "x y");
@@ -173,9 +173,9 @@
         }
 
         @Override
-        public void hangUp(long backend) {
+        public void closeIdleConnections(long backend) {
             if (fault != Fault.LEFT_OPEN) {
-                to.hangUp(backend);
+                to.closeIdleConnections(backend);
             }
         }
 
@@ -185,8 +185,8 @@
         }
 
         @Override
-        public void tellPeers(String message) {
-            to.tellPeers(message);
+        public void broadcastToPeers(String message) {
+            to.broadcastToPeers(message);
         }
     }
 
--- a/decision/src/test/java/dockrelay/RuleChecker.java
+++ b/decision/src/test/java/dockrelay/RuleChecker.java
@@ -51,8 +51,8 @@
         this.host = host;
     }
 
-    void members(Balancer.ListScope scope, List<Backend> entries) {
-        if (scope == Balancer.ListScope.FULL || scope == Balancer.ListScope.CACHED) {
+    void members(Balancer.ListUpdateType scope, List<Backend> entries) {
+        if (scope == Balancer.ListUpdateType.FULL || scope == Balancer.ListUpdateType.CACHED) {
             list.clear();
         }
         for (Backend entry : entries) {
@@ -90,7 +90,7 @@
     void outcome(String id, int attempt, Outcome outcome) {
         Held h = held.get(id);
         h.attempts.get(attempt).ended = true;
-        h.attempts.get(attempt).neverRan = outcome.neverRan();
+        h.attempts.get(attempt).neverRan = outcome.provesNotExecuted();
         h.over |= outcome == Outcome.OK;
         Drain drain = drains.get(h.attempts.get(attempt).backend);
         if (drain != null && drain.busy.remove(h.attempts.get(attempt))) {
@@ -202,14 +202,14 @@
     }
 
     @Override
-    public void hangUp(long backend) {
+    public void closeIdleConnections(long backend) {
         if (drains.containsKey(backend) && drains.get(backend).busy.isEmpty()) {
             drains.remove(backend);
         }
         if (outAt(backend).isEmpty()) {
             opened.remove(backend);
         }
-        host.hangUp(backend);
+        host.closeIdleConnections(backend);
     }
 
     @Override
@@ -218,8 +218,8 @@
     }
 
     @Override
-    public void tellPeers(String message) {
+    public void broadcastToPeers(String message) {
         breach(!settings.limits().peers() || message.length() > 256, "message not permitted");
-        host.tellPeers(message);
+        host.broadcastToPeers(message);
     }
 }
--- a/decision/src/test/java/dockrelay/RulesTest.java
+++ b/decision/src/test/java/dockrelay/RulesTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dockrelay.Balancer.ListScope;
+import dockrelay.Balancer.ListUpdateType;
 import dockrelay.Balancer.Outcome;
 import dockrelay.Balancer.Phase;
 import java.util.ArrayList;
@@ -54,7 +54,7 @@
     void nothingIsSentForARequestThatIsOver() {
         Host host = Host.usual().fleet(9);
         host.request("r", "safe");
-        host.balancer.onClientGone(host.now, "r");
+        host.balancer.onClientDisconnected(host.now, "r");
         assertEquals(List.of(0), host.cancels.get("r"));
         host.outcome("r", 0, Outcome.ERROR, Host.MS);
         host.pass(Host.SECOND);
@@ -67,10 +67,10 @@
         Host host = Host.usual().fleet(2);
         int before = host.actions.size();
         host.balancer.onOutcome(host.now, "ghost", 0, 1, Outcome.ERROR, 1, false, null);
-        host.balancer.onClientGone(host.now, "ghost");
+        host.balancer.onClientDisconnected(host.now, "ghost");
         host.balancer.onStreamStart(host.now, "ghost", 0, 1, 1);
         host.balancer.onTimer(host.now, 987654);
-        host.balancer.onProbe(host.now, 77, Outcome.OK, 1, null);
+        host.balancer.onProbeResult(host.now, 77, Outcome.OK, 1, null);
         host.balancer.onPeerMessage(host.now, 2, "garbled");
         assertEquals(before, host.actions.size());
     }
@@ -86,7 +86,7 @@
             host.pass(500 * Host.MS);
             assertEquals(1, host.sentTo("r").size(), "no hedge for an unsafe request");
             host.outcome("r", 0, outcome, Host.MS);
-            if (outcome.neverRan()) {
+            if (outcome.provesNotExecuted()) {
                 assertEquals(2, host.sentTo("r").size(), outcome.toString());
             } else {
                 assertEquals(1, host.sentTo("r").size(), outcome.toString());
@@ -190,11 +190,11 @@
     void nothingNewGoesToADrainingOrGoneBackend() {
         Host host = Host.usual().fleet(6);
         host.change(Host.backend(1, Phase.DRAINING, 0), Host.backend(2, Phase.GONE, 0));
-        host.balancer.onMembers(host.now, ListScope.FAILED, List.of());
+        host.balancer.onBackendList(host.now, ListUpdateType.FAILED, List.of());
         for (int i = 0; i < 300; i++) {
             host.easy("r" + i, "safe");
         }
-        host.balancer.onMembers(host.now, ListScope.FULL, List.of(Host.backend(5, Phase.READY, 0),
+        host.balancer.onBackendList(host.now, ListUpdateType.FULL, List.of(Host.backend(5, Phase.READY, 0),
             Host.backend(6, Phase.READY, 0)));
         int before = host.sends.size();
         for (int i = 0; i < 300; i++) {
@@ -220,12 +220,12 @@
         assertEquals(1, host.subscriptions, "no second call while the first is not answered");
         int last = 1;
         for (int i = 0; i < 6; i++) {
-            host.balancer.onMembers(host.now, ListScope.FAILED, List.of());
+            host.balancer.onBackendList(host.now, ListUpdateType.FAILED, List.of());
             assertEquals(last, host.subscriptions, "never at once");
             host.pass(10 * Host.SECOND);
             assertEquals(++last, host.subscriptions, "within the time allowed");
         }
-        host.balancer.onMembers(host.now, ListScope.DELTA, List.of());
+        host.balancer.onBackendList(host.now, ListUpdateType.DELTA, List.of());
         host.pass(60 * Host.SECOND);
         assertEquals(last, host.subscriptions);
     }
@@ -238,7 +238,7 @@
             Host host = Host.of(Host.settings(Host.limits(), true, List.of()), seed);
             host.fleet(3);
             host.pass(2 * Host.SECOND);
-            host.balancer.onMembers(host.now, ListScope.FAILED, List.of());
+            host.balancer.onBackendList(host.now, ListUpdateType.FAILED, List.of());
             double waited = 0;
             while (host.subscriptions < 2) {
                 host.pass(10 * Host.MS);
@@ -336,11 +336,11 @@
 
     @Test
     void idleConnectionsToADrainingBackendAreClosedAtTheNoticeAndAsLateAttemptsEnd() {
-        for (ListScope scope : List.of(ListScope.DELTA, ListScope.FULL, ListScope.CACHED)) {
+        for (ListUpdateType scope : List.of(ListUpdateType.DELTA, ListUpdateType.FULL, ListUpdateType.CACHED)) {
             for (Phase later : Phase.values()) {
                 Host host = Host.usual().fleet(1);
                 host.request("r", "unsafe");
-                host.balancer.onMembers(host.now, scope, List.of(Host.backend(1, Phase.DRAINING, 0)));
+                host.balancer.onBackendList(host.now, scope, List.of(Host.backend(1, Phase.DRAINING, 0)));
                 assertEquals(1, host.actions.stream().filter("hangUp 1"::equals).count(), "at the notice");
                 host.pass(300 * Host.MS);
                 host.change(Host.backend(1, later, 0));
--- a/proxy/src/main/java/dockrelay/proxy/BackendPool.java
+++ b/proxy/src/main/java/dockrelay/proxy/BackendPool.java
@@ -512,7 +512,7 @@
 
         private void over(Outcome outcome, LoadReport report, FullHttpResponse response) {
             ended = true;
-            neverRan = outcome.neverRan();
+            neverRan = outcome.provesNotExecuted();
             if (outcome != Outcome.OK) {
                 counters.add(Count.valueOf(outcome.name()));
             }
--- a/proxy/src/main/java/dockrelay/proxy/Config.java
+++ b/proxy/src/main/java/dockrelay/proxy/Config.java
@@ -64,7 +64,7 @@
         try (JsonParser parser = new JsonFactory().createParser(in)) {
             if (parser.nextToken() != JsonToken.START_OBJECT) {
                 throw new SettingException("the whole", parser.currentToken() == null ? ""
-                    : Json.value(parser), "one JSON object");
+                    : Json.readValue(parser), "one JSON object");
             }
             while (parser.nextToken() == JsonToken.FIELD_NAME) {
                 String key = parser.currentName();
@@ -74,7 +74,7 @@
                 } else if ("known".equals(key)) {
                     parser.skipChildren();
                 } else {
-                    top.put(key, Json.value(parser));
+                    top.put(key, Json.readValue(parser));
                 }
             }
         } catch (JsonProcessingException e) {
--- a/proxy/src/main/java/dockrelay/proxy/Discovery.java
+++ b/proxy/src/main/java/dockrelay/proxy/Discovery.java
@@ -1,6 +1,6 @@
 package dockrelay.proxy;
 
-import dockrelay.Balancer.ListScope;
+import dockrelay.Balancer.ListUpdateType;
 import dockrelay.proxy.Counters.Count;
 import dockrelay.proxy.DiscoveryWatch.Ending;
 import io.netty.bootstrap.Bootstrap;
@@ -64,8 +64,8 @@
         this.listing = new Listing(operators);
         // Not by execute: what is executed from within the loop may run before the next look at the sockets.
         this.applier = new ListApplier(listing, task -> loop.schedule(task, 0, TimeUnit.NANOSECONDS), this);
-        this.asked = config.settings().askedDiscovery();
-        long within = TimeUnit.MICROSECONDS.toMillis(config.settings().rules().askWithin());
+        this.asked = config.settings().mustSubscribe();
+        long within = TimeUnit.MICROSECONDS.toMillis(config.settings().rules().subscribeWithin());
         this.pacing = new CallPacing(asked ? config.settings().proxies() : 1, config.settings().me(), within,
             config.seed());
         this.pushedBackoff = new Backoff(FIRST_BACKOFF_MILLIS, MOST_BACKOFF_MILLIS, config.seed());
@@ -81,7 +81,7 @@
      */
     void start(KnownList cached, boolean successor) {
         version = cached.version();
-        tell(ListScope.CACHED, listing.take(cached.take(), true));
+        tell(ListUpdateType.CACHED, listing.take(cached.take(), true));
         if (asked) {
             long wait = successor ? pacing.firstCallOfSuccessor() : pacing.firstCall();
             loop.schedule(this::follow, wait, TimeUnit.MILLISECONDS);
@@ -109,12 +109,12 @@
     void operated(String name) {
         RequestTable.Member member = listing.operated(name);
         if (member != null) {
-            tell(ListScope.OPERATED, List.of(member));
+            tell(ListUpdateType.OPERATED, List.of(member));
         }
     }
 
     @Override
-    public void tell(ListScope scope, List<RequestTable.Member> members) {
+    public void tell(ListUpdateType scope, List<RequestTable.Member> members) {
         table.members(scope, members);
         anyReady = listing.anyReady();
     }
@@ -248,7 +248,7 @@
         Log.line("discovery", "the next call is due in " + wait + " ms");
         attemptIn(wait);
         if (asked) {
-            table.members(ListScope.FAILED, List.of());
+            table.members(ListUpdateType.FAILED, List.of());
         }
     }
 
--- a/proxy/src/main/java/dockrelay/proxy/FleetBudgets.java
+++ b/proxy/src/main/java/dockrelay/proxy/FleetBudgets.java
@@ -1,6 +1,6 @@
 package dockrelay.proxy;
 
-import dockrelay.Balancer.BudgetPart;
+import dockrelay.Balancer.BudgetShare;
 import dockrelay.Balancer.BudgetUse;
 import dockrelay.fleet.Row;
 import dockrelay.fleet.State;
@@ -55,7 +55,7 @@
 
     /** Nothing is to be spent before a part is there. */
     static void none(RequestTable table, Config config) {
-        table.budgets(0, 0, config.budgets().stream().map(budget -> new BudgetPart(budget.name(), 0, 0, 0))
+        table.budgets(0, 0, config.budgets().stream().map(budget -> new BudgetShare(budget.name(), 0, 0, 0))
             .toList());
     }
 
@@ -106,7 +106,7 @@
     }
 
     private void tell(long telling, long until, List<Part> parts) {
-        List<BudgetPart> told = parts.stream().map(part -> new BudgetPart(part.budget(), micros(part.rate()),
+        List<BudgetShare> told = parts.stream().map(part -> new BudgetShare(part.budget(), micros(part.rate()),
             micros(part.burst()), micros(part.add()))).toList();
         table.loop().execute(() -> {
             if (!left) {
--- a/proxy/src/main/java/dockrelay/proxy/KnownList.java
+++ b/proxy/src/main/java/dockrelay/proxy/KnownList.java
@@ -45,7 +45,7 @@
         EntryReader reader = new EntryReader();
         List<Object> entries = new ArrayList<>();
         while (parser.nextToken() != JsonToken.END_ARRAY) {
-            Object entry = Json.value(parser);
+            Object entry = Json.readValue(parser);
             entries.add(entry instanceof Map<?, ?> map ? reader.first(map) : entry);
         }
         return entries;
--- a/proxy/src/main/java/dockrelay/proxy/ListApplier.java
+++ b/proxy/src/main/java/dockrelay/proxy/ListApplier.java
@@ -1,6 +1,6 @@
 package dockrelay.proxy;
 
-import dockrelay.Balancer.ListScope;
+import dockrelay.Balancer.ListUpdateType;
 import dockrelay.proxy.RequestTable.Member;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -21,7 +21,7 @@
 
     /** Hears what is to be told, and when all of an update was. */
     interface Sink {
-        void tell(ListScope scope, List<Member> members);
+        void tell(ListUpdateType scope, List<Member> members);
 
         void applied(ListParser.Update update);
 
@@ -64,7 +64,7 @@
         List<Object> entries = next();
         boolean full = current.get(0).full();
         if (entries.size() <= BATCH && (!full || listing.size() <= BATCH) || listing.size() == 0) {
-            tell(full ? ListScope.FULL : ListScope.DELTA, listing.take(entries, full));
+            tell(full ? ListUpdateType.FULL : ListUpdateType.DELTA, listing.take(entries, full));
             ended();
         } else {
             taking = listing.takingInParts(entries, full);
@@ -100,7 +100,7 @@
         return 1 + update.entries().size();
     }
 
-    private void tell(ListScope scope, List<Member> members) {
+    private void tell(ListUpdateType scope, List<Member> members) {
         try {
             sink.tell(scope, members);
         } catch (RuntimeException e) {
@@ -111,7 +111,7 @@
     private void turn() {
         List<Member> members = taking.next(BATCH);
         if (!members.isEmpty()) {
-            tell(ListScope.DELTA, members);
+            tell(ListUpdateType.DELTA, members);
         }
         if (taking.done()) {
             taking = null;
--- a/proxy/src/main/java/dockrelay/proxy/Members.java
+++ b/proxy/src/main/java/dockrelay/proxy/Members.java
@@ -1,7 +1,7 @@
 package dockrelay.proxy;
 
 import dockrelay.Balancer.Agreement;
-import dockrelay.Balancer.Fleet;
+import dockrelay.Balancer.FleetView;
 import dockrelay.fleet.Change;
 import dockrelay.fleet.Pace;
 import dockrelay.fleet.Row;
@@ -52,7 +52,7 @@
         new DefaultThreadFactory("peers", true), NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private final Path file;
-    private final Consumer<Fleet> told;
+    private final Consumer<FleetView> told;
     private final Peers peers;
     private final Random random;
     private final List<String> news = new ArrayList<>();
@@ -68,7 +68,7 @@
     private boolean ended;
 
     /** The folder outlives the process, or is null; the module is told through the consumer. */
-    Members(Config config, Path folder, RequestTable table, Consumer<Fleet> told) {
+    Members(Config config, Path folder, RequestTable table, Consumer<FleetView> told) {
         this.config = config;
         this.file = folder == null ? null : folder.resolve("incarnation");
         this.told = told;
@@ -151,7 +151,7 @@
                 guarded(() -> budgets.presence(machine.rows(now())));
             }
             Standing standing = machine.standing(now());
-            told.accept(new Fleet(standing.members(), standing.me(), standing.share(), standing.leastShare(),
+            told.accept(new FleetView(standing.members(), standing.me(), standing.share(), standing.leastShare(),
                 Agreement.valueOf(standing.agreement().name()), 0, config.groups().grouping().single() ? 0
                     : Math.max(1, standing.age()))); // also where nothing of the others counts any more
         }
@@ -301,7 +301,7 @@
             ended = true;
             peers.close();
             // The next process has the name's part from now on.
-            told.accept(new Fleet(1, 0, 0, 0, Agreement.MINORITY, 0, 0));
+            told.accept(new FleetView(1, 0, 0, 0, Agreement.MINORITY, 0, 0));
         }, loop);
     }
 
--- a/proxy/src/main/java/dockrelay/proxy/Proxy.java
+++ b/proxy/src/main/java/dockrelay/proxy/Proxy.java
@@ -1,6 +1,6 @@
 package dockrelay.proxy;
 
-import dockrelay.Balancer.Fleet;
+import dockrelay.Balancer.FleetView;
 import dockrelay.Balancer.ServiceClass;
 import dockrelay.RiqBalancer;
 import dockrelay.settings.SettingException;
@@ -147,7 +147,7 @@
         // Warm first: clients come before healthz says 200 where the front has not noticed a restart, and
         // what is taken beside the warm-up is answered too late. A refused connection loses nothing.
         WarmUp.run(config, buffers);
-        if (!config.settings().askedDiscovery()) {
+        if (!config.settings().mustSubscribe()) {
             long taken = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - begun);
             awaitList(shared ? PUSHED_LIST_UPGRADE_MILLIS : Math.max(LIST_MILLIS, READY_MILLIS - taken));
         } else if (shared) {
@@ -329,10 +329,10 @@
     }
 
     /** What is known of the other proxies is the module's to go by, and grows old while the loop is busy. */
-    private void told(Fleet fleet) {
+    private void told(FleetView fleet) {
         long at = System.nanoTime();
-        loop.execute(() -> table.fleet(new Fleet(fleet.proxies(), fleet.me(), fleet.share(),
-            fleet.leastShare(),
+        loop.execute(() -> table.fleet(new FleetView(fleet.proxies(), fleet.me(), fleet.share(),
+            fleet.minShare(),
             fleet.agreement(), (System.nanoTime() - at) / 1000, fleet.countsAge())));
     }
 
--- a/proxy/src/main/java/dockrelay/proxy/RequestTable.java
+++ b/proxy/src/main/java/dockrelay/proxy/RequestTable.java
@@ -2,11 +2,11 @@
 
 import dockrelay.Balancer;
 import dockrelay.Balancer.Backend;
-import dockrelay.Balancer.BudgetPart;
+import dockrelay.Balancer.BudgetShare;
 import dockrelay.Balancer.BudgetUse;
-import dockrelay.Balancer.Fleet;
+import dockrelay.Balancer.FleetView;
 import dockrelay.Balancer.Idempotency;
-import dockrelay.Balancer.ListScope;
+import dockrelay.Balancer.ListUpdateType;
 import dockrelay.Balancer.LoadReport;
 import dockrelay.Balancer.Outcome;
 import dockrelay.Balancer.Request;
@@ -254,7 +254,7 @@
         if (!p.answered) {
             counters.add(Count.OVERDUE);
             conclude(p, plain(HttpResponseStatus.GATEWAY_TIMEOUT));
-            enter(p, () -> module.onClientGone(clock.getAsLong(), p.request.id()));
+            enter(p, () -> module.onClientDisconnected(clock.getAsLong(), p.request.id()));
             callOffUnsent(p);
         }
     }
@@ -267,16 +267,16 @@
         }
         counters.add(Count.GONE);
         conclude(p, null);
-        enter(p, () -> module.onClientGone(clock.getAsLong(), requestId));
+        enter(p, () -> module.onClientDisconnected(clock.getAsLong(), requestId));
         callOffUnsent(p);
         if (p.streaming != null) {
             p.streaming.cancel();
         }
     }
 
-    void members(ListScope scope, List<Member> members) {
+    void members(ListUpdateType scope, List<Member> members) {
         List<Backend> entries = new ArrayList<>(members.size());
-        if (scope == ListScope.FULL || scope == ListScope.CACHED) {
+        if (scope == ListUpdateType.FULL || scope == ListUpdateType.CACHED) {
             pool.learnAll(members);
         } else {
             members.forEach(pool::learn);
@@ -284,7 +284,7 @@
         for (Member member : members) {
             entries.add(member.backend);
         }
-        enter(null, () -> module.onMembers(clock.getAsLong(), scope, entries));
+        enter(null, () -> module.onBackendList(clock.getAsLong(), scope, entries));
     }
 
     /** The final answer, the first time only; null where the client is gone. */
@@ -524,13 +524,13 @@
             }
             enter(null, () -> {
                 long then = clock.getAsLong();
-                module.onProbe(then, backend, outcome, then - now, report);
+                module.onProbeResult(then, backend, outcome, then - now, report);
             });
         });
     }
 
     @Override
-    public void hangUp(long backend) {
+    public void closeIdleConnections(long backend) {
         pool.hangUp(backend);
     }
 
@@ -540,21 +540,21 @@
     }
 
     @Override
-    public void tellPeers(String message) {
+    public void broadcastToPeers(String message) {
         messenger.accept(message);
     }
 
-    void fleet(Fleet fleet) {
-        enter(null, () -> module.onFleet(clock.getAsLong(), fleet));
+    void fleet(FleetView fleet) {
+        enter(null, () -> module.onFleetView(clock.getAsLong(), fleet));
     }
 
     /** What may be spent of the fleet's budgets, for so many microseconds from now. */
-    void budgets(long telling, long lasts, List<BudgetPart> parts) {
-        enter(null, () -> module.onBudgets(clock.getAsLong(), telling, clock.getAsLong() + lasts, parts));
+    void budgets(long telling, long lasts, List<BudgetShare> parts) {
+        enter(null, () -> module.onBudgetShares(clock.getAsLong(), telling, clock.getAsLong() + lasts, parts));
     }
 
     List<BudgetUse> budgets() {
-        return module.budgets(clock.getAsLong());
+        return module.budgetUsage(clock.getAsLong());
     }
 
     EventLoop loop() {
--- a/proxy/src/main/java/dockrelay/proxy/WarmUp.java
+++ b/proxy/src/main/java/dockrelay/proxy/WarmUp.java
@@ -2,7 +2,7 @@
 
 import dockrelay.Balancer.Backend;
 import dockrelay.Balancer.Idempotency;
-import dockrelay.Balancer.ListScope;
+import dockrelay.Balancer.ListUpdateType;
 import dockrelay.Balancer.Phase;
 import dockrelay.Balancer.ServiceClass;
 import dockrelay.RiqBalancer;
@@ -185,7 +185,7 @@
             members.add(new RequestTable.Member(
                 new Backend(id, config.settings().zone(), "", 0, Phase.READY, 1, 0), transport.back));
         }
-        table.members(ListScope.CACHED, members);
+        table.members(ListUpdateType.CACHED, members);
         ServerBootstrap listening = new ServerBootstrap().group(loop).channel(transport.server)
             .childOption(ChannelOption.ALLOCATOR, buffers);
         new ClientSide(table, config.settings().classes(), CLIENTS * 2, () -> true, counters, bound)
--- a/proxy/src/test/java/dockrelay/proxy/ListApplierTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/ListApplierTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dockrelay.Balancer.Backend;
-import dockrelay.Balancer.ListScope;
+import dockrelay.Balancer.ListUpdateType;
 import dockrelay.Balancer.Phase;
 import dockrelay.proxy.ListParser.Update;
 import dockrelay.proxy.RequestTable.Member;
@@ -33,7 +33,7 @@
         final Deque<Runnable> turns = new ArrayDeque<>();
         final ListApplier applier;
         final Map<Long, Backend> holds = new TreeMap<>();
-        final List<ListScope> scopes = new ArrayList<>();
+        final List<ListUpdateType> scopes = new ArrayList<>();
         final List<Long> applied = new ArrayList<>();
         int most, idle, failing;
 
@@ -47,13 +47,13 @@
         }
 
         @Override
-        public void tell(ListScope scope, List<Member> members) {
+        public void tell(ListUpdateType scope, List<Member> members) {
             if (failing > 0 && --failing == 0) {
                 throw new IllegalStateException("a fault of whoever is told");
             }
             scopes.add(scope);
             most = Math.max(most, members.size());
-            if (scope == ListScope.FULL) {
+            if (scope == ListUpdateType.FULL) {
                 holds.clear();
             }
             for (Member member : members) {
@@ -125,7 +125,7 @@
     private static Told listed(int count) {
         Told told = new Told();
         told.applier.apply(update(told, 1, true, entries(0, count, "active")));
-        assertEquals(List.of(ListScope.FULL), told.scopes, "nothing can be served before the first list");
+        assertEquals(List.of(ListUpdateType.FULL), told.scopes, "nothing can be served before the first list");
         told.turn();
         told.scopes.clear();
         told.most = 0;
@@ -146,7 +146,7 @@
             told.turn();
             assertEquals(BATCH, told.most);
             assertEquals(size, told.holds.size());
-            assertFalse(told.scopes.contains(ListScope.FULL), "of which the module would walk over all");
+            assertFalse(told.scopes.contains(ListUpdateType.FULL), "of which the module would walk over all");
             assertEquals(List.of(1L, 2L, 3L, 4L), told.applied);
         }
     }
@@ -155,11 +155,11 @@
     void whatIsShortIsAppliedAtOnceAndInOneWord() {
         Told told = listed(BATCH);
         told.applier.apply(update(told, 2, true, entries(1, BATCH, "active")));
-        assertEquals(List.of(ListScope.FULL), told.scopes);
+        assertEquals(List.of(ListUpdateType.FULL), told.scopes);
         assertEquals(BATCH - 1, told.holds.size());
         told.turn();
         told.applier.apply(update(told, 3, false, entries(1, 3, "leaving")));
-        assertEquals(List.of(ListScope.FULL, ListScope.DELTA), told.scopes);
+        assertEquals(List.of(ListUpdateType.FULL, ListUpdateType.DELTA), told.scopes);
         assertEquals(Phase.DRAINING, told.holds.get(EntryReader.number("s-1")).phase());
         assertEquals(1, told.turn());
         assertEquals(3, told.idle);
@@ -260,7 +260,7 @@
                 }
             }
             told.applier.apply(update(told, version, full, some));
-            atOnce.tell(full ? ListScope.FULL : ListScope.DELTA,
+            atOnce.tell(full ? ListUpdateType.FULL : ListUpdateType.DELTA,
                 atOnce.listing.take(update(atOnce, version, full, some).entries(), full));
             for (int turns = random.nextInt(8); turns > 0 && !told.turns.isEmpty(); turns--) {
                 told.turns.poll().run();
--- a/proxy/src/test/java/dockrelay/proxy/ListParserTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/ListParserTest.java
@@ -37,7 +37,7 @@
     private static ListParser.Update whole(String text) throws IOException {
         try (JsonParser json = new JsonFactory().createParser(text)) {
             json.nextToken();
-            Map<?, ?> map = (Map<?, ?>) Json.value(json);
+            Map<?, ?> map = (Map<?, ?>) Json.readValue(json);
             return new ListParser.Update((long) Config.number(map, "version", -1),
                 Boolean.TRUE.equals(map.get("full")), new ArrayList<>(Config.list(map, "servers")));
         }
--- a/proxy/src/test/java/dockrelay/proxy/ListProbe.java
+++ b/proxy/src/test/java/dockrelay/proxy/ListProbe.java
@@ -1,7 +1,7 @@
 package dockrelay.proxy;
 
 import dockrelay.Balancer;
-import dockrelay.Balancer.ListScope;
+import dockrelay.Balancer.ListUpdateType;
 import dockrelay.Balancer.Outcome;
 import dockrelay.Balancer.Request;
 import dockrelay.RiqBalancer;
@@ -55,7 +55,7 @@
     }
 
     @Override
-    public void tell(ListScope scope, List<RequestTable.Member> members) {
+    public void tell(ListUpdateType scope, List<RequestTable.Member> members) {
         table.members(scope, members);
     }
 
@@ -239,7 +239,7 @@
     }
 
     @Override
-    public void hangUp(long backend) {
+    public void closeIdleConnections(long backend) {
     }
 
     @Override
@@ -247,6 +247,6 @@
     }
 
     @Override
-    public void tellPeers(String message) {
+    public void broadcastToPeers(String message) {
     }
 }
--- a/proxy/src/test/java/dockrelay/proxy/MembersTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/MembersTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dockrelay.Balancer.Agreement;
-import dockrelay.Balancer.Fleet;
+import dockrelay.Balancer.FleetView;
 import java.net.DatagramPacket;
 import java.net.DatagramSocket;
 import java.net.InetAddress;
@@ -61,7 +61,7 @@
             + "\"Services\":[{\"Name\":\"look\",\"Aim\":1.0,\"HardLimit\":5.0}]}}");
     }
 
-    private Members member(Config config, Path kept, AtomicReference<Fleet> fleet) {
+    private Members member(Config config, Path kept, AtomicReference<FleetView> fleet) {
         Members member = new Members(config, kept, null, fleet::set);
         all.add(member);
         member.join();
@@ -88,7 +88,7 @@
     @Test
     void membersSeeEachOtherThroughAFlood() throws Exception {
         List<Integer> ports = ports(3);
-        List<AtomicReference<Fleet>> fleets = List.of(new AtomicReference<>(), new AtomicReference<>(),
+        List<AtomicReference<FleetView>> fleets = List.of(new AtomicReference<>(), new AtomicReference<>(),
             new AtomicReference<>());
         for (int i = 0; i < 3; i++) {
             member(config(i, ports.get(i), ports), folder.resolve("n" + i), fleets.get(i));
@@ -120,7 +120,7 @@
     void groupsSeeEachOther() throws Exception {
         List<Integer> ports = ports(5);
         String zones = "\"a\":[\"n0\",\"n1\"],\"b\":[\"n2\",\"n3\"],\"c\":[\"n4\"]";
-        List<AtomicReference<Fleet>> fleets = new ArrayList<>();
+        List<AtomicReference<FleetView>> fleets = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
             fleets.add(new AtomicReference<>());
             member(config(i, ports.get(i), ports, zones), folder.resolve("n" + i), fleets.get(i));
--- a/settings/src/main/java/dockrelay/settings/Json.java
+++ b/settings/src/main/java/dockrelay/settings/Json.java
@@ -14,7 +14,7 @@
     }
 
     /** The value at the parser's current token. */
-    public static Object value(JsonParser parser) throws IOException {
+    public static Object readValue(JsonParser parser) throws IOException {
         JsonToken token = parser.currentToken();
         if (token == null) {
             throw new IllegalArgumentException("value missing");
@@ -25,14 +25,14 @@
                 while (parser.nextToken() == JsonToken.FIELD_NAME) {
                     String name = parser.currentName();
                     parser.nextToken();
-                    map.put(name, value(parser));
+                    map.put(name, readValue(parser));
                 }
                 return map;
             }
             case START_ARRAY: {
                 List<Object> list = new ArrayList<>();
                 while (parser.nextToken() != JsonToken.END_ARRAY) {
-                    list.add(value(parser));
+                    list.add(readValue(parser));
                 }
                 return list;
             }
