--- a/decision/src/main/java/dockrelay/Balancer.java
+++ b/decision/src/main/java/dockrelay/Balancer.java
@@ -8,7 +8,7 @@
  *
  * <p>Every time is a {@code long} of microseconds on the host's own clock, handed in with each event.
  * An instance belongs to one thread, does no I/O and shares nothing with other instances. Events are answered
- * by calling {@link Actions} before the event method returns. A request on which nothing is done is held.
+ * by calling {@link Callbacks} before the event method returns. A request on which nothing is done is held.
  *
  * <p>Events come in the order of their time, the first list (CACHED) before any request. Wrong settings throw
  * an IllegalArgumentException that names the setting; events for ids that are not held are ignored. A request
--- a/fleet/src/main/java/dockrelay/fleet/Datagram.java
+++ b/fleet/src/main/java/dockrelay/fleet/Datagram.java
@@ -26,7 +26,7 @@
     enum Refusal { CUT, FOREIGN, CHECKSUM, NEWER, STRANGER, MISNAMED }
 
     /** What is held of a member, by the word of another. */
-    record Entry(int id, State state, long incarnation, int by) {
+    record Entry(int id, MemberState state, long incarnation, int by) {
     }
 
     /** What a member said it holds, how long ago at the most, in microseconds. */
@@ -166,7 +166,7 @@
                 in.position(in.position() + section.limit());
                 if (tag == ENTRIES) {
                     while (section.hasRemaining()) {
-                        entries.add(new Entry(section.getInt(), State.values()[section.get()],
+                        entries.add(new Entry(section.getInt(), MemberState.values()[section.get()],
                             number(section), section.getInt()));
                     }
                 } else if (tag == WORDS) {
--- a/fleet/src/main/java/dockrelay/fleet/Gossip.java
+++ b/fleet/src/main/java/dockrelay/fleet/Gossip.java
@@ -23,8 +23,8 @@
     /** News of a member takes the place of older news; a suspicion by one more accuser goes beside the
      * others. */
     void add(Entry entry) {
-        items.removeIf(item -> item.entry.id() == entry.id() && !(entry.state() == State.SUSPECT
-            && item.entry.state() == State.SUSPECT && item.entry.incarnation() == entry.incarnation()
+        items.removeIf(item -> item.entry.id() == entry.id() && !(entry.state() == MemberState.SUSPECT
+            && item.entry.state() == MemberState.SUSPECT && item.entry.incarnation() == entry.incarnation()
             && item.entry.by() != entry.by()));
         items.add(new Item(entry));
     }
--- a/fleet/src/main/java/dockrelay/fleet/Member.java
+++ b/fleet/src/main/java/dockrelay/fleet/Member.java
@@ -4,7 +4,7 @@
 final class Member {
     final int index, id;
     final String name;
-    State state = State.JOINING;
+    MemberState state = MemberState.JOINING;
     long incarnation, since, changedAt, answeredAt = Long.MIN_VALUE / 2, syncedAt = Long.MIN_VALUE / 2;
     long listedAt; // on lists of names without a break since then
     long differsSince = -1, clashAt, askedAt = Long.MIN_VALUE / 2;
@@ -15,10 +15,10 @@
     String by;
     Suspicion suspicion;
 
-    Member(int index, Roster roster, long now, String by) {
+    Member(int index, MemberList roster, long now, String by) {
         this.index = index;
         this.id = roster.idAt(index);
-        this.name = roster.name(index);
+        this.name = roster.nameAt(index);
         this.since = now;
         this.listedAt = now;
         this.changedAt = now;
--- a/fleet/src/main/java/dockrelay/fleet/Roster.java
+++ b/fleet/src/main/java/dockrelay/fleet/MemberList.java
@@ -9,7 +9,7 @@
 import java.util.zip.CRC32C;
 
 /** The names of a deployment's members, in an order that all who were given the same ones see alike. */
-public final class Roster {
+public final class MemberList {
     private static final int MOST = 1024, LONGEST_NAME = 64;
 
     private final List<String> names;
@@ -18,7 +18,7 @@
     private final Map<String, Integer> byName = new HashMap<>();
     private final int hash;
 
-    public Roster(Collection<String> given) {
+    public MemberList(Collection<String> given) {
         if (given.isEmpty() || given.size() > MOST) {
             throw new IllegalArgumentException(given.size() + " members; allowed are 1 to " + MOST);
         }
@@ -32,7 +32,7 @@
                 throw new IllegalArgumentException("member name \"" + names.get(i) + "\" has " + text.length
                     + " bytes; allowed are 1 to " + LONGEST_NAME);
             }
-            ids[i] = id(names.get(i));
+            ids[i] = idOf(names.get(i));
             Integer other = byId.put(ids[i], i);
             if (other != null) {
                 throw new IllegalArgumentException("member names \"" + names.get(other) + "\" and \""
@@ -46,7 +46,7 @@
     }
 
     /** A name as it stands on the wire. */
-    public static int id(String name) {
+    public static int idOf(String name) {
         CRC32C crc = new CRC32C();
         crc.update(name.getBytes(StandardCharsets.UTF_8));
         return (int) crc.getValue();
@@ -60,7 +60,7 @@
         return names;
     }
 
-    public String name(int index) {
+    public String nameAt(int index) {
         return names.get(index);
     }
 
@@ -69,12 +69,12 @@
     }
 
     /** Below 0 where nobody has it. */
-    public int index(int id) {
+    public int indexOf(int id) {
         return byId.getOrDefault(id, -1);
     }
 
     /** Below 0 where nobody has it. */
-    public int index(String name) {
+    public int indexOf(String name) {
         return byName.getOrDefault(name, -1);
     }
 
@@ -84,8 +84,8 @@
     }
 
     /** A member's name, or the bare id of one that is not on the list. */
-    public String named(int id) {
-        int index = index(id);
-        return index >= 0 ? name(index) : String.format("#%08x", id);
+    public String nameOrId(int id) {
+        int index = indexOf(id);
+        return index >= 0 ? nameAt(index) : String.format("#%08x", id);
     }
 }
--- a/fleet/src/main/java/dockrelay/fleet/State.java
+++ b/fleet/src/main/java/dockrelay/fleet/MemberState.java
@@ -1,7 +1,7 @@
 package dockrelay.fleet;
 
 /** What a member is to another one. */
-public enum State {
+public enum MemberState {
     /** Named by the configuration and not heard of yet; of itself: nobody has answered yet. */
     JOINING,
     PRESENT,
--- a/fleet/src/main/java/dockrelay/fleet/Membership.java
+++ b/fleet/src/main/java/dockrelay/fleet/Membership.java
@@ -35,18 +35,18 @@
     private static final int JOIN_PERIODS = 5;
 
     /** What the machine has done. */
-    public interface Actions {
+    public interface Callbacks {
         /** Sends this to a member; it may be lost. */
         void send(String to, ByteBuffer datagram);
 
         /** The view changed. */
-        void changed(Change change);
+        void memberChanged(MemberStateChange change);
 
         /** From now on this is the own incarnation: the next start has to have a higher one. */
-        void incarnation(long own);
+        void incarnationChanged(long own);
 
         /** Another process goes by this name; by a member's own doing or by its address. */
-        void clash(String name, String why);
+        void nameConflict(String name, String why);
     }
 
     /** A probe in flight: first directly, then through helpers. */
@@ -73,15 +73,15 @@
     }
 
     private final String self;
-    private final Pace pace;
+    private final ProtocolTiming pace;
     private final Random random;
-    private final Actions actions;
+    private final Callbacks actions;
     private final Gossip gossip = new Gossip();
     private final int life;
     private final Map<Refusal, Long> refused = new EnumMap<>(Refusal.class);
     private final List<Probe> probes = new ArrayList<>();
     private final LinkedHashMap<Integer, Sent> sent = new LinkedHashMap<>();
-    private Roster roster;
+    private MemberList roster;
     private List<Member> members;
     private Member me;
     private Outlook outlook;
@@ -94,8 +94,8 @@
      * The incarnation has to be higher than any that this name had before, as far as that is known: a higher
      * one that others remember is countered.
      */
-    public Membership(String self, Collection<String> names, long incarnation, int life, Pace pace,
-                      Random random, Actions actions, long now) {
+    public Membership(String self, Collection<String> names, long incarnation, int life, ProtocolTiming pace,
+                      Random random, Callbacks actions, long now) {
         this.self = self;
         this.pace = pace;
         this.random = random;
@@ -109,7 +109,7 @@
         roster(now, names);
         me.incarnation = incarnation;
         me.life = life;
-        actions.incarnation(incarnation);
+        actions.incarnationChanged(incarnation);
         speak(now);
     }
 
@@ -120,8 +120,8 @@
     }
 
     private void roster(long now, Collection<String> names) {
-        Roster next = new Roster(names);
-        int own = next.index(Roster.id(self));
+        MemberList next = new MemberList(names);
+        int own = next.indexOf(MemberList.idOf(self));
         if (own < 0) {
             throw new IllegalArgumentException("the own name \"" + self + "\" is not among the members");
         }
@@ -146,7 +146,7 @@
             kept.add(member);
         }
         for (Member old : members) {
-            if (next.index(old.id) < 0) {
+            if (next.indexOf(old.id) < 0) {
                 gossip.forget(old.id);
             }
         }
@@ -163,7 +163,7 @@
     // --- time
 
     /** When the next tick is due. */
-    public long nextAt() {
+    public long nextTickAt() {
         return nextAt;
     }
 
@@ -185,13 +185,13 @@
                 if (now - member.answeredAt < 2 * pace.period()) {
                     // It answers: it will counter this once it hears of it.
                     member.suspicion.delay(pace.period());
-                    gossip.add(new Entry(member.id, State.SUSPECT, member.incarnation, me.id));
+                    gossip.add(new Entry(member.id, MemberState.SUSPECT, member.incarnation, me.id));
                 } else {
-                    set(now, member, State.GONE, member.incarnation, me.id);
+                    set(now, member, MemberState.GONE, member.incarnation, me.id);
                 }
-            } else if (member.state == State.JOINING && member != me && joined
+            } else if (member.state == MemberState.JOINING && member != me && joined
                 && now - Math.max(member.since, startedAt) >= pace.joining()) {
-                set(now, member, State.GONE, member.incarnation, me.id);
+                set(now, member, MemberState.GONE, member.incarnation, me.id);
             }
         }
         if (now >= periodAt) {
@@ -251,8 +251,8 @@
         }
         if (!joined || periods % CONTACT_PERIODS == 0) {
             List<Member> away = members.stream().filter(member -> member != me
-                && member.state != State.PRESENT
-                && member.state != State.SUSPECT).toList();
+                && member.state != MemberState.PRESENT
+                && member.state != MemberState.SUSPECT).toList();
             if (!away.isEmpty()) {
                 reachOut(now, away.get(random.nextInt(away.size())));
             }
@@ -266,8 +266,8 @@
 
     private void joined(long now) {
         joined = true;
-        if (me.state == State.JOINING) {
-            set(now, me, State.PRESENT, me.incarnation, me.id);
+        if (me.state == MemberState.JOINING) {
+            set(now, me, MemberState.PRESENT, me.incarnation, me.id);
         }
     }
 
@@ -286,7 +286,7 @@
     private Member successor() {
         for (int i = 1; i < members.size(); i++) {
             Member member = members.get((me.index + i) % members.size());
-            if (member.state == State.PRESENT || member.state == State.SUSPECT) {
+            if (member.state == MemberState.PRESENT || member.state == MemberState.SUSPECT) {
                 return member;
             }
         }
@@ -300,7 +300,7 @@
                 Collections.shuffle(turns, random);
             }
             Member member = turns.remove(turns.size() - 1);
-            if (member != me && (member.state == State.PRESENT || member.state == State.SUSPECT)) {
+            if (member != me && (member.state == MemberState.PRESENT || member.state == MemberState.SUSPECT)) {
                 return member;
             }
         }
@@ -330,7 +330,7 @@
 
     private void askHelpers(long now, Probe probe) {
         List<Member> able = new ArrayList<>(members.stream().filter(member -> member != me
-            && member != probe.target && member.state == State.PRESENT).toList());
+            && member != probe.target && member.state == MemberState.PRESENT).toList());
         Collections.shuffle(able, random);
         for (Member helper : able.subList(0, Math.min(HELPERS, able.size()))) {
             tell(now, Kind.ASK, helper, probe.sequence, probe.target.id);
@@ -342,16 +342,16 @@
             health = Math.min(HEALTH_WORST, health + 1); // nobody at all was heard meanwhile: it may be me
         }
         Member target = probe.target;
-        if (probe.known && (target.state == State.PRESENT || target.state == State.SUSPECT)) {
+        if (probe.known && (target.state == MemberState.PRESENT || target.state == MemberState.SUSPECT)) {
             suspect(now, target, target.incarnation, me.id);
         }
     }
 
     private void suspect(long now, Member member, long incarnation, int by) {
-        if (member.suspicion == null || member.state != State.SUSPECT) {
+        if (member.suspicion == null || member.state != MemberState.SUSPECT) {
             int present = count();
             int confirmations = Math.max(0, Math.min(CONFIRMATIONS, present - 3));
-            set(now, member, State.SUSPECT, incarnation, by);
+            set(now, member, MemberState.SUSPECT, incarnation, by);
             member.suspicion = new Suspicion(now, by, confirmations, pace.suspicionLeast(present),
                 pace.suspicionMost(present));
             // Some of those who hear of it find out for themselves.
@@ -361,13 +361,13 @@
                 probe(now, member);
             }
         } else if (member.suspicion.confirm(by)) {
-            gossip.add(new Entry(member.id, State.SUSPECT, incarnation, by));
+            gossip.add(new Entry(member.id, MemberState.SUSPECT, incarnation, by));
         }
     }
 
     private int count() {
-        return (int) members.stream().filter(member -> member.state == State.PRESENT
-            || member.state == State.SUSPECT).count();
+        return (int) members.stream().filter(member -> member.state == MemberState.PRESENT
+            || member.state == MemberState.SUSPECT).count();
     }
 
     // --- datagrams
@@ -382,20 +382,20 @@
             refused.merge(e.refusal, 1L, Long::sum);
             return;
         }
-        Member sender = from == null || roster.index(from) < 0 ? null : members.get(roster.index(from));
+        Member sender = from == null || roster.indexOf(from) < 0 ? null : members.get(roster.indexOf(from));
         if (sender == null || sender == me) {
             refused.merge(Refusal.STRANGER, 1L, Long::sum);
             return;
         }
         Head head = read.head();
         if (head.kind() == Kind.MISNAMED) {
-            clash(now, "at " + sender.name + " this address is that of " + roster.named(head.target()));
+            clash(now, "at " + sender.name + " this address is that of " + roster.nameOrId(head.target()));
             return;
         }
         if (head.sender() != sender.id) {
             refused.merge(Refusal.MISNAMED, 1L, Long::sum);
             tell(now, Kind.MISNAMED, sender, 0, sender.id);
-            actions.clash(roster.named(head.sender()), "the process at " + sender.name
+            actions.nameConflict(roster.nameOrId(head.sender()), "the process at " + sender.name
                 + "'s address goes by it");
             return;
         }
@@ -408,7 +408,7 @@
         sender.behind = head.incarnation() < sender.incarnation;
         if (head.incarnation() >= sender.incarnation && (mine || fresh)) {
             introduce(now, sender, head, fresh);
-        } else if (!mine && (sender.state == State.JOINING || sender.state.away())) {
+        } else if (!mine && (sender.state == MemberState.JOINING || sender.state.away())) {
             verify(now, sender);
         }
         if (mine) {
@@ -454,7 +454,7 @@
         try {
             Datagram.Read read = Datagram.read(datagram);
             Head head = read.head();
-            if (head.sender() != Roster.id(from)) {
+            if (head.sender() != MemberList.idOf(from)) {
                 refused.merge(Refusal.MISNAMED, 1L, Long::sum);
             } else if (head.kind() == Kind.PING) {
                 if (head.to() == life) {
@@ -474,12 +474,12 @@
         boolean newer = head.incarnation() > sender.incarnation;
         boolean another = sender.lastLife != 0 && sender.lastLife != head.life();
         if (head.leaving()) {
-            if (sender.state != State.LEFT && !another) {
-                set(now, sender, State.LEFT, head.incarnation(), sender.id);
+            if (sender.state != MemberState.LEFT && !another) {
+                set(now, sender, MemberState.LEFT, head.incarnation(), sender.id);
             }
             return;
         }
-        if (!fresh && (sender.state == State.JOINING || sender.state.away())) {
+        if (!fresh && (sender.state == MemberState.JOINING || sender.state.away())) {
             verify(now, sender);
             return;
         }
@@ -493,7 +493,7 @@
                     + 1;
                 sender.clashAt = now;
                 if (sender.clashes == CLASHES) {
-                    actions.clash(sender.name, "two processes answer at its address");
+                    actions.nameConflict(sender.name, "two processes answer at its address");
                 }
             }
             sender.lifeBefore = sender.lastLife;
@@ -502,8 +502,8 @@
             sender.life = head.life();
             sender.lastLife = head.life();
         }
-        if (newer || anew || sender.state == State.JOINING) {
-            set(now, sender, State.PRESENT, head.incarnation(), sender.id, anew);
+        if (newer || anew || sender.state == MemberState.JOINING) {
+            set(now, sender, MemberState.PRESENT, head.incarnation(), sender.id, anew);
         }
     }
 
@@ -566,27 +566,27 @@
     private void gossip(Datagram datagram, Member to) {
         List<Entry> entries = new ArrayList<>();
         if (to.doubled || to.hearsay) {
-            entries.add(new Entry(to.id, State.SUSPECT, to.incarnation, me.id));
-        } else if (to.state == State.SUSPECT || to.state.away()) {
+            entries.add(new Entry(to.id, MemberState.SUSPECT, to.incarnation, me.id));
+        } else if (to.state == MemberState.SUSPECT || to.state.away()) {
             entries.add(entry(to));
         } else if (to.behind) {
             // Restarted before it was missed, and without its folder: until it knows, its words are old ones.
-            entries.add(new Entry(to.id, State.PRESENT, to.incarnation, me.id));
+            entries.add(new Entry(to.id, MemberState.PRESENT, to.incarnation, me.id));
         }
         entries.addAll(gossip.next(MOST_ENTRIES - entries.size(), members.size()));
         datagram.entries(entries, 0, MOST_ENTRIES);
     }
 
     private Entry entry(Member member) {
-        return new Entry(member.id, member.hearsay ? State.PRESENT : member.state, member.incarnation,
-            Roster.id(member.by));
+        return new Entry(member.id, member.hearsay ? MemberState.PRESENT : member.state, member.incarnation,
+            MemberList.idOf(member.by));
     }
 
     /** The whole view, in as many datagrams as it takes. */
     private void sync(long now, Member to) {
         to.syncedAt = now;
         syncedThisPeriod = true;
-        List<Entry> all = members.stream().filter(member -> member != me && member.state != State.JOINING)
+        List<Entry> all = members.stream().filter(member -> member != me && member.state != MemberState.JOINING)
             .map(this::entry).toList();
         for (int from = 0; from < all.size();) {
             Datagram datagram = begin(Kind.SYNC, to, 0, 0);
@@ -598,7 +598,7 @@
     // --- what is held of others
 
     private Member member(int id) {
-        int index = roster.index(id);
+        int index = roster.indexOf(id);
         return index < 0 ? null : members.get(index);
     }
 
@@ -611,8 +611,8 @@
             counter(now, entry);
             return;
         }
-        State said = entry.state();
-        if (entry.incarnation() < member.incarnation || said == State.JOINING) {
+        MemberState said = entry.state();
+        if (entry.incarnation() < member.incarnation || said == MemberState.JOINING) {
             return;
         }
         boolean newer = entry.incarnation() > member.incarnation;
@@ -622,7 +622,7 @@
         if (!newer && said.ordinal() < member.state.ordinal()) {
             return;
         }
-        if (said == State.SUSPECT && (newer || member.state != State.GONE && member.state != State.LEFT)) {
+        if (said == MemberState.SUSPECT && (newer || member.state != MemberState.GONE && member.state != MemberState.LEFT)) {
             member.hearsay = false;
             suspect(now, member, entry.incarnation(), entry.by());
         } else if (doubts(entry, member.state)) {
@@ -630,7 +630,7 @@
             suspect(now, member, entry.incarnation(), entry.by());
             member.hearsay = true;
             gossip.forget(member.id);
-        } else if (said == State.GONE && member.state == State.SUSPECT
+        } else if (said == MemberState.GONE && member.state == MemberState.SUSPECT
             && (member.hearsay || member.suspicion.young(now))) {
             return; // likewise: it has had no time to counter
         } else if (newer || said != member.state) {
@@ -639,13 +639,13 @@
     }
 
     /** One that is held present is not gone because somebody says so. */
-    boolean doubts(Entry entry, State held) {
-        return entry.state() == State.GONE && held == State.PRESENT;
+    boolean doubts(Entry entry, MemberState held) {
+        return entry.state() == MemberState.GONE && held == MemberState.PRESENT;
     }
 
     /** What others say of this one, if it is not so: a higher incarnation says that it lives. */
     void counter(long now, Entry entry) {
-        boolean wrong = entry.state() != State.PRESENT && entry.state() != State.JOINING && !left;
+        boolean wrong = entry.state() != MemberState.PRESENT && entry.state() != MemberState.JOINING && !left;
         if (entry.incarnation() > me.incarnation || wrong && entry.incarnation() == me.incarnation) {
             if (entry.incarnation() > me.incarnation && joined && now - startedAt > pace.joining()) {
                 clashes = now - lastClash > CLASH_PERIODS * pace.period() ? 1 : clashes + 1;
@@ -654,11 +654,11 @@
                     clash(now, "somebody else raises its incarnation");
                 }
             }
-            if (wrong && entry.state() == State.SUSPECT) {
+            if (wrong && entry.state() == MemberState.SUSPECT) {
                 health = Math.min(HEALTH_WORST, health + 1);
             }
             me.incarnation = entry.incarnation() + 1;
-            actions.incarnation(me.incarnation);
+            actions.incarnationChanged(me.incarnation);
             gossip.add(entry(me));
             speak(now);
         }
@@ -667,26 +667,26 @@
     private void clash(long now, String why) {
         if (now - clashTold >= CLASH_PERIODS * pace.period()) {
             clashTold = now;
-            actions.clash(self, why);
+            actions.nameConflict(self, why);
         }
     }
 
-    private void set(long now, Member member, State state, long incarnation, int by) {
+    private void set(long now, Member member, MemberState state, long incarnation, int by) {
         set(now, member, state, incarnation, by, false);
     }
 
-    private void set(long now, Member member, State state, long incarnation, int by, boolean anew) {
-        State before = member.state;
+    private void set(long now, Member member, MemberState state, long incarnation, int by, boolean anew) {
+        MemberState before = member.state;
         boolean was = before.away();
         member.state = state;
         view = hashed();
         member.incarnation = incarnation;
-        member.by = roster.named(by);
-        if (state != State.SUSPECT) {
+        member.by = roster.nameOrId(by);
+        if (state != MemberState.SUSPECT) {
             member.suspicion = null;
             member.hearsay = false;
         }
-        if (was != state.away() || before == State.JOINING) {
+        if (was != state.away() || before == MemberState.JOINING) {
             member.changedAt = now;
         }
         if (before != state) {
@@ -694,7 +694,7 @@
         }
         gossip.add(new Entry(member.id, state, incarnation, by));
         if (before != state || anew) {
-            actions.changed(new Change(member.name, before, state, member.by, incarnation, anew));
+            actions.memberChanged(new MemberStateChange(member.name, before, state, member.by, incarnation, anew));
         }
         if (was != state.away()) {
             speak(now); // what the own word says must not lag behind what is done
@@ -708,7 +708,7 @@
         }
         left = true;
         probes.clear();
-        set(now, me, State.LEFT, me.incarnation, me.id);
+        set(now, me, MemberState.LEFT, me.incarnation, me.id);
         List<Member> others = new ArrayList<>(members.stream().filter(member -> member != me
             && !member.state.away()).toList());
         Collections.shuffle(others, random);
@@ -723,18 +723,18 @@
     private int hashed() {
         int hash = roster.hash();
         for (Member member : members) {
-            hash = hash * 31 + (member.state == State.SUSPECT ? State.PRESENT : member.state).ordinal();
+            hash = hash * 31 + (member.state == MemberState.SUSPECT ? MemberState.PRESENT : member.state).ordinal();
         }
         return hash;
     }
 
     /** What this member may go by now; docs/membership.md proves the share. */
-    public Standing standing(long now) {
+    public MembershipSnapshot snapshot(long now) {
         return outlook.standing(now, left);
     }
 
     /** All members in order, as an operator is told of them. */
-    public List<Row> rows(long now) {
+    public List<MemberStatus> memberStatuses(long now) {
         return outlook.rows(now);
     }
 
@@ -749,12 +749,12 @@
     }
 
     /** What is held of a member. */
-    public State state(String name) {
-        return members.get(roster.index(name)).state;
+    public MemberState state(String name) {
+        return members.get(roster.indexOf(name)).state;
     }
 
     long incarnation(String name) {
-        return members.get(roster.index(name)).incarnation;
+        return members.get(roster.indexOf(name)).incarnation;
     }
 
     /** How far this member doubts itself, 0 to 8. */
--- a/fleet/src/main/java/dockrelay/fleet/Outlook.java
+++ b/fleet/src/main/java/dockrelay/fleet/Outlook.java
@@ -1,7 +1,7 @@
 package dockrelay.fleet;
 
 import dockrelay.fleet.Datagram.Word;
-import dockrelay.fleet.Standing.Agreement;
+import dockrelay.fleet.MembershipSnapshot.Agreement;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.LongPredicate;
@@ -11,13 +11,13 @@
  * work, and which part of a budget is its own. It changes nothing that is held of anybody.
  */
 final class Outlook {
-    private final Roster roster;
+    private final MemberList roster;
     private final List<Member> members;
     private final Member me;
     private final Words words;
     private byte[] marks; // as they are in the own word
 
-    Outlook(Roster roster, List<Member> members, Member me, Pace pace) {
+    Outlook(MemberList roster, List<Member> members, Member me, ProtocolTiming pace) {
         this.roster = roster;
         this.members = members;
         this.me = me;
@@ -29,7 +29,7 @@
         marks = new byte[Words.length(members.size())];
         for (Member member : members) {
             Words.set(marks, member.index, (member.state.away() ? Words.AWAY : 0)
-                + (member.state != State.JOINING && steady.test(now - member.changedAt) ? Words.STEADY : 0));
+                + (member.state != MemberState.JOINING && steady.test(now - member.changedAt) ? Words.STEADY : 0));
         }
         hear(now, new Word(me.id, me.incarnation, beat, 0, roster.hash(), marks));
     }
@@ -72,15 +72,15 @@
     }
 
     /** What this member may go by now; docs/membership.md proves the share. */
-    Standing standing(long now, boolean left) {
+    MembershipSnapshot standing(long now, boolean left) {
         int n = members.size(), quorum = n / 2 + 1, said = 0, present = 0, agreeing = 0;
         boolean all = true;
         for (Member member : members) {
-            said += member.state == State.LEFT ? 1 : 0;
+            said += member.state == MemberState.LEFT ? 1 : 0;
             if (member == me) {
                 agreeing++;
                 present++;
-            } else if (!member.state.away() && member.state != State.JOINING) {
+            } else if (!member.state.away() && member.state != MemberState.JOINING) {
                 present++;
                 boolean agrees = agrees(now, member);
                 agreeing += agrees ? 1 : 0;
@@ -97,7 +97,7 @@
                 away += mark >= 0 && (mark & Words.AWAY) != 0 ? 1 : 0;
                 steadilyAway += mark == Words.AWAY + Words.STEADY ? 1 : 0;
             }
-            boolean out = of.state == State.LEFT || major && of.state == State.GONE && 2 * away > n - said;
+            boolean out = of.state == MemberState.LEFT || major && of.state == MemberState.GONE && 2 * away > n - said;
             counted += out ? 0 : 1;
             rank += !out && of.index < me.index ? 1 : 0;
             blocked += of.state.away() && steadilyAway >= n - quorum + 1 ? 1 : 0;
@@ -106,13 +106,13 @@
         double part = 1.0 / n, least = n == 1 ? 1 : part / 2;
         double share = n > 1 && (left || grants < quorum) ? least : part * (1 + 0.5 * blocked / (n
             - blocked));
-        return new Standing(Math.max(1, counted), rank, share, least, agreement, agreeing, present, n,
+        return new MembershipSnapshot(Math.max(1, counted), rank, share, least, agreement, agreeing, present, n,
             0);
     }
 
     /** All members in order. */
-    List<Row> rows(long now) {
-        return members.stream().map(member -> new Row(member.name, member.state, now - member.since,
+    List<MemberStatus> rows(long now) {
+        return members.stream().map(member -> new MemberStatus(member.name, member.state, now - member.since,
             member.by,
             member.incarnation, words.age(now, member.index), words.sameList(now, member.index),
             differing(now, member), member.differsSince < 0 ? -1 : now - member.differsSince)).toList();
--- a/fleet/src/main/java/dockrelay/fleet/Pace.java
+++ b/fleet/src/main/java/dockrelay/fleet/ProtocolTiming.java
@@ -1,10 +1,10 @@
 package dockrelay.fleet;
 
 /** How fast members watch each other. All follows from the period, in microseconds. */
-public record Pace(long period) {
-    public static final Pace USUAL = new Pace(200_000);
+public record ProtocolTiming(long period) {
+    public static final ProtocolTiming DEFAULT = new ProtocolTiming(200_000);
 
-    public Pace {
+    public ProtocolTiming {
         if (period < 10_000) {
             throw new IllegalArgumentException("a period of " + period + " us is under 10 ms");
         }
--- a/fleet/src/main/java/dockrelay/fleet/Words.java
+++ b/fleet/src/main/java/dockrelay/fleet/Words.java
@@ -28,11 +28,11 @@
         }
     }
 
-    private final Roster roster;
+    private final MemberList roster;
     private final Held[] held;
     private final long stale;
 
-    Words(Roster roster, long stale) {
+    Words(MemberList roster, long stale) {
         this.roster = roster;
         this.held = new Held[roster.size()];
         this.stale = stale;
@@ -40,7 +40,7 @@
 
     /** Takes what is newer of its kind, or the same with a lower age. */
     void hear(long now, Word word) {
-        int of = roster.index(word.id());
+        int of = roster.indexOf(word.id());
         if (of < 0 || word.age() > stale) {
             return;
         }
--- a/fleet/src/main/java/dockrelay/fleet/budget/Authority.java
+++ b/fleet/src/main/java/dockrelay/fleet/budget/Authority.java
@@ -1,6 +1,6 @@
 package dockrelay.fleet.budget;
 
-import dockrelay.fleet.Roster;
+import dockrelay.fleet.MemberList;
 import dockrelay.fleet.budget.Message.Kind;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -39,7 +39,7 @@
     private final Map<Integer, Integer> lives = new HashMap<>();
     private final Map<Long, Round> rounds = new HashMap<>();
     private final Set<Integer> yes = new HashSet<>(), remembering = new HashSet<>();
-    private Roster roster;
+    private MemberList roster;
     private Agreed agreed, next;
     private long term = -1, until = Long.MIN_VALUE, number, canvassAt, canvassEnds, renewAt, quietFrom;
     private long canvassSentAt, changes, strangerAt = Long.MIN_VALUE / 2;
@@ -48,7 +48,7 @@
     private boolean keeps, canvasses;
     private String waitsFor;
 
-    Authority(int self, int life, BudgetPace pace, Voter voter, Roster roster, Random random, Sender sender,
+    Authority(int self, int life, BudgetPace pace, Voter voter, MemberList roster, Random random, Sender sender,
               long now) {
         this.self = self;
         this.life = life;
@@ -61,7 +61,7 @@
         quiet(now);
     }
 
-    void roster(Roster names) {
+    void roster(MemberList names) {
         roster = names;
     }
 
@@ -170,7 +170,7 @@
         Set<Integer> missing = everybody();
         missing.removeAll(yes);
         missing.removeAll(without(now));
-        waitsFor = String.join(",", missing.stream().map(roster::named).sorted().toList());
+        waitsFor = String.join(",", missing.stream().map(roster::nameOrId).sorted().toList());
         for (int id : yes) {
             if (id != self) {
                 sender.send(id, message(Kind.RESIGN, id, term, null, null));
--- a/fleet/src/main/java/dockrelay/fleet/budget/Budget.java
+++ b/fleet/src/main/java/dockrelay/fleet/budget/Budget.java
@@ -1,6 +1,6 @@
 package dockrelay.fleet.budget;
 
-import dockrelay.fleet.Roster;
+import dockrelay.fleet.MemberList;
 
 /**
  * What all processes of the fleet together may spend: at most {@code burst} and {@code rate} times t
@@ -38,6 +38,6 @@
 
     /** How it is called on the wire. */
     int id() {
-        return Roster.id(name);
+        return MemberList.idOf(name);
     }
 }
--- a/fleet/src/main/java/dockrelay/fleet/budget/Budgets.java
+++ b/fleet/src/main/java/dockrelay/fleet/budget/Budgets.java
@@ -1,6 +1,6 @@
 package dockrelay.fleet.budget;
 
-import dockrelay.fleet.Roster;
+import dockrelay.fleet.MemberList;
 import dockrelay.fleet.budget.Message.Kind;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
@@ -42,7 +42,7 @@
     private final Holder holder;
     private final Map<String, Long> refused = new TreeMap<>();
     private Collection<Budget> budgets;
-    private Roster roster;
+    private MemberList roster;
     private Ledger ledger; // while it is the keeper
     private Set<Integer> present = new HashSet<>(), departed = new HashSet<>();
     private long askAt, nextAt, keeperHeardAt = Long.MIN_VALUE / 2, keeperTerm;
@@ -52,7 +52,7 @@
     public Budgets(String self, Collection<String> names, Collection<Budget> budgets, int life, BudgetPace
         pace,
                    Random random, Actions actions, long now) {
-        this.self = Roster.id(self);
+        this.self = MemberList.idOf(self);
         this.life = life;
         this.pace = pace;
         this.random = random;
@@ -72,7 +72,7 @@
         return new Voter(id, ofLife, at, now);
     }
 
-    Authority authority(int id, int ofLife, BudgetPace at, Voter of, Roster names, Random by,
+    Authority authority(int id, int ofLife, BudgetPace at, Voter of, MemberList names, Random by,
                         Authority.Sender sender, long now) {
         return new Authority(id, ofLife, at, of, names, by, sender, now);
     }
@@ -86,12 +86,12 @@
     }
 
     /** A list of more would never be agreed on: it does not fit what the members send each other. */
-    private static Roster roster(Collection<String> names) {
+    private static MemberList roster(Collection<String> names) {
         if (names.size() > Message.MOST_NAMES) {
             throw new BudgetException(BudgetException.Code.MEMBERS, names.size()
                 + " members that share budgets", "allowed are " + Message.MOST_NAMES + " in one group");
         }
-        return new Roster(names);
+        return new MemberList(names);
     }
 
     private static Collection<Budget> checked(Collection<Budget> budgets) {
@@ -140,7 +140,7 @@
 
     private static Set<Integer> ids(Collection<String> names) {
         Set<Integer> result = new HashSet<>();
-        names.forEach(name -> result.add(Roster.id(name)));
+        names.forEach(name -> result.add(MemberList.idOf(name)));
         return result;
     }
 
@@ -210,9 +210,9 @@
     // --- datagrams
 
     private void send(int to, Message message) {
-        int index = roster.index(to);
+        int index = roster.indexOf(to);
         if (index >= 0) {
-            actions.send(roster.name(index), message.bytes());
+            actions.send(roster.nameAt(index), message.bytes());
         }
     }
 
@@ -226,7 +226,7 @@
             return;
         }
         boolean twin = message.sender() == self && message.life() != life;
-        if (from == null || message.sender() != Roster.id(from) || twin) {
+        if (from == null || message.sender() != MemberList.idOf(from) || twin) {
             refused.merge(from == null ? "stranger" : twin ? "twin" : "misnamed", 1L, Long::sum);
             if (from == null) {
                 authority.stranger(now);
@@ -344,7 +344,7 @@
 
     /** The keeper as far as known here; null where there is none. */
     public String keeper(long now) {
-        return now - keeperHeardAt < pace.promise() ? roster.named(keeper) : null;
+        return now - keeperHeardAt < pace.promise() ? roster.nameOrId(keeper) : null;
     }
 
     /** Names that a canvass here waits for; null where it waits for nobody. */
--- a/fleet/src/main/java/dockrelay/fleet/budget/Holder.java
+++ b/fleet/src/main/java/dockrelay/fleet/budget/Holder.java
@@ -1,6 +1,6 @@
 package dockrelay.fleet.budget;
 
-import dockrelay.fleet.Roster;
+import dockrelay.fleet.MemberList;
 import dockrelay.fleet.budget.Message.Kind;
 import dockrelay.fleet.budget.Message.Line;
 import java.util.ArrayList;
@@ -118,7 +118,7 @@
     /** What was made of the parts by one who has been told of them up to here: what he had before is gone. */
     void used(long upTo, Collection<Use> uses) {
         for (Use use : uses) {
-            Held held = all.get(Roster.id(use.budget()));
+            Held held = all.get(MemberList.idOf(use.budget()));
             if (held != null) {
                 held.wanted += (use.wanted() > held.wanted ? RISES : FALLS) * (use.wanted() - held.wanted);
                 held.waiting = use.waiting();
--- a/fleet/src/main/java/dockrelay/fleet/budget/Message.java
+++ b/fleet/src/main/java/dockrelay/fleet/budget/Message.java
@@ -1,6 +1,6 @@
 package dockrelay.fleet.budget;
 
-import dockrelay.fleet.wire.Numbers;
+import dockrelay.fleet.wire.WireFormat;
 import java.nio.BufferUnderflowException;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
@@ -40,29 +40,29 @@
         ByteBuffer out = ByteBuffer.allocate(LONGEST);
         out.put(MAGIC).put(SECOND).put(SCHEMA).put((byte)
             kind.ordinal()).putInt(sender).putInt(life).putInt(to);
-        Numbers.put(out, term);
-        Numbers.put(out, number);
-        Numbers.put(out, version);
-        Numbers.put(out, clock);
+        WireFormat.putVarint(out, term);
+        WireFormat.putVarint(out, number);
+        WireFormat.putVarint(out, version);
+        WireFormat.putVarint(out, clock);
         out.put((byte) ((yes ? 1 : 0) | (agreed == null ? 0 : 2) | (next == null ? 0 : 4))).putInt(keeper);
         put(out, agreed);
         put(out, next);
-        Numbers.put(out, lines.size());
+        WireFormat.putVarint(out, lines.size());
         for (Line line : lines) {
             out.putInt(line.budget);
-            Numbers.put(out, line.rate);
-            Numbers.put(out, line.burst);
-            Numbers.put(out, line.wanted);
-            Numbers.put(out, line.extra);
+            WireFormat.putVarint(out, line.rate);
+            WireFormat.putVarint(out, line.burst);
+            WireFormat.putVarint(out, line.wanted);
+            WireFormat.putVarint(out, line.extra);
         }
-        return Numbers.seal(out);
+        return WireFormat.appendChecksum(out);
     }
 
     private static void put(ByteBuffer out, Agreed list) {
         if (list != null) {
-            Numbers.put(out, list.term());
-            Numbers.put(out, list.number());
-            Numbers.put(out, list.ids().length);
+            WireFormat.putVarint(out, list.term());
+            WireFormat.putVarint(out, list.number());
+            WireFormat.putVarint(out, list.ids().length);
             for (int id : list.ids()) {
                 out.putInt(id);
             }
@@ -70,7 +70,7 @@
     }
 
     private static Agreed agreed(ByteBuffer in) throws Unreadable {
-        long term = Numbers.get(in), number = Numbers.get(in);
+        long term = WireFormat.getVarint(in), number = WireFormat.getVarint(in);
         int[] ids = new int[bounded(in, MOST_NAMES)];
         for (int i = 0; i < ids.length; i++) {
             ids[i] = in.getInt();
@@ -80,7 +80,7 @@
 
     /** So that nobody makes this process take more of the heap than a datagram is worth. */
     private static int bounded(ByteBuffer in, int most) throws Unreadable {
-        long count = Numbers.get(in);
+        long count = WireFormat.getVarint(in);
         if (count > most) {
             throw new Unreadable("too-many");
         }
@@ -88,7 +88,7 @@
     }
 
     static Message read(ByteBuffer from) throws Unreadable {
-        ByteBuffer in = Numbers.open(from);
+        ByteBuffer in = WireFormat.verifyChecksum(from);
         if (in == null) {
             throw new Unreadable("checksum");
         }
@@ -104,16 +104,16 @@
                 throw new Unreadable("unknown");
             }
             int sender = in.getInt(), life = in.getInt(), to = in.getInt();
-            long term = Numbers.get(in), number = Numbers.get(in), version = Numbers.get(in);
-            long clock = Numbers.get(in);
+            long term = WireFormat.getVarint(in), number = WireFormat.getVarint(in), version = WireFormat.getVarint(in);
+            long clock = WireFormat.getVarint(in);
             int flags = in.get();
             int keeper = in.getInt();
             Agreed agreed = (flags & 2) == 0 ? null : agreed(in);
             Agreed next = (flags & 4) == 0 ? null : agreed(in);
             List<Line> lines = new ArrayList<>();
             for (int left = bounded(in, MOST_LINES); left > 0; left--) {
-                lines.add(new Line(in.getInt(), Numbers.get(in), Numbers.get(in), Numbers.get(in),
-                    Numbers.get(in)));
+                lines.add(new Line(in.getInt(), WireFormat.getVarint(in), WireFormat.getVarint(in), WireFormat.getVarint(in),
+                    WireFormat.getVarint(in)));
             }
             return new Message(Kind.values()[kind], sender, life, to, term, number, version, clock,
                 (flags & 1) != 0, keeper, agreed, next, lines);
--- a/fleet/src/main/java/dockrelay/fleet/group/Between.java
+++ b/fleet/src/main/java/dockrelay/fleet/group/Between.java
@@ -1,11 +1,11 @@
 package dockrelay.fleet.group;
 
 import dockrelay.fleet.Membership;
-import dockrelay.fleet.Pace;
-import dockrelay.fleet.Roster;
-import dockrelay.fleet.Row;
-import dockrelay.fleet.Standing;
-import dockrelay.fleet.State;
+import dockrelay.fleet.ProtocolTiming;
+import dockrelay.fleet.MemberList;
+import dockrelay.fleet.MemberStatus;
+import dockrelay.fleet.MembershipSnapshot;
+import dockrelay.fleet.MemberState;
 import dockrelay.fleet.group.Message.Kind;
 import dockrelay.fleet.group.Message.Refusal;
 import java.nio.ByteBuffer;
@@ -17,9 +17,9 @@
 
 /** All that goes on between the groups of one list, as one member sees it; its parts share this. */
 final class Between {
-    final Groups groups;
+    final GroupedMembership groups;
     final String self;
-    final Grouping grouping;
+    final GroupAssignment grouping;
     final int own;
     final Membership members;
     final Rhythm rhythm;
@@ -32,17 +32,17 @@
     final GroupAsker asker;
     final TableAsker tables;
     private final TableTeller teller;
-    private final Groups.Actions actions;
+    private final GroupedMembership.Callbacks actions;
     private final Finder finder;
     private final int id;
     private final Map<Refusal, Long> refused = new EnumMap<>(Refusal.class);
     private long nextAt;
 
-    Between(Groups groups, String self, Grouping grouping, Membership members, Pace pace, Random random,
-            Groups.Actions actions, long now) {
+    Between(GroupedMembership groups, String self, GroupAssignment grouping, Membership members, ProtocolTiming pace, Random random,
+            GroupedMembership.Callbacks actions, long now) {
         this.groups = groups;
         this.self = self;
-        this.id = Roster.id(self);
+        this.id = MemberList.idOf(self);
         this.grouping = grouping;
         this.own = grouping.groupOf(self);
         this.members = members;
@@ -51,7 +51,7 @@
         this.actions = actions;
         this.table = new Table(grouping, rhythm, now);
         this.questions = new Questions(rhythm, random);
-        this.speakers = new Speakers(members, self, grouping.names(own), grouping.groups());
+        this.speakers = new Speakers(members, self, grouping.memberNames(own), grouping.groupCount());
         this.silence = new Silence(this, now);
         this.count = new Count(this);
         this.asker = new GroupAsker(this);
@@ -119,7 +119,7 @@
         }
         if (from == null || from.equals(self) || grouping.groupOf(from) < 0) {
             refused.merge(Refusal.STRANGER, 1L, Long::sum);
-        } else if (message.sender != Roster.id(from)) {
+        } else if (message.sender != MemberList.idOf(from)) {
             refused.merge(Refusal.MISNAMED, 1L, Long::sum);
         } else {
             take(now, from, message);
@@ -165,42 +165,42 @@
 
     /** Whether this member speaks for its group. */
     boolean speaker() {
-        return members.state(self) == State.PRESENT && speakers.mine();
+        return members.state(self) == MemberState.PRESENT && speakers.mine();
     }
 
     /** One that was not heard by any other member yet has nothing to say of its group. */
     boolean joined() {
-        return members.state(self) != State.JOINING;
+        return members.state(self) != MemberState.JOINING;
     }
 
     int present(long now) {
-        return members.standing(now).present();
+        return members.snapshot(now).presentMembers();
     }
 
     int left(long now) {
-        return count(State.LEFT);
+        return count(MemberState.LEFT);
     }
 
-    private int count(State state) {
-        return (int) grouping.names(own).stream().filter(name -> members.state(name) == state).count();
+    private int count(MemberState state) {
+        return (int) grouping.memberNames(own).stream().filter(name -> members.state(name) == state).count();
     }
 
     Summary summary(long now) {
-        Standing standing = members.standing(now);
+        MembershipSnapshot standing = members.snapshot(now);
         return new Summary(grouping.key(own), grouping.hash(), grouping.hash(own), members.view(),
-            standing.present(), count(State.LEFT), count(State.GONE), standing.members(),
-            standing.agreement(), standing.agreeing(), speakers.ids(), id);
+            standing.presentMembers(), count(MemberState.LEFT), count(MemberState.GONE), standing.countedMembers(),
+            standing.agreement(), standing.agreeingMembers(), speakers.ids(), id);
     }
 
     // --- what it comes to
 
-    Standing standing(long now) {
-        return count.standing(now, members.standing(now));
+    MembershipSnapshot standing(long now) {
+        return count.standing(now, members.snapshot(now));
     }
 
-    List<GroupRow> rows(long now) {
-        List<GroupRow> result = new ArrayList<>();
-        for (int group = 0; group < grouping.groups(); group++) {
+    List<GroupStatus> rows(long now) {
+        List<GroupStatus> result = new ArrayList<>();
+        for (int group = 0; group < grouping.groupCount(); group++) {
             result.add(group == own ? count.ownRow(now, summary(now)) : count.row(now, group));
         }
         return result;
@@ -216,8 +216,8 @@
         finder.end();
     }
 
-    void found(String name, Row row) {
-        actions.found(name, row);
+    void found(String name, MemberStatus row) {
+        actions.memberLookupCompleted(name, row);
     }
 
     /** Datagrams that were not taken, by reason, since the last call. */
--- a/fleet/src/main/java/dockrelay/fleet/group/Count.java
+++ b/fleet/src/main/java/dockrelay/fleet/group/Count.java
@@ -1,7 +1,7 @@
 package dockrelay.fleet.group;
 
-import dockrelay.fleet.Standing;
-import dockrelay.fleet.Standing.Agreement;
+import dockrelay.fleet.MembershipSnapshot;
+import dockrelay.fleet.MembershipSnapshot.Agreement;
 
 /** What the table comes to: how many of the fleet count as there, which of them this one is, who agrees. */
 final class Count {
@@ -31,7 +31,7 @@
 
     /** How many of a group's names count as there. A group by another list than this one has all of them. */
     int counted(long now, int group) {
-        int names = here.grouping.names(group).size();
+        int names = here.grouping.memberNames(group).size();
         return out(now, group) ? 0 : fresh(now, group) && sameNames(group)
             ? here.groups.counted(here.table.summary(group), names) : names;
     }
@@ -39,24 +39,24 @@
     /** How many said goodbye, as far as that is known: what is most of the others goes by it. */
     int left(long now) {
         int left = here.left(now);
-        for (int group = 0; group < here.grouping.groups(); group++) {
+        for (int group = 0; group < here.grouping.groupCount(); group++) {
             Summary of = group == here.own ? null : here.table.summary(group);
             left += of != null && of.hash() == here.grouping.hash(group) ? of.left() : 0;
         }
         return left;
     }
 
-    Standing standing(long now, Standing in) {
-        int groups = here.grouping.groups(), size = here.grouping.size();
+    MembershipSnapshot standing(long now, MembershipSnapshot in) {
+        int groups = here.grouping.groupCount(), size = here.grouping.memberCount();
         int counted = 0, me = 0, present = 0, agreeing = 0;
         long age = 0;
         boolean all = in.agreement() == Agreement.ALL;
         for (int group = 0; group < groups; group++) {
             if (group == here.own) {
-                me = counted + in.me();
-                counted += in.members();
-                present += in.present();
-                agreeing += in.agreeing();
+                me = counted + in.ownRank();
+                counted += in.countedMembers();
+                present += in.presentMembers();
+                agreeing += in.agreeingMembers();
                 continue;
             }
             counted += counted(now, group);
@@ -72,29 +72,29 @@
         }
         Agreement agreement = 2 * present <= size - left(now) ? Agreement.MINORITY
             : all ? Agreement.ALL : Agreement.MAJORITY;
-        double part = (double) here.grouping.names(here.own).size() / size;
-        return new Standing(Math.max(1, counted), me, part * in.share(), part * in.leastShare(), agreement,
+        double part = (double) here.grouping.memberNames(here.own).size() / size;
+        return new MembershipSnapshot(Math.max(1, counted), me, part * in.budgetShare(), part * in.minBudgetShare(), agreement,
             agreeing, present, size, age);
     }
 
-    GroupRow row(long now, int group) {
+    GroupStatus row(long now, int group) {
         Summary of = here.table.summary(group);
-        int names = here.grouping.names(group).size();
+        int names = here.grouping.memberNames(group).size();
         boolean fresh = fresh(now, group), same = of == null || of.list() == here.grouping.hash();
         if (of == null) {
-            return new GroupRow(here.grouping.label(group), names, 0, 0, 0, counted(now, group),
+            return new GroupStatus(here.grouping.label(group), names, 0, 0, 0, counted(now, group),
                 Agreement.MINORITY, -1, false, true, null);
         }
-        int first = here.grouping.roster(group).index(of.first());
-        return new GroupRow(here.grouping.label(group), names, of.present(), of.left(), of.gone(),
+        int first = here.grouping.roster(group).indexOf(of.first());
+        return new GroupStatus(here.grouping.label(group), names, of.present(), of.left(), of.gone(),
             counted(now, group), of.agreement(), here.table.age(now, group), fresh, same,
-            first < 0 ? null : here.grouping.names(group).get(first));
+            first < 0 ? null : here.grouping.memberNames(group).get(first));
     }
 
-    GroupRow ownRow(long now, Summary of) {
-        int first = here.grouping.roster(here.own).index(of.first());
-        return new GroupRow(here.grouping.label(here.own), here.grouping.names(here.own).size(), of.present(),
+    GroupStatus ownRow(long now, Summary of) {
+        int first = here.grouping.roster(here.own).indexOf(of.first());
+        return new GroupStatus(here.grouping.label(here.own), here.grouping.memberNames(here.own).size(), of.present(),
             of.left(), of.gone(), of.counted(), of.agreement(), 0, true, true,
-            first < 0 ? null : here.grouping.names(here.own).get(first));
+            first < 0 ? null : here.grouping.memberNames(here.own).get(first));
     }
 }
--- a/fleet/src/main/java/dockrelay/fleet/group/Finder.java
+++ b/fleet/src/main/java/dockrelay/fleet/group/Finder.java
@@ -1,6 +1,6 @@
 package dockrelay.fleet.group;
 
-import dockrelay.fleet.Row;
+import dockrelay.fleet.MemberStatus;
 import dockrelay.fleet.group.Message.Kind;
 import java.util.ArrayList;
 import java.util.List;
@@ -43,8 +43,8 @@
         ask(now, search);
     }
 
-    private Row row(long now, String name) {
-        return here.members.rows(now).stream().filter(row -> row.name().equals(name)).findFirst()
+    private MemberStatus row(long now, String name) {
+        return here.members.memberStatuses(now).stream().filter(row -> row.name().equals(name)).findFirst()
             .orElse(null);
     }
 
@@ -56,10 +56,10 @@
             end(search, null);
             return;
         }
-        List<String> names = here.grouping.names(search.group);
+        List<String> names = here.grouping.memberNames(search.group);
         Summary held = here.table.summary(search.group);
         int index = held == null || search.tries > held.speakers().length ? -1
-            : here.grouping.roster(search.group).index(held.speakers()[search.tries - 1]);
+            : here.grouping.roster(search.group).indexOf(held.speakers()[search.tries - 1]);
         String to = names.get(index >= 0 ? index : here.random.nextInt(names.size()));
         Question question = here.questions.ask(now, Kind.ASK_NAME, to, search.group, search);
         here.send(to, here.writer(Kind.ASK_NAME, question.sequence).name(search.name));
@@ -93,7 +93,7 @@
         new ArrayList<>(searches).forEach(search -> end(search, null));
     }
 
-    private void end(Search search, Row row) {
+    private void end(Search search, MemberStatus row) {
         if (!search.ended) {
             search.ended = true;
             searches.remove(search);
--- a/fleet/src/main/java/dockrelay/fleet/group/GroupAsker.java
+++ b/fleet/src/main/java/dockrelay/fleet/group/GroupAsker.java
@@ -25,7 +25,7 @@
 
     GroupAsker(Between here) {
         this.here = here;
-        this.dueAt = new long[here.grouping.groups()];
+        this.dueAt = new long[here.grouping.groupCount()];
         this.ranks = new int[dueAt.length];
         this.tries = new int[dueAt.length];
         this.asked = new int[dueAt.length];
@@ -101,7 +101,7 @@
 
     /** Those known to speak for the group, one after the other; then all its names. */
     private String target(int group) {
-        List<String> names = here.grouping.names(group);
+        List<String> names = here.grouping.memberNames(group);
         Summary held = here.table.summary(group);
         int known = held == null ? 0 : held.speakers().length, position = asked[group]++;
         if (position == 0) {
@@ -110,12 +110,12 @@
         // A minority's speakers know of no others: the majority has to be come upon.
         if (position < known && !(held.minority() && here.random.nextBoolean())) {
             int speaker = held.speakers()[(here.own + position) % known]; // as many ask each of them
-            int index = here.grouping.roster(group).index(speaker);
+            int index = here.grouping.roster(group).indexOf(speaker);
             if (index >= 0) {
-                return here.groups.speaker(group, names.get(index));
+                return here.groups.isRepresentative(group, names.get(index));
             }
         }
-        return here.groups.speaker(group, names.get((from[group] + position) % names.size()));
+        return here.groups.isRepresentative(group, names.get((from[group] + position) % names.size()));
     }
 
     /** Some of the silent ones: another group may hear them. */
--- a/fleet/src/main/java/dockrelay/fleet/group/Grouping.java
+++ b/fleet/src/main/java/dockrelay/fleet/group/GroupAssignment.java
@@ -1,6 +1,6 @@
 package dockrelay.fleet.group;
 
-import dockrelay.fleet.Roster;
+import dockrelay.fleet.MemberList;
 import dockrelay.fleet.group.GroupException.Code;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -17,9 +17,9 @@
  * goes to the group of its zone that draws the highest number for it (rendezvous hashing) and is not full:
  * one name more or fewer moves hardly another one, and one group more or fewer about a group's worth.
  */
-public final class Grouping {
+public final class GroupAssignment {
     /** The size that is aimed at: the smallest of which groups still have the least that is wanted. */
-    public static final int USUAL_SIZE = 48, LEAST_SIZE = 32, MOST_SIZE = 128;
+    public static final int DEFAULT_GROUP_SIZE = 48, MIN_GROUP_SIZE = 32, MAX_GROUP_SIZE = 128;
     private static final int MOST_NAMES = 16_384, LONGEST_NAME = 64;
     /** What is told of each group has to fit one datagram. */
     private static final int MOST_GROUPS = 512;
@@ -28,14 +28,14 @@
     /** Groups of more than this part of the most in the mean could pass it by chance. */
     private static final double MOST_MEAN = 0.9;
 
-    private final List<Roster> rosters = new ArrayList<>();
+    private final List<MemberList> rosters = new ArrayList<>();
     private final List<String> labels = new ArrayList<>();
     private final Map<String, Integer> byName = new HashMap<>();
     private final Map<Integer, Integer> byKey = new HashMap<>();
     private final int[] keys, before;
     private final int hash;
 
-    private Grouping(Map<String, ? extends Collection<String>> zones, int size, int least,
+    private GroupAssignment(Map<String, ? extends Collection<String>> zones, int size, int least,
                      int most) {
         check(zones);
         CRC32C whole = new CRC32C();
@@ -45,13 +45,13 @@
             for (int i = 0; i < groups.size(); i++) {
                 String label = zone.getKey().isEmpty() ? Integer.toString(i + 1)
                     : zone.getKey() + "/" + (i + 1);
-                if (byKey.put(Roster.id(label), labels.size()) != null) {
+                if (byKey.put(MemberList.idOf(label), labels.size()) != null) {
                     throw new GroupException(Code.ALIKE, "zone", "\"" + zone.getKey() + "\"",
                         "it cannot be told from another one; rename it");
                 }
                 labels.add(label);
                 apart(groups.get(i));
-                Roster roster = new Roster(groups.get(i));
+                MemberList roster = new MemberList(groups.get(i));
                 rosters.add(roster);
                 whole.update(label.getBytes(StandardCharsets.UTF_8));
                 whole.update(0);
@@ -67,7 +67,7 @@
                 "allowed are 1 to " + MOST_GROUPS + "; a zone is at least one");
         }
         hash = (int) whole.getValue();
-        keys = labels.stream().mapToInt(Roster::id).toArray();
+        keys = labels.stream().mapToInt(MemberList::idOf).toArray();
         before = new int[rosters.size() + 1];
         for (int i = 0; i < rosters.size(); i++) {
             before[i + 1] = before[i] + rosters.get(i).size();
@@ -75,17 +75,17 @@
     }
 
     /** By zone; one zone named "" where the configuration names none. */
-    public static Grouping of(Map<String, ? extends Collection<String>> zones, int size) {
-        if (size < LEAST_SIZE || size > MOST_SIZE) {
+    public static GroupAssignment of(Map<String, ? extends Collection<String>> zones, int size) {
+        if (size < MIN_GROUP_SIZE || size > MAX_GROUP_SIZE) {
             throw new GroupException(Code.SIZE, "group size", Integer.toString(size),
-                "allowed are " + LEAST_SIZE + " to " + MOST_SIZE);
+                "allowed are " + MIN_GROUP_SIZE + " to " + MAX_GROUP_SIZE);
         }
-        return new Grouping(zones, size, LEAST_SIZE, MOST_SIZE);
+        return new GroupAssignment(zones, size, MIN_GROUP_SIZE, MAX_GROUP_SIZE);
     }
 
     /** With groups of a size that only tests want. */
-    static Grouping ofAnySize(Map<String, ? extends Collection<String>> zones, int size) {
-        return new Grouping(zones, size, 0, MOST_NAMES);
+    static GroupAssignment ofAnySize(Map<String, ? extends Collection<String>> zones, int size) {
+        return new GroupAssignment(zones, size, 0, MOST_NAMES);
     }
 
     private void check(Map<String, ? extends Collection<String>> zones) {
@@ -127,7 +127,7 @@
     private static void apart(List<String> names) {
         Map<Integer, String> byId = new HashMap<>();
         for (String name : names) {
-            String alike = byId.put(Roster.id(name), name);
+            String alike = byId.put(MemberList.idOf(name), name);
             if (alike != null) {
                 throw new GroupException(Code.ALIKE, "name", "\"" + name + "\"", "it cannot be told from \""
                     + alike + "\" in the same group; rename one of them");
@@ -206,11 +206,11 @@
     }
 
     /** Whether all are in one group: nothing is sent between groups. */
-    public boolean single() {
+    public boolean isSingleGroup() {
         return rosters.size() == 1;
     }
 
-    public int groups() {
+    public int groupCount() {
         return rosters.size();
     }
 
@@ -220,7 +220,7 @@
     }
 
     /** In the order that all see alike. */
-    public List<String> names(int group) {
+    public List<String> memberNames(int group) {
         return rosters.get(group).names();
     }
 
@@ -230,7 +230,7 @@
     }
 
     /** All names. */
-    public int size() {
+    public int memberCount() {
         return before[before.length - 1];
     }
 
@@ -259,7 +259,7 @@
         return byKey.getOrDefault(key, -1);
     }
 
-    Roster roster(int group) {
+    MemberList roster(int group) {
         return rosters.get(group);
     }
 }
--- a/fleet/src/main/java/dockrelay/fleet/group/Groups.java
+++ b/fleet/src/main/java/dockrelay/fleet/group/GroupedMembership.java
@@ -1,11 +1,11 @@
 package dockrelay.fleet.group;
 
-import dockrelay.fleet.Change;
+import dockrelay.fleet.MemberStateChange;
 import dockrelay.fleet.Membership;
-import dockrelay.fleet.Pace;
-import dockrelay.fleet.Row;
-import dockrelay.fleet.Standing;
-import dockrelay.fleet.State;
+import dockrelay.fleet.ProtocolTiming;
+import dockrelay.fleet.MemberStatus;
+import dockrelay.fleet.MembershipSnapshot;
+import dockrelay.fleet.MemberState;
 import java.nio.ByteBuffer;
 import java.util.List;
 import java.util.Map;
@@ -17,66 +17,66 @@
  * themselves. All times are microseconds of elapsed time, handed in. A fleet in one group is a
  * {@link Membership} and nothing else. docs/membership.md has what is asked of whom.
  */
-public class Groups {
+public class GroupedMembership {
     /** What the machine has done. */
-    public interface Actions extends Membership.Actions {
+    public interface Callbacks extends Membership.Callbacks {
         /** What became of a question for a name: null where nobody who may know has answered. */
-        void found(String name, Row row);
+        void memberLookupCompleted(String name, MemberStatus row);
     }
 
     /** Members' doings go on to whoever owns this machine; some decide who speaks for the group. */
-    private final class Passed implements Membership.Actions {
+    private final class Passed implements Membership.Callbacks {
         @Override
         public void send(String to, ByteBuffer datagram) {
             actions.send(to, datagram);
         }
 
         @Override
-        public void changed(Change change) {
+        public void memberChanged(MemberStateChange change) {
             if (between != null) {
                 between.speakers.changed();
             }
-            actions.changed(change);
+            actions.memberChanged(change);
         }
 
         @Override
-        public void incarnation(long incarnation) {
-            actions.incarnation(incarnation);
+        public void incarnationChanged(long incarnation) {
+            actions.incarnationChanged(incarnation);
         }
 
         @Override
-        public void clash(String name, String why) {
-            actions.clash(name, why);
+        public void nameConflict(String name, String why) {
+            actions.nameConflict(name, why);
         }
     }
 
     private final Membership own;
     private final String self;
-    private final Pace pace;
+    private final ProtocolTiming pace;
     private final Random random;
-    private final Actions actions;
-    private Grouping grouping;
+    private final Callbacks actions;
+    private GroupAssignment grouping;
     private Between between; // null where all are in one group
 
-    public Groups(String self, Grouping grouping, long incarnation, int life, Pace pace, Random random,
-                  Actions actions, long now) {
+    public GroupedMembership(String self, GroupAssignment grouping, long incarnation, int life, ProtocolTiming pace, Random random,
+                  Callbacks actions, long now) {
         this.self = self;
         this.grouping = grouping;
         this.pace = pace;
         this.random = random;
         this.actions = actions;
         this.own = new Membership(self, names(grouping), incarnation, life, pace, random, new Passed(), now);
-        if (!grouping.single()) {
+        if (!grouping.isSingleGroup()) {
             between = between(now);
         }
     }
 
-    private List<String> names(Grouping of) {
+    private List<String> names(GroupAssignment of) {
         int group = of.groupOf(self);
         if (group < 0) {
             throw new IllegalArgumentException("the own name \"" + self + "\" is not among the members");
         }
-        return of.names(group);
+        return of.memberNames(group);
     }
 
     private Between between(long now) {
@@ -84,14 +84,14 @@
     }
 
     /** Goes by another list; what is known of members and groups on both is kept. */
-    public void configure(long now, Grouping next) {
+    public void configure(long now, GroupAssignment next) {
         List<String> names = names(next), namesBefore = names(grouping);
         Between before = between;
-        if (next.single() && grouping.single() || !names.equals(namesBefore)) {
+        if (next.isSingleGroup() && grouping.isSingleGroup() || !names.equals(namesBefore)) {
             own.configure(now, names);
         }
         grouping = next;
-        between = next.single() ? null : between(now);
+        between = next.isSingleGroup() ? null : between(now);
         if (between != null && before != null) {
             between.table.keep(before.table);
         }
@@ -101,8 +101,8 @@
     }
 
     /** When the next tick is due. */
-    public long nextAt() {
-        return between == null ? own.nextAt() : Math.min(own.nextAt(), between.nextAt());
+    public long nextTickAt() {
+        return between == null ? own.nextTickAt() : Math.min(own.nextTickAt(), between.nextAt());
     }
 
     /** Does all that is due. */
@@ -111,7 +111,7 @@
             own.tick(now);
             return;
         }
-        if (now >= own.nextAt()) {
+        if (now >= own.nextTickAt()) {
             own.tick(now);
         }
         between.tick(now);
@@ -136,32 +136,32 @@
     }
 
     /** What this member may go by now, of the whole fleet. */
-    public Standing standing(long now) {
-        return between == null ? own.standing(now) : between.standing(now);
+    public MembershipSnapshot snapshot(long now) {
+        return between == null ? own.snapshot(now) : between.standing(now);
     }
 
     /** The members of the own group in order, as an operator is told of them. */
-    public List<Row> rows(long now) {
-        return own.rows(now);
+    public List<MemberStatus> memberStatuses(long now) {
+        return own.memberStatuses(now);
     }
 
     /** All groups in order, as an operator is told of them. */
-    public List<GroupRow> groups(long now) {
+    public List<GroupStatus> groupStatuses(long now) {
         if (between != null) {
             return between.rows(now);
         }
-        Standing here = own.standing(now);
+        MembershipSnapshot here = own.snapshot(now);
         int left = 0, gone = 0;
-        for (String name : grouping.names(0)) {
-            left += own.state(name) == State.LEFT ? 1 : 0;
-            gone += own.state(name) == State.GONE ? 1 : 0;
+        for (String name : grouping.memberNames(0)) {
+            left += own.state(name) == MemberState.LEFT ? 1 : 0;
+            gone += own.state(name) == MemberState.GONE ? 1 : 0;
         }
-        return List.of(new GroupRow(grouping.label(0), here.configured(), here.present(), left, gone,
-            here.members(), here.agreement(), 0, true, true, self));
+        return List.of(new GroupStatus(grouping.label(0), here.configuredMembers(), here.presentMembers(), left, gone,
+            here.countedMembers(), here.agreement(), 0, true, true, self));
     }
 
     /** Whether this member speaks for its group; in one group there is nobody to speak to. */
-    public boolean speaker() {
+    public boolean isRepresentative() {
         return between != null && between.speaker();
     }
 
@@ -171,12 +171,12 @@
     }
 
     /** How far this member doubts itself, 0 to 8. */
-    public int health() {
+    public int healthScore() {
         return own.health();
     }
 
     /** Datagrams that were not taken, by reason, since the last call. */
-    public Map<String, Long> refused() {
+    public Map<String, Long> takeRefusalCounts() {
         Map<String, Long> result = new TreeMap<>(own.refused());
         if (between != null) {
             between.refused(result);
@@ -184,18 +184,18 @@
         return result;
     }
 
-    /** Asks for a member by name; it is told by {@link Actions#found}. */
-    public void find(long now, String name) {
+    /** Asks for a member by name; it is told by {@link Callbacks#found}. */
+    public void findMember(long now, String name) {
         if (between != null) {
             between.find(now, name);
         } else {
-            actions.found(name, own.rows(now).stream().filter(row -> row.name().equals(name)).findFirst()
+            actions.memberLookupCompleted(name, own.memberStatuses(now).stream().filter(row -> row.name().equals(name)).findFirst()
                 .orElse(null));
         }
     }
 
     /** Whether these bytes are meant for this machine rather than somebody else on the same socket. */
-    public static boolean ours(byte first) {
+    public static boolean isMembershipDatagram(byte first) {
         return Membership.ours(first) || first == Message.MAGIC;
     }
 
@@ -227,7 +227,7 @@
     }
 
     /** Who is asked for another group, and for all groups within the own one. */
-    String speaker(int group, String chosen) {
+    String isRepresentative(int group, String chosen) {
         return chosen;
     }
 
@@ -235,7 +235,7 @@
         return chosen;
     }
 
-    State state(String name) {
+    MemberState state(String name) {
         return own.state(name);
     }
 
@@ -245,6 +245,6 @@
 
     /** How many rows of groups this member holds, its own table and those of its speakers. */
     int rowsHeld() {
-        return between == null ? 0 : grouping.groups() - 1 + between.tables.held();
+        return between == null ? 0 : grouping.groupCount() - 1 + between.tables.held();
     }
 }
--- a/fleet/src/main/java/dockrelay/fleet/group/Message.java
+++ b/fleet/src/main/java/dockrelay/fleet/group/Message.java
@@ -1,9 +1,9 @@
 package dockrelay.fleet.group;
 
-import dockrelay.fleet.Row;
-import dockrelay.fleet.Standing.Agreement;
-import dockrelay.fleet.State;
-import dockrelay.fleet.wire.Numbers;
+import dockrelay.fleet.MemberStatus;
+import dockrelay.fleet.MembershipSnapshot.Agreement;
+import dockrelay.fleet.MemberState;
+import dockrelay.fleet.wire.WireFormat;
 import java.nio.BufferUnderflowException;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
@@ -89,7 +89,7 @@
     final List<Told> rows = new ArrayList<>();
     final List<SilentTo> silentTo = new ArrayList<>();
     String name;
-    Row member;
+    MemberStatus member;
 
     private Message() {
     }
@@ -99,7 +99,7 @@
             || from.get(from.position() + 1) != SECOND) {
             throw new Unreadable(Refusal.FOREIGN);
         }
-        ByteBuffer in = Numbers.open(from);
+        ByteBuffer in = WireFormat.verifyChecksum(from);
         if (in == null) {
             throw new Unreadable(Refusal.CHECKSUM);
         }
@@ -137,13 +137,13 @@
             case SILENT -> silent = bytes(in, in.remaining());
             case RELAYED -> {
                 while (in.hasRemaining()) {
-                    long age = Math.min(Numbers.get(in), LONGEST_AGE) * 1000;
+                    long age = Math.min(WireFormat.getVarint(in), LONGEST_AGE) * 1000;
                     relayed.add(new Aged(summary(in), age));
                 }
             }
             case SINCE -> {
                 epoch = in.getInt();
-                version = Numbers.get(in);
+                version = WireFormat.getVarint(in);
                 int flags = in.get();
                 wantsSilent = (flags & WANTS_SILENT) != 0;
                 readsBrief = (flags & READS_BRIEF) != 0;
@@ -151,7 +151,7 @@
             }
             case UP_TO -> {
                 epoch = in.getInt();
-                version = Numbers.get(in);
+                version = WireFormat.getVarint(in);
                 more = in.get() != 0;
             }
             case AGES -> ages = bytes(in, in.remaining());
@@ -238,24 +238,24 @@
         }
     }
 
-    private static Row member(ByteBuffer in) {
+    private static MemberStatus member(ByteBuffer in) {
         String name = text(in);
-        State state = State.values()[in.get()];
-        long since = Math.min(Numbers.get(in), LONGEST_AGE) * 1000;
+        MemberState state = MemberState.values()[in.get()];
+        long since = Math.min(WireFormat.getVarint(in), LONGEST_AGE) * 1000;
         String by = text(in);
-        long incarnation = Numbers.get(in), wordAge = Math.min(Numbers.get(in), LONGEST_AGE) - 1;
+        long incarnation = WireFormat.getVarint(in), wordAge = Math.min(WireFormat.getVarint(in), LONGEST_AGE) - 1;
         boolean sameList = in.get() != 0;
-        long differsFor = Math.min(Numbers.get(in), LONGEST_AGE) - 1;
+        long differsFor = Math.min(WireFormat.getVarint(in), LONGEST_AGE) - 1;
         List<String> differsIn = new ArrayList<>();
         while (in.hasRemaining()) {
             differsIn.add(text(in));
         }
-        return new Row(name, state, since, by, incarnation, wordAge < 0 ? -1 : wordAge * 1000, sameList,
+        return new MemberStatus(name, state, since, by, incarnation, wordAge < 0 ? -1 : wordAge * 1000, sameList,
             differsIn, differsFor < 0 ? -1 : differsFor * 1000);
     }
 
     private static int number(ByteBuffer in) {
-        long value = Numbers.get(in);
+        long value = WireFormat.getVarint(in);
         if (value < 0 || value > 1 << 20) {
             throw new IllegalArgumentException("a count of " + value);
         }
--- a/fleet/src/main/java/dockrelay/fleet/group/Rhythm.java
+++ b/fleet/src/main/java/dockrelay/fleet/group/Rhythm.java
@@ -1,9 +1,9 @@
 package dockrelay.fleet.group;
 
-import dockrelay.fleet.Pace;
+import dockrelay.fleet.ProtocolTiming;
 
 /** How often groups ask each other and how long an answer tells something, in microseconds. */
-record Rhythm(Pace pace) {
+record Rhythm(ProtocolTiming pace) {
     /** Between two questions for the same thing. */
     long round() {
         return 5 * pace.period();
--- a/fleet/src/main/java/dockrelay/fleet/group/Silence.java
+++ b/fleet/src/main/java/dockrelay/fleet/group/Silence.java
@@ -48,7 +48,7 @@
     /** All that this speaker hears nothing of, in order; null where there is none. */
     byte[] said(long now) {
         BitSet silent = new BitSet();
-        for (int group = 0; group < here.grouping.groups(); group++) {
+        for (int group = 0; group < here.grouping.groupCount(); group++) {
             silent.set(group, of(now, group));
         }
         return silent.isEmpty() ? null : silent.toByteArray();
@@ -65,14 +65,14 @@
 
     private void compute(long now) {
         out.clear();
-        int groups = here.grouping.groups(), mine = -1, most = 0;
+        int groups = here.grouping.groupCount(), mine = -1, most = 0;
         for (int group = 0; group < groups; group++) {
             if (!of(now, group)) {
                 continue;
             }
             if (mine < 0) {
                 mine = here.present(now);
-                most = here.grouping.size() - here.count.left(now);
+                most = here.grouping.memberCount() - here.count.left(now);
             }
             int say = mine;
             for (int other = 0; other < groups; other++) {
--- a/fleet/src/main/java/dockrelay/fleet/group/Speakers.java
+++ b/fleet/src/main/java/dockrelay/fleet/group/Speakers.java
@@ -1,8 +1,8 @@
 package dockrelay.fleet.group;
 
 import dockrelay.fleet.Membership;
-import dockrelay.fleet.Roster;
-import dockrelay.fleet.State;
+import dockrelay.fleet.MemberList;
+import dockrelay.fleet.MemberState;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
@@ -31,7 +31,7 @@
         this.members = members;
         this.self = self;
         this.order = new ArrayList<>(names);
-        this.order.sort(Comparator.comparingLong((String name) -> Grouping.mixed(Roster.id(name) ^ ORDER))
+        this.order.sort(Comparator.comparingLong((String name) -> GroupAssignment.mixed(MemberList.idOf(name) ^ ORDER))
             .thenComparing(Comparator.naturalOrder()));
     }
 
@@ -47,7 +47,7 @@
 
     List<String> names() {
         if (now == null) {
-            now = order.stream().filter(name -> members.state(name) == State.PRESENT).limit(most)
+            now = order.stream().filter(name -> members.state(name) == MemberState.PRESENT).limit(most)
                 .toList();
         }
         return now;
@@ -58,7 +58,7 @@
     }
 
     int[] ids() {
-        return names().stream().mapToInt(Roster::id).toArray();
+        return names().stream().mapToInt(MemberList::idOf).toArray();
     }
 
     /**
@@ -71,6 +71,6 @@
     }
 
     private static long drawn(String name, int key) {
-        return Grouping.mixed((long) Roster.id(name) << 32 ^ key & 0xffffffffL);
+        return GroupAssignment.mixed((long) MemberList.idOf(name) << 32 ^ key & 0xffffffffL);
     }
 }
--- a/fleet/src/main/java/dockrelay/fleet/group/Summary.java
+++ b/fleet/src/main/java/dockrelay/fleet/group/Summary.java
@@ -1,6 +1,6 @@
 package dockrelay.fleet.group;
 
-import dockrelay.fleet.Standing.Agreement;
+import dockrelay.fleet.MembershipSnapshot.Agreement;
 import java.util.Arrays;
 
 /**
--- a/fleet/src/main/java/dockrelay/fleet/group/Table.java
+++ b/fleet/src/main/java/dockrelay/fleet/group/Table.java
@@ -1,6 +1,6 @@
 package dockrelay.fleet.group;
 
-import dockrelay.fleet.Standing.Agreement;
+import dockrelay.fleet.MembershipSnapshot.Agreement;
 
 /**
  * What one member holds of each group but its own: one row a group, whoever told it, and since when it may be
@@ -17,16 +17,16 @@
         boolean firstHand; // this member was told of it by a group, not by its own
     }
 
-    private final Grouping grouping;
+    private final GroupAssignment grouping;
     private final Rhythm rhythm;
     private final Held[] held;
     private final long since;
     private long version;
 
-    Table(Grouping grouping, Rhythm rhythm, long now) {
+    Table(GroupAssignment grouping, Rhythm rhythm, long now) {
         this.grouping = grouping;
         this.rhythm = rhythm;
-        this.held = new Held[grouping.groups()];
+        this.held = new Held[grouping.groupCount()];
         this.since = now;
         for (int i = 0; i < held.length; i++) {
             held[i] = new Held();
--- a/fleet/src/main/java/dockrelay/fleet/group/TableAsker.java
+++ b/fleet/src/main/java/dockrelay/fleet/group/TableAsker.java
@@ -1,6 +1,6 @@
 package dockrelay.fleet.group;
 
-import dockrelay.fleet.State;
+import dockrelay.fleet.MemberState;
 import dockrelay.fleet.group.Message.Kind;
 import dockrelay.fleet.group.Message.SilentTo;
 import dockrelay.fleet.group.Message.Told;
@@ -24,7 +24,7 @@
     TableAsker(Between here, long now) {
         this.here = here;
         this.nextRound = now + (long) (here.random.nextDouble() * here.rhythm.table());
-        this.home = here.grouping.roster(here.own).index(here.self);
+        this.home = here.grouping.roster(here.own).indexOf(here.self);
     }
 
     /** Asks what is due; returns when the next one is. */
@@ -76,7 +76,7 @@
      * one costs a whole table, and speakers tell each other what they know, also who is counted out.
      */
     private boolean misses(long now) {
-        for (int group = 0; group < here.grouping.groups(); group++) {
+        for (int group = 0; group < here.grouping.groupCount(); group++) {
             if (group != here.own && here.table.unsure(now, group) > here.rhythm.missed()
                 && !here.count.marked(now, group)) {
                 return true;
@@ -91,8 +91,8 @@
             ask(now, here.groups.source(speakers.get(Math.floorMod(home + detour, speakers.size()))), false);
             return;
         }
-        List<String> present = here.grouping.names(here.own).stream().filter(name ->
-            here.members.state(name) == State.PRESENT && !name.equals(here.self)).toList();
+        List<String> present = here.grouping.memberNames(here.own).stream().filter(name ->
+            here.members.state(name) == MemberState.PRESENT && !name.equals(here.self)).toList();
         if (!present.isEmpty()) {
             ask(now, here.groups.source(present.get(here.random.nextInt(present.size()))), false);
         }
@@ -121,7 +121,7 @@
 
     void told(long now, Question question, Message told) {
         boolean alike = told.list == here.grouping.hash();
-        if (told.ages == null || alike && told.ages.length != here.grouping.groups()) {
+        if (told.ages == null || alike && told.ages.length != here.grouping.groupCount()) {
             return;
         }
         Source source = sources.computeIfAbsent(question.to, Source::new);
@@ -151,7 +151,7 @@
         }
         if (alike) {
             for (SilentTo silent : told.silentTo) {
-                if (silent.group() < here.grouping.groups() && silent.age() <= Message.OLDEST) {
+                if (silent.group() < here.grouping.groupCount() && silent.age() <= Message.OLDEST) {
                     here.table.silent(now, silent.group(), silent.silent(),
                         silent.age() * here.rhythm.unit() + trip);
                 }
@@ -165,12 +165,12 @@
     private Summary summary(Told told, int list, boolean alike) {
         boolean plain = told.key() == 0 && !told.otherList();
         int group = told.key() != 0 ? here.grouping.group(told.key()) : alike ? told.index() : -1;
-        Told row = plain ? told.whole(here.grouping.names(group).size()) : told;
+        Told row = plain ? told.whole(here.grouping.memberNames(group).size()) : told;
         int key = row.key() != 0 ? row.key() : here.grouping.key(group);
         int[] speakers = {};
         if (!plain && row.speaker() != 0) {
             speakers = new int[] {row.speaker()};
-        } else if (plain && row.speaker() > 0 && row.speaker() <= here.grouping.names(group).size()) {
+        } else if (plain && row.speaker() > 0 && row.speaker() <= here.grouping.memberNames(group).size()) {
             speakers = new int[] {here.grouping.roster(group).idAt(row.speaker() - 1)};
         }
         return new Summary(key, row.otherList() ? row.list() : list, plain ? here.grouping.hash(group)
--- a/fleet/src/main/java/dockrelay/fleet/group/TableTeller.java
+++ b/fleet/src/main/java/dockrelay/fleet/group/TableTeller.java
@@ -24,7 +24,7 @@
         boolean keyed = asked.list != here.grouping.hash();
         long since = asked.epoch == epoch ? asked.version : 0;
         Table table = here.table;
-        int groups = here.grouping.groups();
+        int groups = here.grouping.groupCount();
         List<Integer> changed = new ArrayList<>();
         for (int group = 0; group < groups; group++) {
             if (group != here.own && table.summary(group) != null && table.version(group) > since
@@ -41,7 +41,7 @@
         Writer writer = here.writer(Kind.TELL_TABLE, asked.sequence);
         int ages = groups * (asked.ownPart ? 2 : 1); // the way to a group and its age, or the age alone
         int written = writer.rows(rows, keyed, ages + 24, asked.readsBrief
-            ? group -> here.grouping.names(group).size() : null);
+            ? group -> here.grouping.memberNames(group).size() : null);
         boolean more = written < rows.size();
         long upTo = more ? table.version(rows.get(written - 1).index()) : table.version();
         byte[] told = new byte[groups];
@@ -100,7 +100,7 @@
         boolean otherList = of.list() != here.grouping.hash();
         int speaker = of.first();
         if (!keyed && !otherList) {
-            speaker = 1 + here.grouping.roster(group).index(of.first());
+            speaker = 1 + here.grouping.roster(group).indexOf(of.first());
         }
         return new Told(group, here.grouping.key(group), otherList, of.list(), of.hash(), of.present(),
             of.left(), of.gone(), of.counted(), of.agreement(), of.agreeing(), speaker);
--- a/fleet/src/main/java/dockrelay/fleet/group/Writer.java
+++ b/fleet/src/main/java/dockrelay/fleet/group/Writer.java
@@ -1,7 +1,7 @@
 package dockrelay.fleet.group;
 
-import dockrelay.fleet.Row;
-import dockrelay.fleet.wire.Numbers;
+import dockrelay.fleet.MemberStatus;
+import dockrelay.fleet.wire.WireFormat;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -77,7 +77,7 @@
             if (room() < LONGEST_SUMMARY + 6) {
                 break;
             }
-            Numbers.put(out, millis(row.age()));
+            WireFormat.putVarint(out, millis(row.age()));
             put(row.summary());
         }
         end();
@@ -87,7 +87,7 @@
     Writer since(int epoch, long version, boolean wantsSilent, boolean ownPart) {
         begin(Message.SINCE);
         out.putInt(epoch);
-        Numbers.put(out, version);
+        WireFormat.putVarint(out, version);
         out.put((byte) ((wantsSilent ? Message.WANTS_SILENT : 0) + Message.READS_BRIEF
             + (ownPart ? Message.OWN_PART : 0)));
         end();
@@ -97,7 +97,7 @@
     Writer upTo(int epoch, long version, boolean more) {
         begin(Message.UP_TO);
         out.putInt(epoch);
-        Numbers.put(out, version);
+        WireFormat.putVarint(out, version);
         out.put((byte) (more ? 1 : 0));
         end();
         return this;
@@ -113,11 +113,11 @@
     /** The same of a part: how many groups there are, then each group that has one, by the way to it. */
     Writer ownAges(byte[] ages) {
         begin(Message.OWN_AGES);
-        Numbers.put(out, ages.length);
+        WireFormat.putVarint(out, ages.length);
         int before = -1;
         for (int group = 0; group < ages.length; group++) {
             if ((ages[group] & 0xff) != Message.NONE) {
-                Numbers.put(out, group - before - 1);
+                WireFormat.putVarint(out, group - before - 1);
                 out.put(ages[group]);
                 before = group;
             }
@@ -153,7 +153,7 @@
     }
 
     private void row(Message.Told row, boolean keyed, int follows) {
-        Numbers.put(out, row.index());
+        WireFormat.putVarint(out, row.index());
         out.put((byte) (row.agreement().ordinal() + (keyed ? Message.KEYED : 0)
             + (row.otherList() ? Message.OTHER_LIST : 0) + follows));
         if (keyed) {
@@ -167,19 +167,19 @@
         }
         count(row.present(), follows & Message.REST_PRESENT);
         count(row.left(), follows & Message.NONE_LEFT);
-        Numbers.put(out, row.gone());
+        WireFormat.putVarint(out, row.gone());
         count(row.counted(), follows & Message.PRESENT_COUNT);
         count(row.agreeing(), follows & Message.PRESENT_AGREE);
         if (keyed || row.otherList()) {
             out.putInt(row.speaker());
         } else {
-            Numbers.put(out, row.speaker());
+            WireFormat.putVarint(out, row.speaker());
         }
     }
 
     private void count(int count, int follows) {
         if (follows == 0) {
-            Numbers.put(out, count);
+            WireFormat.putVarint(out, count);
         }
     }
 
@@ -203,7 +203,7 @@
                 continue;
             }
             if (out.position() == start + SECTION) {
-                Numbers.put(out, length);
+                WireFormat.putVarint(out, length);
             }
             byte[] groups = new byte[length];
             int age = 0;
@@ -246,11 +246,11 @@
             return this;
         }
         begin(Message.SILENT_TO);
-        Numbers.put(out, length);
+        WireFormat.putVarint(out, length);
         out.put((byte) distinct.size());
         distinct.forEach(out::put);
         for (int i = 0; i < taken.size(); i++) {
-            Numbers.put(out, taken.get(i).group());
+            WireFormat.putVarint(out, taken.get(i).group());
             out.put((byte) taken.get(i).age()).put((byte) (int) which.get(i));
         }
         end();
@@ -264,17 +264,17 @@
         return this;
     }
 
-    Writer member(Row row) {
+    Writer member(MemberStatus row) {
         begin(Message.MEMBER);
         text(row.name());
         out.put((byte) row.state().ordinal());
-        Numbers.put(out, Math.max(0, row.since()) / 1000);
-        text(row.by());
-        Numbers.put(out, row.incarnation());
-        Numbers.put(out, row.wordAge() < 0 ? 0 : millis(row.wordAge()) + 1);
-        out.put((byte) (row.sameList() ? 1 : 0));
-        Numbers.put(out, row.differsFor() < 0 ? 0 : row.differsFor() / 1000 + 1);
-        row.differsIn().stream().limit(MOST_DIFFERING).forEach(this::text);
+        WireFormat.putVarint(out, Math.max(0, row.stateAge()) / 1000);
+        text(row.reportedBy());
+        WireFormat.putVarint(out, row.incarnation());
+        WireFormat.putVarint(out, row.reportAge() < 0 ? 0 : millis(row.reportAge()) + 1);
+        out.put((byte) (row.sameMemberList() ? 1 : 0));
+        WireFormat.putVarint(out, row.disagreementAge() < 0 ? 0 : row.disagreementAge() / 1000 + 1);
+        row.differingMembers().stream().limit(MOST_DIFFERING).forEach(this::text);
         end();
         return this;
     }
@@ -282,11 +282,11 @@
     private void put(Summary summary) {
         out.putInt(summary.key()).putInt(summary.list()).putInt(summary.hash()).putInt(summary.view())
             .put((byte) summary.agreement().ordinal());
-        Numbers.put(out, summary.present());
-        Numbers.put(out, summary.left());
-        Numbers.put(out, summary.gone());
-        Numbers.put(out, summary.counted());
-        Numbers.put(out, summary.agreeing());
+        WireFormat.putVarint(out, summary.present());
+        WireFormat.putVarint(out, summary.left());
+        WireFormat.putVarint(out, summary.gone());
+        WireFormat.putVarint(out, summary.counted());
+        WireFormat.putVarint(out, summary.agreeing());
         out.putInt(summary.by()).put((byte) summary.speakers().length);
         for (int speaker : summary.speakers()) {
             out.putInt(speaker);
@@ -304,6 +304,6 @@
     }
 
     ByteBuffer done() {
-        return Numbers.seal(out);
+        return WireFormat.appendChecksum(out);
     }
 }
--- a/fleet/src/main/java/dockrelay/fleet/wire/Numbers.java
+++ b/fleet/src/main/java/dockrelay/fleet/wire/WireFormat.java
@@ -5,14 +5,14 @@
 import java.util.zip.CRC32C;
 
 /** Numbers as few bytes, and what shows that a datagram came as it was sent. */
-public final class Numbers {
+public final class WireFormat {
     private static final int CHECKSUM = 4, LONGEST_SHIFT = 63;
 
-    private Numbers() {
+    private WireFormat() {
     }
 
     /** Seven bits a byte, the low ones first; nothing is below 0. */
-    public static void put(ByteBuffer out, long value) {
+    public static void putVarint(ByteBuffer out, long value) {
         if (value < 0) {
             throw new IllegalArgumentException("a number below 0: " + value);
         }
@@ -24,7 +24,7 @@
         out.put((byte) left);
     }
 
-    public static long get(ByteBuffer in) {
+    public static long getVarint(ByteBuffer in) {
         long value = 0;
         for (int shift = 0; shift < LONGEST_SHIFT; shift += 7) {
             byte next = in.get();
@@ -37,13 +37,13 @@
     }
 
     /** Ends what has been written by its checksum, to be read. */
-    public static ByteBuffer seal(ByteBuffer written) {
+    public static ByteBuffer appendChecksum(ByteBuffer written) {
         written.putInt(checksum(written.array(), written.position()));
         return written.flip();
     }
 
     /** What was sealed, without its checksum; null where it is not as it was sent. */
-    public static ByteBuffer open(ByteBuffer from) {
+    public static ByteBuffer verifyChecksum(ByteBuffer from) {
         byte[] bytes = new byte[from.remaining()];
         from.get(bytes);
         int length = bytes.length - CHECKSUM;
--- a/fleet/src/test/java/dockrelay/fleet/BrokenMembers.java
+++ b/fleet/src/test/java/dockrelay/fleet/BrokenMembers.java
@@ -8,8 +8,8 @@
 /** Members each of which gets one thing wrong: the simulation has to notice. */
 final class BrokenMembers {
     private static class Altered extends Membership {
-        Altered(String self, List<String> names, long incarnation, int life, Pace pace, Random random,
-                Actions actions, long now) {
+        Altered(String self, List<String> names, long incarnation, int life, ProtocolTiming pace, Random random,
+                Callbacks actions, long now) {
             super(self, names, incarnation, life, pace, random, actions, now);
         }
     }
@@ -58,7 +58,7 @@
             new Altered(s, n, i, l, p, r, a, t) {
                 @Override
                 void reachOut(long now, Member away) {
-                    if (away.state == State.JOINING) {
+                    if (away.state == MemberState.JOINING) {
                         super.reachOut(now, away);
                     }
                 }
@@ -66,7 +66,7 @@
         all.put("takes gone at its word", (s, n, i, l, p, r, a, t) ->
             new Altered(s, n, i, l, p, r, a, t) {
                 @Override
-                boolean doubts(Datagram.Entry entry, State held) {
+                boolean doubts(Datagram.Entry entry, MemberState held) {
                     return false;
                 }
             });
--- a/fleet/src/test/java/dockrelay/fleet/DatagramTest.java
+++ b/fleet/src/test/java/dockrelay/fleet/DatagramTest.java
@@ -47,7 +47,7 @@
             Random random = new Random(seed);
             List<Entry> entries = new ArrayList<>();
             for (int i = random.nextInt(24); i > 0; i--) {
-                entries.add(new Entry(random.nextInt(), State.values()[random.nextInt(5)],
+                entries.add(new Entry(random.nextInt(), MemberState.values()[random.nextInt(5)],
                     random.nextLong() >>> 8 + random.nextInt(56), random.nextInt()));
             }
             List<Word> words = new ArrayList<>();
@@ -79,7 +79,7 @@
     void whatIsNotWholeIsRefused() throws Exception {
         for (int seed = 0; seed < 3_000; seed++) {
             Random random = new Random(seed);
-            byte[] whole = some(random, List.of(new Entry(1, State.PRESENT, 5, 2)), List.of(new Word(1, 2,
+            byte[] whole = some(random, List.of(new Entry(1, MemberState.PRESENT, 5, 2)), List.of(new Word(1, 2,
                 3, 4, 5,
                 new byte[] {1, 2})));
             byte[] cut = Arrays.copyOf(whole, random.nextInt(whole.length));
@@ -101,7 +101,7 @@
     /** A later program's sections are passed over, its later version is refused by that name. */
     @Test
     void aLaterFormatIsToldApart() throws Exception {
-        byte[] whole = some(new Random(1), List.of(new Entry(1, State.PRESENT, 5, 2)), List.of());
+        byte[] whole = some(new Random(1), List.of(new Entry(1, MemberState.PRESENT, 5, 2)), List.of());
         byte[] longer = Arrays.copyOf(whole, whole.length + 8);
         System.arraycopy(new byte[] {77, 0, 5, 1, 2, 3, 4, 5}, 0, longer, whole.length - 4, 8);
         assertEquals(1, Datagram.read(ByteBuffer.wrap(sealed(longer))).entries().size());
--- a/fleet/src/test/java/dockrelay/fleet/Simulation.java
+++ b/fleet/src/test/java/dockrelay/fleet/Simulation.java
@@ -20,8 +20,8 @@
 
     /** Makes a member, so that a broken one can take its place. */
     interface Maker {
-        Membership make(String self, List<String> names, long incarnation, int life, Pace pace, Random random,
-            Membership.Actions actions, long now);
+        Membership make(String self, List<String> names, long incarnation, int life, ProtocolTiming pace, Random random,
+            Membership.Callbacks actions, long now);
     }
 
     /** Something that must hold did not. */
@@ -34,7 +34,7 @@
     }
 
     /** One process of a name, with a clock of its own. */
-    final class Process implements Membership.Actions {
+    final class Process implements Membership.Callbacks {
         final String name;
         final double rate = 1 + (random.nextDouble() - 0.5) * 0.02;
         final long offset = random.nextInt(1_000_000_000);
@@ -44,13 +44,13 @@
         final Membership machine;
         final long first, startedAt = now;
         boolean dead, stopped;
-        Standing standing;
+        MembershipSnapshot standing;
         long standingAt, wakeOrder, wokeAt = -SECOND;
 
         Process(String name, long incarnation) {
             this.name = name;
             this.first = incarnations.getOrDefault(name, 0L) + 1; // what is said of lower ones is of the dead
-            this.machine = maker.make(name, names, incarnation, life, Pace.USUAL,
+            this.machine = maker.make(name, names, incarnation, life, ProtocolTiming.DEFAULT,
                 new Random(random.nextLong()),
                 this, local());
             schedule();
@@ -63,7 +63,7 @@
 
         void schedule() {
             long mine = ++wakeOrder;
-            long at = now + Math.max(0, (long) Math.ceil((machine.nextAt() - local()) / rate));
+            long at = now + Math.max(0, (long) Math.ceil((machine.nextTickAt() - local()) / rate));
             later(at - now, () -> run(() -> {
                 if (mine == wakeOrder) {
                     machine.tick(local());
@@ -85,15 +85,15 @@
 
         private void judge() {
             run(() -> {
-                standing = machine.standing(local());
+                standing = machine.snapshot(local());
                 standingAt = local();
                 later(STANDING, this::judge);
             });
         }
 
         double share() {
-            return local() - standingAt <= Pace.USUAL.standingStale() ? standing.share()
-                : standing.leastShare();
+            return local() - standingAt <= ProtocolTiming.DEFAULT.standingStale() ? standing.budgetShare()
+                : standing.minBudgetShare();
         }
 
         @Override
@@ -107,12 +107,12 @@
         }
 
         @Override
-        public void changed(Change change) {
+        public void memberChanged(MemberStateChange change) {
             trace(name + " holds: " + change);
             Process of = processes.get(change.member());
             boolean lives = of != null && !of.dead && !of.stopped;
             // That an earlier process of the name is dead is true.
-            if (change.now() == State.GONE && lives && change.incarnation() >= of.first
+            if (change.newState() == MemberState.GONE && lives && change.incarnation() >= of.first
                 && now - of.startedAt > 3 * SECOND) {
                 falselyGone++;
                 lastFalse = name + " holds " + change;
@@ -123,21 +123,21 @@
                     throw new Broken("on the same side of the one cut that there is, " + lastFalse);
                 }
             }
-            if (change.now() == State.SUSPECT && lives && change.by().equals(name) && now - wokeAt < SECOND) {
+            if (change.newState() == MemberState.SUSPECT && lives && change.by().equals(name) && now - wokeAt < SECOND) {
                 accusedOnWaking = name + " holds " + change;
             }
-            if (change.now() == State.GONE && of != null && of.dead && diedAt.containsKey(change.member())) {
+            if (change.newState() == MemberState.GONE && of != null && of.dead && diedAt.containsKey(change.member())) {
                 detected.add(now - diedAt.get(change.member()));
             }
         }
 
         @Override
-        public void incarnation(long own) {
+        public void incarnationChanged(long own) {
             incarnations.merge(name, own, Math::max);
         }
 
         @Override
-        public void clash(String whose, String why) {
+        public void nameConflict(String whose, String why) {
             clashes++;
             trace(name + " says: two go by " + whose + ": " + why);
         }
@@ -251,13 +251,13 @@
     String disagreement() {
         String wrong = differing();
         for (Process process : processes.values()) {
-            Standing standing = wrong != null || process.dead ? null
-                : process.machine.standing(process.local());
+            MembershipSnapshot standing = wrong != null || process.dead ? null
+                : process.machine.snapshot(process.local());
             // Of many words one may be too old just now.
-            if (standing != null && standing.agreeing() < standing.present() - standing.present() / 40) {
+            if (standing != null && standing.agreeingMembers() < standing.presentMembers() - standing.presentMembers() / 40) {
                 return process.name + " does not know that all agree: " + standing + process.machine
-                    .rows(process.local()).stream().filter(row -> !row.state().away() && (row.wordAge() < 0
-                    || !row.differsIn().isEmpty())).toList();
+                    .memberStatuses(process.local()).stream().filter(row -> !row.state().away() && (row.reportAge() < 0
+                    || !row.differingMembers().isEmpty())).toList();
             }
         }
         return wrong;
@@ -273,8 +273,8 @@
             for (String name : names) {
                 Process of = processes.get(name);
                 boolean lives = of != null && !of.dead;
-                State held = process.machine.state(name);
-                if (lives != (held == State.PRESENT)) {
+                MemberState held = process.machine.state(name);
+                if (lives != (held == MemberState.PRESENT)) {
                     return process.name + " holds " + name + " " + held + ", which " + (lives ? "lives"
                         : "is dead");
                 }
--- a/fleet/src/test/java/dockrelay/fleet/budget/BrokenBudgets.java
+++ b/fleet/src/test/java/dockrelay/fleet/budget/BrokenBudgets.java
@@ -1,6 +1,6 @@
 package dockrelay.fleet.budget;
 
-import dockrelay.fleet.Roster;
+import dockrelay.fleet.MemberList;
 import java.util.Collection;
 import java.util.Random;
 import java.util.Set;
@@ -60,7 +60,7 @@
     /** A new list is agreed on by the new one alone. */
     NEW_LIST_ALONE(700) {
         @Override
-        Authority authority(int id, int life, BudgetPace at, Voter of, Roster names, Random by,
+        Authority authority(int id, int life, BudgetPace at, Voter of, MemberList names, Random by,
                             Authority.Sender sender, long now) {
             return new Authority(id, life, at, of, names, by, sender, now) {
                 @Override
@@ -73,7 +73,7 @@
     /** Any half of the list is a quorum. */
     HALF_IS_ENOUGH(0) {
         @Override
-        Authority authority(int id, int life, BudgetPace at, Voter of, Roster names, Random by,
+        Authority authority(int id, int life, BudgetPace at, Voter of, MemberList names, Random by,
                             Authority.Sender sender, long now) {
             return new Authority(id, life, at, of, names, by, sender, now) {
                 @Override
@@ -95,7 +95,7 @@
         return new Voter(id, life, at, now);
     }
 
-    Authority authority(int id, int life, BudgetPace at, Voter of, Roster names, Random by,
+    Authority authority(int id, int life, BudgetPace at, Voter of, MemberList names, Random by,
                         Authority.Sender sender, long now) {
         return new Authority(id, life, at, of, names, by, sender, now);
     }
@@ -120,7 +120,7 @@
             }
 
             @Override
-            Authority authority(int id, int ofLife, BudgetPace at, Voter of, Roster roster, Random by,
+            Authority authority(int id, int ofLife, BudgetPace at, Voter of, MemberList roster, Random by,
                                 Authority.Sender sender, long from) {
                 return broken.authority(id, ofLife, at, of, roster, by, sender, from);
             }
--- a/fleet/src/test/java/dockrelay/fleet/group/BrokenGroups.java
+++ b/fleet/src/test/java/dockrelay/fleet/group/BrokenGroups.java
@@ -1,6 +1,6 @@
 package dockrelay.fleet.group;
 
-import dockrelay.fleet.Pace;
+import dockrelay.fleet.ProtocolTiming;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.Map;
@@ -8,9 +8,9 @@
 
 /** Machines each of which gets one thing wrong: the simulation has to notice. */
 final class BrokenGroups {
-    private static class Altered extends Groups {
-        Altered(String self, Grouping grouping, long incarnation, int life, Pace pace, Random random,
-                Actions actions, long now) {
+    private static class Altered extends GroupedMembership {
+        Altered(String self, GroupAssignment grouping, long incarnation, int life, ProtocolTiming pace, Random random,
+                Callbacks actions, long now) {
             super(self, grouping, incarnation, life, pace, random, actions, now);
         }
     }
@@ -25,7 +25,7 @@
                 private final Map<Integer, String> believed = new HashMap<>();
 
                 @Override
-                String speaker(int group, String chosen) {
+                String isRepresentative(int group, String chosen) {
                     return believed.computeIfAbsent(group, of -> chosen);
                 }
 
--- a/fleet/src/test/java/dockrelay/fleet/group/FleetProbe.java
+++ b/fleet/src/test/java/dockrelay/fleet/group/FleetProbe.java
@@ -3,9 +3,9 @@
 import static dockrelay.fleet.VirtualNetwork.MILLI;
 import static dockrelay.fleet.VirtualNetwork.SECOND;
 
-import dockrelay.fleet.Standing;
-import dockrelay.fleet.Standing.Agreement;
-import dockrelay.fleet.State;
+import dockrelay.fleet.MembershipSnapshot;
+import dockrelay.fleet.MembershipSnapshot.Agreement;
+import dockrelay.fleet.MemberState;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -41,14 +41,14 @@
             given += in;
             zones.put("zone" + zone, names);
         }
-        Grouping grouping = Grouping.of(zones, size);
-        world = new FleetWorld(1, grouping, Groups::new, false, false);
-        say("groups", grouping.groups());
+        GroupAssignment grouping = GroupAssignment.of(zones, size);
+        world = new FleetWorld(1, grouping, GroupedMembership::new, false, false);
+        say("groups", grouping.groupCount());
     }
 
     public static void main(String[] args) {
         int n = Integer.parseInt(args[0]);
-        FleetProbe probe = new FleetProbe(n, Integer.getInteger("groups.size", Grouping.USUAL_SIZE));
+        FleetProbe probe = new FleetProbe(n, Integer.getInteger("groups.size", GroupAssignment.DEFAULT_GROUP_SIZE));
         probe.start();
         for (int i = 1; i < args.length; i++) {
             probe.play(args[i]);
@@ -160,12 +160,12 @@
     }
 
     private boolean agrees(FleetWorld.Process process, int members) {
-        Standing standing = process.machine.standing(process.local());
-        return standing.members() == members && standing.agreement() == Agreement.ALL;
+        MembershipSnapshot standing = process.machine.snapshot(process.local());
+        return standing.countedMembers() == members && standing.agreement() == Agreement.ALL;
     }
 
     private int counted(FleetWorld.Process process) {
-        return process.machine.standing(process.local()).members();
+        return process.machine.snapshot(process.local()).countedMembers();
     }
 
     /** When each of those that do not know does, in seconds, sorted. */
@@ -209,7 +209,7 @@
             long began = world.now;
             all.add(until(process -> {
                 if (world.current.groupOf(process.name) == group
-                    && process.machine.state(name) == State.GONE) {
+                    && process.machine.state(name) == MemberState.GONE) {
                     knew.putIfAbsent(process, (world.now - began) / 1e6);
                 }
                 return counted(process) == n - 1;
--- a/fleet/src/test/java/dockrelay/fleet/group/FleetSchedule.java
+++ b/fleet/src/test/java/dockrelay/fleet/group/FleetSchedule.java
@@ -42,7 +42,7 @@
             zones.put("z" + zone, names);
             regions.put("z" + zone, zone == count - 1 ? 1 : zone % 2);
         }
-        world = new FleetWorld(seed, Grouping.ofAnySize(zones, size), maker, traced);
+        world = new FleetWorld(seed, GroupAssignment.ofAnySize(zones, size), maker, traced);
     }
 
     static Outcome play(long seed, FleetWorld.Maker maker, boolean traced) {
@@ -51,8 +51,8 @@
 
     private Outcome play() {
         world.trace(zones + " in groups of " + size);
-        for (int group = 0; group < world.current.groups(); group++) {
-            world.trace(world.current.label(group) + ": " + world.current.names(group));
+        for (int group = 0; group < world.current.groupCount(); group++) {
+            world.trace(world.current.label(group) + ": " + world.current.memberNames(group));
         }
         world.startAll(random.nextBoolean() ? 0 : SECOND);
         world.runUntil(CALM);
@@ -78,7 +78,7 @@
         if (lossless && world.falselyGone > 0) {
             throw new FleetWorld.Broken("nothing was lost, and yet " + world.lastFalse);
         }
-        return new Outcome(world.current.size(), world.current.groups(), lossless,
+        return new Outcome(world.current.memberCount(), world.current.groupCount(), lossless,
             world.falselyGone, world.outs, world.mostShare, settled);
     }
 
@@ -110,13 +110,13 @@
     }
 
     private List<String> anyGroup() {
-        return world.current.names(random.nextInt(world.current.groups()));
+        return world.current.memberNames(random.nextInt(world.current.groupCount()));
     }
 
     /** One that speaks for its group just then, if there is one. */
     private String speaker(List<String> group) {
         List<String> speakers = group.stream().filter(name -> lives(name)
-            && world.processes.get(name).machine.speaker()).toList();
+            && world.processes.get(name).machine.isRepresentative()).toList();
         return speakers.isEmpty() ? group.get(0) : speakers.get(random.nextInt(speakers.size()));
     }
 
@@ -253,7 +253,7 @@
     /** From all, or from all outside its group, or towards them. */
     private void oneWay(String name) {
         lossless = false;
-        List<String> group = world.current.names(world.current.groupOf(name));
+        List<String> group = world.current.memberNames(world.current.groupOf(name));
         boolean in = random.nextBoolean(), outside = random.nextBoolean();
         long until = world.now + 3 * SECOND + random.nextInt((int) (6 * SECOND));
         for (String other : all()) {
@@ -310,7 +310,7 @@
             world.kill(name);
             zones.get(from).remove(name);
         }
-        Grouping next = Grouping.ofAnySize(zones, size);
+        GroupAssignment next = GroupAssignment.ofAnySize(zones, size);
         world.trace("list now " + zones);
         long within = 3 * SECOND;
         world.current = next;
@@ -342,7 +342,7 @@
         } else {
             in.add("nobody" + random.nextInt(1_000));
         }
-        Grouping odd = Grouping.ofAnySize(own, size);
+        GroupAssignment odd = GroupAssignment.ofAnySize(own, size);
         if (odd.hash() != world.current.hash()) {
             world.trace(name + " from now on has " + own);
             world.configure(name, odd);
--- a/fleet/src/test/java/dockrelay/fleet/group/FleetWorld.java
+++ b/fleet/src/test/java/dockrelay/fleet/group/FleetWorld.java
@@ -1,11 +1,11 @@
 package dockrelay.fleet.group;
 
-import dockrelay.fleet.Change;
-import dockrelay.fleet.Pace;
-import dockrelay.fleet.Row;
-import dockrelay.fleet.Standing;
-import dockrelay.fleet.Standing.Agreement;
-import dockrelay.fleet.State;
+import dockrelay.fleet.MemberStateChange;
+import dockrelay.fleet.ProtocolTiming;
+import dockrelay.fleet.MemberStatus;
+import dockrelay.fleet.MembershipSnapshot;
+import dockrelay.fleet.MembershipSnapshot.Agreement;
+import dockrelay.fleet.MemberState;
 import dockrelay.fleet.VirtualNetwork;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
@@ -29,8 +29,8 @@
 
     /** Makes a machine, so that a broken one can take its place. */
     interface Maker {
-        Groups make(String self, Grouping grouping, long incarnation, int life, Pace pace, Random random,
-            Groups.Actions actions, long now);
+        GroupedMembership make(String self, GroupAssignment grouping, long incarnation, int life, ProtocolTiming pace, Random random,
+            GroupedMembership.Callbacks actions, long now);
     }
 
     /** Something that must hold did not. */
@@ -43,26 +43,26 @@
     }
 
     /** One process of a name, with a clock of its own. */
-    final class Process implements Groups.Actions {
+    final class Process implements GroupedMembership.Callbacks {
         final String name;
         final double rate = 1 + (random.nextDouble() - 0.5) * 0.02;
         final long offset = random.nextInt(1_000_000_000);
         final List<Runnable> inbox = new ArrayList<>();
-        final Groups machine;
+        final GroupedMembership machine;
         final long first, startedAt = now;
-        Grouping grouping;
+        GroupAssignment grouping;
         boolean dead, stopped;
-        Standing standing;
+        MembershipSnapshot standing;
         long standingAt, wakeOrder, troubledAt = now;
         long sent, sentBytes, got, gotBytes;
-        final Map<String, Row> found = new HashMap<>();
+        final Map<String, MemberStatus> found = new HashMap<>();
         BiConsumer<String, byte[]> tapped = (to, bytes) -> { };
 
-        Process(String name, Grouping grouping, long incarnation) {
+        Process(String name, GroupAssignment grouping, long incarnation) {
             this.name = name;
             this.grouping = grouping;
             this.first = incarnations.getOrDefault(name, 0L) + 1; // what is said of lower ones is of the dead
-            this.machine = maker.make(name, grouping, incarnation, random.nextInt() | 1, Pace.USUAL,
+            this.machine = maker.make(name, grouping, incarnation, random.nextInt() | 1, ProtocolTiming.DEFAULT,
                 new Random(random.nextLong()), this, local());
             schedule();
             judge();
@@ -74,7 +74,7 @@
 
         void schedule() {
             long mine = ++wakeOrder;
-            long at = now + Math.max(0, (long) Math.ceil((machine.nextAt() - local()) / rate));
+            long at = now + Math.max(0, (long) Math.ceil((machine.nextTickAt() - local()) / rate));
             later(at - now, () -> run(() -> {
                 if (mine == wakeOrder) {
                     machine.tick(local());
@@ -96,15 +96,15 @@
 
         private void judge() {
             run(() -> {
-                standing = machine.standing(local());
+                standing = machine.snapshot(local());
                 standingAt = local();
                 later(STANDING, this::judge);
             });
         }
 
         double share() {
-            return local() - standingAt <= Pace.USUAL.standingStale() ? standing.share()
-                : standing.leastShare();
+            return local() - standingAt <= ProtocolTiming.DEFAULT.standingStale() ? standing.budgetShare()
+                : standing.minBudgetShare();
         }
 
         boolean lives() {
@@ -135,12 +135,12 @@
         }
 
         @Override
-        public void changed(Change change) {
+        public void memberChanged(MemberStateChange change) {
             trace(name + " holds: " + change);
             Process of = processes.get(change.member());
             boolean lives = of != null && of.lives();
             // That an earlier process of the name is dead is true.
-            if (change.now() == State.GONE && lives && change.incarnation() >= of.first
+            if (change.newState() == MemberState.GONE && lives && change.incarnation() >= of.first
                 && now - of.startedAt > 3 * SECOND) {
                 falselyGone++;
                 lastFalse = name + " holds " + change;
@@ -148,17 +148,17 @@
         }
 
         @Override
-        public void incarnation(long own) {
+        public void incarnationChanged(long own) {
             incarnations.merge(name, own, Math::max);
         }
 
         @Override
-        public void clash(String whose, String why) {
+        public void nameConflict(String whose, String why) {
             trace(name + " says: two go by " + whose + ": " + why);
         }
 
         @Override
-        public void found(String whose, Row row) {
+        public void memberLookupCompleted(String whose, MemberStatus row) {
             found.put(whose, row);
         }
     }
@@ -174,7 +174,7 @@
     private final Map<Integer, Long> toldAt = new HashMap<>();
     private final Map<Integer, List<long[]>> saidOf = new HashMap<>();
     private final Map<Integer, Integer> leastSaid = new HashMap<>();
-    Grouping current;
+    GroupAssignment current;
     /** While it is so, lists differ or have just done. */
     long listsDifferUntil = -1;
     int falselyGone, outs;
@@ -182,12 +182,12 @@
     String lastFalse, lastOut;
     double mostShare;
 
-    FleetWorld(long seed, Grouping grouping, Maker maker, boolean traced) {
+    FleetWorld(long seed, GroupAssignment grouping, Maker maker, boolean traced) {
         this(seed, grouping, maker, traced, true);
     }
 
     /** Unwatched where there are too many to look at each of them all the time. */
-    FleetWorld(long seed, Grouping grouping, Maker maker, boolean traced, boolean watched) {
+    FleetWorld(long seed, GroupAssignment grouping, Maker maker, boolean traced, boolean watched) {
         super(seed, traced);
         this.current = grouping;
         this.maker = maker;
@@ -197,14 +197,14 @@
         }
     }
 
-    void start(String name, Grouping by, long incarnation) {
+    void start(String name, GroupAssignment by, long incarnation) {
         trace(name + " starts with incarnation " + incarnation);
         processes.put(name, new Process(name, by, incarnation));
     }
 
     void startAll(long within) {
-        for (int group = 0; group < current.groups(); group++) {
-            for (String name : current.names(group)) {
+        for (int group = 0; group < current.groupCount(); group++) {
+            for (String name : current.memberNames(group)) {
                 later(within == 0 ? 0 : (long) (random.nextDouble() * within),
                     () -> start(name, current, 1));
             }
@@ -228,7 +228,7 @@
         waiting.forEach(process::run);
     }
 
-    void configure(String name, Grouping next) {
+    void configure(String name, GroupAssignment next) {
         Process process = processes.get(name);
         if (process != null && !process.dead && next.groupOf(name) >= 0) {
             process.run(() -> {
@@ -309,7 +309,7 @@
     /** What a group's member counts of it as it tells others. */
     private void said(Process process) {
         int key = process.grouping.key(process.grouping.groupOf(process.name));
-        int counted = process.machine.members().standing(process.local()).members();
+        int counted = process.machine.members().snapshot(process.local()).countedMembers();
         saidOf.computeIfAbsent(key, of -> new ArrayList<>()).add(new long[] {now, counted});
     }
 
@@ -323,61 +323,61 @@
 
     private void look(Process process) {
         long local = process.local();
-        Grouping grouping = process.grouping;
-        Standing standing = process.machine.standing(local);
-        if (standing.members() > grouping.size() || standing.configured() != grouping.size()) {
-            throw new Broken(process.name + " counts " + standing + " of " + grouping.size() + " names");
+        GroupAssignment grouping = process.grouping;
+        MembershipSnapshot standing = process.machine.snapshot(local);
+        if (standing.countedMembers() > grouping.memberCount() || standing.configuredMembers() != grouping.memberCount()) {
+            throw new Broken(process.name + " counts " + standing + " of " + grouping.memberCount() + " names");
         }
-        boolean left = process.machine.state(process.name) == State.LEFT; // it no longer counts itself
-        if (!left && (standing.me() < 0 || standing.me() >= standing.members())) {
+        boolean left = process.machine.state(process.name) == MemberState.LEFT; // it no longer counts itself
+        if (!left && (standing.ownRank() < 0 || standing.ownRank() >= standing.countedMembers())) {
             throw new Broken(process.name + " is none of those it counts: " + standing);
         }
-        if (grouping.single()) {
+        if (grouping.isSingleGroup()) {
             return;
         }
         int sum = 0;
-        List<GroupRow> rows = process.machine.groups(local);
+        List<GroupStatus> rows = process.machine.groupStatuses(local);
         for (int group = 0; group < rows.size(); group++) {
-            GroupRow row = rows.get(group);
-            sum += row.counted();
+            GroupStatus row = rows.get(group);
+            sum += row.countedMembers();
             if (group != grouping.groupOf(process.name)) {
                 look(process, group, row);
-                boolean old = row.counted() > 0 && (!row.fresh() || standing.age() < row.age());
-                if (old && (standing.agreement() == Agreement.ALL || standing.age() < row.age())) {
+                boolean old = row.countedMembers() > 0 && (!row.fresh() || standing.oldestReportAge() < row.reportAge());
+                if (old && (standing.agreement() == Agreement.ALL || standing.oldestReportAge() < row.reportAge())) {
                     throw new Broken(process.name + " has " + standing + " with " + row);
                 }
             }
         }
-        if (Math.max(1, sum) != standing.members()) {
-            throw new Broken(process.name + " counts " + sum + " by groups, " + standing.members()
+        if (Math.max(1, sum) != standing.countedMembers()) {
+            throw new Broken(process.name + " counts " + sum + " by groups, " + standing.countedMembers()
                 + " in all");
         }
     }
 
-    private void look(Process process, int group, GroupRow row) {
-        Grouping grouping = process.grouping;
-        int key = grouping.key(group), names = grouping.names(group).size();
+    private void look(Process process, int group, GroupStatus row) {
+        GroupAssignment grouping = process.grouping;
+        int key = grouping.key(group), names = grouping.memberNames(group).size();
         long quiet = now - toldAt.getOrDefault(key, -1_000 * SECOND);
-        if (row.counted() > names) {
+        if (row.countedMembers() > names) {
             throw new Broken(process.name + " counts more of " + row + " than there are names");
         }
-        if (row.age() >= 0 && row.age() * CLOCKS + 5 * MILLI < quiet) {
+        if (row.reportAge() >= 0 && row.reportAge() * CLOCKS + 5 * MILLI < quiet) {
             throw new Broken(String.format("%s calls what %s said %.3f s old, which said nothing for %.3f s",
-                process.name, row.label(), row.age() / 1e6, quiet / 1e6));
+                process.name, row.label(), row.reportAge() / 1e6, quiet / 1e6));
         }
-        boolean out = row.counted() == 0;
-        if (quiet > Pace.USUAL.wordStale() * CLOCKS && !out && row.counted() < names) {
+        boolean out = row.countedMembers() == 0;
+        if (quiet > ProtocolTiming.DEFAULT.wordStale() * CLOCKS && !out && row.countedMembers() < names) {
             throw new Broken(String.format("%s counts %d of %s, which said nothing for %.3f s", process.name,
-                row.counted(), row.label(), quiet / 1e6));
+                row.countedMembers(), row.label(), quiet / 1e6));
         }
         boolean differ = now < listsDifferUntil || grouping != current;
-        if (!out && !differ && row.counted() < leastSaid.getOrDefault(key, 0)) {
+        if (!out && !differ && row.countedMembers() < leastSaid.getOrDefault(key, 0)) {
             throw new Broken(process.name + " counts fewer of " + row + " than it says itself: "
                 + leastSaid.get(key));
         }
         if (out && now - process.startedAt > DELAY) {
             outs++;
-            for (String name : grouping.names(group)) {
+            for (String name : grouping.memberNames(group)) {
                 Process of = processes.get(name);
                 if (of != null && of.lives() && of.grouping.groupOf(name) == group && of.grouping == grouping
                     && now - of.troubledAt > DELAY && now - process.troubledAt > DELAY && !differ
@@ -403,19 +403,19 @@
             if (process.dead || wrong != null) {
                 continue;
             }
-            Standing standing = process.machine.standing(process.local());
+            MembershipSnapshot standing = process.machine.snapshot(process.local());
             boolean odd = odd();
             if (process.grouping != current) {
-                boolean late = standing.members() < Math.min(live, standing.configured() - 1);
+                boolean late = standing.countedMembers() < Math.min(live, standing.configuredMembers() - 1);
                 wrong = late || standing.agreement() == Agreement.ALL ? process.name
                     + " with a list of its own has " + standing + " of " + live : null;
             } else if (odd) {
-                wrong = standing.members() < live ? process.name + " counts too few: " + standing + " of "
+                wrong = standing.countedMembers() < live ? process.name + " counts too few: " + standing + " of "
                     + live : null;
             } else {
                 wrong = counts(process, standing);
                 if (wrong == null && standing.agreement() != Agreement.MINORITY
-                    && !numbers.add(standing.me())) {
+                    && !numbers.add(standing.ownRank())) {
                     wrong = process.name + " has another one's number: " + standing;
                 }
             }
@@ -428,32 +428,32 @@
         return processes.values().stream().anyMatch(process -> !process.dead && process.grouping != current);
     }
 
-    private String counts(Process process, Standing standing) {
-        List<GroupRow> rows = process.machine.groups(process.local());
+    private String counts(Process process, MembershipSnapshot standing) {
+        List<GroupStatus> rows = process.machine.groupStatuses(process.local());
         int sum = 0, present = 0, left = 0;
         boolean all = true;
         for (int group = 0; group < rows.size(); group++) {
-            Standing in = null;
-            for (String name : current.names(group)) {
+            MembershipSnapshot in = null;
+            for (String name : current.memberNames(group)) {
                 Process of = processes.get(name);
                 if (of != null && !of.dead) {
-                    in = of.machine.members().standing(of.local());
+                    in = of.machine.members().snapshot(of.local());
                 }
             }
-            int names = current.names(group).size();
-            int expected = in != null ? in.members() : standing.agreement() == Agreement.MINORITY ? names : 0;
-            if (rows.get(group).counted() != expected) {
+            int names = current.memberNames(group).size();
+            int expected = in != null ? in.countedMembers() : standing.agreement() == Agreement.MINORITY ? names : 0;
+            if (rows.get(group).countedMembers() != expected) {
                 return process.name + " counts " + rows.get(group) + ", which should be " + expected;
             }
             sum += expected;
-            present += in == null ? 0 : in.present();
+            present += in == null ? 0 : in.presentMembers();
             all &= in == null || in.agreement() == Agreement.ALL;
-            left += rows.get(group).left();
+            left += rows.get(group).leftMembers();
         }
-        Agreement expected = 2 * present <= current.size() - left ? Agreement.MINORITY
+        Agreement expected = 2 * present <= current.memberCount() - left ? Agreement.MINORITY
             : all ? Agreement.ALL : Agreement.MAJORITY;
-        return standing.agreement() != expected || standing.members() != Math.max(1, sum)
-            || standing.present() != present
+        return standing.agreement() != expected || standing.countedMembers() != Math.max(1, sum)
+            || standing.presentMembers() != present
             ? process.name + " has " + standing + ", which should be " + expected + " " + sum + " " + present
             + "; of groups themselves: " + saidNow() : null;
     }
@@ -462,9 +462,9 @@
         StringBuilder said = new StringBuilder();
         for (Process of : processes.values()) {
             if (!of.dead) {
-                Standing in = of.machine.members().standing(of.local());
+                MembershipSnapshot in = of.machine.members().snapshot(of.local());
                 said.append(' ').append(of.name).append(':').append(in.agreement()).append('/')
-                    .append(in.agreeing()).append('/').append(in.present()).append('/').append(in.members());
+                    .append(in.agreeingMembers()).append('/').append(in.presentMembers()).append('/').append(in.countedMembers());
             }
         }
         return said.toString();
@@ -475,11 +475,11 @@
             if (process.dead || process.grouping != current) {
                 continue;
             }
-            for (String name : current.names(current.groupOf(process.name))) {
+            for (String name : current.memberNames(current.groupOf(process.name))) {
                 Process of = processes.get(name);
                 boolean lives = of != null && !of.dead;
-                State held = process.machine.state(name);
-                if (lives != (held == State.PRESENT)) {
+                MemberState held = process.machine.state(name);
+                if (lives != (held == MemberState.PRESENT)) {
                     return process.name + " holds " + name + " " + held + ", which " + (lives ? "lives"
                         : "is dead");
                 }
--- a/fleet/src/test/java/dockrelay/fleet/group/GroupSlopeTest.java
+++ b/fleet/src/test/java/dockrelay/fleet/group/GroupSlopeTest.java
@@ -30,16 +30,16 @@
                         double meanRows) {
     }
 
-    private static Grouping grouping(int groups, boolean one) {
+    private static GroupAssignment grouping(int groups, boolean one) {
         Map<String, List<String>> zones = new TreeMap<>();
         for (int i = 0; i < groups * IN_A_GROUP; i++) {
             zones.computeIfAbsent(one ? "" : "zone" + i / IN_A_GROUP, zone -> new ArrayList<>()).add("p" + i);
         }
-        return Grouping.ofAnySize(zones, one ? 1_000 : IN_A_GROUP);
+        return GroupAssignment.ofAnySize(zones, one ? 1_000 : IN_A_GROUP);
     }
 
     private static Cost cost(int groups, boolean one) {
-        FleetWorld world = new FleetWorld(1, grouping(groups, one), Groups::new, false, false);
+        FleetWorld world = new FleetWorld(1, grouping(groups, one), GroupedMembership::new, false, false);
         world.startAll(SECOND);
         world.runUntil(9 * SECOND);
         Map<String, long[]> before = new TreeMap<>();
@@ -110,8 +110,8 @@
      * member sends in ten seconds, with what it takes to ask for the parts of those who are dead.
      */
     private static double[] lost(int groups) {
-        Grouping grouping = grouping(groups, false);
-        FleetWorld world = new FleetWorld(1, grouping, Groups::new, false, false);
+        GroupAssignment grouping = grouping(groups, false);
+        FleetWorld world = new FleetWorld(1, grouping, GroupedMembership::new, false, false);
         world.startAll(SECOND);
         world.runUntil(9 * SECOND);
         List<String> names = new ArrayList<>(world.processes.keySet());
--- a/fleet/src/test/java/dockrelay/fleet/group/GroupingTest.java
+++ b/fleet/src/test/java/dockrelay/fleet/group/GroupingTest.java
@@ -29,10 +29,10 @@
         return result;
     }
 
-    private static Map<String, String> places(Grouping grouping) {
+    private static Map<String, String> places(GroupAssignment grouping) {
         Map<String, String> result = new TreeMap<>();
-        for (int group = 0; group < grouping.groups(); group++) {
-            for (String name : grouping.names(group)) {
+        for (int group = 0; group < grouping.groupCount(); group++) {
+            for (String name : grouping.memberNames(group)) {
                 result.put(name, grouping.label(group));
             }
         }
@@ -44,7 +44,7 @@
         for (int seed = 1; seed <= 50; seed++) {
             Random random = new Random(seed);
             Map<String, List<String>> zones = zones(random, 1 + random.nextInt(7), 1, 600);
-            Grouping first = Grouping.of(zones, Grouping.USUAL_SIZE);
+            GroupAssignment first = GroupAssignment.of(zones, GroupAssignment.DEFAULT_GROUP_SIZE);
             List<String> order = new ArrayList<>(zones.keySet());
             Collections.shuffle(order, random);
             Map<String, List<String>> other = new LinkedHashMap<>();
@@ -53,7 +53,7 @@
                 Collections.shuffle(names, random);
                 other.put(zone, names);
             }
-            Grouping second = Grouping.of(other, Grouping.USUAL_SIZE);
+            GroupAssignment second = GroupAssignment.of(other, GroupAssignment.DEFAULT_GROUP_SIZE);
             assertEquals(places(first), places(second));
             assertEquals(first.hash(), second.hash());
         }
@@ -63,10 +63,10 @@
     void groupsAreNeitherTooSmallNorTooLarge() {
         for (int seed = 1; seed <= 400; seed++) {
             Random random = new Random(seed);
-            Grouping grouping = Grouping.of(zones(random, 1 + random.nextInt(3), 32, 1_500),
-                Grouping.USUAL_SIZE);
-            for (int group = 0; group < grouping.groups(); group++) {
-                int size = grouping.names(group).size();
+            GroupAssignment grouping = GroupAssignment.of(zones(random, 1 + random.nextInt(3), 32, 1_500),
+                GroupAssignment.DEFAULT_GROUP_SIZE);
+            for (int group = 0; group < grouping.groupCount(); group++) {
+                int size = grouping.memberNames(group).size();
                 assertTrue(size >= 32 && size <= 128, "seed " + seed + ": " + size + " in "
                     + grouping.label(group));
             }
@@ -75,13 +75,13 @@
 
     @Test
     void noGroupIsOverTheMostWhateverSizeIsAimedAt() {
-        for (int size = Grouping.LEAST_SIZE; size <= Grouping.MOST_SIZE; size += 16) {
+        for (int size = GroupAssignment.MIN_GROUP_SIZE; size <= GroupAssignment.MAX_GROUP_SIZE; size += 16) {
             for (int n = 20; n < 1_000; n += 7) {
                 Map<String, List<String>> zones = zones(new Random(n), 1, n, n);
-                Grouping grouping = Grouping.of(zones, size);
-                assertEquals(n <= Math.min(1.5 * size, 128), grouping.single());
-                for (int group = 0; group < grouping.groups(); group++) {
-                    assertTrue(grouping.names(group).size() <= Grouping.MOST_SIZE);
+                GroupAssignment grouping = GroupAssignment.of(zones, size);
+                assertEquals(n <= Math.min(1.5 * size, 128), grouping.isSingleGroup());
+                for (int group = 0; group < grouping.groupCount(); group++) {
+                    assertTrue(grouping.memberNames(group).size() <= GroupAssignment.MAX_GROUP_SIZE);
                 }
             }
         }
@@ -94,22 +94,22 @@
         for (int seed = 1; seed <= 300; seed++) {
             Random random = new Random(seed);
             Map<String, List<String>> zones = zones(random, 1 + random.nextInt(3), 100, 1_500);
-            Grouping before = Grouping.of(zones, Grouping.USUAL_SIZE);
+            GroupAssignment before = GroupAssignment.of(zones, GroupAssignment.DEFAULT_GROUP_SIZE);
             List<String> zone = zones.get("z0");
             zone.remove(random.nextInt(zone.size()));
-            Grouping after = Grouping.of(zones, Grouping.USUAL_SIZE);
+            GroupAssignment after = GroupAssignment.of(zones, GroupAssignment.DEFAULT_GROUP_SIZE);
             Map<String, String> places = places(before);
             places.keySet().retainAll(places(after).keySet());
             int here = 0;
             for (Map.Entry<String, String> place : places(after).entrySet()) {
                 here += place.getValue().equals(places.get(place.getKey())) ? 0 : 1;
             }
-            if (before.groups() == after.groups()) {
+            if (before.groupCount() == after.groupCount()) {
                 plays++;
                 moved += here;
                 most = Math.max(most, here);
             } else {
-                assertTrue(here <= 2 * Grouping.USUAL_SIZE, "seed " + seed + ": " + here);
+                assertTrue(here <= 2 * GroupAssignment.DEFAULT_GROUP_SIZE, "seed " + seed + ": " + here);
             }
         }
         System.out.printf("%d plays: %.3f moved on the mean, %d at the most%n", plays,
@@ -120,31 +120,31 @@
 
     @Test
     void theOrderOfAllIsGroupAfterGroup() {
-        Grouping grouping = Grouping.of(zones(new Random(1), 3, 100, 400), Grouping.USUAL_SIZE);
+        GroupAssignment grouping = GroupAssignment.of(zones(new Random(1), 3, 100, 400), GroupAssignment.DEFAULT_GROUP_SIZE);
         int before = 0;
-        for (int group = 0; group < grouping.groups(); group++) {
+        for (int group = 0; group < grouping.groupCount(); group++) {
             assertEquals(before, grouping.before(group));
-            for (String name : grouping.names(group)) {
+            for (String name : grouping.memberNames(group)) {
                 assertEquals(group, grouping.groupOf(name));
             }
             assertEquals(group, grouping.group(grouping.key(group)));
-            before += grouping.names(group).size();
+            before += grouping.memberNames(group).size();
         }
-        assertEquals(before, grouping.size());
+        assertEquals(before, grouping.memberCount());
         assertEquals(-1, grouping.groupOf("nobody"));
     }
 
     @Test
     void anotherListHasAnotherHash() {
         Map<String, List<String>> zones = zones(new Random(1), 3, 100, 400);
-        int hash = Grouping.of(zones, 64).hash();
-        assertNotEquals(hash, Grouping.of(zones, 32).hash());
+        int hash = GroupAssignment.of(zones, 64).hash();
+        assertNotEquals(hash, GroupAssignment.of(zones, 32).hash());
         zones.get("z2").add("one-more");
-        assertNotEquals(hash, Grouping.of(zones, 64).hash());
+        assertNotEquals(hash, GroupAssignment.of(zones, 64).hash());
     }
 
     private static Code refused(Map<String, List<String>> zones, int size) {
-        return assertThrows(GroupException.class, () -> Grouping.of(zones, size)).code();
+        return assertThrows(GroupException.class, () -> GroupAssignment.of(zones, size)).code();
     }
 
     @Test
@@ -162,9 +162,9 @@
         assertEquals(Code.TOO_MANY, refused(Map.of("a",
             Collections.nCopies(16_385, "n")), 64));
         assertEquals(Code.ALIKE, refused(Map.of("a", List.of("2ofmlwb", "88bzilh")), 64));
-        assertEquals(2, Grouping.of(Map.of("a", List.of("2ofmlwb"), "b", List.of("88bzilh")), 64).size());
+        assertEquals(2, GroupAssignment.of(Map.of("a", List.of("2ofmlwb"), "b", List.of("88bzilh")), 64).memberCount());
         GroupException e = assertThrows(GroupException.class,
-            () -> Grouping.of(Map.of("a", List.of("n")), 7));
+            () -> GroupAssignment.of(Map.of("a", List.of("n")), 7));
         assertEquals("G-SIZE: group size is 7; allowed are 32 to 128", e.getMessage());
         assertEquals("7", e.value());
         assertEquals("group size", e.key());
--- a/fleet/src/test/java/dockrelay/fleet/group/GroupsMessagesTest.java
+++ b/fleet/src/test/java/dockrelay/fleet/group/GroupsMessagesTest.java
@@ -8,16 +8,16 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dockrelay.fleet.Row;
-import dockrelay.fleet.Standing.Agreement;
-import dockrelay.fleet.State;
+import dockrelay.fleet.MemberStatus;
+import dockrelay.fleet.MembershipSnapshot.Agreement;
+import dockrelay.fleet.MemberState;
 import dockrelay.fleet.group.Message.Aged;
 import dockrelay.fleet.group.Message.Kind;
 import dockrelay.fleet.group.Message.Refusal;
 import dockrelay.fleet.group.Message.SilentTo;
 import dockrelay.fleet.group.Message.Told;
 import dockrelay.fleet.group.Message.Unreadable;
-import dockrelay.fleet.wire.Numbers;
+import dockrelay.fleet.wire.WireFormat;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -67,7 +67,7 @@
             assertTrue(Arrays.equals(ages, table.ages) && table.more && table.version == 6
                 && table.epoch == 5);
             assertEquals(List.of(3, 5), table.silentTo.stream().map(SilentTo::group).toList());
-            Row row = new Row("n1", State.SUSPECT, 5_000, "n2", 77, -1, true, List.of("n3", "n4"), 9_000);
+            MemberStatus row = new MemberStatus("n1", MemberState.SUSPECT, 5_000, "n2", 77, -1, true, List.of("n3", "n4"), 9_000);
             assertEquals(row, Message.read(new Writer(Kind.TELL_NAME, 7, 8, seed).member(row).done()).member);
         }
     }
@@ -181,16 +181,16 @@
         ByteBuffer out = ByteBuffer.allocate(good.length);
         out.put(good, 0, good.length - 4);
         out.put(at, (byte) value);
-        ByteBuffer sealed = Numbers.seal(out);
+        ByteBuffer sealed = WireFormat.appendChecksum(out);
         byte[] bytes = new byte[sealed.remaining()];
         sealed.get(bytes);
         return bytes;
     }
 
     private static FleetWorld world() {
-        Grouping grouping = Grouping.ofAnySize(Map.of("a", List.of("a1", "a2", "a3"), "b",
+        GroupAssignment grouping = GroupAssignment.ofAnySize(Map.of("a", List.of("a1", "a2", "a3"), "b",
             List.of("b1", "b2", "b3", "b4"), "c", List.of("c1", "c2", "c3")), 4);
-        FleetWorld world = new FleetWorld(1, grouping, Groups::new, false);
+        FleetWorld world = new FleetWorld(1, grouping, GroupedMembership::new, false);
         world.startAll(0);
         world.runUntil(8 * SECOND);
         return world;
@@ -220,9 +220,9 @@
             }
             String from = List.of("a2", "a3", "b1", "b2").get(random.nextInt(4));
             ByteBuffer out = ByteBuffer.wrap(bytes);
-            out.putInt(4, dockrelay.fleet.Roster.id(from));
+            out.putInt(4, dockrelay.fleet.MemberList.idOf(from));
             to.machine.receive(to.local(), from, ByteBuffer.wrap(resealed(bytes, 3, random.nextInt(6))));
-            to.machine.standing(to.local());
+            to.machine.snapshot(to.local());
         }
         to.schedule();
         world.runUntil(40 * SECOND);
@@ -233,14 +233,14 @@
     void whoIsOnNoListOrUnderAnotherNameIsRefused() {
         FleetWorld world = world();
         FleetWorld.Process to = world.processes.get("a1");
-        to.machine.refused();
-        ByteBuffer question = new Writer(Kind.ASK_GROUP, dockrelay.fleet.Roster.id("b1"), 1, 1).done();
+        to.machine.takeRefusalCounts();
+        ByteBuffer question = new Writer(Kind.ASK_GROUP, dockrelay.fleet.MemberList.idOf("b1"), 1, 1).done();
         to.machine.receive(to.local(), null, question.duplicate());
         to.machine.receive(to.local(), "nobody", question.duplicate());
         to.machine.receive(to.local(), "b2", question.duplicate());
         to.machine.receive(to.local(), "b1", ByteBuffer.wrap(new byte[] {Message.MAGIC, Message.SECOND, 0}));
-        assertEquals(Map.of("stranger", 2L, "misnamed", 1L, "checksum", 1L), to.machine.refused());
-        assertTrue(Groups.ours(Message.MAGIC) && Groups.ours((byte) 0xd5) && !Groups.ours((byte) 0xd6));
+        assertEquals(Map.of("stranger", 2L, "misnamed", 1L, "checksum", 1L), to.machine.takeRefusalCounts());
+        assertTrue(GroupedMembership.isMembershipDatagram(Message.MAGIC) && GroupedMembership.isMembershipDatagram((byte) 0xd5) && !GroupedMembership.isMembershipDatagram((byte) 0xd6));
     }
 
     @Test
@@ -250,17 +250,17 @@
         world.runUntil(12 * SECOND);
         FleetWorld.Process asks = world.processes.get("a1");
         for (String name : List.of("b1", "b4", "a2", "nobody")) {
-            asks.machine.find(asks.local(), name);
+            asks.machine.findMember(asks.local(), name);
         }
         asks.schedule();
         world.runUntil(13 * SECOND);
-        assertEquals(State.PRESENT, asks.found.get("b1").state());
-        assertEquals(State.GONE, asks.found.get("b4").state());
-        assertEquals(State.PRESENT, asks.found.get("a2").state());
+        assertEquals(MemberState.PRESENT, asks.found.get("b1").state());
+        assertEquals(MemberState.GONE, asks.found.get("b4").state());
+        assertEquals(MemberState.PRESENT, asks.found.get("a2").state());
         assertTrue(asks.found.containsKey("nobody"));
         assertNull(asks.found.get("nobody"));
-        world.current.names(world.current.groupOf("c1")).forEach(world::kill);
-        asks.machine.find(asks.local(), "c1");
+        world.current.memberNames(world.current.groupOf("c1")).forEach(world::kill);
+        asks.machine.findMember(asks.local(), "c1");
         asks.schedule();
         assertFalse(asks.found.containsKey("c1"));
         world.runUntil(17 * SECOND);
@@ -272,17 +272,17 @@
     void anOperatorSeesEachGroup() {
         FleetWorld world = world();
         FleetWorld.Process process = world.processes.get("a1");
-        List<GroupRow> rows = process.machine.groups(process.local());
-        assertEquals(world.current.groups(), rows.size());
+        List<GroupStatus> rows = process.machine.groupStatuses(process.local());
+        assertEquals(world.current.groupCount(), rows.size());
         for (int group = 0; group < rows.size(); group++) {
-            GroupRow row = rows.get(group);
+            GroupStatus row = rows.get(group);
             assertEquals(world.current.label(group), row.label());
-            assertEquals(world.current.names(group).size(), row.present());
-            assertEquals(row.names(), row.counted());
-            assertTrue(row.fresh() && row.sameList() && row.age() >= 0);
-            assertNotNull(row.speaker());
-            assertTrue(world.processes.get(row.speaker()).machine.speaker());
+            assertEquals(world.current.memberNames(group).size(), row.presentMembers());
+            assertEquals(row.configuredMembers(), row.countedMembers());
+            assertTrue(row.fresh() && row.sameMemberList() && row.reportAge() >= 0);
+            assertNotNull(row.representative());
+            assertTrue(world.processes.get(row.representative()).machine.isRepresentative());
         }
-        assertEquals(3, process.machine.rows(process.local()).size());
+        assertEquals(3, process.machine.memberStatuses(process.local()).size());
     }
 }
--- a/fleet/src/test/java/dockrelay/fleet/group/GroupsTest.java
+++ b/fleet/src/test/java/dockrelay/fleet/group/GroupsTest.java
@@ -17,14 +17,14 @@
     @Test
     void allThatMustHoldDoesInAThousandSchedules() {
         if (ONE != null) {
-            System.out.println(FleetSchedule.play(ONE, Groups::new, true));
+            System.out.println(FleetSchedule.play(ONE, GroupedMembership::new, true));
             return;
         }
         ConcurrentLinkedQueue<String> broken = new ConcurrentLinkedQueue<>();
         List<FleetSchedule.Outcome> outcomes = LongStream.rangeClosed(1, SCHEDULES).parallel()
             .mapToObj(seed -> {
             try {
-                return FleetSchedule.play(seed, Groups::new, false);
+                return FleetSchedule.play(seed, GroupedMembership::new, false);
             } catch (RuntimeException e) {
                 broken.add("-Dgroups.schedule=" + seed + ": " + e);
                 return null;
--- a/fleet/src/test/java/dockrelay/fleet/group/NewcomerTest.java
+++ b/fleet/src/test/java/dockrelay/fleet/group/NewcomerTest.java
@@ -4,9 +4,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 
-import dockrelay.fleet.Change;
-import dockrelay.fleet.Row;
-import dockrelay.fleet.State;
+import dockrelay.fleet.MemberStateChange;
+import dockrelay.fleet.MemberStatus;
+import dockrelay.fleet.MemberState;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.List;
@@ -19,44 +19,44 @@
     private static final long SETTLED = 15 * SECOND, TOLD_WITHIN = 6 * SECOND, AFTER = 10 * SECOND;
 
     /** Passes all on and notes who is doubted. */
-    private record Noting(Groups.Actions to, String self, List<String> doubted) implements Groups.Actions {
+    private record Noting(GroupedMembership.Callbacks to, String self, List<String> doubted) implements GroupedMembership.Callbacks {
         @Override
         public void send(String name, ByteBuffer datagram) {
             to.send(name, datagram);
         }
 
         @Override
-        public void changed(Change change) {
-            if (change.now() == State.SUSPECT) {
+        public void memberChanged(MemberStateChange change) {
+            if (change.newState() == MemberState.SUSPECT) {
                 doubted.add(self + " holds " + change);
             }
-            to.changed(change);
+            to.memberChanged(change);
         }
 
         @Override
-        public void incarnation(long own) {
-            to.incarnation(own);
+        public void incarnationChanged(long own) {
+            to.incarnationChanged(own);
         }
 
         @Override
-        public void clash(String name, String why) {
-            to.clash(name, why);
+        public void nameConflict(String name, String why) {
+            to.nameConflict(name, why);
         }
 
         @Override
-        public void found(String name, Row row) {
-            to.found(name, row);
+        public void memberLookupCompleted(String name, MemberStatus row) {
+            to.memberLookupCompleted(name, row);
         }
     }
 
-    private static Grouping grouping(List<String> names) {
-        return Grouping.ofAnySize(Map.of("", names), SIZE);
+    private static GroupAssignment grouping(List<String> names) {
+        return GroupAssignment.ofAnySize(Map.of("", names), SIZE);
     }
 
     /** A fleet that has settled by one list, and whom its members came to doubt. */
     private static FleetWorld settled(long seed, List<String> names, List<String> doubted) {
         FleetWorld world = new FleetWorld(seed, grouping(names), (self, grouping, incarnation, life, pace,
-            random, actions, now) -> new Groups(self, grouping, incarnation, life, pace, random,
+            random, actions, now) -> new GroupedMembership(self, grouping, incarnation, life, pace, random,
                 new Noting(actions, self, doubted), now), false, false);
         world.startAll(SECOND);
         world.runUntil(SETTLED);
@@ -81,7 +81,7 @@
                 more.add("newcomer");
                 FleetWorld world = settled(seed, names, doubted);
                 doubted.clear(); // at the start of all
-                Grouping next = grouping(more);
+                GroupAssignment next = grouping(more);
                 world.start("newcomer", next, 1);
                 names.forEach(name -> world.later((long) (world.random.nextDouble() * TOLD_WITHIN),
                     () -> world.configure(name, next)));
@@ -103,14 +103,14 @@
         world.cut("m1", "newcomer", 1);
         world.start("newcomer", grouping(more), 1);
         world.runUntil(SETTLED + SECOND);
-        Groups newcomer = world.processes.get("newcomer").machine;
-        assertEquals(State.PRESENT, newcomer.state("m1"), "by what m0 says");
+        GroupedMembership newcomer = world.processes.get("newcomer").machine;
+        assertEquals(MemberState.PRESENT, newcomer.state("m1"), "by what m0 says");
         names.forEach(world::kill);
         world.runUntil(SETTLED + AFTER / 2);
-        assertEquals(State.PRESENT, newcomer.state("m1"), "it may not know the newcomer yet");
-        assertNotEquals(State.PRESENT, newcomer.state("m0"), "it answered, and does no more");
+        assertEquals(MemberState.PRESENT, newcomer.state("m1"), "it may not know the newcomer yet");
+        assertNotEquals(MemberState.PRESENT, newcomer.state("m0"), "it answered, and does no more");
         world.runUntil(SETTLED + 4 * AFTER); // one that hears nobody at all doubts itself and waits long
-        assertEquals(State.GONE, newcomer.state("m0"));
-        assertEquals(State.GONE, newcomer.state("m1"));
+        assertEquals(MemberState.GONE, newcomer.state("m0"));
+        assertEquals(MemberState.GONE, newcomer.state("m1"));
     }
 }
--- a/fleet/src/test/java/dockrelay/fleet/group/OneGroupTest.java
+++ b/fleet/src/test/java/dockrelay/fleet/group/OneGroupTest.java
@@ -3,11 +3,11 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 
-import dockrelay.fleet.Change;
+import dockrelay.fleet.MemberStateChange;
 import dockrelay.fleet.Membership;
-import dockrelay.fleet.Pace;
-import dockrelay.fleet.Row;
-import dockrelay.fleet.Standing;
+import dockrelay.fleet.ProtocolTiming;
+import dockrelay.fleet.MemberStatus;
+import dockrelay.fleet.MembershipSnapshot;
 import dockrelay.fleet.VirtualNetwork;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
@@ -24,7 +24,7 @@
 class OneGroupTest {
     /** What both machines can do. */
     private record Machine(Supplier<Long> nextAt, java.util.function.LongConsumer tick,
-                           Receiver receive, Function<Long, Standing> standing,
+                           Receiver receive, Function<Long, MembershipSnapshot> standing,
                            java.util.function.LongConsumer leave, BiConsumer<Long, List<String>> configure) {
     }
 
@@ -34,25 +34,25 @@
 
     private interface Maker {
         Machine make(String self, List<String> names, long incarnation, int life, Random random,
-            Groups.Actions actions, long now);
+            GroupedMembership.Callbacks actions, long now);
     }
 
     private static Machine members(String self, List<String> names, long incarnation, int life,
-                                   Random random, Groups.Actions actions, long now) {
-        Membership made = new Membership(self, names, incarnation, life, Pace.USUAL, random, actions, now);
-        return new Machine(made::nextAt, made::tick, made::receive, made::standing, made::leave,
+                                   Random random, GroupedMembership.Callbacks actions, long now) {
+        Membership made = new Membership(self, names, incarnation, life, ProtocolTiming.DEFAULT, random, actions, now);
+        return new Machine(made::nextTickAt, made::tick, made::receive, made::snapshot, made::leave,
             made::configure);
     }
 
-    private static Grouping grouping(List<String> names, int size) {
-        return Grouping.ofAnySize(Map.of("", names), size);
+    private static GroupAssignment grouping(List<String> names, int size) {
+        return GroupAssignment.ofAnySize(Map.of("", names), size);
     }
 
     private static Machine groups(String self, List<String> names, long incarnation, int life,
-                                  Random random, Groups.Actions actions, long now, int size) {
-        Groups made = new Groups(self, grouping(names, size), incarnation, life, Pace.USUAL, random, actions,
+                                  Random random, GroupedMembership.Callbacks actions, long now, int size) {
+        GroupedMembership made = new GroupedMembership(self, grouping(names, size), incarnation, life, ProtocolTiming.DEFAULT, random, actions,
             now);
-        return new Machine(made::nextAt, made::tick, made::receive, made::standing, made::leave,
+        return new Machine(made::nextTickAt, made::tick, made::receive, made::snapshot, made::leave,
             (when, next) -> made.configure(when, grouping(next, size)));
     }
 
@@ -109,7 +109,7 @@
 
         private void start(String name, long incarnation) {
             machines.put(name, maker.make(name, names, incarnation, random.nextInt() | 1,
-                new Random(random.nextLong()), new Groups.Actions() {
+                new Random(random.nextLong()), new GroupedMembership.Callbacks() {
                     @Override
                     public void send(String to, ByteBuffer datagram) {
                         byte[] bytes = new byte[datagram.remaining()];
@@ -121,22 +121,22 @@
                     }
 
                     @Override
-                    public void changed(Change change) {
+                    public void memberChanged(MemberStateChange change) {
                         add(change.toString().getBytes());
                     }
 
                     @Override
-                    public void incarnation(long own) {
+                    public void incarnationChanged(long own) {
                         add((name + own).getBytes());
                     }
 
                     @Override
-                    public void clash(String whose, String why) {
+                    public void nameConflict(String whose, String why) {
                         add(why.getBytes());
                     }
 
                     @Override
-                    public void found(String whose, Row row) {
+                    public void memberLookupCompleted(String whose, MemberStatus row) {
                     }
                 }, now));
             schedule(name);
@@ -174,7 +174,7 @@
         for (int seed = 1; seed <= 60; seed++) {
             Play alone = new Play(seed, OneGroupTest::members);
             Play grouped = new Play(seed, (s, n, i, l, r, a, t) -> groups(s, n, i, l, r, a, t,
-                Grouping.USUAL_SIZE));
+                GroupAssignment.DEFAULT_GROUP_SIZE));
             assertEquals(alone.datagrams, grouped.datagrams, "seed " + seed);
             assertEquals(alone.sum.getValue(), grouped.sum.getValue(), "seed " + seed);
             datagrams += alone.datagrams;
--- a/fleet/src/test/java/dockrelay/fleet/group/TableAskerTest.java
+++ b/fleet/src/test/java/dockrelay/fleet/group/TableAskerTest.java
@@ -24,7 +24,7 @@
             }
             zones.put(zone, names);
         });
-        FleetWorld world = new FleetWorld(seed, Grouping.ofAnySize(zones, 100), Groups::new, false, false);
+        FleetWorld world = new FleetWorld(seed, GroupAssignment.ofAnySize(zones, 100), GroupedMembership::new, false, false);
         world.startAll(SECOND);
         world.runUntil(10 * SECOND);
         return world;
@@ -51,16 +51,16 @@
         living(world, "c").forEach(process -> world.kill(process.name));
         world.runUntil(20 * SECOND);
         List<FleetWorld.Process> members = living(world, "a");
-        members.forEach(process -> assertEquals(16, process.machine.standing(process.local()).members()));
-        for (FleetWorld.Process speaker : members.stream().filter(one -> one.machine.speaker()).toList()) {
-            List<FleetWorld.Process> others = members.stream().filter(one -> !one.machine.speaker()).toList();
+        members.forEach(process -> assertEquals(16, process.machine.snapshot(process.local()).countedMembers()));
+        for (FleetWorld.Process speaker : members.stream().filter(one -> one.machine.isRepresentative()).toList()) {
+            List<FleetWorld.Process> others = members.stream().filter(one -> !one.machine.isRepresentative()).toList();
             assertTrue(others.size() >= 5, "some ask");
             others.forEach(one -> world.cut(one.name, speaker.name, 1));
             for (long end = world.now + 16 * SECOND; world.now < end;) {
                 world.runUntil(world.now + 10 * MILLI);
                 for (FleetWorld.Process one : others) {
-                    assertEquals(16, one.machine.standing(one.local()).members(), () -> "seed " + seed + ", "
-                        + one.name + " at " + world.now / 1e6 + " s: " + one.machine.groups(one.local()));
+                    assertEquals(16, one.machine.snapshot(one.local()).countedMembers(), () -> "seed " + seed + ", "
+                        + one.name + " at " + world.now / 1e6 + " s: " + one.machine.groupStatuses(one.local()));
                 }
             }
             others.forEach(one -> world.cut(one.name, speaker.name, -1));
@@ -80,8 +80,8 @@
         world.start("z0-0", world.current, 2);
         world.runUntil(18 * SECOND);
         FleetWorld.Process back = world.processes.get("z0-0");
-        assertTrue(back.machine.speaker());
-        assertEquals(MANY + 1, back.machine.standing(back.local()).members());
-        assertEquals(MANY, back.machine.groups(back.local()).stream().filter(GroupRow::fresh).count());
+        assertTrue(back.machine.isRepresentative());
+        assertEquals(MANY + 1, back.machine.snapshot(back.local()).countedMembers());
+        assertEquals(MANY, back.machine.groupStatuses(back.local()).stream().filter(GroupStatus::fresh).count());
     }
 }
--- a/lab/src/main/java/dockrelay/lab/scale/members/BusyDay.java
+++ b/lab/src/main/java/dockrelay/lab/scale/members/BusyDay.java
@@ -78,7 +78,7 @@
             countedAt = fleet.now();
             counted = Scenario.living(fleet);
         }
-        return Math.abs(fleet.standing(member).members() - counted) <= UNDER_WAY;
+        return Math.abs(fleet.standing(member).countedMembers() - counted) <= UNDER_WAY;
     }
 
     private void restart() {
--- a/lab/src/main/java/dockrelay/lab/scale/members/FlatMember.java
+++ b/lab/src/main/java/dockrelay/lab/scale/members/FlatMember.java
@@ -1,11 +1,11 @@
 package dockrelay.lab.scale.members;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import dockrelay.fleet.Change;
+import dockrelay.fleet.MemberStateChange;
 import dockrelay.fleet.Membership;
-import dockrelay.fleet.Pace;
-import dockrelay.fleet.Roster;
-import dockrelay.fleet.Standing;
+import dockrelay.fleet.ProtocolTiming;
+import dockrelay.fleet.MemberList;
+import dockrelay.fleet.MembershipSnapshot;
 import java.nio.ByteBuffer;
 import java.util.Random;
 
@@ -36,7 +36,7 @@
         @Override
         public String refuses(Layout layout) {
             try {
-                new Roster(layout.names());
+                new MemberList(layout.names());
                 return null;
             } catch (IllegalArgumentException e) {
                 return e.getMessage();
@@ -48,25 +48,25 @@
 
     private FlatMember(String self, Layout layout, long incarnation, Random random, Actions actions,
                        long now) {
-        machine = new Membership(self, layout.names(), incarnation, random.nextInt() | 1, Pace.USUAL, random,
-            new Membership.Actions() {
+        machine = new Membership(self, layout.names(), incarnation, random.nextInt() | 1, ProtocolTiming.DEFAULT, random,
+            new Membership.Callbacks() {
                 @Override
                 public void send(String to, ByteBuffer datagram) {
                     actions.send(to, datagram);
                 }
 
                 @Override
-                public void changed(Change change) {
+                public void memberChanged(MemberStateChange change) {
                     actions.changed(change);
                 }
 
                 @Override
-                public void incarnation(long own) {
+                public void incarnationChanged(long own) {
                     // a hollow process starts anew well above what it had
                 }
 
                 @Override
-                public void clash(String name, String why) {
+                public void nameConflict(String name, String why) {
                     throw new IllegalStateException("two processes go by " + name + ": " + why);
                 }
             }, now);
@@ -74,7 +74,7 @@
 
     @Override
     public long nextAt() {
-        return machine.nextAt();
+        return machine.nextTickAt();
     }
 
     @Override
@@ -88,8 +88,8 @@
     }
 
     @Override
-    public Standing standing(long now) {
-        return machine.standing(now);
+    public MembershipSnapshot standing(long now) {
+        return machine.snapshot(now);
     }
 
     @Override
@@ -99,7 +99,7 @@
 
     @Override
     public int known(long now) {
-        return machine.rows(now).size();
+        return machine.memberStatuses(now).size();
     }
 
     @Override
--- a/lab/src/main/java/dockrelay/lab/scale/members/GroupMember.java
+++ b/lab/src/main/java/dockrelay/lab/scale/members/GroupMember.java
@@ -1,13 +1,13 @@
 package dockrelay.lab.scale.members;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import dockrelay.fleet.Change;
-import dockrelay.fleet.Pace;
-import dockrelay.fleet.Row;
-import dockrelay.fleet.Standing;
+import dockrelay.fleet.MemberStateChange;
+import dockrelay.fleet.ProtocolTiming;
+import dockrelay.fleet.MemberStatus;
+import dockrelay.fleet.MembershipSnapshot;
 import dockrelay.fleet.group.GroupException;
-import dockrelay.fleet.group.Grouping;
-import dockrelay.fleet.group.Groups;
+import dockrelay.fleet.group.GroupAssignment;
+import dockrelay.fleet.group.GroupedMembership;
 import java.nio.ByteBuffer;
 import java.util.Map;
 import java.util.Random;
@@ -35,7 +35,7 @@
         @Override
         public void configure(ObjectNode configuration, Layout layout) {
             ObjectNode groups = configuration.putObject("peer_groups"), zones = groups.putObject("zones");
-            groups.put("size", Grouping.USUAL_SIZE);
+            groups.put("size", GroupAssignment.DEFAULT_GROUP_SIZE);
             layout.zones().forEach((zone, names) -> names.forEach(zones.putArray(zone)::add));
         }
 
@@ -51,48 +51,48 @@
     };
 
     /** The same for all who were given the same list: one object for all of them in this process. */
-    private static final Map<Layout, Grouping> GROUPINGS = new WeakHashMap<>();
+    private static final Map<Layout, GroupAssignment> GROUPINGS = new WeakHashMap<>();
 
-    private final Groups machine;
+    private final GroupedMembership machine;
 
     private GroupMember(String self, Layout layout, long incarnation, Random random, Actions actions,
                         long now) {
-        machine = new Groups(self, grouping(layout), incarnation, random.nextInt() | 1, Pace.USUAL, random,
-            new Groups.Actions() {
+        machine = new GroupedMembership(self, grouping(layout), incarnation, random.nextInt() | 1, ProtocolTiming.DEFAULT, random,
+            new GroupedMembership.Callbacks() {
                 @Override
                 public void send(String to, ByteBuffer datagram) {
                     actions.send(to, datagram);
                 }
 
                 @Override
-                public void changed(Change change) {
+                public void memberChanged(MemberStateChange change) {
                     actions.changed(change);
                 }
 
                 @Override
-                public void incarnation(long own) {
+                public void incarnationChanged(long own) {
                     // a hollow process starts anew well above what it had
                 }
 
                 @Override
-                public void clash(String name, String why) {
+                public void nameConflict(String name, String why) {
                     throw new IllegalStateException("two processes go by " + name + ": " + why);
                 }
 
                 @Override
-                public void found(String name, Row row) {
+                public void memberLookupCompleted(String name, MemberStatus row) {
                     // nobody asks
                 }
             }, now);
     }
 
-    static synchronized Grouping grouping(Layout layout) {
-        return GROUPINGS.computeIfAbsent(layout, of -> Grouping.of(of.zones(), Grouping.USUAL_SIZE));
+    static synchronized GroupAssignment grouping(Layout layout) {
+        return GROUPINGS.computeIfAbsent(layout, of -> GroupAssignment.of(of.zones(), GroupAssignment.DEFAULT_GROUP_SIZE));
     }
 
     @Override
     public long nextAt() {
-        return machine.nextAt();
+        return machine.nextTickAt();
     }
 
     @Override
@@ -106,8 +106,8 @@
     }
 
     @Override
-    public Standing standing(long now) {
-        return machine.standing(now);
+    public MembershipSnapshot standing(long now) {
+        return machine.snapshot(now);
     }
 
     @Override
@@ -117,7 +117,7 @@
 
     @Override
     public int known(long now) {
-        return machine.rows(now).size();
+        return machine.memberStatuses(now).size();
     }
 
     @Override
--- a/lab/src/main/java/dockrelay/lab/scale/members/HollowMachine.java
+++ b/lab/src/main/java/dockrelay/lab/scale/members/HollowMachine.java
@@ -1,6 +1,6 @@
 package dockrelay.lab.scale.members;
 
-import dockrelay.fleet.Change;
+import dockrelay.fleet.MemberStateChange;
 import java.nio.ByteBuffer;
 import java.util.Random;
 
@@ -10,7 +10,7 @@
     interface Actions {
         void send(String to, ByteBuffer datagram);
 
-        void changed(Change change);
+        void changed(MemberStateChange change);
     }
 
     /** Makes one for each process. */
--- a/lab/src/main/java/dockrelay/lab/scale/members/HollowMember.java
+++ b/lab/src/main/java/dockrelay/lab/scale/members/HollowMember.java
@@ -1,7 +1,7 @@
 package dockrelay.lab.scale.members;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import dockrelay.fleet.Standing;
+import dockrelay.fleet.MembershipSnapshot;
 import java.util.Random;
 
 /** The machine that a proxy plays to know who is there, whichever it is. */
@@ -25,7 +25,7 @@
         String refuses(Layout layout);
     }
 
-    Standing standing(long now);
+    MembershipSnapshot standing(long now);
 
     /** Equal where two see the same. */
     String digest();
--- a/lab/src/main/java/dockrelay/lab/scale/members/LoopbackFleet.java
+++ b/lab/src/main/java/dockrelay/lab/scale/members/LoopbackFleet.java
@@ -1,7 +1,7 @@
 package dockrelay.lab.scale.members;
 
-import dockrelay.fleet.Change;
-import dockrelay.fleet.Standing;
+import dockrelay.fleet.MemberStateChange;
+import dockrelay.fleet.MembershipSnapshot;
 import java.io.IOException;
 import java.lang.management.ManagementFactory;
 import java.net.InetAddress;
@@ -30,7 +30,7 @@
     private static final long SECOND = 1_000_000, LOOK = 100_000;
 
     /** What a member went by when it was last looked at; which of its looks that was. */
-    record Seen(Standing standing, String digest, long at) {
+    record Seen(MembershipSnapshot standing, String digest, long at) {
     }
 
     /** Wakes in the order of their times; one that is no longer true is passed over. */
@@ -186,7 +186,7 @@
         }
 
         @Override
-        public void changed(Change change) {
+        public void changed(MemberStateChange change) {
             // what it comes to is looked at
         }
     }
--- a/lab/src/main/java/dockrelay/lab/scale/members/RealPlay.java
+++ b/lab/src/main/java/dockrelay/lab/scale/members/RealPlay.java
@@ -89,7 +89,7 @@
             hollow.kill(drawn.get(i));
             live--;
             asked += live;
-            times.addAll(await(numbers.get("gap"), seen -> seen.standing().members() == live,
+            times.addAll(await(numbers.get("gap"), seen -> seen.standing().countedMembers() == live,
                 said -> said.count("counted") == live));
         }
         figures.times("a death, counted by all, real ones among them", times, asked - times.size());
@@ -99,7 +99,7 @@
         int seventh = layout.size() / 7;
         drawn.subList(deaths, deaths + seventh).forEach(hollow::kill);
         live -= seventh;
-        times = await(numbers.get("look"), seen -> seen.standing().members() == live,
+        times = await(numbers.get("look"), seen -> seen.standing().countedMembers() == live,
             said -> said.count("counted") == live);
         figures.times("a seventh lost, counted by all, real ones among them", times, live - times.size());
         figures.add("bytes sent, most in any 10 s, a seventh lost", "B/s", hollow.out.mostInTenSeconds());
@@ -129,7 +129,7 @@
         figures.add("bytes received, busiest hollow member", "B/s", hollow.in.mostOfOne() / lasted);
         figures.add("bytes received, most in any 10 s, hollow", "B/s", hollow.in.mostInTenSeconds());
         figures.add("datagrams sent by a hollow member", "1/s", hollow.out.datagrams() / lasted / count);
-        double shares = hollow.seen().values().stream().mapToDouble(one -> one.standing().share()).sum();
+        double shares = hollow.seen().values().stream().mapToDouble(one -> one.standing().budgetShare()).sum();
         for (Said said : real.said()) {
             shares += Double.parseDouble(said.words().getOrDefault("share", "0"));
         }
@@ -152,8 +152,8 @@
     }
 
     private boolean agrees(LoopbackFleet.Seen seen) {
-        return seen.standing().agreement() == dockrelay.fleet.Standing.Agreement.ALL
-            && seen.standing().members() == live;
+        return seen.standing().agreement() == dockrelay.fleet.MembershipSnapshot.Agreement.ALL
+            && seen.standing().countedMembers() == live;
     }
 
     /** Waits for the time given; from when on each was right and stayed so, hollow and real. */
--- a/lab/src/main/java/dockrelay/lab/scale/members/Scenario.java
+++ b/lab/src/main/java/dockrelay/lab/scale/members/Scenario.java
@@ -1,7 +1,7 @@
 package dockrelay.lab.scale.members;
 
-import dockrelay.fleet.Standing;
-import dockrelay.fleet.Standing.Agreement;
+import dockrelay.fleet.MembershipSnapshot;
+import dockrelay.fleet.MembershipSnapshot.Agreement;
 import java.lang.management.ManagementFactory;
 import java.lang.management.ThreadMXBean;
 import java.util.ArrayList;
@@ -51,7 +51,7 @@
                 fleet.runUntil(fleet.now() + VirtualFleet.SECOND / 2);
                 double shares = 0;
                 for (int i = 0; i < n; i++) {
-                    shares += fleet.standing(i).share();
+                    shares += fleet.standing(i).budgetShare();
                 }
                 least = Math.min(least, shares);
                 sum += shares;
@@ -91,7 +91,7 @@
                 fleet.kill(victim);
                 int live = living(fleet);
                 Watch watch = new Watch(fleet, play.time("gap"), true, i -> true,
-                    i -> fleet.standing(i).members() == live);
+                    i -> fleet.standing(i).countedMembers() == live);
                 fleet.runUntil(at + play.time("gap"));
                 missed += hearing.size();
                 byAll.addAll(watch.times());
@@ -139,7 +139,7 @@
             }
             long cut = play.time("cut_for");
             Watch away = new Watch(fleet, Math.min(cut, play.time("look")), true, i -> !off.contains(i),
-                i -> fleet.standing(i).members() == n - off.size());
+                i -> fleet.standing(i).countedMembers() == n - off.size());
             fleet.runUntil(fleet.now() + cut);
             figures.times("a region cut off, counted by all others", away.times(), away.unsettled());
             off.forEach(i -> fleet.side(i, 0));
@@ -187,7 +187,7 @@
         victims.forEach(fleet::kill);
         int live = living(fleet);
         Watch watch = new Watch(fleet, play.time("look"), true, i -> true,
-            i -> fleet.standing(i).members() == live);
+            i -> fleet.standing(i).countedMembers() == live);
         fleet.runUntil(fleet.now() + play.time("look"));
         figures.times(what + ", counted by all", watch.times(), watch.unsettled());
         most(fleet, figures, what);
@@ -199,8 +199,8 @@
     }
 
     static boolean settled(VirtualFleet fleet, int member, int count) {
-        Standing standing = fleet.standing(member);
-        return standing.agreement() == Agreement.ALL && standing.members() == count;
+        MembershipSnapshot standing = fleet.standing(member);
+        return standing.agreement() == Agreement.ALL && standing.countedMembers() == count;
     }
 
     static int living(VirtualFleet fleet) {
--- a/lab/src/main/java/dockrelay/lab/scale/members/VirtualFleet.java
+++ b/lab/src/main/java/dockrelay/lab/scale/members/VirtualFleet.java
@@ -1,8 +1,8 @@
 package dockrelay.lab.scale.members;
 
-import dockrelay.fleet.Change;
-import dockrelay.fleet.Standing;
-import dockrelay.fleet.State;
+import dockrelay.fleet.MemberStateChange;
+import dockrelay.fleet.MembershipSnapshot;
+import dockrelay.fleet.MemberState;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -104,8 +104,8 @@
         }
 
         @Override
-        public void changed(Change change) {
-            Integer of = change.now() == State.GONE ? indexes.get(change.member()) : null;
+        public void changed(MemberStateChange change) {
+            Integer of = change.newState() == MemberState.GONE ? indexes.get(change.member()) : null;
             if (of == null) {
                 return;
             }
@@ -240,7 +240,7 @@
         process.schedule();
     }
 
-    Standing standing(int index) {
+    MembershipSnapshot standing(int index) {
         Process process = processes[index];
         return ((HollowMember) process.machine).standing(process.local());
     }
--- a/lab/src/test/java/dockrelay/lab/scale/members/LoopbackFleetTest.java
+++ b/lab/src/test/java/dockrelay/lab/scale/members/LoopbackFleetTest.java
@@ -36,7 +36,7 @@
     private static void awaitCount(LoopbackFleet fleet, int count) throws InterruptedException {
         long by = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_SECONDS);
         while (fleet.seen().size() != count || fleet.seen().values().stream()
-            .anyMatch(seen -> seen.standing().members() != count)) {
+            .anyMatch(seen -> seen.standing().countedMembers() != count)) {
             assertTrue(System.nanoTime() < by, "not " + count + " after " + PATIENCE_SECONDS + " s: "
                 + fleet.seen());
             TimeUnit.MILLISECONDS.sleep(20);
--- a/lab/src/test/java/dockrelay/lab/scale/members/SlopesTest.java
+++ b/lab/src/test/java/dockrelay/lab/scale/members/SlopesTest.java
@@ -60,7 +60,7 @@
     private static void assertAllCount(VirtualFleet fleet, int live) {
         for (int i = 0; i < fleet.count(); i++) {
             if (fleet.lives(i)) {
-                assertEquals(live, fleet.standing(i).members(), fleet.name(i));
+                assertEquals(live, fleet.standing(i).countedMembers(), fleet.name(i));
             }
         }
     }
--- a/lab/src/test/java/dockrelay/lab/scale/members/VirtualFleetTest.java
+++ b/lab/src/test/java/dockrelay/lab/scale/members/VirtualFleetTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dockrelay.fleet.Standing.Agreement;
+import dockrelay.fleet.MembershipSnapshot.Agreement;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -41,7 +41,7 @@
         VirtualFleet fleet = started(14, 1);
         fleet.runUntil(10 * SECOND);
         fleet.kill(5);
-        Watch watch = new Watch(fleet, 10 * SECOND, true, i -> true, i -> fleet.standing(i).members() == 13);
+        Watch watch = new Watch(fleet, 10 * SECOND, true, i -> true, i -> fleet.standing(i).countedMembers() == 13);
         fleet.runUntil(21 * SECOND);
         assertEquals(13, watch.times().size());
         assertEquals(0, watch.unsettled());
@@ -59,7 +59,7 @@
             fleet.side(i, 1);
         }
         fleet.runUntil(25 * SECOND);
-        assertEquals(10, fleet.standing(9).members());
+        assertEquals(10, fleet.standing(9).countedMembers());
         assertEquals(Agreement.MINORITY, fleet.standing(0).agreement());
         for (int i = 0; i < 4; i++) {
             fleet.side(i, 0);
--- a/proxy/src/main/java/dockrelay/proxy/BudgetsReader.java
+++ b/proxy/src/main/java/dockrelay/proxy/BudgetsReader.java
@@ -47,9 +47,9 @@
     }
 
     private static BudgetException tooSmall(Budget budget, PeerGroups groups) {
-        int names = groups.grouping().size(), smallest = groups.smallest();
+        int names = groups.grouping().memberCount(), smallest = groups.smallest();
         return new BudgetException(BudgetException.Code.BURST, "budget " + budget.name() + ": burst of "
-            + budget.burst() / (double) Budget.ONE + " is too little for " + groups.grouping().groups()
+            + budget.burst() / (double) Budget.ONE + " is too little for " + groups.grouping().groupCount()
             + " groups of " + names + " peers, the smallest of " + smallest, "allowed there is at least "
             + (long) Math.ceil((double) Budget.LEAST_BURST / Budget.ONE * names / smallest));
     }
@@ -61,7 +61,7 @@
     }
 
     private static long part(long whole, int names, PeerGroups groups) {
-        return whole * names / groups.grouping().size();
+        return whole * names / groups.grouping().memberCount();
     }
 
     /** Those of a group of so many names: in all groups together never more than the whole. */
--- a/proxy/src/main/java/dockrelay/proxy/FleetBudgets.java
+++ b/proxy/src/main/java/dockrelay/proxy/FleetBudgets.java
@@ -2,8 +2,8 @@
 
 import dockrelay.Balancer.BudgetShare;
 import dockrelay.Balancer.BudgetUse;
-import dockrelay.fleet.Row;
-import dockrelay.fleet.State;
+import dockrelay.fleet.MemberStatus;
+import dockrelay.fleet.MemberState;
 import dockrelay.fleet.budget.Budget;
 import dockrelay.fleet.budget.BudgetPace;
 import dockrelay.fleet.budget.BudgetRow;
@@ -78,12 +78,12 @@
         }
     }
 
-    void presence(List<Row> rows) {
+    void presence(List<MemberStatus> rows) {
         List<String> here = new ArrayList<>(), away = new ArrayList<>();
-        for (Row row : rows) {
-            if (row.state() == State.PRESENT || row.state() == State.SUSPECT) {
+        for (MemberStatus row : rows) {
+            if (row.state() == MemberState.PRESENT || row.state() == MemberState.SUSPECT) {
                 here.add(row.name());
-            } else if (row.state() == State.LEFT || row.state() == State.GONE && row.since() > GONE_MICROS) {
+            } else if (row.state() == MemberState.LEFT || row.state() == MemberState.GONE && row.stateAge() > GONE_MICROS) {
                 away.add(row.name());
             }
         }
--- a/proxy/src/main/java/dockrelay/proxy/Members.java
+++ b/proxy/src/main/java/dockrelay/proxy/Members.java
@@ -2,14 +2,14 @@
 
 import dockrelay.Balancer.Agreement;
 import dockrelay.Balancer.FleetView;
-import dockrelay.fleet.Change;
-import dockrelay.fleet.Pace;
-import dockrelay.fleet.Row;
-import dockrelay.fleet.Standing;
-import dockrelay.fleet.State;
+import dockrelay.fleet.MemberStateChange;
+import dockrelay.fleet.ProtocolTiming;
+import dockrelay.fleet.MemberStatus;
+import dockrelay.fleet.MembershipSnapshot;
+import dockrelay.fleet.MemberState;
 import dockrelay.fleet.budget.Budgets;
-import dockrelay.fleet.group.Grouping;
-import dockrelay.fleet.group.Groups;
+import dockrelay.fleet.group.GroupAssignment;
+import dockrelay.fleet.group.GroupedMembership;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.EventLoop;
@@ -39,7 +39,7 @@
  * keeps it from answering nor a flood of datagrams a request from its answer. Nothing here looks through all
  * names of the fleet but a change of the list.
  */
-final class Members implements Groups.Actions {
+final class Members implements GroupedMembership.Callbacks {
     private static final long TELL_MILLIS = 250, RETRY_MILLIS = 100, LOG_MILLIS = 200;
     /** So many incarnations are taken at a time: each suspicion that is countered uses one up. */
     private static final long RESERVED = 10_000;
@@ -57,8 +57,8 @@
     private final Random random;
     private final List<String> news = new ArrayList<>();
     private Config config;
-    private Groups machine;
-    private final Map<String, CompletableFuture<Row>> sought = new HashMap<>();
+    private GroupedMembership machine;
+    private final Map<String, CompletableFuture<MemberStatus>> sought = new HashMap<>();
     private ScheduledFuture<?> next; // tick, at this time
     private long nextAt;
     private long suspicions, clashes, reserved;
@@ -94,7 +94,7 @@
         // What others remember of a higher one is countered; the wall clock only makes that rare.
         long incarnation = Math.max(kept() + 1, System.currentTimeMillis() / 1000);
         int life = random.nextInt() | 1;
-        machine = new Groups(config.name(), config.groups().grouping(), incarnation, life, Pace.USUAL, random,
+        machine = new GroupedMembership(config.name(), config.groups().grouping(), incarnation, life, ProtocolTiming.DEFAULT, random,
             this, now());
         if (!config.budgets().isEmpty()) {
             budgets = new FleetBudgets(loop, table, config, life, new Random(random.nextLong()), this::send);
@@ -107,7 +107,7 @@
 
     /** The next tick: sooner than it was, where what came makes something due before. */
     private void schedule() {
-        long at = machine.nextAt();
+        long at = machine.nextTickAt();
         if (next == null || at < nextAt && next.cancel(false)) {
             nextAt = at;
             next = loop.schedule(this::tick, Math.max(0, at - now()), TimeUnit.MICROSECONDS);
@@ -148,12 +148,12 @@
     private void tell() {
         if (!ended) {
             if (budgets != null) {
-                guarded(() -> budgets.presence(machine.rows(now())));
+                guarded(() -> budgets.presence(machine.memberStatuses(now())));
             }
-            Standing standing = machine.standing(now());
-            told.accept(new FleetView(standing.members(), standing.me(), standing.share(), standing.leastShare(),
-                Agreement.valueOf(standing.agreement().name()), 0, config.groups().grouping().single() ? 0
-                    : Math.max(1, standing.age()))); // also where nothing of the others counts any more
+            MembershipSnapshot standing = machine.snapshot(now());
+            told.accept(new FleetView(standing.countedMembers(), standing.ownRank(), standing.budgetShare(), standing.minBudgetShare(),
+                Agreement.valueOf(standing.agreement().name()), 0, config.groups().grouping().isSingleGroup() ? 0
+                    : Math.max(1, standing.oldestReportAge()))); // also where nothing of the others counts any more
         }
     }
 
@@ -164,11 +164,11 @@
 
     /** Suspicions come and go with lost datagrams: they are counted, all else is told of. */
     @Override
-    public void changed(Change change) {
-        if (change.now() == State.SUSPECT) {
+    public void memberChanged(MemberStateChange change) {
+        if (change.newState() == MemberState.SUSPECT) {
             suspicions++;
-        } else if (change.before() != State.SUSPECT || change.now() != State.PRESENT
-            || change.startedAnew()) {
+        } else if (change.previousState() != MemberState.SUSPECT || change.newState() != MemberState.PRESENT
+            || change.restarted()) {
             news.add("at " + System.currentTimeMillis() + " " + change);
         }
     }
@@ -189,14 +189,14 @@
         if (budgets != null) {
             budgets.log();
         }
-        Map<String, Long> refused = machine.refused();
+        Map<String, Long> refused = machine.takeRefusalCounts();
         if (!refused.isEmpty()) {
             Log.line("members-refused", "datagrams not taken: " + refused);
         }
     }
 
     @Override
-    public void clash(String name, String why) {
+    public void nameConflict(String name, String why) {
         clashes++;
         Log.line("members-clash", "two processes go by the name " + name + ": " + why);
     }
@@ -213,7 +213,7 @@
     /** Kept is one well above: with a disk that takes its time each time, who is suspect would be deaf as
      * well. */
     @Override
-    public void incarnation(long own) {
+    public void incarnationChanged(long own) {
         if (file == null || own <= reserved) {
             return;
         }
@@ -252,17 +252,17 @@
     }
 
     private String listed(Config next) {
-        Grouping grouping = next.groups().grouping();
+        GroupAssignment grouping = next.groups().grouping();
         String names = PeerGroups.some(next.peers().names());
-        if (grouping.single() && config.groups().grouping().single()) {
+        if (grouping.isSingleGroup() && config.groups().grouping().isSingleGroup()) {
             return "the list is now " + names;
         }
         long fresh = next.peers().names().stream().filter(name -> !config.peers().names(name)).count();
         int own = grouping.groupOf(next.name());
-        return "the list is now of " + grouping.size() + " names, " + fresh + " new and "
-            + (config.peers().size() + fresh - grouping.size()) + " off it, in " + grouping.groups()
-            + (grouping.single() ? " group" : " groups") + "; its own is " + grouping.label(own) + " of "
-            + grouping.names(own).size() + ": " + names;
+        return "the list is now of " + grouping.memberCount() + " names, " + fresh + " new and "
+            + (config.peers().size() + fresh - grouping.memberCount()) + " off it, in " + grouping.groupCount()
+            + (grouping.isSingleGroup() ? " group" : " groups") + "; its own is " + grouping.label(own) + " of "
+            + grouping.memberNames(own).size() + ": " + names;
     }
 
     /**
@@ -313,13 +313,13 @@
     CompletableFuture<String> describe() {
         return answered(() -> {
             long now = now();
-            Standing standing = machine.standing(now);
-            Grouping grouping = config.groups().grouping();
+            MembershipSnapshot standing = machine.snapshot(now);
+            GroupAssignment grouping = config.groups().grouping();
             StringBuilder text = new StringBuilder(MembersText.figures(standing, machine.digest(),
-                machine.health(), suspicions, clashes));
-            text.append(MembersText.place(standing, grouping.groups(),
-                grouping.label(grouping.groupOf(config.name())), machine.speaker()));
-            for (Row row : machine.rows(now)) {
+                machine.healthScore(), suspicions, clashes));
+            text.append(MembersText.place(standing, grouping.groupCount(),
+                grouping.label(grouping.groupOf(config.name())), machine.isRepresentative()));
+            for (MemberStatus row : machine.memberStatuses(now)) {
                 text.append(System.lineSeparator()).append(MembersText.member(row));
             }
             return CompletableFuture.completedFuture(text.toString());
@@ -328,24 +328,24 @@
 
     /** What the console answers of the groups: a line for all, then one a group. */
     CompletableFuture<String> describeGroups() {
-        return answered(() -> CompletableFuture.completedFuture(MembersText.groups(machine.groups(now()))));
+        return answered(() -> CompletableFuture.completedFuture(MembersText.groups(machine.groupStatuses(now()))));
     }
 
     /** What the console answers of one member, whom another group may have to be asked for. */
     CompletableFuture<String> describe(String name) {
         return answered(() -> {
-            Grouping grouping = config.groups().grouping();
+            GroupAssignment grouping = config.groups().grouping();
             int group = grouping.groupOf(name);
             if (group < 0) {
                 return CompletableFuture.completedFuture("400 " + name + " is no name of peers here");
             }
-            CompletableFuture<Row> asked = sought.get(name);
+            CompletableFuture<MemberStatus> asked = sought.get(name);
             if (asked == null) {
-                asked = new CompletableFuture<Row>().completeOnTimeout(null, FIND_MILLIS,
+                asked = new CompletableFuture<MemberStatus>().completeOnTimeout(null, FIND_MILLIS,
                     TimeUnit.MILLISECONDS);
                 sought.put(name, asked);
                 asked.whenCompleteAsync((row, failure) -> sought.remove(name), loop);
-                machine.find(now(), name);
+                machine.findMember(now(), name);
                 schedule();
             }
             return asked.thenApply(row -> row == null ? "400 no answer of group " + grouping.label(group)
@@ -355,8 +355,8 @@
     }
 
     @Override
-    public void found(String name, Row row) {
-        CompletableFuture<Row> asked = sought.get(name);
+    public void memberLookupCompleted(String name, MemberStatus row) {
+        CompletableFuture<MemberStatus> asked = sought.get(name);
         if (asked != null) {
             asked.complete(row);
         }
