--- a/proxy/src/main/java/dockrelay/proxy/MembersText.java
+++ b/proxy/src/main/java/dockrelay/proxy/MembersText.java
@@ -1,8 +1,8 @@
 package dockrelay.proxy;
 
-import dockrelay.fleet.Row;
-import dockrelay.fleet.Standing;
-import dockrelay.fleet.group.GroupRow;
+import dockrelay.fleet.MemberStatus;
+import dockrelay.fleet.MembershipSnapshot;
+import dockrelay.fleet.group.GroupStatus;
 import java.util.List;
 import java.util.Locale;
 
@@ -12,39 +12,39 @@
     }
 
     /** The figures are of the whole fleet but for the digest and the health, which are of the own group. */
-    static String figures(Standing standing, String digest, int health, long suspicions, long clashes) {
+    static String figures(MembershipSnapshot standing, String digest, int health, long suspicions, long clashes) {
         return String.format(Locale.ROOT, "200 present=%d of=%d agreement=%s agreeing=%d digest=%s "
-            + "counted=%d share=%.6f health=%d suspicions=%d clashes=%d", standing.present(),
-            standing.configured(), lower(standing.agreement()), standing.agreeing(), digest,
-            standing.members(), standing.share(), health, suspicions, clashes);
+            + "counted=%d share=%.6f health=%d suspicions=%d clashes=%d", standing.presentMembers(),
+            standing.configuredMembers(), lower(standing.agreement()), standing.agreeingMembers(), digest,
+            standing.countedMembers(), standing.budgetShare(), health, suspicions, clashes);
     }
 
     /** Which part of the fleet the lines are of, and how old what is told of the others may be. */
-    static String place(Standing standing, int groups, String group, boolean speaker) {
-        return String.format(Locale.ROOT, " age=%.1fs groups=%d group=%s speaker=%s", standing.age() / 1e6,
+    static String place(MembershipSnapshot standing, int groups, String group, boolean speaker) {
+        return String.format(Locale.ROOT, " age=%.1fs groups=%d group=%s speaker=%s", standing.oldestReportAge() / 1e6,
             groups, group, speaker ? "yes" : "no");
     }
 
-    static String member(Row row) {
+    static String member(MemberStatus row) {
         return String.format(Locale.ROOT, "%s %s for=%.1fs by=%s incarnation=%d%s%s%s", row.name(),
-            lower(row.state()), row.since() / 1e6, row.by(), row.incarnation(),
-            row.wordAge() < 0 ? "" : String.format(Locale.ROOT, " word=%.1fs", row.wordAge() / 1e6),
-            row.sameList() ? "" : " other-list", row.differsIn().isEmpty() ? "" : String.format(Locale.ROOT,
-                " differs=%s for=%.1fs", String.join(",", row.differsIn()), row.differsFor() / 1e6));
+            lower(row.state()), row.stateAge() / 1e6, row.reportedBy(), row.incarnation(),
+            row.reportAge() < 0 ? "" : String.format(Locale.ROOT, " word=%.1fs", row.reportAge() / 1e6),
+            row.sameMemberList() ? "" : " other-list", row.differingMembers().isEmpty() ? "" : String.format(Locale.ROOT,
+                " differs=%s for=%.1fs", String.join(",", row.differingMembers()), row.disagreementAge() / 1e6));
     }
 
-    static String groups(List<GroupRow> rows) {
+    static String groups(List<GroupStatus> rows) {
         StringBuilder text = new StringBuilder("200 groups=" + rows.size() + " fresh="
-            + rows.stream().filter(GroupRow::fresh).count());
-        for (GroupRow row : rows) {
-            String state = row.fresh() ? "fresh" : row.age() < 0 ? "unheard" : "stale";
-            String said = row.age() < 0 ? "" : String.format(Locale.ROOT,
-                " present=%d left=%d gone=%d counted=%d agreement=%s age=%.1fs%s", row.present(), row.left(),
-                row.gone(), row.counted(), lower(row.agreement()), row.age() / 1e6,
-                row.sameList() ? "" : " other-list");
+            + rows.stream().filter(GroupStatus::fresh).count());
+        for (GroupStatus row : rows) {
+            String state = row.fresh() ? "fresh" : row.reportAge() < 0 ? "unheard" : "stale";
+            String said = row.reportAge() < 0 ? "" : String.format(Locale.ROOT,
+                " present=%d left=%d gone=%d counted=%d agreement=%s age=%.1fs%s", row.presentMembers(), row.leftMembers(),
+                row.goneMembers(), row.countedMembers(), lower(row.agreement()), row.reportAge() / 1e6,
+                row.sameMemberList() ? "" : " other-list");
             text.append(System.lineSeparator()).append(row.label()).append(' ').append(state).append(" of=")
-                .append(row.names()).append(said)
-                .append(row.speaker() == null ? "" : " speaker=" + row.speaker());
+                .append(row.configuredMembers()).append(said)
+                .append(row.representative() == null ? "" : " speaker=" + row.representative());
         }
         return text.toString();
     }
--- a/proxy/src/main/java/dockrelay/proxy/PeerGroups.java
+++ b/proxy/src/main/java/dockrelay/proxy/PeerGroups.java
@@ -1,7 +1,7 @@
 package dockrelay.proxy;
 
 import dockrelay.fleet.group.GroupException;
-import dockrelay.fleet.group.Grouping;
+import dockrelay.fleet.group.GroupAssignment;
 import dockrelay.proxy.PeerGroupsException.Code;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -12,7 +12,7 @@
  * How the named peers are to be grouped ({@code peer_groups}): the size that is aimed at, and who is in which
  * zone. Where the configuration does not say, all are in one zone without a name.
  */
-record PeerGroups(int size, Map<String, List<String>> zones, Grouping grouping) {
+record PeerGroups(int size, Map<String, List<String>> zones, GroupAssignment grouping) {
     static final String KEY = "peer_groups";
     private static final String SIZE = KEY + ".size", ZONES = KEY + ".zones";
     /** So many names are told of in a line. */
@@ -22,7 +22,7 @@
     static PeerGroups read(Map<?, ?> top, PeerDirectory peers) {
         Object given = top.get(KEY);
         if (given == null) {
-            return of(Grouping.USUAL_SIZE, Map.of("", peers.names()), peers);
+            return of(GroupAssignment.DEFAULT_GROUP_SIZE, Map.of("", peers.names()), peers);
         }
         if (peers.names().isEmpty()) {
             throw new PeerGroupsException(Code.SHAPE, KEY, "given where peers names nobody",
@@ -41,12 +41,12 @@
 
     private static int size(Object value) {
         if (value == null) {
-            return Grouping.USUAL_SIZE;
+            return GroupAssignment.DEFAULT_GROUP_SIZE;
         }
         if (value instanceof Number number && number.doubleValue() == number.intValue()) {
             return number.intValue();
         }
-        throw shape(SIZE, value, "a whole number of " + Grouping.LEAST_SIZE + " to " + Grouping.MOST_SIZE);
+        throw shape(SIZE, value, "a whole number of " + GroupAssignment.MIN_GROUP_SIZE + " to " + GroupAssignment.MAX_GROUP_SIZE);
     }
 
     private static Map<String, List<String>> zones(Object value, PeerDirectory peers) {
@@ -75,9 +75,9 @@
     }
 
     private static PeerGroups of(int size, Map<String, List<String>> zones, PeerDirectory peers) {
-        Grouping grouping;
+        GroupAssignment grouping;
         try {
-            grouping = Grouping.of(zones, size);
+            grouping = GroupAssignment.of(zones, size);
         } catch (GroupException e) {
             throw switch (e.code()) {
                 case SIZE -> new GroupException(e.code(), SIZE, e.value(), e.allowed());
@@ -92,7 +92,7 @@
                     "allowed are names that peers has");
             }
         }));
-        if (grouping.size() < peers.size()) {
+        if (grouping.memberCount() < peers.size()) {
             throw new PeerGroupsException(Code.UNPLACED, ZONES, "without " + some(peers.names().stream()
                 .filter(name -> grouping.groupOf(name) < 0).toList()), "put each of peers into one zone");
         }
@@ -118,14 +118,14 @@
 
     /** The names of the own group, in the order that all see alike. */
     List<String> beside(String name) {
-        return grouping.names(grouping.groupOf(name));
+        return grouping.memberNames(grouping.groupOf(name));
     }
 
     /** How many names the smallest group has, and each other one at least. */
     int smallest() {
         int least = Integer.MAX_VALUE;
-        for (int i = 0; i < grouping.groups(); i++) {
-            least = Math.min(least, grouping.names(i).size());
+        for (int i = 0; i < grouping.groupCount(); i++) {
+            least = Math.min(least, grouping.memberNames(i).size());
         }
         return least;
     }
--- a/proxy/src/main/java/dockrelay/proxy/Peers.java
+++ b/proxy/src/main/java/dockrelay/proxy/Peers.java
@@ -1,7 +1,7 @@
 package dockrelay.proxy;
 
 import dockrelay.fleet.budget.Budgets;
-import dockrelay.fleet.group.Groups;
+import dockrelay.fleet.group.GroupedMembership;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -105,7 +105,7 @@
             context.channel().config().setAutoRead(false);
         }
         if (members != null && content.isReadable()
-            && (from < 0 || Groups.ours(content.getByte(content.readerIndex()))
+            && (from < 0 || GroupedMembership.isMembershipDatagram(content.getByte(content.readerIndex()))
             || Budgets.ours(content.getByte(content.readerIndex())))) {
             members.receive(config.peers().name(from), content);
         } else if (from >= 0 && toldToAll()) {
@@ -119,7 +119,7 @@
      * fleet of more than one group, where the bytes would grow with tenants and with proxies.
      */
     private boolean toldToAll() {
-        return config.groups() == null || config.groups().grouping().single();
+        return config.groups() == null || config.groups().grouping().isSingleGroup();
     }
 
     /** Goes by another list of peers. */
--- a/proxy/src/test/java/dockrelay/proxy/PeerGroupsTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/PeerGroupsTest.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dockrelay.fleet.budget.Budget;
-import dockrelay.fleet.group.Grouping;
+import dockrelay.fleet.group.GroupAssignment;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
@@ -52,18 +52,18 @@
 
     @Test
     void withoutAWordOfGroupsAllAreInOneUpToOneAndAHalfTimesItsSize() {
-        int most = Grouping.USUAL_SIZE * 3 / 2;
-        assertTrue(config(0, 3, "").groups().grouping().single());
-        assertTrue(config(0, most, "").groups().grouping().single());
-        assertEquals(2, config(0, most + 1, "").groups().grouping().groups());
-        assertEquals(3, config(0, 97, "{\"size\":32}").groups().grouping().groups());
+        int most = GroupAssignment.DEFAULT_GROUP_SIZE * 3 / 2;
+        assertTrue(config(0, 3, "").groups().grouping().isSingleGroup());
+        assertTrue(config(0, most, "").groups().grouping().isSingleGroup());
+        assertEquals(2, config(0, most + 1, "").groups().grouping().groupCount());
+        assertEquals(3, config(0, 97, "{\"size\":32}").groups().grouping().groupCount());
         assertNull(Fakes.parsed(text(0, "[\"127.0.0.1:7\"]", "", "")).groups());
     }
 
     @Test
     void zonesAreGroupsOfTheirOwn() {
         Config config = config(3, 6, "{\"zones\":" + SIX + "}");
-        assertEquals(3, config.groups().grouping().groups());
+        assertEquals(3, config.groups().grouping().groupCount());
         assertEquals(List.of("n3", "n4"), config.neighbours());
         assertEquals("b/1", config.groups().grouping().label(config.groups().grouping().groupOf("n3")));
     }
@@ -72,7 +72,7 @@
     @Test
     void aChangeOfZonesOrSizeIsAChange() {
         PeerGroups one = config(0, 6, "{\"zones\":" + SIX + "}").groups();
-        String usual = "{\"size\":" + Grouping.USUAL_SIZE + ",\"zones\":" + SIX + "}";
+        String usual = "{\"size\":" + GroupAssignment.DEFAULT_GROUP_SIZE + ",\"zones\":" + SIX + "}";
         assertTrue(one.same(config(4, 6, usual).groups()));
         for (String other : List.of("", "{\"size\":40,\"zones\":" + SIX + "}",
             "{\"zones\":{\"a\":[\"n0\",\"n1\",\"n2\",\"n3\"],\"b\":[\"n4\"],\"c\":[\"n5\"]}}")) {
--- a/proxy/src/test/java/dockrelay/proxy/PeersProcessTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/PeersProcessTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dockrelay.fleet.group.Grouping;
+import dockrelay.fleet.group.GroupAssignment;
 import dockrelay.proxy.Fakes.BackendFake;
 import dockrelay.proxy.Fakes.DiscoveryFake;
 import java.io.File;
@@ -34,7 +34,7 @@
 /** Peers of a process of its own: what a configuration without them costs, and files that change them. */
 class PeersProcessTest {
     /** Of 5,700 names, and of one fewer. */
-    private static final long GROUPS = Math.round(5_700.0 / Grouping.USUAL_SIZE);
+    private static final long GROUPS = Math.round(5_700.0 / GroupAssignment.DEFAULT_GROUP_SIZE);
     private final BackendFake backend = new BackendFake(request -> Fakes.answer("200 OK", "", "one"));
     private final DiscoveryFake discovery = new DiscoveryFake();
     @TempDir
@@ -232,7 +232,7 @@
         String members = call("MEMBERS");
         assertTrue(members.contains(" counted=5700 ") && members.contains(" groups=" + GROUPS + " "),
             members);
-        assertTrue(members.lines().count() <= 1 + Grouping.MOST_SIZE, "the own group only: " + members);
+        assertTrue(members.lines().count() <= 1 + GroupAssignment.MAX_GROUP_SIZE, "the own group only: " + members);
         assertEquals(1 + GROUPS, call("GROUPS").lines().count());
         write(peers(5_699, ""));
         reload();
