--- a/fleet/src/main/java/dockrelay/fleet/budget/Authority.java
+++ b/fleet/src/main/java/dockrelay/fleet/budget/Authority.java
@@ -32,7 +32,7 @@
     }
 
     private final int self, life;
-    private final BudgetPace pace;
+    private final BudgetTiming pace;
     private final Voter voter;
     private final Random random;
     private final Sender sender;
@@ -48,7 +48,7 @@
     private boolean keeps, canvasses;
     private String waitsFor;
 
-    Authority(int self, int life, BudgetPace pace, Voter voter, MemberList roster, Random random, Sender sender,
+    Authority(int self, int life, BudgetTiming pace, Voter voter, MemberList roster, Random random, Sender sender,
               long now) {
         this.self = self;
         this.life = life;
--- a/fleet/src/main/java/dockrelay/fleet/budget/Budgets.java
+++ b/fleet/src/main/java/dockrelay/fleet/budget/BudgetNode.java
@@ -17,26 +17,26 @@
  * elapsed
  * time, handed in; nothing here waits, sends or reads a clock.
  */
-public class Budgets {
+public class BudgetNode {
     private static final int MOST_BUDGETS = Message.MOST_LINES, ASKED_AGAIN_PERIODS = 3;
     private static final long NEVER = 3_600_000_000L;
 
     /** What the machine has done. */
-    public interface Actions {
+    public interface Callbacks {
         /** Sends this to a member; it may be lost. */
         void send(String to, ByteBuffer datagram);
 
-        /** What may be spent until then; whoever spends answers with the number, by {@link Budgets#used}. */
-        void parts(long telling, List<Part> parts, long until);
+        /** What may be spent until then; whoever spends answers with the number, by {@link BudgetNode#used}. */
+        void applyShares(long telling, List<LeasedShare> parts, long until);
 
         /** Something that an operator may want to know. */
-        void news(String text);
+        void logEvent(String text);
     }
 
     private final int self, life;
-    private final BudgetPace pace;
+    private final BudgetTiming pace;
     private final Random random;
-    private final Actions actions;
+    private final Callbacks actions;
     private final Voter voter;
     private final Authority authority;
     private final Holder holder;
@@ -49,9 +49,9 @@
     private int keeper;
     private boolean left;
 
-    public Budgets(String self, Collection<String> names, Collection<Budget> budgets, int life, BudgetPace
+    public BudgetNode(String self, Collection<String> names, Collection<Budget> budgets, int life, BudgetTiming
         pace,
-                   Random random, Actions actions, long now) {
+                   Random random, Callbacks actions, long now) {
         this.self = MemberList.idOf(self);
         this.life = life;
         this.pace = pace;
@@ -68,20 +68,20 @@
 
     // Parts of it, so that tests can put broken ones in their place.
 
-    Voter voter(int id, int ofLife, BudgetPace at, long now) {
+    Voter voter(int id, int ofLife, BudgetTiming at, long now) {
         return new Voter(id, ofLife, at, now);
     }
 
-    Authority authority(int id, int ofLife, BudgetPace at, Voter of, MemberList names, Random by,
+    Authority authority(int id, int ofLife, BudgetTiming at, Voter of, MemberList names, Random by,
                         Authority.Sender sender, long now) {
         return new Authority(id, ofLife, at, of, names, by, sender, now);
     }
 
-    Holder holder(int id, int ofLife, BudgetPace at, Collection<Budget> of, long now) {
+    Holder holder(int id, int ofLife, BudgetTiming at, Collection<Budget> of, long now) {
         return new Holder(id, ofLife, at, of, now);
     }
 
-    Ledger ledger(Collection<Budget> of, long term, BudgetPace at, long now) {
+    Ledger ledger(Collection<Budget> of, long term, BudgetTiming at, long now) {
         return new Ledger(of, term, at, now);
     }
 
@@ -117,7 +117,7 @@
         if (!usable.equals(budgets)) {
             budgets = usable;
             if (holder.configure(budgets)) {
-                actions.parts(holder.telling(), holder.parts(null), holder.leaseEnd());
+                actions.applyShares(holder.telling(), holder.parts(null), holder.leaseEnd());
             }
             if (ledger != null) {
                 ledger.configure(now, budgets);
@@ -133,7 +133,7 @@
     }
 
     /** Whom membership holds present, and whom it holds away for good: hints, nothing that must be true. */
-    public void presence(Collection<String> here, Collection<String> away) {
+    public void updatePresence(Collection<String> here, Collection<String> away) {
         present = ids(here);
         departed = ids(away);
     }
@@ -146,7 +146,7 @@
 
     // --- time
 
-    public long nextAt() {
+    public long nextTickAt() {
         return nextAt;
     }
 
@@ -156,8 +156,8 @@
             return;
         }
         if (holder.lapse(now)) {
-            actions.news("the lease is over: nothing may be spent until a keeper is heard");
-            actions.parts(holder.telling(), holder.parts(null), now);
+            actions.logEvent("the lease is over: nothing may be spent until a keeper is heard");
+            actions.applyShares(holder.telling(), holder.parts(null), now);
         }
         authority.tick(now, present, departed);
         follow(now);
@@ -183,7 +183,7 @@
             }
             String apart = ledger.apart();
             if (apart != null) {
-                actions.news("B-CLOCK: the clock of #" + apart + " s runs unlike this one's: it gets nothing"
+                actions.logEvent("B-CLOCK: the clock of #" + apart + " s runs unlike this one's: it gets nothing"
                     + " more until both run alike");
             }
             return;
@@ -276,11 +276,11 @@
             ledger = ledger(budgets, authority.term(), pace, now);
             askAt = now;
             nextAt = now;
-            actions.news("the keeper of term " + authority.term() + ", by " + authority.voters()
+            actions.logEvent("the keeper of term " + authority.term() + ", by " + authority.voters()
                 + " that vote");
         } else if (!keeps && ledger != null) {
             ledger = null;
-            actions.news("not the keeper any more");
+            actions.logEvent("not the keeper any more");
         }
     }
 
@@ -313,12 +313,12 @@
                 keeperIs(now, grant.sender(), grant.term());
             }
             boolean anew = holder.telling() != before;
-            actions.parts(holder.telling(), holder.parts(anew ? grant : null), holder.leaseEnd());
+            actions.applyShares(holder.telling(), holder.parts(anew ? grant : null), holder.leaseEnd());
         }
     }
 
     /** What whoever spends has made of the parts, up to this telling: what he had before is gone. */
-    public void used(long upTo, Collection<Use> uses) {
+    public void reportUsage(long upTo, Collection<ShareUsage> uses) {
         holder.used(upTo, uses);
     }
 
@@ -338,7 +338,7 @@
     // --- what it comes to
 
     /** Whether this process is the keeper. */
-    public boolean keeps(long now) {
+    public boolean isCoordinator(long now) {
         return authority.holds(now);
     }
 
--- a/fleet/src/main/java/dockrelay/fleet/budget/BudgetPace.java
+++ b/fleet/src/main/java/dockrelay/fleet/budget/BudgetTiming.java
@@ -4,8 +4,8 @@
  * How fast budgets change hands, in microseconds of elapsed time. Clocks may differ by three hundredths: who
  * promises keeps to it for longer than who relies on it counts on it.
  */
-public record BudgetPace(long period) {
-    public static final BudgetPace USUAL = new BudgetPace(200_000);
+public record BudgetTiming(long period) {
+    public static final BudgetTiming DEFAULT = new BudgetTiming(200_000);
     private static final double RELIED = 0.94, WAITED = 1.07;
 
     /** Between the keeper's words to those who have promised it their vote. */
--- a/fleet/src/main/java/dockrelay/fleet/budget/Holder.java
+++ b/fleet/src/main/java/dockrelay/fleet/budget/Holder.java
@@ -37,7 +37,7 @@
     }
 
     private final int self, life;
-    private final BudgetPace pace;
+    private final BudgetTiming pace;
     private final Map<Integer, Held> all = new LinkedHashMap<>();
     private final LinkedHashMap<Long, Long> asked = new LinkedHashMap<>();
     private final long startedAt;
@@ -45,7 +45,7 @@
     private long leaseEnd = Long.MIN_VALUE;
     private boolean lapsed;
 
-    Holder(int self, int life, BudgetPace pace, Collection<Budget> budgets, long now) {
+    Holder(int self, int life, BudgetTiming pace, Collection<Budget> budgets, long now) {
         this.self = self;
         this.life = life;
         this.pace = pace;
@@ -116,8 +116,8 @@
     }
 
     /** What was made of the parts by one who has been told of them up to here: what he had before is gone. */
-    void used(long upTo, Collection<Use> uses) {
-        for (Use use : uses) {
+    void used(long upTo, Collection<ShareUsage> uses) {
+        for (ShareUsage use : uses) {
             Held held = all.get(MemberList.idOf(use.budget()));
             if (held != null) {
                 held.wanted += (use.wanted() > held.wanted ? RISES : FALLS) * (use.wanted() - held.wanted);
@@ -141,7 +141,7 @@
     }
 
     private static long whole(long tokens) {
-        return (tokens + Budget.ONE - 1) / Budget.ONE * Budget.ONE;
+        return (tokens + Budget.MICROTOKENS_PER_TOKEN - 1) / Budget.MICROTOKENS_PER_TOKEN * Budget.MICROTOKENS_PER_TOKEN;
     }
 
     /** What is told to one that may be the keeper. */
@@ -202,14 +202,14 @@
     }
 
     /** What there is to go by; what a grant adds is added once, so it is given with the first word of it. */
-    List<Part> parts(Message grant) {
-        List<Part> parts = new ArrayList<>();
+    List<LeasedShare> parts(Message grant) {
+        List<LeasedShare> parts = new ArrayList<>();
         all.forEach((id, held) -> {
             long add = 0;
             for (Line line : grant == null ? List.<Line>of() : grant.lines()) {
                 add = line.budget() == id ? line.extra() : add;
             }
-            parts.add(new Part(held.budget.name(), held.toRate, held.toBurst, add));
+            parts.add(new LeasedShare(held.budget.name(), held.toRate, held.toBurst, add));
         });
         return parts;
     }
--- a/fleet/src/main/java/dockrelay/fleet/budget/Ledger.java
+++ b/fleet/src/main/java/dockrelay/fleet/budget/Ledger.java
@@ -83,14 +83,14 @@
         }
     }
 
-    private final BudgetPace pace;
+    private final BudgetTiming pace;
     private final long term;
     private final Map<Integer, Account> accounts = new LinkedHashMap<>();
     private final Map<Long, Borrower> borrowers = new LinkedHashMap<>();
     private long dividedAt = Long.MIN_VALUE;
     private String apart;
 
-    Ledger(Collection<Budget> budgets, long term, BudgetPace pace, long now) {
+    Ledger(Collection<Budget> budgets, long term, BudgetTiming pace, long now) {
         this.term = term;
         this.pace = pace;
         configure(now, budgets);
@@ -290,7 +290,7 @@
 
     /** Whether everybody can have a whole token of his own, and some to spare. */
     private boolean byRate(Account account) {
-        return account.whole.burst() >= 2 * Budget.ONE * borrowers.size();
+        return account.whole.burst() >= 2 * Budget.MICROTOKENS_PER_TOKEN * borrowers.size();
     }
 
     private void divide(long now, Borrower borrower) {
@@ -303,8 +303,8 @@
                 rate = lent.desired;
                 burst = burst(account, rate);
             } else if (isNext(now, account, lent)) {
-                burst = Budget.ONE;
-                add = Budget.ONE;
+                burst = Budget.MICROTOKENS_PER_TOKEN;
+                add = Budget.MICROTOKENS_PER_TOKEN;
             } else if (lent.waiting > 0) {
                 burst = lent.burst;
             }
@@ -326,8 +326,8 @@
 
     /** A whole token for everybody, and the rest by the rates. */
     long burst(Account account, long rate) {
-        double spare = account.whole.burst() - (double) Budget.ONE * borrowers.size();
-        return Budget.ONE + (long) (spare * (rate / (double) account.rate));
+        double spare = account.whole.burst() - (double) Budget.MICROTOKENS_PER_TOKEN * borrowers.size();
+        return Budget.MICROTOKENS_PER_TOKEN + (long) (spare * (rate / (double) account.rate));
     }
 
     /** Whether a word has been overtaken by a later one. */
@@ -355,14 +355,14 @@
 
     /** Whether a token there is goes to this one: those wait in the order in which they were served. */
     private boolean isNext(long now, Account account, Lent lent) {
-        long tokens = (long) Math.min(account.tokens, account.freeBurst() + lent.burst) / Budget.ONE;
-        if (lent.waiting == 0 || lent.burst >= Budget.ONE || tokens < 1) {
+        long tokens = (long) Math.min(account.tokens, account.freeBurst() + lent.burst) / Budget.MICROTOKENS_PER_TOKEN;
+        if (lent.waiting == 0 || lent.burst >= Budget.MICROTOKENS_PER_TOKEN || tokens < 1) {
             return false;
         }
         int before = 0;
         for (Borrower other : borrowers.values()) {
             Lent its = other.lent.get(account.whole.id());
-            before += its != null && its != lent && its.waiting > 0 && its.burst < Budget.ONE
+            before += its != null && its != lent && its.waiting > 0 && its.burst < Budget.MICROTOKENS_PER_TOKEN
                 && now - other.askedAt < WAITING_PERIODS * pace.period() && its.servedAt < lent.servedAt ?
                     1 : 0;
         }
--- a/fleet/src/main/java/dockrelay/fleet/budget/Voter.java
+++ b/fleet/src/main/java/dockrelay/fleet/budget/Voter.java
@@ -8,14 +8,14 @@
  */
 class Voter {
     private final int self, life;
-    private final BudgetPace pace;
+    private final BudgetTiming pace;
     private final long votesFrom;
     private long term, until, promisedTerm;
     private int to, toLife;
     private boolean promised;
     private Agreed agreed, next;
 
-    Voter(int self, int life, BudgetPace pace, long now) {
+    Voter(int self, int life, BudgetTiming pace, long now) {
         this.self = self;
         this.life = life;
         this.pace = pace;
--- a/fleet/src/test/java/dockrelay/fleet/budget/BrokenBudgets.java
+++ b/fleet/src/test/java/dockrelay/fleet/budget/BrokenBudgets.java
@@ -10,7 +10,7 @@
     /** What is asked back counts as free before its holder has less. */
     GIVER_DOES_NOT_WAIT(0) {
         @Override
-        Ledger ledger(Collection<Budget> of, long term, BudgetPace at, long now) {
+        Ledger ledger(Collection<Budget> of, long term, BudgetTiming at, long now) {
             return new Ledger(of, term, at, now) {
                 @Override
                 void told(Account account, Lent lent, long rate, long burst) {
@@ -22,21 +22,21 @@
     /** A part is had until a keeper says otherwise. */
     LEASE_WITHOUT_END(0) {
         @Override
-        long leaseEnd(long now, long sentAt, BudgetPace at) {
+        long leaseEnd(long now, long sentAt, BudgetTiming at) {
             return now + 1000 * at.lease();
         }
     },
     /** A lease counts from when its word arrives. */
     LEASE_FROM_ARRIVAL(8900) {
         @Override
-        long leaseEnd(long now, long sentAt, BudgetPace at) {
+        long leaseEnd(long now, long sentAt, BudgetTiming at) {
             return now + at.lease();
         }
     },
     /** What is saved up is not divided: each has the whole burst. */
     BURST_NOT_COUNTED(0) {
         @Override
-        Ledger ledger(Collection<Budget> of, long term, BudgetPace at, long now) {
+        Ledger ledger(Collection<Budget> of, long term, BudgetTiming at, long now) {
             return new Ledger(of, term, at, now) {
                 @Override
                 long freeBurst(Account account) {
@@ -53,14 +53,14 @@
     /** A new keeper takes what nobody has told of yet for free. */
     UNKNOWN_IS_FREE(0) {
         @Override
-        Ledger ledger(Collection<Budget> of, long term, BudgetPace at, long now) {
+        Ledger ledger(Collection<Budget> of, long term, BudgetTiming at, long now) {
             return new Ledger(of, term, at, now - at.leaseOver());
         }
     },
     /** A new list is agreed on by the new one alone. */
     NEW_LIST_ALONE(700) {
         @Override
-        Authority authority(int id, int life, BudgetPace at, Voter of, MemberList names, Random by,
+        Authority authority(int id, int life, BudgetTiming at, Voter of, MemberList names, Random by,
                             Authority.Sender sender, long now) {
             return new Authority(id, life, at, of, names, by, sender, now) {
                 @Override
@@ -73,7 +73,7 @@
     /** Any half of the list is a quorum. */
     HALF_IS_ENOUGH(0) {
         @Override
-        Authority authority(int id, int life, BudgetPace at, Voter of, MemberList names, Random by,
+        Authority authority(int id, int life, BudgetTiming at, Voter of, MemberList names, Random by,
                             Authority.Sender sender, long now) {
             return new Authority(id, life, at, of, names, by, sender, now) {
                 @Override
@@ -91,47 +91,47 @@
         this.from = from;
     }
 
-    Voter voter(int id, int life, BudgetPace at, long now) {
+    Voter voter(int id, int life, BudgetTiming at, long now) {
         return new Voter(id, life, at, now);
     }
 
-    Authority authority(int id, int life, BudgetPace at, Voter of, MemberList names, Random by,
+    Authority authority(int id, int life, BudgetTiming at, Voter of, MemberList names, Random by,
                         Authority.Sender sender, long now) {
         return new Authority(id, life, at, of, names, by, sender, now);
     }
 
-    Ledger ledger(Collection<Budget> of, long term, BudgetPace at, long now) {
+    Ledger ledger(Collection<Budget> of, long term, BudgetTiming at, long now) {
         return new Ledger(of, term, at, now);
     }
 
-    long leaseEnd(long now, long sentAt, BudgetPace at) {
+    long leaseEnd(long now, long sentAt, BudgetTiming at) {
         return sentAt + at.leaseRelied();
     }
 
     @Override
-    public Budgets make(String self, Collection<String> names, Collection<Budget> budgets, int life, Random
+    public BudgetNode make(String self, Collection<String> names, Collection<Budget> budgets, int life, Random
         random,
-                        Budgets.Actions actions, long now) {
+                        BudgetNode.Callbacks actions, long now) {
         BrokenBudgets broken = this;
-        return new Budgets(self, names, budgets, life, BudgetPace.USUAL, random, actions, now) {
+        return new BudgetNode(self, names, budgets, life, BudgetTiming.DEFAULT, random, actions, now) {
             @Override
-            Voter voter(int id, int ofLife, BudgetPace at, long from) {
+            Voter voter(int id, int ofLife, BudgetTiming at, long from) {
                 return broken.voter(id, ofLife, at, from);
             }
 
             @Override
-            Authority authority(int id, int ofLife, BudgetPace at, Voter of, MemberList roster, Random by,
+            Authority authority(int id, int ofLife, BudgetTiming at, Voter of, MemberList roster, Random by,
                                 Authority.Sender sender, long from) {
                 return broken.authority(id, ofLife, at, of, roster, by, sender, from);
             }
 
             @Override
-            Ledger ledger(Collection<Budget> of, long term, BudgetPace at, long from) {
+            Ledger ledger(Collection<Budget> of, long term, BudgetTiming at, long from) {
                 return broken.ledger(of, term, at, from);
             }
 
             @Override
-            Holder holder(int id, int ofLife, BudgetPace at, Collection<Budget> of, long from) {
+            Holder holder(int id, int ofLife, BudgetTiming at, Collection<Budget> of, long from) {
                 return new Holder(id, ofLife, at, of, from) {
                     @Override
                     long leaseEnd(long here, long sentAt) {
--- a/fleet/src/test/java/dockrelay/fleet/budget/BudgetSchedule.java
+++ b/fleet/src/test/java/dockrelay/fleet/budget/BudgetSchedule.java
@@ -23,8 +23,8 @@
         random = new Random(seed * 31 + 7);
         n = random.nextInt(10) == 0 ? 16 : 1 + random.nextInt(8);
         hot = random.nextBoolean();
-        Budget budget = random.nextInt(3) == 0 ? new Budget("few", 3 * Budget.ONE, 3 * Budget.ONE)
-            : new Budget("many", 40L * n * Budget.ONE, 40L * n * Budget.ONE);
+        Budget budget = random.nextInt(3) == 0 ? new Budget("few", 3 * Budget.MICROTOKENS_PER_TOKEN, 3 * Budget.MICROTOKENS_PER_TOKEN)
+            : new Budget("many", 40L * n * Budget.MICROTOKENS_PER_TOKEN, 40L * n * Budget.MICROTOKENS_PER_TOKEN);
         world = new BudgetWorld(seed, budget, maker, traced);
         for (int i = 0; i < n; i++) {
             names.add("n" + i);
@@ -85,7 +85,7 @@
             most = Math.max(most, world.lent());
         }
         long keepers = world.processes.values().stream().filter(one -> !one.dead
-            && one.machine.keeps(one.local())).count();
+            && one.machine.isCoordinator(one.local())).count();
         if (keepers != 1) {
             throw new Broken(keepers + " keepers in the end, " + waiting());
         }
@@ -103,7 +103,7 @@
     }
 
     private void demand(Process process) {
-        double whole = world.budget.rate() / (double) Budget.ONE;
+        double whole = world.budget.rate() / (double) Budget.MICROTOKENS_PER_TOKEN;
         process.demand = random.nextInt(3) == 0 ? 0 : (hot ? 5 : random.nextDouble() * 3) * whole / n;
     }
 
--- a/fleet/src/test/java/dockrelay/fleet/budget/BudgetWorld.java
+++ b/fleet/src/test/java/dockrelay/fleet/budget/BudgetWorld.java
@@ -26,9 +26,9 @@
 
     /** Makes a process's machine, so that a broken one can take its place. */
     interface Maker {
-        Budgets make(String self, Collection<String> names, Collection<Budget> budgets, int life, Random
+        BudgetNode make(String self, Collection<String> names, Collection<Budget> budgets, int life, Random
             random,
-                     Budgets.Actions actions, long now);
+                     BudgetNode.Callbacks actions, long now);
     }
 
     /** Something that must hold did not. */
@@ -44,12 +44,12 @@
     }
 
     /** One process of a name. */
-    final class Process implements Budgets.Actions {
+    final class Process implements BudgetNode.Callbacks {
         final String name;
         final double rate = 1 + (random.nextDouble() - 0.5) * APART * 0.98;
         final long offset = random.nextInt(1_000_000_000), startedAt = now;
         final List<Runnable> inbox = new ArrayList<>();
-        final Budgets machine;
+        final BudgetNode machine;
         Set<String> names;
         boolean dead, stopped, deaf;
         double demand, tokens;
@@ -73,7 +73,7 @@
 
         void schedule() {
             long mine = ++wakeOrder;
-            long at = now + Math.max(0, (long) Math.ceil((machine.nextAt() - local()) / rate));
+            long at = now + Math.max(0, (long) Math.ceil((machine.nextTickAt() - local()) / rate));
             later(at - now, () -> run(() -> {
                 if (mine == wakeOrder) {
                     machine.tick(local());
@@ -103,10 +103,10 @@
 
         private boolean spend() {
             fill();
-            if (local() >= until || tokens < Budget.ONE) {
+            if (local() >= until || tokens < Budget.MICROTOKENS_PER_TOKEN) {
                 return false;
             }
-            tokens -= Budget.ONE;
+            tokens -= Budget.MICROTOKENS_PER_TOKEN;
             spent++;
             spentByAll();
             return true;
@@ -142,7 +142,7 @@
         }
 
         private boolean few() {
-            return budget.burst() < 2 * Budget.ONE * processes.size();
+            return budget.burst() < 2 * Budget.MICROTOKENS_PER_TOKEN * processes.size();
         }
 
         /** Tells the machine what it has made of the parts; both are threads of their own. */
@@ -154,16 +154,16 @@
             run(() -> {
                 fill();
                 satisfy();
-                Use use = new Use(budget.name(), asked * 10.0 * Budget.ONE, (int) wants, (long) tokens,
+                ShareUsage use = new ShareUsage(budget.name(), asked * 10.0 * Budget.MICROTOKENS_PER_TOKEN, (int) wants, (long) tokens,
                     spent);
                 asked = 0;
                 long upTo = told;
-                later(random.nextInt((int) (3 * MILLI)), () -> run(() -> machine.used(upTo, List.of(use))));
+                later(random.nextInt((int) (3 * MILLI)), () -> run(() -> machine.reportUsage(upTo, List.of(use))));
             });
         }
 
         @Override
-        public void parts(long telling, List<Part> parts, long end) {
+        public void applyShares(long telling, List<LeasedShare> parts, long end) {
             long delay = random.nextInt((int) (random.nextInt(50) == 0 ? SECOND / 2 : 3 * MILLI));
             handedAt = Math.max(handedAt, now + delay); // from thread to thread, in order
             later(handedAt - now, () -> run(() -> {
@@ -171,10 +171,10 @@
                 filledAt = Math.max(filledAt, local());
                 until = telling < told ? until : end;
                 // What was heard of before only lasts longer.
-                for (Part part : telling > told ? parts : List.<Part>of()) {
+                for (LeasedShare part : telling > told ? parts : List.<LeasedShare>of()) {
                     partRate = part.rate();
                     partBurst = part.burst();
-                    tokens = Math.min(partBurst, tokens + part.add());
+                    tokens = Math.min(partBurst, tokens + part.addedTokens());
                 }
                 told = Math.max(told, telling);
                 addUp();
@@ -192,7 +192,7 @@
         }
 
         @Override
-        public void news(String text) {
+        public void logEvent(String text) {
             trace(name + ": " + text);
         }
     }
@@ -244,11 +244,11 @@
     private void spentByAll() {
         level = Math.min(budget.burst(), level + budget.rate() * ((now - levelAt) / 1e6));
         levelAt = now;
-        level -= Budget.ONE;
+        level -= Budget.MICROTOKENS_PER_TOKEN;
         spentOfAll++;
         if (level < -1e-3) {
             throw new Broken(String.format("at %.3f s more was spent than the whole allows: %.2f tokens",
-                now / 1e6, -level / Budget.ONE));
+                now / 1e6, -level / Budget.MICROTOKENS_PER_TOKEN));
         }
     }
 
@@ -327,7 +327,7 @@
                 away.removeIf(gone -> gone.equals(name) && (of == null || !of.dead
                     || now - diedAt.getOrDefault(name, now) < 8 * SECOND) && random.nextInt(20) > 0);
             }
-            process.run(() -> process.machine.presence(here, away));
+            process.run(() -> process.machine.updatePresence(here, away));
         }
         later(250 * MILLI, this::presence);
     }
--- a/fleet/src/test/java/dockrelay/fleet/budget/BudgetsTest.java
+++ b/fleet/src/test/java/dockrelay/fleet/budget/BudgetsTest.java
@@ -26,21 +26,21 @@
 /** Thousands of schedules; {@code -Dbudget.schedule=SEED} plays one with a trace. */
 class BudgetsTest {
     private static final BudgetWorld.Maker SOUND = (self, names, budgets, life, random, actions, now) ->
-        new Budgets(self, names, budgets, life, BudgetPace.USUAL, random, actions, now);
+        new BudgetNode(self, names, budgets, life, BudgetTiming.DEFAULT, random, actions, now);
 
-    private static final Budgets.Actions NOBODY = new Budgets.Actions() {
+    private static final BudgetNode.Callbacks NOBODY = new BudgetNode.Callbacks() {
         @Override
         public void send(String to, ByteBuffer datagram) {
             // nobody is there
         }
 
         @Override
-        public void parts(long telling, List<Part> parts, long until) {
+        public void applyShares(long telling, List<LeasedShare> parts, long until) {
             // nothing is spent
         }
 
         @Override
-        public void news(String text) {
+        public void logEvent(String text) {
             // nobody listens
         }
     };
@@ -61,7 +61,7 @@
     void moreMembersThanAListHoldsAreRefusedByTheirNumber() {
         List<String> most = IntStream.range(0, 128).mapToObj(i -> "n" + i).toList();
         List<String> more = IntStream.range(0, 129).mapToObj(i -> "n" + i).toList();
-        Budgets machine = SOUND.make("n0", most, List.of(), 1, new Random(1), NOBODY, 0);
+        BudgetNode machine = SOUND.make("n0", most, List.of(), 1, new Random(1), NOBODY, 0);
         for (Executable refused : List.<Executable>of(() -> machine.configure(1, more, List.of()),
             () -> SOUND.make("n0", more, List.of(), 1, new Random(1), NOBODY, 0))) {
             BudgetException wrong = assertThrows(BudgetException.class, refused);
@@ -108,7 +108,7 @@
     @ParameterizedTest
     @CsvSource({"3,60,60", "12,120,120", "48,480,480", "12,3,3", "48,3,3"})
     void whatCanBeUsedIsUsed(int members, int rate, int burst) {
-        Budget budget = new Budget("shifts", rate * Budget.ONE, burst * Budget.ONE);
+        Budget budget = new Budget("shifts", rate * Budget.MICROTOKENS_PER_TOKEN, burst * Budget.MICROTOKENS_PER_TOKEN);
         BudgetWorld world = new BudgetWorld(members, budget, SOUND, false);
         Set<String> names = new TreeSet<>();
         IntStream.range(0, members).forEach(i -> names.add("n" + i));
@@ -142,13 +142,13 @@
     @ParameterizedTest
     @ValueSource(ints = {3, 12, 48})
     void partsComeAndGo(int members) {
-        Budget budget = new Budget("all", 20L * members * Budget.ONE, 20L * members * Budget.ONE);
+        Budget budget = new Budget("all", 20L * members * Budget.MICROTOKENS_PER_TOKEN, 20L * members * Budget.MICROTOKENS_PER_TOKEN);
         BudgetWorld world = new BudgetWorld(members, budget, SOUND, false);
         Set<String> names = new TreeSet<>();
         IntStream.range(0, members + 1).forEach(i -> names.add("n" + i));
         names.forEach(name -> world.start(name, names).demand = 40);
         world.runUntil(20 * BudgetWorld.SECOND);
-        List<Process> dead = world.all.stream().filter(one -> !one.machine.keeps(one.local()))
+        List<Process> dead = world.all.stream().filter(one -> !one.machine.isCoordinator(one.local()))
             .limit(Math.max(1, members / 4)).toList();
         dead.forEach(world::kill);
         long back = until(world, () -> world.lent() > 0.93 * budget.rate());
@@ -159,10 +159,10 @@
         world.leave(comes);
         long gone = until(world, () -> world.lent() > 0.93 * budget.rate());
         Process keeper = world.all.stream().filter(one ->
-            one.machine.keeps(one.local())).findFirst().orElseThrow();
+            one.machine.isCoordinator(one.local())).findFirst().orElseThrow();
         world.kill(keeper);
         long anew = until(world, () -> world.all.stream().anyMatch(one -> !one.dead && !one.deaf
-            && one.machine.keeps(one.local())));
+            && one.machine.isCoordinator(one.local())));
         long whole = until(world, () -> world.lent() > 0.9 * budget.rate());
         System.out.printf("%d members: parts of a quarter that dies are back after %.1f s, a newcomer has one"
             + " after %.1f s, a goodbye's is divided after %.1f s; a keeper's death: the next after %.1f s,"
@@ -177,13 +177,13 @@
     @Test
     void aBudgetThatIsNamedAgainIsNotLentTwice() {
         Budget budget = Budget.perSecond("again", 100);
-        long now = BudgetPace.USUAL.leaseOver() + 1;
-        Ledger ledger = new Ledger(List.of(budget), 1, BudgetPace.USUAL, 0);
+        long now = BudgetTiming.DEFAULT.leaseOver() + 1;
+        Ledger ledger = new Ledger(List.of(budget), 1, BudgetTiming.DEFAULT, 0);
         assertTrue(ledger.ask(now, first(1, budget)).lines().get(0).rate() > 0, "all is free");
         ledger.configure(now + 1, List.of());
         ledger.configure(now + 2, List.of(budget));
         assertTrue(ledger.ask(now + 3, first(2, budget)).lines().get(0).rate() == 0, "it is lent still");
-        assertTrue(ledger.ask(now + 3 + BudgetPace.USUAL.leaseOver(), first(3, budget)).lines().get(0).rate()
+        assertTrue(ledger.ask(now + 3 + BudgetTiming.DEFAULT.leaseOver(), first(3, budget)).lines().get(0).rate()
             > 0, "it is over");
     }
 
--- a/lab/src/main/java/dockrelay/lab/scale/members/BudgetMember.java
+++ b/lab/src/main/java/dockrelay/lab/scale/members/BudgetMember.java
@@ -1,10 +1,10 @@
 package dockrelay.lab.scale.members;
 
 import dockrelay.fleet.budget.Budget;
-import dockrelay.fleet.budget.BudgetPace;
-import dockrelay.fleet.budget.Budgets;
-import dockrelay.fleet.budget.Part;
-import dockrelay.fleet.budget.Use;
+import dockrelay.fleet.budget.BudgetTiming;
+import dockrelay.fleet.budget.BudgetNode;
+import dockrelay.fleet.budget.LeasedShare;
+import dockrelay.fleet.budget.ShareUsage;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -14,13 +14,13 @@
 import java.util.Random;
 
 /** The machine of the fleet's budgets, with one who spends all that he is given and wants more. */
-final class BudgetMember implements HollowMachine, Budgets.Actions {
+final class BudgetMember implements HollowMachine, BudgetNode.Callbacks {
     /** What one budget's bucket is: filled by its part, emptied at each look. */
     private static final class Bucket {
         long rate, burst, tokens, spent;
     }
 
-    private final Budgets machine;
+    private final BudgetNode machine;
     private final Actions actions;
     private final Collection<Budget> budgets;
     private final Map<String, Bucket> buckets = new HashMap<>();
@@ -32,18 +32,18 @@
         this.budgets = budgets;
         budgets.forEach(budget -> buckets.put(budget.name(), new Bucket()));
         usedAt = now;
-        machine = new Budgets(self, layout.names(), budgets, random.nextInt() | 1, BudgetPace.USUAL, random,
+        machine = new BudgetNode(self, layout.names(), budgets, random.nextInt() | 1, BudgetTiming.DEFAULT, random,
             this, now);
     }
 
     @Override
-    public void parts(long telling, List<Part> parts, long end) {
+    public void applyShares(long telling, List<LeasedShare> parts, long end) {
         until = end;
-        for (Part part : telling > told ? parts : List.<Part>of()) {
+        for (LeasedShare part : telling > told ? parts : List.<LeasedShare>of()) {
             Bucket bucket = buckets.get(part.budget());
             bucket.rate = part.rate();
             bucket.burst = part.burst();
-            bucket.tokens = Math.min(bucket.burst, bucket.tokens + part.add());
+            bucket.tokens = Math.min(bucket.burst, bucket.tokens + part.addedTokens());
         }
         told = Math.max(told, telling);
     }
@@ -52,24 +52,24 @@
     void use(long now, double wanted) {
         long went = Math.max(0, Math.min(now, until) - usedAt);
         usedAt = now;
-        List<Use> uses = new ArrayList<>();
+        List<ShareUsage> uses = new ArrayList<>();
         for (Budget budget : budgets) {
             Bucket bucket = buckets.get(budget.name());
             bucket.tokens = Math.min(bucket.burst, bucket.tokens + bucket.rate * went / VirtualFleet.SECOND);
-            long whole = now < until ? bucket.tokens / Budget.ONE : 0;
-            bucket.tokens -= whole * Budget.ONE;
+            long whole = now < until ? bucket.tokens / Budget.MICROTOKENS_PER_TOKEN : 0;
+            bucket.tokens -= whole * Budget.MICROTOKENS_PER_TOKEN;
             bucket.spent += whole;
-            uses.add(new Use(budget.name(), wanted * budget.rate(), 0, bucket.tokens, bucket.spent));
+            uses.add(new ShareUsage(budget.name(), wanted * budget.rate(), 0, bucket.tokens, bucket.spent));
         }
-        machine.used(told, uses);
+        machine.reportUsage(told, uses);
     }
 
     void presence(List<String> here, List<String> away) {
-        machine.presence(here, away);
+        machine.updatePresence(here, away);
     }
 
     boolean keeps(long now) {
-        return machine.keeps(now);
+        return machine.isCoordinator(now);
     }
 
     /** Whether it may spend of every budget now. */
@@ -89,13 +89,13 @@
     }
 
     @Override
-    public void news(String text) {
+    public void logEvent(String text) {
         // what it comes to is measured
     }
 
     @Override
     public long nextAt() {
-        return machine.nextAt();
+        return machine.nextTickAt();
     }
 
     @Override
--- a/proxy/src/main/java/dockrelay/proxy/BudgetsReader.java
+++ b/proxy/src/main/java/dockrelay/proxy/BudgetConfigReader.java
@@ -10,11 +10,11 @@
 import java.util.Set;
 
 /** The budgets of the whole fleet that a configuration names, and a group's parts of them. */
-final class BudgetsReader {
+final class BudgetConfigReader {
     /** Copies, hedges and retries of all proxies together. */
     private static final Set<String> NAMES = Set.of("extra");
 
-    private BudgetsReader() {
+    private BudgetConfigReader() {
     }
 
     /** Those that are named, and each tenant's share. Groups are null where no peers are named. */
@@ -29,7 +29,7 @@
             Map<?, ?> of = (Map<?, ?>) value;
             Budget budget = Budget.perSecond((String) name, Config.number(of, "per_second", 0));
             budget = of.containsKey("burst") ? new Budget(budget.name(), budget.rate(),
-                Math.round(Config.number(of, "burst", 0) * Budget.ONE)) : budget;
+                Math.round(Config.number(of, "burst", 0) * Budget.MICROTOKENS_PER_TOKEN)) : budget;
             if (groups != null && !divisible(budget, groups)) {
                 throw tooSmall(budget, groups);
             }
@@ -49,9 +49,9 @@
     private static BudgetException tooSmall(Budget budget, PeerGroups groups) {
         int names = groups.grouping().memberCount(), smallest = groups.smallest();
         return new BudgetException(BudgetException.Code.BURST, "budget " + budget.name() + ": burst of "
-            + budget.burst() / (double) Budget.ONE + " is too little for " + groups.grouping().groupCount()
+            + budget.burst() / (double) Budget.MICROTOKENS_PER_TOKEN + " is too little for " + groups.grouping().groupCount()
             + " groups of " + names + " peers, the smallest of " + smallest, "allowed there is at least "
-            + (long) Math.ceil((double) Budget.LEAST_BURST / Budget.ONE * names / smallest));
+            + (long) Math.ceil((double) Budget.LEAST_BURST / Budget.MICROTOKENS_PER_TOKEN * names / smallest));
     }
 
     /** Whether each group's part is a budget still; so all who have the same list see it alike. */
@@ -65,7 +65,7 @@
     }
 
     /** Those of a group of so many names: in all groups together never more than the whole. */
-    static List<Budget> parts(List<Budget> budgets, int names, PeerGroups groups) {
+    static List<Budget> groupShares(List<Budget> budgets, int names, PeerGroups groups) {
         return budgets.stream().map(whole -> new Budget(whole.name(), part(whole.rate(), names, groups),
             part(whole.burst(), names, groups))).toList();
     }
--- a/proxy/src/main/java/dockrelay/proxy/FleetBudgets.java
+++ b/proxy/src/main/java/dockrelay/proxy/BudgetService.java
@@ -5,11 +5,11 @@
 import dockrelay.fleet.MemberStatus;
 import dockrelay.fleet.MemberState;
 import dockrelay.fleet.budget.Budget;
-import dockrelay.fleet.budget.BudgetPace;
+import dockrelay.fleet.budget.BudgetTiming;
 import dockrelay.fleet.budget.BudgetRow;
-import dockrelay.fleet.budget.Budgets;
-import dockrelay.fleet.budget.Part;
-import dockrelay.fleet.budget.Use;
+import dockrelay.fleet.budget.BudgetNode;
+import dockrelay.fleet.budget.LeasedShare;
+import dockrelay.fleet.budget.ShareUsage;
 import io.netty.channel.EventLoop;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
@@ -25,7 +25,7 @@
  * Plays the budgets' machine for real, on the members' thread; the module spends on its own. In a fleet of
  * several groups each group divides its own part, by the number of its names: nothing is lent between groups.
  */
-final class FleetBudgets implements Budgets.Actions {
+final class BudgetService implements BudgetNode.Callbacks {
     private static final long REPORT_MILLIS = 100;
     /** One that is held gone for so long has no vote any more, so that the others' go on sufficing. */
     private static final long GONE_MICROS = 10_000_000;
@@ -33,20 +33,20 @@
     private final EventLoop loop;
     private final RequestTable table;
     private final BiConsumer<String, ByteBuffer> sender;
-    private final Budgets machine;
+    private final BudgetNode machine;
     private final Map<String, Long> askedBefore = new HashMap<>();
     private volatile boolean left;
     private long reportedAt, lastTold; // the table's thread has them
 
-    FleetBudgets(EventLoop loop, RequestTable table, Config config, int life, Random random,
+    BudgetService(EventLoop loop, RequestTable table, Config config, int life, Random random,
                  BiConsumer<String, ByteBuffer> sender) {
         this.loop = loop;
         this.table = table;
         this.sender = sender;
         long now = now();
         this.reportedAt = now;
-        this.machine = new Budgets(config.name(), config.neighbours(), config.groupBudgets(), life,
-            BudgetPace.USUAL, random, this, now);
+        this.machine = new BudgetNode(config.name(), config.neighbours(), config.groupBudgets(), life,
+            BudgetTiming.DEFAULT, random, this, now);
         machine.retired(now, config.retired());
         schedule();
         table.loop().scheduleWithFixedDelay(this::report, REPORT_MILLIS, REPORT_MILLIS,
@@ -54,7 +54,7 @@
     }
 
     /** Nothing is to be spent before a part is there. */
-    static void none(RequestTable table, Config config) {
+    static void applyZeroShares(RequestTable table, Config config) {
         table.budgets(0, 0, config.budgets().stream().map(budget -> new BudgetShare(budget.name(), 0, 0, 0))
             .toList());
     }
@@ -69,7 +69,7 @@
                 machine.tick(now());
                 schedule();
             }
-        }, Math.max(0, machine.nextAt() - now()), TimeUnit.MICROSECONDS);
+        }, Math.max(0, machine.nextTickAt() - now()), TimeUnit.MICROSECONDS);
     }
 
     void receive(String from, ByteBuffer datagram) {
@@ -87,7 +87,7 @@
                 away.add(row.name());
             }
         }
-        machine.presence(here, away);
+        machine.updatePresence(here, away);
     }
 
     void configure(Config next) {
@@ -101,13 +101,13 @@
     }
 
     @Override
-    public void parts(long telling, List<Part> parts, long until) {
+    public void applyShares(long telling, List<LeasedShare> parts, long until) {
         tell(telling, until, parts);
     }
 
-    private void tell(long telling, long until, List<Part> parts) {
+    private void tell(long telling, long until, List<LeasedShare> parts) {
         List<BudgetShare> told = parts.stream().map(part -> new BudgetShare(part.budget(), micros(part.rate()),
-            micros(part.burst()), micros(part.add()))).toList();
+            micros(part.burst()), micros(part.addedTokens()))).toList();
         table.loop().execute(() -> {
             if (!left) {
                 table.budgets(telling, until - now(), told);
@@ -117,7 +117,7 @@
     }
 
     private static double micros(long amount) {
-        return amount / (double) Budget.ONE;
+        return amount / (double) Budget.MICROTOKENS_PER_TOKEN;
     }
 
     /** On the table's thread: what the module has made of what it was told up to here. */
@@ -127,15 +127,15 @@
         }
         long now = now(), went = Math.max(1, now - reportedAt), upTo = lastTold;
         reportedAt = now;
-        List<Use> uses = new ArrayList<>();
+        List<ShareUsage> uses = new ArrayList<>();
         for (BudgetUse use : table.budgets()) {
             Long before = askedBefore.put(use.budget(), use.asked());
-            double wanted = (use.asked() - (before == null ? 0 : before)) * 1e6 / went * Budget.ONE;
-            uses.add(new Use(use.budget(), wanted, use.waits() ? 1 : 0, (long) Math.ceil(use.left() *
-                Budget.ONE),
+            double wanted = (use.asked() - (before == null ? 0 : before)) * 1e6 / went * Budget.MICROTOKENS_PER_TOKEN;
+            uses.add(new ShareUsage(use.budget(), wanted, use.waits() ? 1 : 0, (long) Math.ceil(use.left() *
+                Budget.MICROTOKENS_PER_TOKEN),
                 use.spent()));
         }
-        loop.execute(() -> machine.used(upTo, uses));
+        loop.execute(() -> machine.reportUsage(upTo, uses));
     }
 
     /** On the table's thread: from here on nothing is spent, whatever is still on its way. */
@@ -157,7 +157,7 @@
     }
 
     @Override
-    public void news(String text) {
+    public void logEvent(String text) {
         Log.line("budgets", text);
     }
 
@@ -165,7 +165,7 @@
     String describe() {
         long now = now();
         String keeper = machine.keeper(now);
-        StringBuilder text = new StringBuilder("200 keeper=" + (machine.keeps(now) ? "self" : keeper == null
+        StringBuilder text = new StringBuilder("200 keeper=" + (machine.isCoordinator(now) ? "self" : keeper == null
             ? "none" : keeper));
         if (machine.waitsFor() != null) {
             text.append(" waits-for=").append(machine.waitsFor());
@@ -175,7 +175,7 @@
                 + " wanted=%.1f/s spent=%d lease=%.1fs age=%.1fs", row.whole().name(),
                     micros(row.whole().rate()),
                 micros(row.whole().burst()), micros(row.rate()), micros(row.burst()), row.wanted() /
-                    Budget.ONE,
+                    Budget.MICROTOKENS_PER_TOKEN,
                 row.spent(), row.lease() / 1e6, Math.min(row.age() / 1e6, 99_999)));
         }
         return text.toString();
--- a/proxy/src/main/java/dockrelay/proxy/Config.java
+++ b/proxy/src/main/java/dockrelay/proxy/Config.java
@@ -89,7 +89,7 @@
         Map<?, ?> allowed = map(settings, "Permissions");
         PeerDirectory peers = peers(top);
         // What belongs to peers is not even loaded where there are none: each start would pay for it.
-        PeerGroups groups = peers.names().isEmpty() && !top.containsKey(PeerGroups.KEY) ? null
+        PeerGroups groups = peers.names().isEmpty() && !top.containsKey(PeerGroups.CONFIG_KEY) ? null
             : PeerGroups.read(top, peers);
         Settings read = SettingsReader.read(settings);
         return new Config(text(top, "name"), address("listen", text(top, "listen")),
@@ -101,7 +101,7 @@
             (long) (number(allowed, "ConnIdle", 15) * MICROS),
             !Boolean.FALSE.equals(allowed.get("RetryAfter")), maybe(top, "console"),
             maybe(top, "peer_listen"), peers, maybe(top, "peers_all"), groups,
-            top.get("budgets") instanceof Map<?, ?> budgets ? BudgetsReader.read(budgets, read, groups)
+            top.get("budgets") instanceof Map<?, ?> budgets ? BudgetConfigReader.read(budgets, read, groups)
                 : List.of(),
             list(top, "retired").stream().map(String.class::cast).toList(), streaming(settings));
     }
@@ -140,7 +140,7 @@
         named.keySet().forEach(name -> names.add((String) name));
         if (!named.isEmpty() && !named.containsKey(text(top, "name"))) {
             throw new IllegalArgumentException("peers: its own name " + text(top, "name")
-                + " is not among them: " + PeerGroups.some(names));
+                + " is not among them: " + PeerGroups.abbreviate(names));
         }
         List<InetSocketAddress> result = new ArrayList<>();
         named.forEach((name, value) -> result.add(address("peers." + name, value)));
@@ -150,12 +150,12 @@
 
     /** The names of the own group, its own among them. */
     List<String> neighbours() {
-        return groups.beside(name);
+        return groups.namesInGroupOf(name);
     }
 
     /** The own group's parts of the budgets; all of them where there is one group. */
     List<Budget> groupBudgets() {
-        return BudgetsReader.parts(budgets, neighbours().size(), groups);
+        return BudgetConfigReader.groupShares(budgets, neighbours().size(), groups);
     }
 
     /** Whether the proxies are to know of each other. */
--- a/proxy/src/main/java/dockrelay/proxy/Console.java
+++ b/proxy/src/main/java/dockrelay/proxy/Console.java
@@ -46,18 +46,18 @@
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1,
         new DefaultThreadFactory("console"), NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
-    private final Operators operators;
+    private final OperatorOverrides operators;
     private final BooleanSupplier serving;
     private final Function<String, CompletableFuture<Void>> enforce;
-    private final Members members; // null where there are none
+    private final MembershipService members; // null where there are none
     private final Supplier<CompletableFuture<String>> budgets; // null where there are none
     private final Set<Channel> callers = new LinkedHashSet<>(); // the one that came first is first
     private final Channel listener;
 
     /** Told of a changed backend, {@code enforce} says when the change is in force; no members, no such
      * call. */
-    Console(InetSocketAddress address, Operators operators, BooleanSupplier serving,
-            Function<String, CompletableFuture<Void>> enforce, Members members,
+    Console(InetSocketAddress address, OperatorOverrides operators, BooleanSupplier serving,
+            Function<String, CompletableFuture<Void>> enforce, MembershipService members,
             Supplier<CompletableFuture<String>> budgets) {
         this.budgets = budgets;
         this.members = members;
@@ -77,7 +77,7 @@
     }
 
     /** Runs this over and over on the console's thread. */
-    void every(long millis, Runnable look) {
+    void scheduleAtFixedDelay(long millis, Runnable look) {
         loop.scheduleWithFixedDelay(look, millis, millis, TimeUnit.MILLISECONDS);
     }
 
@@ -108,7 +108,7 @@
             } else if ("DETACH".equals(words[0]) || "ATTACH".equals(words[0])) {
                 if (words.length != 2 || words[1].isEmpty()) {
                     return CompletableFuture.completedFuture("400 usage: " + words[0] + " ID");
-                } else if (!operators.knows(words[1])) {
+                } else if (!operators.isKnown(words[1])) {
                     return CompletableFuture.completedFuture("400 no backend has that id");
                 }
                 boolean out = "DETACH".equals(words[0]);
--- a/proxy/src/main/java/dockrelay/proxy/Discovery.java
+++ b/proxy/src/main/java/dockrelay/proxy/Discovery.java
@@ -55,7 +55,7 @@
     private boolean callBesideWatch; // is due, as the watch has stopped in the middle of an object
     private boolean following, closed;
 
-    Discovery(Bootstrap template, EventLoop loop, Config config, RequestTable table, Operators operators,
+    Discovery(Bootstrap template, EventLoop loop, Config config, RequestTable table, OperatorOverrides operators,
               Counters counters) {
         this.counters = counters;
         counters.gauge("list-version", () -> version);
--- a/proxy/src/main/java/dockrelay/proxy/Listing.java
+++ b/proxy/src/main/java/dockrelay/proxy/Listing.java
@@ -24,7 +24,7 @@
  * listed anew it stands elsewhere in the order there, which moves a window by one backend at the most.
  */
 final class Listing {
-    private final Operators operators;
+    private final OperatorOverrides operators;
     private final ToLongFunction<String> numbers;
     private final IntFunction<LongObjectMap<Member>> maps;
     private final Map<String, Long> apart = new HashMap<>(); // those whose own number was another's
@@ -33,12 +33,12 @@
     private LongObjectMap<Member> known;
     private int ready; // by the list
 
-    Listing(Operators operators) {
+    Listing(OperatorOverrides operators) {
         this(operators, EntryReader::number, Listing::map);
     }
 
     /** With other numbers of names, and with other maps. */
-    Listing(Operators operators, ToLongFunction<String> numbers, IntFunction<LongObjectMap<Member>> maps) {
+    Listing(OperatorOverrides operators, ToLongFunction<String> numbers, IntFunction<LongObjectMap<Member>> maps) {
         this.operators = operators;
         this.numbers = numbers;
         this.maps = maps;
@@ -79,7 +79,7 @@
     }
 
     private Member overlaid(Member member) {
-        Member told = operators.overlay(member.name(), member);
+        Member told = operators.applyOverride(member.name(), member);
         if (isReady(member) && !isReady(told)) {
             withheld.add(member.name());
         } else {
@@ -227,7 +227,7 @@
     }
 
     private void put(long id, Member member) {
-        operators.name(member.name());
+        operators.markListed(member.name());
         if (member.backend().phase() == Phase.GONE) {
             Member before = known.remove(id);
             forget(before == null ? member : before);
@@ -241,7 +241,7 @@
         ready -= isReady(member) ? 1 : 0;
         withheld.remove(member.name());
         apart.remove(member.name());
-        operators.unname(member.name());
+        operators.markUnlisted(member.name());
     }
 
     /**
--- a/proxy/src/main/java/dockrelay/proxy/Members.java
+++ b/proxy/src/main/java/dockrelay/proxy/MembershipService.java
@@ -7,7 +7,7 @@
 import dockrelay.fleet.MemberStatus;
 import dockrelay.fleet.MembershipSnapshot;
 import dockrelay.fleet.MemberState;
-import dockrelay.fleet.budget.Budgets;
+import dockrelay.fleet.budget.BudgetNode;
 import dockrelay.fleet.group.GroupAssignment;
 import dockrelay.fleet.group.GroupedMembership;
 import io.netty.buffer.ByteBuf;
@@ -39,7 +39,7 @@
  * keeps it from answering nor a flood of datagrams a request from its answer. Nothing here looks through all
  * names of the fleet but a change of the list.
  */
-final class Members implements GroupedMembership.Callbacks {
+final class MembershipService implements GroupedMembership.Callbacks {
     private static final long TELL_MILLIS = 250, RETRY_MILLIS = 100, LOG_MILLIS = 200;
     /** So many incarnations are taken at a time: each suspicion that is countered uses one up. */
     private static final long RESERVED = 10_000;
@@ -53,7 +53,7 @@
     private final EventLoop loop = group.next();
     private final Path file;
     private final Consumer<FleetView> told;
-    private final Peers peers;
+    private final PeerTransport peers;
     private final Random random;
     private final List<String> news = new ArrayList<>();
     private Config config;
@@ -63,18 +63,18 @@
     private long nextAt;
     private long suspicions, clashes, reserved;
     private final RequestTable table;
-    private FleetBudgets budgets; // null where the configuration names none
-    private volatile FleetBudgets spending; // the same, for other threads
+    private BudgetService budgets; // null where the configuration names none
+    private volatile BudgetService spending; // the same, for other threads
     private boolean ended;
 
     /** The folder outlives the process, or is null; the module is told through the consumer. */
-    Members(Config config, Path folder, RequestTable table, Consumer<FleetView> told) {
+    MembershipService(Config config, Path folder, RequestTable table, Consumer<FleetView> told) {
         this.config = config;
         this.file = folder == null ? null : folder.resolve("incarnation");
         this.told = told;
         this.table = table;
         this.random = new Random(config.seed());
-        this.peers = new Peers(loop, config, table, this::receive);
+        this.peers = new PeerTransport(loop, config, table, this::receive);
     }
 
     /** Joins the others, once this process can serve. */
@@ -82,7 +82,7 @@
         loop.execute(() -> peers.open(RETRY_MILLIS, this::begin));
     }
 
-    Peers peers() {
+    PeerTransport transport() {
         return peers;
     }
 
@@ -97,7 +97,7 @@
         machine = new GroupedMembership(config.name(), config.groups().grouping(), incarnation, life, ProtocolTiming.DEFAULT, random,
             this, now());
         if (!config.budgets().isEmpty()) {
-            budgets = new FleetBudgets(loop, table, config, life, new Random(random.nextLong()), this::send);
+            budgets = new BudgetService(loop, table, config, life, new Random(random.nextLong()), this::send);
             spending = budgets;
         }
         schedule();
@@ -134,7 +134,7 @@
     private void receive(String from, ByteBuf content) {
         if (machine != null && !ended) {
             ByteBuffer bytes = content.nioBuffer();
-            if (bytes.hasRemaining() && Budgets.ours(bytes.get(0))) {
+            if (bytes.hasRemaining() && BudgetNode.ours(bytes.get(0))) {
                 if (budgets != null) {
                     guarded(() -> budgets.receive(from, bytes));
                 }
@@ -253,7 +253,7 @@
 
     private String listed(Config next) {
         GroupAssignment grouping = next.groups().grouping();
-        String names = PeerGroups.some(next.peers().names());
+        String names = PeerGroups.abbreviate(next.peers().names());
         if (grouping.isSingleGroup() && config.groups().grouping().isSingleGroup()) {
             return "the list is now " + names;
         }
--- a/proxy/src/main/java/dockrelay/proxy/Operators.java
+++ b/proxy/src/main/java/dockrelay/proxy/OperatorOverrides.java
@@ -27,7 +27,7 @@
  * of its own, so that the next process has it at its start and two beside each other have the same ones.
  * Calls come on the console's thread, lists on the event loop's.
  */
-final class Operators {
+final class OperatorOverrides {
     private static final String PREFIX = "backend-";
     private static final Pattern KEPT = Pattern.compile("(out|in) (\\d{1,18})\\n");
     /** What an id may look like in a call: its name in a file stays within what file systems take. */
@@ -46,13 +46,13 @@
     }
 
     /** Takes up what is kept in the folder; without one nothing is kept. */
-    Operators(Path folder) {
+    OperatorOverrides(Path folder) {
         this.folder = folder;
         refresh();
     }
 
     /** Discovery has named this backend: there are calls for such ones only. */
-    void name(String id) {
+    void markListed(String id) {
         named.add(id);
         left.remove(id);
     }
@@ -61,7 +61,7 @@
      * Discovery names it no more. It may be away for a restart only: calls about the last ones that left are
      * still let pass.
      */
-    void unname(String id) {
+    void markUnlisted(String id) {
         left.add(id);
         if (left.size() > MOST_LEFT) {
             Iterator<String> eldest = left.iterator();
@@ -71,7 +71,7 @@
     }
 
     /** Whether a call may be about this id: discovery named it, here or in the process before. */
-    boolean knows(String id) {
+    boolean isKnown(String id) {
         return ID.matcher(id).matches() && (named.contains(id) || marks.containsKey(id));
     }
 
@@ -143,7 +143,7 @@
     }
 
     /** The entry as the proxy goes by it: the worse of what discovery and the operators say. */
-    RequestTable.Member overlay(String id, RequestTable.Member member) {
+    RequestTable.Member applyOverride(String id, RequestTable.Member member) {
         Mark mark = marks.get(id);
         if (mark == null) {
             return member;
--- a/proxy/src/main/java/dockrelay/proxy/PeerGroups.java
+++ b/proxy/src/main/java/dockrelay/proxy/PeerGroups.java
@@ -13,27 +13,27 @@
  * zone. Where the configuration does not say, all are in one zone without a name.
  */
 record PeerGroups(int size, Map<String, List<String>> zones, GroupAssignment grouping) {
-    static final String KEY = "peer_groups";
-    private static final String SIZE = KEY + ".size", ZONES = KEY + ".zones";
+    static final String CONFIG_KEY = "peer_groups";
+    private static final String SIZE = CONFIG_KEY + ".size", ZONES = CONFIG_KEY + ".zones";
     /** So many names are told of in a line. */
     private static final int MOST_TOLD = 12, LONGEST_VALUE = 60;
 
     /** Of peers of which each has a name, or with the key given. */
     static PeerGroups read(Map<?, ?> top, PeerDirectory peers) {
-        Object given = top.get(KEY);
+        Object given = top.get(CONFIG_KEY);
         if (given == null) {
             return of(GroupAssignment.DEFAULT_GROUP_SIZE, Map.of("", peers.names()), peers);
         }
         if (peers.names().isEmpty()) {
-            throw new PeerGroupsException(Code.SHAPE, KEY, "given where peers names nobody",
+            throw new PeerGroupsException(Code.SHAPE, CONFIG_KEY, "given where peers names nobody",
                 "make peers an object {NAME: \"HOST:PORT\", ...}, or leave it out");
         }
         if (!(given instanceof Map<?, ?> map)) {
-            throw shape(KEY, given, "an object {\"size\": NUMBER, \"zones\": {ZONE: [NAME, ...], ...}}");
+            throw shape(CONFIG_KEY, given, "an object {\"size\": NUMBER, \"zones\": {ZONE: [NAME, ...], ...}}");
         }
         map.forEach((key, value) -> {
             if (!"size".equals(key) && !"zones".equals(key)) {
-                throw shape(KEY + "." + key, value, "a size and zones, nothing else");
+                throw shape(CONFIG_KEY + "." + key, value, "a size and zones, nothing else");
             }
         });
         return of(size(map.get("size")), zones(map.get("zones"), peers), peers);
@@ -93,14 +93,14 @@
             }
         }));
         if (grouping.memberCount() < peers.size()) {
-            throw new PeerGroupsException(Code.UNPLACED, ZONES, "without " + some(peers.names().stream()
+            throw new PeerGroupsException(Code.UNPLACED, ZONES, "without " + abbreviate(peers.names().stream()
                 .filter(name -> grouping.groupOf(name) < 0).toList()), "put each of peers into one zone");
         }
         return new PeerGroups(size, zones, grouping);
     }
 
     /** In one line, however many they are. */
-    static String some(List<String> names) {
+    static String abbreviate(List<String> names) {
         return names.size() <= MOST_TOLD ? names.toString()
             : names.subList(0, MOST_TOLD) + " and " + (names.size() - MOST_TOLD) + " more";
     }
@@ -117,7 +117,7 @@
     }
 
     /** The names of the own group, in the order that all see alike. */
-    List<String> beside(String name) {
+    List<String> namesInGroupOf(String name) {
         return grouping.memberNames(grouping.groupOf(name));
     }
 
--- a/proxy/src/main/java/dockrelay/proxy/Peers.java
+++ b/proxy/src/main/java/dockrelay/proxy/PeerTransport.java
@@ -1,6 +1,6 @@
 package dockrelay.proxy;
 
-import dockrelay.fleet.budget.Budgets;
+import dockrelay.fleet.budget.BudgetNode;
 import dockrelay.fleet.group.GroupedMembership;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
@@ -20,7 +20,7 @@
  * Datagrams between the proxies, where the settings allow them. They may be lost; nobody waits for one. The
  * module's messages are text, the members' begin with a byte that no text has.
  */
-final class Peers {
+final class PeerTransport {
     private static final int LONGEST = 256;
     /** So many datagrams are read in so long; what is beyond is the system's to drop. */
     private static final long WINDOW_MILLIS = 50;
@@ -40,14 +40,14 @@
     private boolean closed;
 
     /** Without a receiver of members' datagrams there are the module's messages only. */
-    Peers(EventLoop loop, Config config, RequestTable table, Receiver members) {
+    PeerTransport(EventLoop loop, Config config, RequestTable table, Receiver members) {
         this.loop = loop;
         this.config = config;
         this.table = table;
         this.members = members;
     }
 
-    Peers(EventLoop loop, Config config, RequestTable table) {
+    PeerTransport(EventLoop loop, Config config, RequestTable table) {
         this(loop, config, table, null);
         channel = bootstrap().bind(config.peerListen()).syncUninterruptibly().channel();
     }
@@ -106,7 +106,7 @@
         }
         if (members != null && content.isReadable()
             && (from < 0 || GroupedMembership.isMembershipDatagram(content.getByte(content.readerIndex()))
-            || Budgets.ours(content.getByte(content.readerIndex())))) {
+            || BudgetNode.ours(content.getByte(content.readerIndex())))) {
             members.receive(config.peers().name(from), content);
         } else if (from >= 0 && toldToAll()) {
             String message = content.toString(StandardCharsets.UTF_8);
@@ -139,7 +139,7 @@
     }
 
     /** Tells every other proxy, in a fleet of one group: a longer message than may be sent is left out. */
-    void tell(String message) {
+    void broadcast(String message) {
         if (!toldToAll()) {
             return;
         }
--- a/proxy/src/main/java/dockrelay/proxy/Proxy.java
+++ b/proxy/src/main/java/dockrelay/proxy/Proxy.java
@@ -76,10 +76,10 @@
     private final Discovery discovery;
     private final CountDownLatch finished = new CountDownLatch(1);
     private final Counters counters = new Counters();
-    private final Operators operators;
+    private final OperatorOverrides operators;
     private final Console console;
-    private final Succession succession;
-    private Members members; // null where the configuration names none
+    private final UpgradeOverlapDetector succession;
+    private MembershipService members; // null where the configuration names none
     private volatile boolean accepting, stopping;
     private volatile boolean beside; // the console's thread sets it
     private volatile int held;
@@ -111,18 +111,18 @@
         pool = new BackendPool(sockets, loop, room - fromClients, config.connectTimeout(),
             config.connectionIdle(), counters, bound);
         table = new RequestTable(loop, pool, clock, config, counters);
-        operators = new Operators(platform.console() == null ? null : platform.folder());
+        operators = new OperatorOverrides(platform.console() == null ? null : platform.folder());
         discovery = new Discovery(sockets, loop, config, table, operators, counters);
         Consumer<String> tell = message -> { };
         if (config.membership()) {
-            members = new Members(config, platform.folder(), table, this::told);
-            tell = members.peers()::tell;
+            members = new MembershipService(config, platform.folder(), table, this::told);
+            tell = members.transport()::broadcast;
         } else if (config.settings().limits().peers() && config.peerListen() != null) {
-            tell = new Peers(loop, config, table)::tell;
+            tell = new PeerTransport(loop, config, table)::broadcast;
         }
         table.attach(new RiqBalancer(config.settings(), config.seed(), table), discovery::subscribe, tell);
         if (members != null && !config.budgets().isEmpty()) {
-            loop.execute(() -> FleetBudgets.none(table, config));
+            loop.execute(() -> BudgetService.applyZeroShares(table, config));
         }
         clients = new ClientSide(table, config.settings().classes(), fromClients, this::ready,
             counters, bound);
@@ -130,9 +130,9 @@
         console = platform.console() == null ? null
             : new Console(platform.console(), operators, () -> accepting && ready(), this::enforce,
                 members, config.budgets().isEmpty() || members == null ? null : members::describeBudgets);
-        succession = console == null || platform.folder() == null ? null : new Succession(platform.folder());
+        succession = console == null || platform.folder() == null ? null : new UpgradeOverlapDetector(platform.folder());
         if (succession != null) {
-            console.every(LOOK_MILLIS, this::lookAround);
+            console.scheduleAtFixedDelay(LOOK_MILLIS, this::lookAround);
         }
         shared = platform.listener() != null;
         longestDeadline = config.settings().classes().stream().mapToLong(ServiceClass::deadline).max()
@@ -340,7 +340,7 @@
     private void lookAround() {
         operators.refresh().forEach(this::enforce);
         try {
-            int others = succession.exchange(held);
+            int others = succession.exchangeDescriptorCounts(held);
             if (others >= 0 != beside) {
                 beside = others >= 0;
                 Log.line("console", beside ? "another process of this proxy runs beside" : "alone again");
--- a/proxy/src/main/java/dockrelay/proxy/Succession.java
+++ b/proxy/src/main/java/dockrelay/proxy/UpgradeOverlapDetector.java
@@ -14,11 +14,11 @@
  * one of two seats, which the system takes back however the process ends. In its seat's file is how many
  * descriptors it holds, as the limit is for both together.
  */
-final class Succession {
+final class UpgradeOverlapDetector {
     private final FileChannel[] seats = new FileChannel[2];
     private int own = -1;
 
-    Succession(Path folder) throws IOException {
+    UpgradeOverlapDetector(Path folder) throws IOException {
         Files.createDirectories(folder);
         for (int i = 0; i < seats.length; i++) {
             seats[i] = FileChannel.open(folder.resolve("seat-" + i), StandardOpenOption.CREATE,
@@ -33,7 +33,7 @@
      * Tells the other process how many descriptors this one holds, and returns how many the other does; below
      * 0 where there is none.
      */
-    int exchange(int held) throws IOException {
+    int exchangeDescriptorCounts(int held) throws IOException {
         if (own < 0) {
             return 0; // a third one is not foreseen: it takes no notice of the other two
         }
--- a/proxy/src/test/java/dockrelay/proxy/ConsoleTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/ConsoleTest.java
@@ -174,34 +174,34 @@
 
     @Test
     void putBackItHasStartedAtTheCallUnlessDiscoveryNamesALaterStart(@TempDir Path kept) throws Exception {
-        Operators operators = new Operators(kept);
-        operators.name("s-1");
+        OperatorOverrides operators = new OperatorOverrides(kept);
+        operators.markListed("s-1");
         assertFalse(operators.attach("s-1"), "it was not out");
-        assertEquals(0, operators.overlay("s-1", listed(Phase.READY, 0)).backend().startedAt());
+        assertEquals(0, operators.applyOverride("s-1", listed(Phase.READY, 0)).backend().startedAt());
         assertTrue(operators.detach("s-1"));
-        assertEquals(Phase.DRAINING, operators.overlay("s-1", listed(Phase.READY, 0)).backend().phase());
-        assertEquals(Phase.GONE, operators.overlay("s-1", listed(Phase.GONE, 0)).backend().phase());
+        assertEquals(Phase.DRAINING, operators.applyOverride("s-1", listed(Phase.READY, 0)).backend().phase());
+        assertEquals(Phase.GONE, operators.applyOverride("s-1", listed(Phase.GONE, 0)).backend().phase());
         long before = System.currentTimeMillis() * 1_000;
         assertTrue(operators.attach("s-1"));
-        for (Operators each : List.of(operators, new Operators(kept))) {
-            Backend back = each.overlay("s-1", listed(Phase.READY, 1)).backend();
+        for (OperatorOverrides each : List.of(operators, new OperatorOverrides(kept))) {
+            Backend back = each.applyOverride("s-1", listed(Phase.READY, 1)).backend();
             assertEquals(Phase.READY, back.phase());
             assertTrue(back.startedAt() >= before, "cold as of the call");
             long later = Long.MAX_VALUE;
-            assertEquals(later, each.overlay("s-1", listed(Phase.READY, later)).backend().startedAt());
+            assertEquals(later, each.applyOverride("s-1", listed(Phase.READY, later)).backend().startedAt());
         }
     }
 
     @Test
     void whatCannotBeReadOfTheStateHidesNothingElse(@TempDir Path kept) throws Exception {
-        Operators before = new Operators(kept);
-        before.name("s/1");
+        OperatorOverrides before = new OperatorOverrides(kept);
+        before.markListed("s/1");
         before.detach("s/1");
         Files.write(kept.resolve("backend-s-2"), new byte[] {(byte) 0xff, 'o', 'u'});
         Files.createFile(kept.resolve("backend-s-3"));
-        Operators after = new Operators(kept);
-        assertTrue(after.knows("s/1"));
-        assertFalse(after.knows("s-2") || after.knows("s-3"));
+        OperatorOverrides after = new OperatorOverrides(kept);
+        assertTrue(after.isKnown("s/1"));
+        assertFalse(after.isKnown("s-2") || after.isKnown("s-3"));
         assertEquals(1, after.out());
     }
 }
--- a/proxy/src/test/java/dockrelay/proxy/ListApplierTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/ListApplierTest.java
@@ -28,7 +28,7 @@
 
     /** One that is told, and holds what it was told as the pool and the module do. */
     private static final class Told implements ListApplier.Sink {
-        final Operators operators = new Operators(null);
+        final OperatorOverrides operators = new OperatorOverrides(null);
         final Listing listing;
         final Deque<Runnable> turns = new ArrayDeque<>();
         final ListApplier applier;
--- a/proxy/src/test/java/dockrelay/proxy/ListingTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/ListingTest.java
@@ -25,7 +25,7 @@
 class ListingTest {
     private static final int[] SIZES = {500, 1_000, 2_000};
 
-    private final Operators operators = new Operators(null);
+    private final OperatorOverrides operators = new OperatorOverrides(null);
     private final Listing listing = new Listing(operators);
 
     private static Map<String, Object> entry(String name, String state) {
@@ -170,15 +170,15 @@
     void callsAreLetPassForThoseThatAreListedAndTheLastOnesThatLeft() {
         listing.take(entries(2_000), true);
         listing.take(List.of(), true);
-        long left = entries(2_000).stream().filter(entry -> operators.knows((String) entry.get("id")))
+        long left = entries(2_000).stream().filter(entry -> operators.isKnown((String) entry.get("id")))
             .count();
         assertEquals(1_000, left, "names of those that left are forgotten in the end");
         listing.take(entries(1), false);
         listing.take(entries(3_000).subList(1_000, 3_000), false);
         listing.take(entries(3_000).subList(1_000, 3_000).stream().peek(entry -> entry.put("state", "left"))
             .toList(), false);
-        assertTrue(operators.knows("s-0"), "it is back, whoever leaves");
-        assertFalse(operators.knows("s-1500"));
+        assertTrue(operators.isKnown("s-0"), "it is back, whoever leaves");
+        assertFalse(operators.isKnown("s-1500"));
     }
 
     /** A map that counts what it is asked, and each walk over all as all. */
@@ -238,7 +238,7 @@
         long[][] costs = new long[2][SIZES.length];
         for (int i = 0; i < SIZES.length; i++) {
             long[] steps = new long[1];
-            Listing each = new Listing(new Operators(null), name -> {
+            Listing each = new Listing(new OperatorOverrides(null), name -> {
                 steps[0]++;
                 return name.hashCode() * 0x9E3779B97F4A7C15L;
             }, size -> new Counted(size, steps));
@@ -278,7 +278,7 @@
         long[] steps = new long[SIZES.length];
         for (int i = 0; i < SIZES.length; i++) {
             long[] counted = new long[1];
-            Listing fresh = new Listing(new Operators(null), String::hashCode, size -> new Counted(size,
+            Listing fresh = new Listing(new OperatorOverrides(null), String::hashCode, size -> new Counted(size,
                 counted));
             fresh.take(all.subList(0, SIZES[i]), true);
             steps[i] = counted[0];
--- a/proxy/src/test/java/dockrelay/proxy/MembersTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/MembersTest.java
@@ -24,11 +24,11 @@
 class MembersTest {
     @TempDir
     Path folder;
-    private final List<Members> all = new ArrayList<>();
+    private final List<MembershipService> all = new ArrayList<>();
 
     @AfterEach
     void end() {
-        all.forEach(Members::close);
+        all.forEach(MembershipService::close);
     }
 
     private static List<Integer> ports(int count) throws Exception {
@@ -61,18 +61,18 @@
             + "\"Services\":[{\"Name\":\"look\",\"Aim\":1.0,\"HardLimit\":5.0}]}}");
     }
 
-    private Members member(Config config, Path kept, AtomicReference<FleetView> fleet) {
-        Members member = new Members(config, kept, null, fleet::set);
+    private MembershipService member(Config config, Path kept, AtomicReference<FleetView> fleet) {
+        MembershipService member = new MembershipService(config, kept, null, fleet::set);
         all.add(member);
         member.join();
         return member;
     }
 
-    private static String says(Members member) {
+    private static String says(MembershipService member) {
         return member.describe().join();
     }
 
-    private static void awaitSaying(Members member, String... words) {
+    private static void awaitSaying(MembershipService member, String... words) {
         Fakes.await(String.join(" ", words), () -> {
             String said = says(member);
             for (String word : words) {
@@ -93,7 +93,7 @@
         for (int i = 0; i < 3; i++) {
             member(config(i, ports.get(i), ports), folder.resolve("n" + i), fleets.get(i));
         }
-        for (Members member : all) {
+        for (MembershipService member : all) {
             awaitSaying(member, "200 present=3 of=3 agreement=all");
         }
         Fakes.await("the fact", () -> fleets.get(1).get() != null
@@ -110,7 +110,7 @@
                     ports.get(i % 3)));
             }
         }
-        for (Members member : all) {
+        for (MembershipService member : all) {
             awaitSaying(member, "200 present=3 of=3 agreement=all", "clashes=0");
         }
     }
@@ -125,14 +125,14 @@
             fleets.add(new AtomicReference<>());
             member(config(i, ports.get(i), ports, zones), folder.resolve("n" + i), fleets.get(i));
         }
-        for (Members member : all) {
+        for (MembershipService member : all) {
             awaitSaying(member, "200 present=5 of=5 agreement=all", " counted=5 ", " groups=3 ");
         }
         Fakes.await("the fact", () -> fleets.stream().allMatch(fleet -> fleet.get().proxies() == 5
             && fleet.get().agreement() == Agreement.ALL && fleet.get().countsAge() > 0));
         assertEquals(List.of(0, 1, 2, 3, 4), fleets.stream().map(fleet -> fleet.get().me()).toList());
         assertTrue(fleets.stream().mapToDouble(fleet -> fleet.get().share()).sum() < 1 + 1e-9);
-        Members n0 = all.get(0);
+        MembershipService n0 = all.get(0);
         assertTrue(says(n0).contains("\nn1 present") && !says(n0).contains("\nn2 "), says(n0));
         String groups = n0.describeGroups().join();
         assertTrue(groups.startsWith("200 groups=3 fresh=3\na/1 fresh of=2 present=2 left=0 gone=0 "
@@ -149,13 +149,13 @@
         List<Integer> ports = ports(2);
         try (DatagramSocket n1 = new DatagramSocket(ports.get(1), InetAddress.getLoopbackAddress())) {
             n1.setSoTimeout(20_000);
-            Members n0 = member(config(0, ports.get(0), ports, "\"a\":[\"n0\"],\"b\":[\"n1\"]"), null,
+            MembershipService n0 = member(config(0, ports.get(0), ports, "\"a\":[\"n0\"],\"b\":[\"n1\"]"), null,
                 new AtomicReference<>());
             awaitSaying(n0, " groups=2 ");
-            n0.peers().tell("11 11");
+            n0.transport().broadcast("11 11");
             n0.configure(config(0, ports.get(0), ports));
             awaitSaying(n0, " groups=1 ");
-            n0.peers().tell("22 22");
+            n0.transport().broadcast("22 22");
             DatagramPacket first = new DatagramPacket(new byte[2_000], 2_000);
             do {
                 n1.receive(first);
@@ -169,11 +169,11 @@
     @Test
     void twoOfOneNameAreToldSo() throws Exception {
         List<Integer> ports = ports(3);
-        Members n0 = member(config(0, ports.get(0), ports), folder.resolve("a"), new AtomicReference<>());
-        Members n1 = member(config(1, ports.get(1), ports), folder.resolve("b"), new AtomicReference<>());
+        MembershipService n0 = member(config(0, ports.get(0), ports), folder.resolve("a"), new AtomicReference<>());
+        MembershipService n1 = member(config(1, ports.get(1), ports), folder.resolve("b"), new AtomicReference<>());
         awaitSaying(n0, "present=2 of=3");
         List<Integer> swapped = List.of(ports.get(0), ports.get(2), ports.get(1));
-        Members wrong = member(config(1, ports.get(2), swapped), folder.resolve("c"),
+        MembershipService wrong = member(config(1, ports.get(2), swapped), folder.resolve("c"),
             new AtomicReference<>());
         Fakes.await("the word at both", () -> !says(n0).contains("clashes=0")
             && says(wrong).contains("200 ") && !says(wrong).contains("clashes=0"));
@@ -186,17 +186,17 @@
     void aListMayChangeAndTheIncarnationIsKept() throws Exception {
         List<Integer> ports = ports(3);
         List<Integer> two = ports.subList(0, 2);
-        Members n0 = member(config(0, ports.get(0), two), folder.resolve("n0"), new AtomicReference<>());
-        Members n1 = member(config(1, ports.get(1), two), folder.resolve("n1"), new AtomicReference<>());
+        MembershipService n0 = member(config(0, ports.get(0), two), folder.resolve("n0"), new AtomicReference<>());
+        MembershipService n1 = member(config(1, ports.get(1), two), folder.resolve("n1"), new AtomicReference<>());
         awaitSaying(n0, "present=2 of=2 agreement=all");
         n0.configure(config(0, ports.get(0), ports));
         awaitSaying(n0, "present=2 of=3", "other-list");
         n1.configure(config(1, ports.get(1), ports));
-        Members n2 = member(config(2, ports.get(2), ports), folder.resolve("n2"), new AtomicReference<>());
+        MembershipService n2 = member(config(2, ports.get(2), ports), folder.resolve("n2"), new AtomicReference<>());
         awaitSaying(n0, "present=3 of=3 agreement=all");
         long kept = Long.parseLong(Files.readString(folder.resolve("n2/incarnation")).trim());
         n2.handOver().join();
-        Members again = member(config(2, ports.get(2), ports), folder.resolve("n2"), new AtomicReference<>());
+        MembershipService again = member(config(2, ports.get(2), ports), folder.resolve("n2"), new AtomicReference<>());
         awaitSaying(again, "present=3 of=3 agreement=all");
         assertTrue(Long.parseLong(Files.readString(folder.resolve("n2/incarnation")).trim()) > kept);
         awaitSaying(n0, "n2 present", "present=3 of=3 agreement=all");
--- a/proxy/src/test/java/dockrelay/proxy/PeerGroupsTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/PeerGroupsTest.java
@@ -148,8 +148,8 @@
             rate += parts.get(0).rate();
             burst += parts.get(0).burst();
         }
-        assertTrue(rate <= 20 * Budget.ONE && rate > 19.99 * Budget.ONE, "" + rate);
-        assertTrue(burst <= 40 * Budget.ONE && burst > 39.99 * Budget.ONE, "" + burst);
+        assertTrue(rate <= 20 * Budget.MICROTOKENS_PER_TOKEN && rate > 19.99 * Budget.MICROTOKENS_PER_TOKEN, "" + rate);
+        assertTrue(burst <= 40 * Budget.MICROTOKENS_PER_TOKEN && burst > 39.99 * Budget.MICROTOKENS_PER_TOKEN, "" + burst);
     }
 
     /** Rather than that each group lends its least, which would be over the whole. */
--- a/proxy/src/test/java/dockrelay/proxy/RequestTableTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/RequestTableTest.java
@@ -229,8 +229,8 @@
             }
         }
         module((event, arguments) -> calls.add(arguments[1] + " " + arguments[2]));
-        new Peers(group.next(), Fakes.peers(ports, 0), table);
-        new Peers(group.next(), Fakes.peers(ports, 1), table).tell("hello");
+        new PeerTransport(group.next(), Fakes.peers(ports, 0), table);
+        new PeerTransport(group.next(), Fakes.peers(ports, 1), table).broadcast("hello");
         Fakes.await("the message", () -> calls.contains("1 hello"));
     }
 }
--- a/proxy/src/test/java/dockrelay/proxy/UpgradeTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/UpgradeTest.java
@@ -84,14 +84,14 @@
 
     @Test
     void eachKnowsWhatTheOtherHoldsAndThatItHasEnded() throws Exception {
-        Succession one = new Succession(folder);
-        assertEquals(-1, one.exchange(5));
-        Succession two = new Succession(folder);
-        assertEquals(5, two.exchange(7));
-        assertEquals(7, one.exchange(6));
-        assertEquals(6, two.exchange(7));
+        UpgradeOverlapDetector one = new UpgradeOverlapDetector(folder);
+        assertEquals(-1, one.exchangeDescriptorCounts(5));
+        UpgradeOverlapDetector two = new UpgradeOverlapDetector(folder);
+        assertEquals(5, two.exchangeDescriptorCounts(7));
+        assertEquals(7, one.exchangeDescriptorCounts(6));
+        assertEquals(6, two.exchangeDescriptorCounts(7));
         one.close();
-        assertEquals(-1, two.exchange(7));
+        assertEquals(-1, two.exchangeDescriptorCounts(7));
         two.close();
     }
 
