--- a/proxy/src/main/java/dockrelay/proxy/BackendPool.java
+++ b/proxy/src/main/java/dockrelay/proxy/BackendConnectionPool.java
@@ -50,7 +50,7 @@
  * Connections to the backends: kept alive, one request each, at most so many in all. A request goes out once;
  * what became of it is told by one outcome. All on the event loop's thread.
  */
-final class BackendPool {
+final class BackendConnectionPool {
     /** A kept connection is dropped this share of its idle time before the backend may drop it. */
     private static final double IDLE_SHARE = 0.85;
     private static final long SWEEP_MICROS = 500_000;
@@ -75,11 +75,11 @@
     private final Bootstrap bootstrap;
     private final EventLoop loop;
     private final Counters counters;
-    private final Buffers buffers;
+    private final BufferLimit buffers;
     private final int fullMost;
     private int most;
     private final long idleNanos, settledNanos;
-    private LongObjectMap<RequestTable.Member> listed = Listing.map(0);
+    private LongObjectMap<RequestTable.ListedBackend> listed = Listing.map(0);
     private final LongObjectMap<Peer> peers = Listing.map(0); // those of them that were sent to
     private final Set<Connection> idle = new LinkedHashSet<>(); // the first one was used first
     private int connections;
@@ -114,13 +114,13 @@
         }
     }
 
-    BackendPool(Bootstrap template, EventLoop loop, int most, long connectTimeout, long connectionIdle,
-                Counters counters, Buffers buffers) {
+    BackendConnectionPool(Bootstrap template, EventLoop loop, int most, long connectTimeout, long connectionIdle,
+                Counters counters, BufferLimit buffers) {
         this(template, loop, most, connectTimeout, connectionIdle, counters, buffers, SETTLED_NANOS);
     }
 
-    BackendPool(Bootstrap template, EventLoop loop, int most, long connectTimeout, long connectionIdle,
-                Counters counters, Buffers buffers, long settledNanos) {
+    BackendConnectionPool(Bootstrap template, EventLoop loop, int most, long connectTimeout, long connectionIdle,
+                Counters counters, BufferLimit buffers, long settledNanos) {
         this.settledNanos = settledNanos;
         this.buffers = buffers;
         this.loop = loop;
@@ -131,8 +131,8 @@
         this.idleNanos = (long) (connectionIdle * IDLE_SHARE * 1000);
         this.bootstrap = template.clone()
             .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) (connectTimeout / 1000))
-            .option(ChannelOption.WRITE_BUFFER_WATER_MARK, Buffers.WATER_MARKS)
-            .option(ChannelOption.RECVBUF_ALLOCATOR, Buffers.reads())
+            .option(ChannelOption.WRITE_BUFFER_WATER_MARK, BufferLimit.WATER_MARKS)
+            .option(ChannelOption.RECVBUF_ALLOCATOR, BufferLimit.reads())
             .handler(new ChannelInitializer<Channel>() {
                 @Override
                 protected void initChannel(Channel channel) {
@@ -143,12 +143,12 @@
         loop.scheduleAtFixedRate(this::sweep, SWEEP_MICROS, SWEEP_MICROS, TimeUnit.MICROSECONDS);
     }
 
-    int size() {
+    int connectionCount() {
         return connections;
     }
 
     /** Keeps to so many connections, as there are no more descriptors. */
-    void limit(int left) {
+    void limitConnections(int left) {
         most = Math.max(1, Math.min(fullMost, left));
         int over = connections - most;
         while (over-- > 0 && evict()) {
@@ -157,7 +157,7 @@
     }
 
     /** Where a backend listens now, and whether it may be sent anything new. */
-    void learn(RequestTable.Member member) {
+    void learn(RequestTable.ListedBackend member) {
         long id = member.backend().id();
         if (member.backend().phase() == Phase.GONE) {
             listed.remove(id);
@@ -171,9 +171,9 @@
     }
 
     /** Likewise of all there are: none but these may be sent anything. */
-    void learnAll(List<RequestTable.Member> members) {
+    void learnAll(List<RequestTable.ListedBackend> members) {
         listed = Listing.map(members.size());
-        for (RequestTable.Member member : members) {
+        for (RequestTable.ListedBackend member : members) {
             learn(member);
         }
         for (Peer peer : List.copyOf(peers.values())) {
@@ -185,7 +185,7 @@
         }
     }
 
-    private void update(Peer peer, RequestTable.Member member) {
+    private void update(Peer peer, RequestTable.ListedBackend member) {
         boolean moved = member.address() != null && !member.address().equals(peer.address);
         peer.address = member.address() == null ? peer.address : member.address();
         peer.ready = member.backend().phase() == Phase.READY;
@@ -205,7 +205,7 @@
     /** One that is sent to; null where no list has it. */
     private Peer peer(long backend) {
         Peer peer = peers.get(backend);
-        RequestTable.Member member = peer == null ? listed.get(backend) : null;
+        RequestTable.ListedBackend member = peer == null ? listed.get(backend) : null;
         if (member != null) {
             peer = new Peer(backend);
             peers.put(backend, peer);
@@ -457,7 +457,7 @@
         boolean isLong() {
             Connection connection = channel == null ? null : channel.pipeline().get(Connection.class);
             return connection != null && connection.current == this && (connection.passedBytes
-                > Buffers.MOST_WHOLE || HttpUtil.getContentLength(connection.head, 0L) > Buffers.MOST_WHOLE);
+                > BufferLimit.MAX_BUFFERED_MESSAGE_BYTES || HttpUtil.getContentLength(connection.head, 0L) > BufferLimit.MAX_BUFFERED_MESSAGE_BYTES);
         }
 
         private void begin(HttpResponse head, Body from) {
@@ -540,7 +540,7 @@
         private HttpResponse head;
         private ByteBuf gathered;
         private Body body;
-        private Buffers.Reading intake;
+        private BufferLimit.Reading intake;
         private long idleSince, passedBytes;
         private boolean reading;
 
@@ -592,7 +592,7 @@
             }
         }
 
-        private Buffers.Reading reading() {
+        private BufferLimit.Reading reading() {
             if (intake == null) {
                 intake = buffers.new Reading(channel);
             }
@@ -601,7 +601,7 @@
 
         /** From here on the answer is passed on as it comes. */
         private void stream() {
-            body = new Body(this, Buffers.MOST_WHOLE);
+            body = new Body(this, BufferLimit.MAX_BUFFERED_MESSAGE_BYTES);
             passedBytes = gathered == null ? 0 : gathered.readableBytes();
             if (gathered != null) {
                 body.add(new DefaultHttpContent(gathered));
--- a/proxy/src/main/java/dockrelay/proxy/BudgetService.java
+++ b/proxy/src/main/java/dockrelay/proxy/BudgetService.java
@@ -49,7 +49,7 @@
             BudgetTiming.DEFAULT, random, this, now);
         machine.retired(now, config.retired());
         schedule();
-        table.loop().scheduleWithFixedDelay(this::report, REPORT_MILLIS, REPORT_MILLIS,
+        table.eventLoop().scheduleWithFixedDelay(this::report, REPORT_MILLIS, REPORT_MILLIS,
             TimeUnit.MILLISECONDS);
     }
 
@@ -108,7 +108,7 @@
     private void tell(long telling, long until, List<LeasedShare> parts) {
         List<BudgetShare> told = parts.stream().map(part -> new BudgetShare(part.budget(), micros(part.rate()),
             micros(part.burst()), micros(part.addedTokens()))).toList();
-        table.loop().execute(() -> {
+        table.eventLoop().execute(() -> {
             if (!left) {
                 table.budgets(telling, until - now(), told);
                 lastTold = telling;
--- a/proxy/src/main/java/dockrelay/proxy/Buffers.java
+++ b/proxy/src/main/java/dockrelay/proxy/BufferLimit.java
@@ -12,14 +12,14 @@
  * Up to it messages of some length are kept whole; beyond it all but short ones are passed on as they come,
  * and nothing more is read of those until there is room again. All on the event loop's thread.
  */
-final class Buffers {
+final class BufferLimit {
     /** Of the memory limit: most of it is the runtime's. */
     private static final int SHARE = 8;
     private static final long MEGABYTE = 1 << 20;
     /** Below the runtime's own limit on such memory (32 MB): past that, buffers fail. */
     private static final long MOST_MEGABYTES = 24;
     private static final int MOST_READ = 16 * 1024;
-    static final int MOST_WHOLE = 64 * 1024;
+    static final int MAX_BUFFERED_MESSAGE_BYTES = 64 * 1024;
     private static final long LOOK_AGAIN_MILLIS = 50;
     private static final int MOST_WHOLE_SHORT = 8 * 1024;
     /** What a connection holds of a body on its way out: from the second figure on its source is stopped. */
@@ -28,14 +28,14 @@
     private final LongSupplier used;
     private final long bound;
 
-    Buffers(LongSupplier used, int memoryMegabytes) {
+    BufferLimit(LongSupplier used, int memoryMegabytes) {
         this.used = used;
         this.bound = Math.min(MOST_MEGABYTES, Math.max(1, memoryMegabytes / SHARE)) * MEGABYTE;
     }
 
     /** Those of an allocator, which are its chunks: what it holds rather than what is filled. */
-    static Buffers of(PooledByteBufAllocator allocator, int memoryMegabytes) {
-        return new Buffers(() -> allocator.metric().usedDirectMemory(), memoryMegabytes);
+    static BufferLimit forAllocator(PooledByteBufAllocator allocator, int memoryMegabytes) {
+        return new BufferLimit(() -> allocator.metric().usedDirectMemory(), memoryMegabytes);
     }
 
     /** A short read at a time: what is read of a body before its source is stopped comes on top. */
@@ -86,6 +86,6 @@
 
     /** The longest message that is kept whole now. */
     int mostWhole() {
-        return hasRoom() ? MOST_WHOLE : MOST_WHOLE_SHORT;
+        return hasRoom() ? MAX_BUFFERED_MESSAGE_BYTES : MOST_WHOLE_SHORT;
     }
 }
--- a/proxy/src/main/java/dockrelay/proxy/ClientSide.java
+++ b/proxy/src/main/java/dockrelay/proxy/ClientFrontend.java
@@ -55,7 +55,7 @@
 import java.util.regex.Pattern;
 
 /** The listener and the clients' connections. What is no proper request is answered here, at once. */
-final class ClientSide {
+final class ClientFrontend {
     /** After an answer that ends a connection: closing with bytes unread would take the answer with it. */
     private static final long LINGER_MILLIS = 500;
     /** From this share of the connections on, the one longest at rest is closed, else answers end theirs. */
@@ -93,7 +93,7 @@
 
     private final RequestTable table;
     private final Counters counters;
-    private final Buffers buffers;
+    private final BufferLimit buffers;
     private final int fullMost;
     private int most;
     private final BooleanSupplier ready;
@@ -106,8 +106,8 @@
     private int pauses; // in accepting, for want of room
     private Runnable whenEmpty;
 
-    ClientSide(RequestTable table, Iterable<ServiceClass> classes, int most, BooleanSupplier ready,
-               Counters counters, Buffers buffers) {
+    ClientFrontend(RequestTable table, Iterable<ServiceClass> classes, int most, BooleanSupplier ready,
+               Counters counters, BufferLimit buffers) {
         this.buffers = buffers;
         this.table = table;
         this.counters = counters;
@@ -122,10 +122,10 @@
 
     /** Listens at an address; with none, the bootstrap's channel is a listening socket as it comes. */
     ChannelFuture listen(ServerBootstrap bootstrap, SocketAddress address) {
-        bootstrap.childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, Buffers.WATER_MARKS)
+        bootstrap.childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, BufferLimit.WATER_MARKS)
             // Read on until nothing is there: an end behind a request is seen before that is sent on.
             .childOption(ChannelOption.RECVBUF_ALLOCATOR,
-                Buffers.reads().respectMaybeMoreData(false).maxMessagesPerRead(READS))
+                BufferLimit.reads().respectMaybeMoreData(false).maxMessagesPerRead(READS))
             .childHandler(new ChannelInitializer<Channel>() {
                 @Override
                 protected void initChannel(Channel channel) {
@@ -138,18 +138,18 @@
         return bound;
     }
 
-    int size() {
+    int connectionCount() {
         return connections.size();
     }
 
     /** Keeps to so many connections, as there are no more descriptors. */
-    void limit(int left) {
+    void limitConnections(int left) {
         most = Math.max(1, Math.min(fullMost, left));
         makeRoom();
     }
 
     /** From now on each answer ends its connection; none is of use after this time of the nano clock. */
-    void lastAnswers(long until) {
+    void startDraining(long until) {
         closing = true;
         lastAnswer = until;
     }
@@ -158,12 +158,12 @@
      * Leaves the listening socket to another process. It stays open: closing an inherited one makes the
      * runtime point the log at nothing.
      */
-    void leave() {
+    void releaseListener() {
         listener.deregister();
     }
 
     /** Runs this once no connection is left. */
-    void whenEmpty(Runnable action) {
+    void whenAllClosed(Runnable action) {
         whenEmpty = action;
         checkEmpty();
     }
@@ -180,20 +180,20 @@
      * Stops accepting once there was room for so long that all that had come is accepted: closing the
      * listener would reset what is in its backlog, requests and all.
      */
-    void closeOnceAccepted(long lookMillis, Runnable then) {
+    void stopAcceptingOnceBacklogEmpty(long lookMillis, Runnable then) {
         int before = pauses;
         listener.eventLoop().schedule(() -> {
             if (pauses == before && listener.config().isAutoRead()) {
                 listener.close();
                 then.run();
             } else {
-                closeOnceAccepted(lookMillis, then);
+                stopAcceptingOnceBacklogEmpty(lookMillis, then);
             }
         }, lookMillis, TimeUnit.MILLISECONDS);
     }
 
     /** Ends what has rested for so long that it may be ended: on the others a request may be coming. */
-    void closeRested() {
+    void closeLongIdle() {
         long now = System.nanoTime();
         for (Connection connection : Set.copyOf(connections)) {
             if (connection.rests() && now - connection.restingSince >= REST_NANOS) {
@@ -203,7 +203,7 @@
     }
 
     /** Ends what has no request in hand or coming in. */
-    void closeResting() {
+    void closeIdle() {
         for (Connection connection : Set.copyOf(connections)) {
             if (connection.rests()) {
                 connection.retire(true);
@@ -212,7 +212,7 @@
     }
 
     /** Where clients connect. */
-    SocketAddress address() {
+    SocketAddress localAddress() {
         return listener.localAddress();
     }
 
@@ -308,7 +308,7 @@
         private ByteBuf gathered;
         private long received;
         private Body upload; // of the request that is coming in, where it is passed on as it comes
-        private Buffers.Reading reading; // of the upload
+        private BufferLimit.Reading reading; // of the upload
         private Body answer; // that is passed on as it comes
         private String inHand;
         private Whole whole; // not handed on before all that has come is read
@@ -618,7 +618,7 @@
                 return;
             }
             reading = buffers.new Reading(channel);
-            Body body = new Body(this, Buffers.MOST_WHOLE);
+            Body body = new Body(this, BufferLimit.MAX_BUFFERED_MESSAGE_BYTES);
             if (gathered != null) {
                 body.add(new DefaultHttpContent(gathered));
                 gathered = null;
@@ -684,7 +684,7 @@
             if (!hosted || Headers.isAmbiguous(headers)) {
                 return HttpResponseStatus.BAD_REQUEST;
             }
-            if (!first.equals(headers.get(Headers.CLASS)) || id == null || id.isEmpty()
+            if (!first.equals(headers.get(Headers.SERVICE_CLASS)) || id == null || id.isEmpty()
                 || id.length() > LONGEST_ID || asked == null || !SECONDS.matcher(asked).matches()
                 || cost != null && !WHOLE_MICROS.matcher(cost).matches()
                 || spec.idempotency() == Idempotency.DEDUPLICATED && !keyed) {
@@ -721,7 +721,7 @@
             String path = path(message);
             int end = path.indexOf('/', 1);
             String cost = headers.get(Headers.COST);
-            return new Request(headers.get(Headers.REQUEST_ID), headers.get(Headers.CLASS),
+            return new Request(headers.get(Headers.REQUEST_ID), headers.get(Headers.SERVICE_CLASS),
                 headers.get(Headers.TENANT), end < 0 ? null : path.substring(path.lastIndexOf('/') + 1),
                 budget((long) (Double.parseDouble(headers.get(Headers.TIMEOUT)) * MICROS)),
                 cost == null ? 0 : (long) Double.parseDouble(cost),
--- a/proxy/src/main/java/dockrelay/proxy/Discovery.java
+++ b/proxy/src/main/java/dockrelay/proxy/Discovery.java
@@ -107,15 +107,15 @@
 
     /** The operators have changed what holds for this backend. */
     void operated(String name) {
-        RequestTable.Member member = listing.operated(name);
+        RequestTable.ListedBackend member = listing.operated(name);
         if (member != null) {
             tell(ListUpdateType.OPERATED, List.of(member));
         }
     }
 
     @Override
-    public void tell(ListUpdateType scope, List<RequestTable.Member> members) {
-        table.members(scope, members);
+    public void tell(ListUpdateType scope, List<RequestTable.ListedBackend> members) {
+        table.updateBackends(scope, members);
         anyReady = listing.anyReady();
     }
 
@@ -248,7 +248,7 @@
         Log.line("discovery", "the next call is due in " + wait + " ms");
         attemptIn(wait);
         if (asked) {
-            table.members(ListUpdateType.FAILED, List.of());
+            table.updateBackends(ListUpdateType.FAILED, List.of());
         }
     }
 
--- a/proxy/src/main/java/dockrelay/proxy/EntryReader.java
+++ b/proxy/src/main/java/dockrelay/proxy/EntryReader.java
@@ -2,7 +2,7 @@
 
 import dockrelay.Balancer.Backend;
 import dockrelay.Balancer.Phase;
-import dockrelay.proxy.RequestTable.Member;
+import dockrelay.proxy.RequestTable.ListedBackend;
 import java.net.SocketAddress;
 import java.util.HashMap;
 import java.util.List;
@@ -28,7 +28,7 @@
 
     /** Whether an entry, as it was read, says that its backend drains or is gone. */
     static boolean isRemoval(Object entry) {
-        return entry instanceof Member member ? member.backend().phase() != Phase.READY
+        return entry instanceof ListedBackend member ? member.backend().phase() != Phase.READY
             : entry instanceof Map<?, ?> said && phase(said) != Phase.READY;
     }
 
@@ -62,7 +62,7 @@
      * An entry of this number, and what was known of it, null where it was not. What a change leaves
      * out stays as it was, and what is as it was is the same object.
      */
-    Member member(Map<?, ?> entry, Member before, long number) {
+    ListedBackend member(Map<?, ?> entry, ListedBackend before, long number) {
         Backend old = before == null ? new Backend(number, "", "", 0, Phase.GONE, 1, 0) : before.backend();
         String zone = entry.get("zone") instanceof String text ? shared(text) : old.zone();
         String kind = entry.get("kind") instanceof String text ? shared(text) : old.kind();
@@ -72,7 +72,7 @@
         SocketAddress listed = before == null ? null : before.address();
         SocketAddress address = entry.get("addr") instanceof String text ? Endpoint.of(text) : listed;
         boolean same = before != null && same(backend, old) && Objects.equals(address, listed);
-        return same ? before : new Member(before == null ? Config.text(entry, "id") : before.name(), backend,
+        return same ? before : new ListedBackend(before == null ? Config.text(entry, "id") : before.name(), backend,
             address);
     }
 
--- a/proxy/src/main/java/dockrelay/proxy/Headers.java
+++ b/proxy/src/main/java/dockrelay/proxy/Headers.java
@@ -10,7 +10,7 @@
 /** Names of the protocol's headers, and which headers hold for one connection only. */
 final class Headers {
     static final AsciiString REQUEST_ID = AsciiString.cached("X-Request-ID");
-    static final AsciiString CLASS = AsciiString.cached("X-Priority-Class");
+    static final AsciiString SERVICE_CLASS = AsciiString.cached("X-Priority-Class");
     static final AsciiString TENANT = AsciiString.cached("X-Tenant-Id");
     static final AsciiString TIMEOUT = AsciiString.cached("X-Timeout");
     static final AsciiString RETRIED = AsciiString.cached("X-Retried");
@@ -24,7 +24,7 @@
         HttpHeaderNames.PROXY_AUTHENTICATE, HttpHeaderNames.PROXY_AUTHORIZATION);
 
     /** Said twice, one of these could be read one way here and another way by the next. */
-    private static final List<AsciiString> ONCE = List.of(HttpHeaderNames.HOST, REQUEST_ID, CLASS, TENANT,
+    private static final List<AsciiString> ONCE = List.of(HttpHeaderNames.HOST, REQUEST_ID, SERVICE_CLASS, TENANT,
         TIMEOUT, RETRIED, COST, IDEMPOTENCY_KEY);
 
     private Headers() {
--- a/proxy/src/main/java/dockrelay/proxy/ListApplier.java
+++ b/proxy/src/main/java/dockrelay/proxy/ListApplier.java
@@ -1,7 +1,7 @@
 package dockrelay.proxy;
 
 import dockrelay.Balancer.ListUpdateType;
-import dockrelay.proxy.RequestTable.Member;
+import dockrelay.proxy.RequestTable.ListedBackend;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
@@ -21,7 +21,7 @@
 
     /** Hears what is to be told, and when all of an update was. */
     interface Sink {
-        void tell(ListUpdateType scope, List<Member> members);
+        void tell(ListUpdateType scope, List<ListedBackend> members);
 
         void applied(ListParser.Update update);
 
@@ -100,7 +100,7 @@
         return 1 + update.entries().size();
     }
 
-    private void tell(ListUpdateType scope, List<Member> members) {
+    private void tell(ListUpdateType scope, List<ListedBackend> members) {
         try {
             sink.tell(scope, members);
         } catch (RuntimeException e) {
@@ -109,7 +109,7 @@
     }
 
     private void turn() {
-        List<Member> members = taking.next(BATCH);
+        List<ListedBackend> members = taking.next(BATCH);
         if (!members.isEmpty()) {
             tell(ListUpdateType.DELTA, members);
         }
--- a/proxy/src/main/java/dockrelay/proxy/Listing.java
+++ b/proxy/src/main/java/dockrelay/proxy/Listing.java
@@ -2,7 +2,7 @@
 
 import dockrelay.Balancer.Backend;
 import dockrelay.Balancer.Phase;
-import dockrelay.proxy.RequestTable.Member;
+import dockrelay.proxy.RequestTable.ListedBackend;
 import io.netty.util.collection.LongObjectHashMap;
 import io.netty.util.collection.LongObjectMap;
 import java.util.ArrayList;
@@ -26,11 +26,11 @@
 final class Listing {
     private final OperatorOverrides operators;
     private final ToLongFunction<String> numbers;
-    private final IntFunction<LongObjectMap<Member>> maps;
+    private final IntFunction<LongObjectMap<ListedBackend>> maps;
     private final Map<String, Long> apart = new HashMap<>(); // those whose own number was another's
     private final EntryReader entries = new EntryReader();
     private final Set<String> withheld = new HashSet<>(); // ready by the list, but not by the operators
-    private LongObjectMap<Member> known;
+    private LongObjectMap<ListedBackend> known;
     private int ready; // by the list
 
     Listing(OperatorOverrides operators) {
@@ -38,7 +38,7 @@
     }
 
     /** With other numbers of names, and with other maps. */
-    Listing(OperatorOverrides operators, ToLongFunction<String> numbers, IntFunction<LongObjectMap<Member>> maps) {
+    Listing(OperatorOverrides operators, ToLongFunction<String> numbers, IntFunction<LongObjectMap<ListedBackend>> maps) {
         this.operators = operators;
         this.numbers = numbers;
         this.maps = maps;
@@ -58,8 +58,8 @@
     }
 
     /** Null where it is not known. */
-    Member get(String name) {
-        Member member = known.get(id(name));
+    ListedBackend get(String name) {
+        ListedBackend member = known.get(id(name));
         return member != null && member.name().equals(name) ? member : null;
     }
 
@@ -73,13 +73,13 @@
     }
 
     /** As it is to be told now that the operators have said something of it; null where it is not known. */
-    Member operated(String name) {
-        Member member = get(name);
+    ListedBackend operated(String name) {
+        ListedBackend member = get(name);
         return member == null ? null : overlaid(member);
     }
 
-    private Member overlaid(Member member) {
-        Member told = operators.applyOverride(member.name(), member);
+    private ListedBackend overlaid(ListedBackend member) {
+        ListedBackend told = operators.applyOverride(member.name(), member);
         if (isReady(member) && !isReady(told)) {
             withheld.add(member.name());
         } else {
@@ -88,7 +88,7 @@
         return told;
     }
 
-    private static boolean isReady(Member member) {
+    private static boolean isReady(ListedBackend member) {
         return member.backend().phase() == Phase.READY;
     }
 
@@ -105,9 +105,9 @@
     }
 
     /** Takes entries in at once, as they are to be told; a full list drops whom it does not name. */
-    List<Member> take(List<?> entries, boolean full) {
+    List<ListedBackend> take(List<?> entries, boolean full) {
         Taking taking = new Taking(entries, full);
-        List<Member> told = taking.named(entries.size());
+        List<ListedBackend> told = taking.named(entries.size());
         while (!taking.done()) {
             taking.next(Integer.MAX_VALUE); // whom a full list does not name the module finds itself
         }
@@ -129,11 +129,11 @@
         /** So many are looked at, to be sorted or compared, in the time in which one is taken in. */
         private static final int LOOKED_AT = 16;
 
-        private final LongObjectMap<Member> named; // by a full list so far; null where changes are said
-        private final List<Member> leftOut = new ArrayList<>();
+        private final LongObjectMap<ListedBackend> named; // by a full list so far; null where changes are said
+        private final List<ListedBackend> leftOut = new ArrayList<>();
         private List<?> entries;
         private RingOrder order; // while they are sorted
-        private Iterator<Member> uncompared;
+        private Iterator<ListedBackend> uncompared;
         private boolean leaving; // the entries are those left out
         private int at;
 
@@ -147,9 +147,9 @@
         }
 
         /** What is to be told next, of at most so many; there may be nothing for a while. */
-        List<Member> next(int most) {
+        List<ListedBackend> next(int most) {
             int looked = (int) Math.min(Integer.MAX_VALUE, (long) most * LOOKED_AT);
-            List<Member> told = List.of();
+            List<ListedBackend> told = List.of();
             if (order != null) {
                 sort(looked);
             } else if (at == entries.size()) {
@@ -174,7 +174,7 @@
         private void compare(int looked) {
             uncompared = uncompared == null ? known.values().iterator() : uncompared;
             for (int i = 0; uncompared.hasNext() && i < looked; i++) {
-                Member member = uncompared.next();
+                ListedBackend member = uncompared.next();
                 if (!named.containsKey(member.backend().id())) {
                     leftOut.add(member);
                 }
@@ -186,14 +186,14 @@
             }
         }
 
-        private List<Member> named(int most) {
+        private List<ListedBackend> named(int most) {
             int end = (int) Math.min(entries.size(), at + (long) most);
-            List<Member> told = new ArrayList<>(end - at);
+            List<ListedBackend> told = new ArrayList<>(end - at);
             while (at < end) {
                 Object item = entries.get(at++);
-                Member member;
+                ListedBackend member;
                 try {
-                    member = numbered(item instanceof Member read ? read : member((Map<?, ?>) item));
+                    member = numbered(item instanceof ListedBackend read ? read : member((Map<?, ?>) item));
                 } catch (RuntimeException e) {
                     Log.error("discovery", e); // guards against one bad entry hiding all the others
                     continue;
@@ -211,13 +211,13 @@
         }
 
         /** Whom a full list leaves out is gone, also where it still answers. */
-        private List<Member> left(int most) {
+        private List<ListedBackend> left(int most) {
             int end = (int) Math.min(entries.size(), at + (long) most);
-            List<Member> told = new ArrayList<>(end - at);
+            List<ListedBackend> told = new ArrayList<>(end - at);
             while (at < end) {
-                Member member = (Member) entries.get(at++);
+                ListedBackend member = (ListedBackend) entries.get(at++);
                 Backend was = member.backend();
-                Member gone = new Member(member.name(), new Backend(was.id(), was.zone(), was.kind(),
+                ListedBackend gone = new ListedBackend(member.name(), new Backend(was.id(), was.zone(), was.kind(),
                     was.cell(), Phase.GONE, was.weight(), was.startedAt()), member.address());
                 put(was.id(), gone);
                 told.add(overlaid(gone));
@@ -226,18 +226,18 @@
         }
     }
 
-    private void put(long id, Member member) {
+    private void put(long id, ListedBackend member) {
         operators.markListed(member.name());
         if (member.backend().phase() == Phase.GONE) {
-            Member before = known.remove(id);
+            ListedBackend before = known.remove(id);
             forget(before == null ? member : before);
         } else {
-            Member before = known.put(id, member);
+            ListedBackend before = known.put(id, member);
             ready += (isReady(member) ? 1 : 0) - (before != null && isReady(before) ? 1 : 0);
         }
     }
 
-    private void forget(Member member) {
+    private void forget(ListedBackend member) {
         ready -= isReady(member) ? 1 : 0;
         withheld.remove(member.name());
         apart.remove(member.name());
@@ -248,9 +248,9 @@
      * Gives one another number where its own is somebody else's, and the one that it has by now where it was
      * read before an earlier word was taken in whole.
      */
-    private Member numbered(Member member) {
+    private ListedBackend numbered(ListedBackend member) {
         long number = id(member.name());
-        Member there = known.get(number);
+        ListedBackend there = known.get(number);
         if (member.backend().id() == number && (there == null || there.name().equals(member.name()))) {
             return member;
         }
@@ -261,11 +261,11 @@
         if (as.phase() != Phase.GONE) {
             apart.put(member.name(), number);
         }
-        return new Member(member.name(), new Backend(number, as.zone(), as.kind(), as.cell(), as.phase(),
+        return new ListedBackend(member.name(), new Backend(number, as.zone(), as.kind(), as.cell(), as.phase(),
             as.weight(), as.startedAt()), member.address());
     }
 
-    private Member member(Map<?, ?> entry) {
+    private ListedBackend member(Map<?, ?> entry) {
         String name = Config.text(entry, "id");
         return entries.member(entry, get(name), id(name));
     }
--- a/proxy/src/main/java/dockrelay/proxy/OperatorOverrides.java
+++ b/proxy/src/main/java/dockrelay/proxy/OperatorOverrides.java
@@ -143,7 +143,7 @@
     }
 
     /** The entry as the proxy goes by it: the worse of what discovery and the operators say. */
-    RequestTable.Member applyOverride(String id, RequestTable.Member member) {
+    RequestTable.ListedBackend applyOverride(String id, RequestTable.ListedBackend member) {
         Mark mark = marks.get(id);
         if (mark == null) {
             return member;
@@ -151,7 +151,7 @@
         Backend listed = member.backend();
         Phase phase = mark.out && listed.phase() == Phase.READY ? Phase.DRAINING : listed.phase();
         long startedAt = mark.out ? listed.startedAt() : Math.max(listed.startedAt(), mark.at);
-        return new RequestTable.Member(id, new Backend(listed.id(), listed.zone(), listed.kind(),
+        return new RequestTable.ListedBackend(id, new Backend(listed.id(), listed.zone(), listed.kind(),
             listed.cell(), phase, listed.weight(), startedAt), member.address());
     }
 
--- a/proxy/src/main/java/dockrelay/proxy/PeerTransport.java
+++ b/proxy/src/main/java/dockrelay/proxy/PeerTransport.java
@@ -110,7 +110,7 @@
             members.receive(config.peers().name(from), content);
         } else if (from >= 0 && toldToAll()) {
             String message = content.toString(StandardCharsets.UTF_8);
-            table.loop().execute(() -> table.peerMessage(from, message));
+            table.eventLoop().execute(() -> table.deliverPeerMessage(from, message));
         }
     }
 
--- a/proxy/src/main/java/dockrelay/proxy/Proxy.java
+++ b/proxy/src/main/java/dockrelay/proxy/Proxy.java
@@ -71,8 +71,8 @@
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private final RequestTable table;
-    private final BackendPool pool;
-    private final ClientSide clients;
+    private final BackendConnectionPool pool;
+    private final ClientFrontend clients;
     private final Discovery discovery;
     private final CountDownLatch finished = new CountDownLatch(1);
     private final Counters counters = new Counters();
@@ -107,8 +107,8 @@
             .option(ChannelOption.ALLOCATOR, buffers).option(ChannelOption.TCP_NODELAY, true);
         room = Math.max(2, config.sockets() - SPARE_DESCRIPTORS);
         int fromClients = Math.max(1, (int) (room * CLIENTS_SHARE));
-        Buffers bound = Buffers.of(buffers, config.memory());
-        pool = new BackendPool(sockets, loop, room - fromClients, config.connectTimeout(),
+        BufferLimit bound = BufferLimit.forAllocator(buffers, config.memory());
+        pool = new BackendConnectionPool(sockets, loop, room - fromClients, config.connectTimeout(),
             config.connectionIdle(), counters, bound);
         table = new RequestTable(loop, pool, clock, config, counters);
         operators = new OperatorOverrides(platform.console() == null ? null : platform.folder());
@@ -120,11 +120,11 @@
         } else if (config.settings().limits().peers() && config.peerListen() != null) {
             tell = new PeerTransport(loop, config, table)::broadcast;
         }
-        table.attach(new RiqBalancer(config.settings(), config.seed(), table), discovery::subscribe, tell);
+        table.attachBalancer(new RiqBalancer(config.settings(), config.seed(), table), discovery::subscribe, tell);
         if (members != null && !config.budgets().isEmpty()) {
             loop.execute(() -> BudgetService.applyZeroShares(table, config));
         }
-        clients = new ClientSide(table, config.settings().classes(), fromClients, this::ready,
+        clients = new ClientFrontend(table, config.settings().classes(), fromClients, this::ready,
             counters, bound);
         loop.execute(() -> discovery.start(config.known(), platform.listener() != null));
         console = platform.console() == null ? null
@@ -192,7 +192,7 @@
         }, LATENESS_MILLIS, LATENESS_MILLIS, TimeUnit.MILLISECONDS);
         loop.scheduleWithFixedDelay(() -> {
             Log.line("counters", counters.line());
-            Log.line("decisions", table.status());
+            Log.line("decisions", table.balancerStatus());
             latest = 0;
         }, COUNTERS_MILLIS, COUNTERS_MILLIS, TimeUnit.MILLISECONDS);
     }
@@ -290,7 +290,7 @@
     }
 
     InetSocketAddress address() {
-        return (InetSocketAddress) clients.address();
+        return (InetSocketAddress) clients.localAddress();
     }
 
     InetSocketAddress console() {
@@ -299,14 +299,14 @@
 
     /** How many connections of clients there are. */
     int clients() {
-        return clients.size();
+        return clients.connectionCount();
     }
 
     EventLoop loop() {
         return loop;
     }
 
-    ClientSide clientSide() {
+    ClientFrontend clientSide() {
         return clients;
     }
 
@@ -316,7 +316,7 @@
 
     /** How many requests are in hand, or have attempts out still. */
     int inHand() {
-        return table.size();
+        return table.inFlightCount();
     }
 
     private boolean ready() {
@@ -331,7 +331,7 @@
     /** What is known of the other proxies is the module's to go by, and grows old while the loop is busy. */
     private void told(FleetView fleet) {
         long at = System.nanoTime();
-        loop.execute(() -> table.fleet(new FleetView(fleet.proxies(), fleet.me(), fleet.share(),
+        loop.execute(() -> table.updateFleetView(new FleetView(fleet.proxies(), fleet.me(), fleet.share(),
             fleet.minShare(),
             fleet.agreement(), (System.nanoTime() - at) / 1000, fleet.countsAge())));
     }
@@ -347,9 +347,9 @@
             }
             loop.execute(() -> {
                 int left = others < 0 ? room : room - SPARE_DESCRIPTORS - others;
-                pool.limit(left - clients.size());
-                clients.limit(left - pool.size());
-                held = clients.size() + pool.size();
+                pool.limitConnections(left - clients.connectionCount());
+                clients.limitConnections(left - pool.connectionCount());
+                held = clients.connectionCount() + pool.connectionCount();
             });
         } catch (IOException e) {
             Log.error("console", e); // it goes on with the places it has
@@ -359,7 +359,7 @@
     /** Answers all that comes and all that was taken, then ends; returns once that is done. */
     void stop() {
         loop.execute(() -> {
-            Log.line("stop", "asked to end with " + table.size() + " requests in hand");
+            Log.line("stop", "asked to end with " + table.inFlightCount() + " requests in hand");
             stopping = true;
             if (members != null) {
                 members.stopSpending();
@@ -387,18 +387,18 @@
     private void serveOut() {
         long left = TimeUnit.MICROSECONDS.toMillis(Math.min(longestDeadline, LONGEST_DEADLINE_MICROS))
             + LAST_CHANCE_MILLIS;
-        clients.lastAnswers(System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(left));
+        clients.startDraining(System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(left));
         if (shared) {
-            clients.leave();
-            clients.whenEmpty(() -> table.whenEmpty(this::finish));
+            clients.releaseListener();
+            clients.whenAllClosed(() -> table.whenEmpty(this::finish));
         } else {
             loop.schedule(() -> {
-                clients.closeOnceAccepted(LOOK_MILLIS / 2,
-                    () -> clients.whenEmpty(() -> table.whenEmpty(this::finish)));
-                loop.scheduleWithFixedDelay(clients::closeRested, 0, LOOK_MILLIS, TimeUnit.MILLISECONDS);
+                clients.stopAcceptingOnceBacklogEmpty(LOOK_MILLIS / 2,
+                    () -> clients.whenAllClosed(() -> table.whenEmpty(this::finish)));
+                loop.scheduleWithFixedDelay(clients::closeLongIdle, 0, LOOK_MILLIS, TimeUnit.MILLISECONDS);
             }, Math.min(left, LAST_CONNECTIONS_MILLIS), TimeUnit.MILLISECONDS);
         }
-        loop.schedule(clients::closeResting, left, TimeUnit.MILLISECONDS);
+        loop.schedule(clients::closeIdle, left, TimeUnit.MILLISECONDS);
     }
 
     /** The last answers are on their way: the loop writes them out before it ends. */
--- a/proxy/src/main/java/dockrelay/proxy/RequestTable.java
+++ b/proxy/src/main/java/dockrelay/proxy/RequestTable.java
@@ -65,7 +65,7 @@
     private static final long UNENDING = 10_000_000;
 
     private final EventLoop loop;
-    private final BackendPool pool;
+    private final BackendConnectionPool pool;
     private final Counters counters;
     private final LongSupplier clock;
     private final int maxAttempts;
@@ -92,9 +92,9 @@
     }
 
     /** A backend as discovery has it; the address is null where the entry gives none. */
-    record Member(String name, Backend backend, SocketAddress address) {
+    record ListedBackend(String name, Backend backend, SocketAddress address) {
         /** One that has no name. */
-        Member(Backend backend, SocketAddress address) {
+        ListedBackend(Backend backend, SocketAddress address) {
             this("", backend, address);
         }
     }
@@ -110,14 +110,14 @@
         final Reply reply;
         long deadline;
         long wholeAt, beganAt;
-        BackendPool.Exchange streaming;
-        final List<BackendPool.Exchange> attempts = new ArrayList<>(2);
+        BackendConnectionPool.Exchange streaming;
+        final List<BackendConnectionPool.Exchange> attempts = new ArrayList<>(2);
         Future<?> timer;
         int out;
         boolean answered;
 
         /** The attempts that the pool has taken so far. */
-        List<BackendPool.Exchange> exchanges() {
+        List<BackendConnectionPool.Exchange> exchanges() {
             return attempts.stream().filter(Objects::nonNull).toList();
         }
 
@@ -129,7 +129,7 @@
         }
     }
 
-    RequestTable(EventLoop loop, BackendPool pool, LongSupplier clock, Config config, Counters counters) {
+    RequestTable(EventLoop loop, BackendConnectionPool pool, LongSupplier clock, Config config, Counters counters) {
         this.loop = loop;
         this.pool = pool;
         this.counters = counters;
@@ -145,7 +145,7 @@
     }
 
     /** The module that decides; it is made with this table as its actions. */
-    void attach(Balancer balancer, Runnable subscribe, Consumer<String> tell) {
+    void attachBalancer(Balancer balancer, Runnable subscribe, Consumer<String> tell) {
         module = balancer;
         subscriber = subscribe;
         messenger = tell;
@@ -183,11 +183,11 @@
         return pending.containsKey(requestId);
     }
 
-    String status() {
+    String balancerStatus() {
         return module.status(clock.getAsLong());
     }
 
-    int size() {
+    int inFlightCount() {
         return pending.size();
     }
 
@@ -274,14 +274,14 @@
         }
     }
 
-    void members(ListUpdateType scope, List<Member> members) {
+    void updateBackends(ListUpdateType scope, List<ListedBackend> members) {
         List<Backend> entries = new ArrayList<>(members.size());
         if (scope == ListUpdateType.FULL || scope == ListUpdateType.CACHED) {
             pool.learnAll(members);
         } else {
             members.forEach(pool::learn);
         }
-        for (Member member : members) {
+        for (ListedBackend member : members) {
             entries.add(member.backend);
         }
         enter(null, () -> module.onBackendList(clock.getAsLong(), scope, entries));
@@ -306,7 +306,7 @@
 
     /** Whatever the settings say of calling off: of a request that is over nothing begins any more. */
     private static void callOffUnsent(Pending p) {
-        for (BackendPool.Exchange attempt : List.copyOf(p.exchanges())) {
+        for (BackendConnectionPool.Exchange attempt : List.copyOf(p.exchanges())) {
             attempt.cancelUnlessBegun();
         }
     }
@@ -377,7 +377,7 @@
             return false;
         }
         for (int i = 0; i < p.attempts.size(); i++) {
-            BackendPool.Exchange other = p.attempts.get(i);
+            BackendConnectionPool.Exchange other = p.attempts.get(i);
             if (i == attempt || other == null || !other.mayHaveRun() || spec == null) {
                 continue;
             }
@@ -436,8 +436,8 @@
         }
         p.attempts.add(null);
         p.out++;
-        BackendPool.Exchange exchange = pool.send(backend, outgoing(p, left), p.body, left,
-            new BackendPool.Listener() {
+        BackendConnectionPool.Exchange exchange = pool.send(backend, outgoing(p, left), p.body, left,
+            new BackendConnectionPool.Listener() {
                 @Override
                 public void began(HttpResponse head, Body body) {
                     RequestTable.this.began(p, attempt, backend, now, head, body);
@@ -544,7 +544,7 @@
         messenger.accept(message);
     }
 
-    void fleet(FleetView fleet) {
+    void updateFleetView(FleetView fleet) {
         enter(null, () -> module.onFleetView(clock.getAsLong(), fleet));
     }
 
@@ -557,11 +557,11 @@
         return module.budgetUsage(clock.getAsLong());
     }
 
-    EventLoop loop() {
+    EventLoop eventLoop() {
         return loop;
     }
 
-    void peerMessage(int from, String message) {
+    void deliverPeerMessage(int from, String message) {
         enter(null, () -> module.onPeerMessage(clock.getAsLong(), from, message));
     }
 
--- a/proxy/src/main/java/dockrelay/proxy/RingOrder.java
+++ b/proxy/src/main/java/dockrelay/proxy/RingOrder.java
@@ -1,7 +1,7 @@
 package dockrelay.proxy;
 
 import dockrelay.Balancer;
-import dockrelay.proxy.RequestTable.Member;
+import dockrelay.proxy.RequestTable.ListedBackend;
 import java.util.Arrays;
 import java.util.List;
 import java.util.Map;
@@ -31,7 +31,7 @@
     boolean look(int most) {
         for (int end = (int) Math.min(parts.length, at + (long) most); at < end; at++) {
             Object item = items.get(at);
-            Object name = item instanceof Member member ? member.name()
+            Object name = item instanceof ListedBackend member ? member.name()
                 : item instanceof Map<?, ?> entry ? entry.get("id") : null; // a bad one is told of later
             long position = name instanceof String text
                 ? Balancer.ringPosition(numbers.applyAsLong(text)) : 0;
--- a/proxy/src/main/java/dockrelay/proxy/WarmUp.java
+++ b/proxy/src/main/java/dockrelay/proxy/WarmUp.java
@@ -174,27 +174,27 @@
         Bootstrap template = new Bootstrap().group(loop).channel(transport.channel)
             .option(ChannelOption.ALLOCATOR, buffers);
         Counters counters = new Counters();
-        Buffers bound = new Buffers(() -> 0, config.memory());
-        BackendPool pool = new BackendPool(template, loop, BACKENDS * CLIENTS, BUDGET, BUDGET, counters,
+        BufferLimit bound = new BufferLimit(() -> 0, config.memory());
+        BackendConnectionPool pool = new BackendConnectionPool(template, loop, BACKENDS * CLIENTS, BUDGET, BUDGET, counters,
             bound);
         RequestTable table = new RequestTable(loop, pool, clock, config, counters);
-        table.attach(new RiqBalancer(config.settings(), config.seed(), table), () -> { }, message -> { });
+        table.attachBalancer(new RiqBalancer(config.settings(), config.seed(), table), () -> { }, message -> { });
         listen(buffers);
-        List<RequestTable.Member> members = new ArrayList<>();
+        List<RequestTable.ListedBackend> members = new ArrayList<>();
         for (long id = 0; id < BACKENDS; id++) {
-            members.add(new RequestTable.Member(
+            members.add(new RequestTable.ListedBackend(
                 new Backend(id, config.settings().zone(), "", 0, Phase.READY, 1, 0), transport.back));
         }
-        table.members(ListUpdateType.CACHED, members);
+        table.updateBackends(ListUpdateType.CACHED, members);
         ServerBootstrap listening = new ServerBootstrap().group(loop).channel(transport.server)
             .childOption(ChannelOption.ALLOCATOR, buffers);
-        new ClientSide(table, config.settings().classes(), CLIENTS * 2, () -> true, counters, bound)
+        new ClientFrontend(table, config.settings().classes(), CLIENTS * 2, () -> true, counters, bound)
             .listen(listening, transport.front).addListener(this::listens);
         asking = template.clone().handler(new ChannelInitializer<Channel>() {
             @Override
             protected void initChannel(Channel channel) {
                 channel.pipeline().addLast(new HttpClientCodec(),
-                    new HttpObjectAggregator(Buffers.MOST_WHOLE), new Asking());
+                    new HttpObjectAggregator(BufferLimit.MAX_BUFFERED_MESSAGE_BYTES), new Asking());
             }
         });
         for (int i = 0; i < CLIENTS; i++) {
@@ -217,7 +217,7 @@
                 @Override
                 protected void initChannel(Channel channel) {
                     channel.pipeline().addLast(new HttpServerCodec(),
-                        new HttpObjectAggregator(Buffers.MOST_WHOLE), new Answering());
+                        new HttpObjectAggregator(BufferLimit.MAX_BUFFERED_MESSAGE_BYTES), new Answering());
                 }
             }).bind(transport.back).addListener(this::listens);
     }
@@ -239,7 +239,7 @@
             FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, method,
                 "/" + spec.name() + "/warm");
             request.headers().set(HttpHeaderNames.HOST, "warm").set(HttpHeaderNames.CONTENT_LENGTH, 0)
-                .set(Headers.REQUEST_ID, "warm-" + asked++).set(Headers.CLASS, spec.name())
+                .set(Headers.REQUEST_ID, "warm-" + asked++).set(Headers.SERVICE_CLASS, spec.name())
                 .set(Headers.TIMEOUT, "1.0").set(Headers.IDEMPOTENCY_KEY, "warm");
             context.writeAndFlush(request);
         }
--- a/proxy/src/test/java/dockrelay/proxy/BackendCrossingTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/BackendCrossingTest.java
@@ -7,10 +7,10 @@
 import dockrelay.Balancer;
 import dockrelay.Balancer.Outcome;
 import dockrelay.Balancer.Request;
-import dockrelay.proxy.Fakes.BackendFake;
-import dockrelay.proxy.Fakes.ClientFake;
+import dockrelay.proxy.Fakes.FakeBackend;
+import dockrelay.proxy.Fakes.FakeClient;
 import dockrelay.proxy.Fakes.Deaf;
-import dockrelay.proxy.Fakes.DiscoveryFake;
+import dockrelay.proxy.Fakes.FakeDiscovery;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
@@ -48,9 +48,9 @@
     private final EventLoop loop = group.next();
     private final List<FullHttpResponse> answers = new CopyOnWriteArrayList<>();
     private final List<Outcome> outcomes = new CopyOnWriteArrayList<>();
-    private final BackendFake backend = new BackendFake(request -> Fakes.answer("200 OK", "", "one"));
-    private final DiscoveryFake discovery = new DiscoveryFake();
-    private BackendPool pool;
+    private final FakeBackend backend = new FakeBackend(request -> Fakes.httpResponse("200 OK", "", "one"));
+    private final FakeDiscovery discovery = new FakeDiscovery();
+    private BackendConnectionPool pool;
     private RequestTable table;
     private Proxy proxy;
 
@@ -69,9 +69,9 @@
      * window.
      */
     private void parts(long settledNanos, BiConsumer<String, Object[]> does) {
-        pool = new BackendPool(new Bootstrap().group(group).channel(NioSocketChannel.class), loop, 8,
-            600_000_000, 15_000_000, new Counters(), new Buffers(() -> 0, 144), settledNanos);
-        Config config = Fakes.parsed(Fakes.text(0, 1, 1024, "", "")
+        pool = new BackendConnectionPool(new Bootstrap().group(group).channel(NioSocketChannel.class), loop, 8,
+            600_000_000, 15_000_000, new Counters(), new BufferLimit(() -> 0, 144), settledNanos);
+        Config config = Fakes.parseConfig(Fakes.configJson(0, 1, 1024, "", "")
             .replace("\"MemorySpan\":5.0", "\"MemorySpan\":0.2"));
         table = new RequestTable(loop, pool, () -> System.nanoTime() / 1000, config, new Counters());
         Balancer made = (Balancer) java.lang.reflect.Proxy.newProxyInstance(getClass().getClassLoader(),
@@ -82,7 +82,7 @@
                 does.accept(method.getName(), arguments);
                 return null;
             });
-        table.attach(made, () -> { }, message -> { });
+        table.attachBalancer(made, () -> { }, message -> { });
     }
 
     private void learn(long id, int port, boolean ready) {
@@ -122,10 +122,10 @@
                 Fakes.await("its answer", () -> outcomes.size() == count);
             }
             assertEquals(List.of(Outcome.OK, Outcome.OK, Outcome.OK), outcomes);
-            int connections = backend.open.size();
+            int connections = backend.openConnections.size();
             assertEquals(settled == 0 ? 1 : 3, connections);
             loop.submit(() -> pool.hangUp(1)).syncUninterruptibly();
-            Fakes.await("they are closed", () -> backend.open.isEmpty());
+            Fakes.await("they are closed", () -> backend.openConnections.isEmpty());
         }
     }
 
@@ -138,7 +138,7 @@
             }
         });
         InetSocketAddress address = new InetSocketAddress(InetAddress.getLoopbackAddress(), backend.port());
-        List<RequestTable.Member> all = new ArrayList<>();
+        List<RequestTable.ListedBackend> all = new ArrayList<>();
         for (int id = 1; id <= 2_000; id++) {
             all.add(Fakes.member(id, address, true));
         }
@@ -148,7 +148,7 @@
         Fakes.await("its answer", () -> outcomes.size() == 1);
         assertEquals(1, loop.submit(pool::used).get());
         loop.submit(() -> pool.learnAll(all.subList(1, 2_000))).syncUninterruptibly();
-        Fakes.await("its connection is closed", () -> backend.open.isEmpty());
+        Fakes.await("its connection is closed", () -> backend.openConnections.isEmpty());
         Fakes.await("it is forgotten", () -> used() == 0);
     }
 
@@ -157,7 +157,7 @@
     }
 
     private int size() {
-        return asked(pool::size);
+        return asked(pool::connectionCount);
     }
 
     private int asked(Callable<Integer> what) {
@@ -183,7 +183,7 @@
                     table.fail("r");
                 }
             });
-            backend.script = request -> ""; // closed after the request: it may have run
+            backend.responder = request -> ""; // closed after the request: it may have run
             learn(1, backend.port(), true);
             learn(2, deaf.port(), true);
             take("r", "save");
@@ -223,7 +223,7 @@
                 double seconds = Double.parseDouble(told.substring("X-Timeout: ".length()));
                 assertTrue(seconds <= 20 - waited / 1e9 + 1e-3 && seconds > 0, told + " after " + waited);
             }
-            Fakes.await("nothing is in hand", () -> table.size() == 0);
+            Fakes.await("nothing is in hand", () -> table.inFlightCount() == 0);
         }
     }
 
@@ -265,23 +265,23 @@
             learn(1, deaf.port(), true);
             learn(2, backend.port(), true);
             take("r", "save");
-            Fakes.await("nothing is in hand", () -> table.size() == 0);
+            Fakes.await("nothing is in hand", () -> table.inFlightCount() == 0);
             assertEquals(List.of(Outcome.OK, Outcome.CANCELLED), outcomes, "the winner is told first");
             assertEquals(200, answers.get(0).status().code());
         }
     }
 
     private void start() throws IOException {
-        discovery.first(DiscoveryFake.list(2, true, Fakes.entry("s-1", backend.port(), "active")));
+        discovery.setFirstList(FakeDiscovery.listJson(2, true, Fakes.entryJson("s-1", backend.port(), "active")));
         proxy = new Proxy(Fakes.config(discovery.port(), 1024));
     }
 
     /** It goes on for ever, a little at a time: its client is not to wait for an end that never comes. */
     @Test
     void anAnswerWithoutEndIsBrokenOffWhenItsTimeIsUp() throws Exception {
-        backend.script = request -> {
+        backend.responder = request -> {
             try {
-                for (Socket open : backend.open) {
+                for (Socket open : backend.openConnections) {
                     open.getOutputStream().write(("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
                         .getBytes(StandardCharsets.UTF_8));
                     while (true) {
@@ -297,8 +297,8 @@
             return "";
         };
         start();
-        try (ClientFake client = new ClientFake(proxy)) {
-            client.send(ClientFake.post("put", "0.8"));
+        try (FakeClient client = new FakeClient(proxy)) {
+            client.send(FakeClient.postRequest("put", "0.8"));
             assertThrows(IOException.class, () -> {
                 while (client.socket.getInputStream().read() >= 0) {
                     continue;
@@ -311,9 +311,9 @@
     /** An answer may last until its connection ends, but a reset is no end. */
     @Test
     void anAnswerWithoutALengthThatIsResetIsNotWhole() throws Exception {
-        backend.script = request -> {
+        backend.responder = request -> {
             try {
-                Socket open = backend.open.get(0);
+                Socket open = backend.openConnections.get(0);
                 open.getOutputStream().write(("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhalf")
                     .getBytes(StandardCharsets.UTF_8));
                 open.setSoLinger(true, 0);
@@ -323,8 +323,8 @@
             return "";
         };
         start();
-        try (ClientFake client = new ClientFake(proxy)) {
-            assertEquals(502, client.send(ClientFake.post("put", "4.0")).status());
+        try (FakeClient client = new FakeClient(proxy)) {
+            assertEquals(502, client.send(FakeClient.postRequest("put", "4.0")).readStatus());
         }
     }
 
@@ -332,27 +332,27 @@
     @Test
     void ofAnAnswerAndADeadlineThatComeTogetherOneIsTheAnswer() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
-        backend.script = request -> {
+        backend.responder = request -> {
             try {
                 answer.await();
             } catch (InterruptedException e) {
                 throw new IllegalStateException(e);
             }
-            return Fakes.answer("200 OK", "", "one");
+            return Fakes.httpResponse("200 OK", "", "one");
         };
         start();
-        try (ClientFake client = new ClientFake(proxy)) {
-            client.send(ClientFake.post("put", "0.4"));
+        try (FakeClient client = new FakeClient(proxy)) {
+            client.send(FakeClient.postRequest("put", "0.4"));
             Fakes.await("it is out", () -> backend.requests.size() == 1);
             long due = System.nanoTime() + 400_000_000L;
             Fakes.whileHeld(proxy.loop(), () -> { }, () -> {
                 answer.countDown();
                 Fakes.await("the deadline", () -> System.nanoTime() > due);
             });
-            int status = client.status();
+            int status = client.readStatus();
             assertTrue(status == 200 || status == 504 || status == 502, status + "");
-            backend.script = request -> Fakes.answer("200 OK", "", "two");
-            String next = client.send(ClientFake.post("save", "4.0")).answer();
+            backend.responder = request -> Fakes.httpResponse("200 OK", "", "two");
+            String next = client.send(FakeClient.postRequest("save", "4.0")).readResponse();
             assertTrue(next.endsWith("two"), next);
         }
     }
@@ -372,8 +372,8 @@
     }
 
     private void closeKept() throws IOException {
-        assertEquals(1, backend.open.size());
-        backend.open.get(0).close();
+        assertEquals(1, backend.openConnections.size());
+        backend.openConnections.get(0).close();
     }
 
     /** The backend's end lies there unread as its connection is taken: it may have run, and failed. */
--- a/proxy/src/test/java/dockrelay/proxy/BackendRemoval.java
+++ b/proxy/src/test/java/dockrelay/proxy/BackendRemoval.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dockrelay.proxy.Fakes.BackendFake;
+import dockrelay.proxy.Fakes.FakeBackend;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -20,14 +20,14 @@
 
     final List<ProxyProcess> proxies = new ArrayList<>();
     private final List<Long> arrivedAtRemoved = new CopyOnWriteArrayList<>();
-    private final BackendFake kept = new BackendFake(request -> Fakes.answer("200 OK", "", "kept"));
-    private final BackendFake removed = new BackendFake(request -> {
+    private final FakeBackend kept = new FakeBackend(request -> Fakes.httpResponse("200 OK", "", "kept"));
+    private final FakeBackend removed = new FakeBackend(request -> {
         arrivedAtRemoved.add(System.nanoTime());
-        return Fakes.answer("200 OK", "", "removed");
+        return Fakes.httpResponse("200 OK", "", "removed");
     });
-    final String keptEntry = Fakes.entry("s-kept", kept.port(), "active");
-    final String bothEntries = keptEntry + "," + Fakes.entry("s-removed", removed.port(), "active");
-    final String removedEntry = Fakes.entry("s-removed", removed.port(), "left");
+    final String keptEntry = Fakes.entryJson("s-kept", kept.port(), "active");
+    final String bothEntries = keptEntry + "," + Fakes.entryJson("s-removed", removed.port(), "active");
+    final String removedEntry = Fakes.entryJson("s-removed", removed.port(), "left");
 
     /** So many proxies, each with a folder of its own in this one. */
     void addProxies(int count, Path folder) throws IOException {
@@ -41,12 +41,12 @@
      * nothing arrives at the removed backend after another moment.
      */
     void assertNoneArrivesAfter(long stopped, long until, Object hint) throws Exception {
-        List<RequestLoop> clients = new ArrayList<>();
+        List<SequentialClient> clients = new ArrayList<>();
         for (ProxyProcess proxy : proxies) {
-            clients.add(new RequestLoop(proxy, stopped, until));
+            clients.add(new SequentialClient(proxy, stopped, until));
         }
-        for (RequestLoop client : clients) {
-            assertTrue(client.served() > 0, "each proxy still serves");
+        for (SequentialClient client : clients) {
+            assertTrue(client.servedCount() > 0, "each proxy still serves");
         }
         assertEquals(0, arrivedAtRemoved.stream().filter(at -> at > stopped).count(),
             "requests at the removed backend after the grace; " + hint);
--- a/proxy/src/test/java/dockrelay/proxy/BrokenAnswerTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/BrokenAnswerTest.java
@@ -1,7 +1,7 @@
 package dockrelay.proxy;
 
 import dockrelay.proxy.CuttingDiscovery.End;
-import dockrelay.proxy.Fakes.DiscoveryFake;
+import dockrelay.proxy.Fakes.FakeDiscovery;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.concurrent.TimeUnit;
@@ -19,7 +19,7 @@
 
     private final BackendRemoval removal = new BackendRemoval();
     private final CuttingDiscovery discovery =
-        new CuttingDiscovery(DiscoveryFake.list(1, true, removal.bothEntries));
+        new CuttingDiscovery(FakeDiscovery.listJson(1, true, removal.bothEntries));
     @TempDir
     private Path folder;
 
@@ -43,7 +43,7 @@
     @CsvSource({"CLOSE,0.5,0", "RESET,0.5,0", "CLOSE,0.5,1", "CLOSE,0,0", "RESET,0,0", "STALL,0.5,0"})
     void proxiesHaveTheListWithinTheGraceOfADrain(End end, double part, int furtherAnswers) throws Exception {
         startAll();
-        String change = DiscoveryFake.list(2, false, removal.removedEntry);
+        String change = FakeDiscovery.listJson(2, false, removal.removedEntry);
         discovery.cutAll(change, (int) (change.length() * part), end, furtherAnswers);
         long cutAt = System.nanoTime();
         long stopped = cutAt
--- a/proxy/src/test/java/dockrelay/proxy/BuffersTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/BuffersTest.java
@@ -11,22 +11,22 @@
 class BuffersTest {
     private static final int LIMIT = 144;
     private long used;
-    private final Buffers buffers = new Buffers(() -> used, LIMIT);
+    private final BufferLimit buffers = new BufferLimit(() -> used, LIMIT);
 
     @Test
     void theBoundIsAPartOfTheLimitAndBeyondItOnlyShortMessagesAreKeptWhole() {
         used = (LIMIT << 20) / 8 - 1;
-        assertEquals(Buffers.MOST_WHOLE, buffers.mostWhole());
+        assertEquals(BufferLimit.MAX_BUFFERED_MESSAGE_BYTES, buffers.mostWhole());
         used++;
         assertFalse(buffers.hasRoom());
-        assertTrue(buffers.mostWhole() < Buffers.MOST_WHOLE);
+        assertTrue(buffers.mostWhole() < BufferLimit.MAX_BUFFERED_MESSAGE_BYTES);
     }
 
     @Test
     void whatIsWantedIsReadAgainOnceThereIsRoom() {
         EmbeddedChannel channel = new EmbeddedChannel();
         channel.freezeTime();
-        Buffers.Reading reading = buffers.new Reading(channel);
+        BufferLimit.Reading reading = buffers.new Reading(channel);
         reading.flow(true);
         assertTrue(channel.config().isAutoRead());
         used = Long.MAX_VALUE;
--- a/proxy/src/test/java/dockrelay/proxy/ClientGoneTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/ClientGoneTest.java
@@ -4,10 +4,10 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dockrelay.proxy.Fakes.BackendFake;
-import dockrelay.proxy.Fakes.ClientFake;
+import dockrelay.proxy.Fakes.FakeBackend;
+import dockrelay.proxy.Fakes.FakeClient;
 import dockrelay.proxy.Fakes.Deaf;
-import dockrelay.proxy.Fakes.DiscoveryFake;
+import dockrelay.proxy.Fakes.FakeDiscovery;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.Socket;
@@ -20,13 +20,13 @@
     private static final String LONG = "3600";
     private static final String SHORT_AIM = "\"Aim\":1.0,\"HardLimit\":5.0";
     private static final String LONG_AIM = "\"Aim\":3600.0,\"HardLimit\":3600.0";
-    private final BackendFake backend = new BackendFake(request -> Fakes.answer("200 OK", "", "one"));
-    private final DiscoveryFake discovery = new DiscoveryFake();
+    private final FakeBackend backend = new FakeBackend(request -> Fakes.httpResponse("200 OK", "", "one"));
+    private final FakeDiscovery discovery = new FakeDiscovery();
     private Proxy proxy;
 
     private void start(int port, String from, String to) throws IOException {
-        discovery.first(DiscoveryFake.list(2, true, Fakes.entry("s-1", port, "active")));
-        proxy = new Proxy(Fakes.parsed(Fakes.text(0, discovery.port(), 1024, "", "").replace(from, to)));
+        discovery.setFirstList(FakeDiscovery.listJson(2, true, Fakes.entryJson("s-1", port, "active")));
+        proxy = new Proxy(Fakes.parseConfig(Fakes.configJson(0, discovery.port(), 1024, "", "").replace(from, to)));
     }
 
     @AfterEach
@@ -42,18 +42,18 @@
     @Test
     void aRequestWhoseClientHasLeftBeforeItIsReadGoesNowhere() throws Exception {
         start(backend.port(), "", "");
-        try (ClientFake used = new ClientFake(proxy)) {
-            assertEquals(200, used.send(ClientFake.get("4.0")).status());
+        try (FakeClient used = new FakeClient(proxy)) {
+            assertEquals(200, used.send(FakeClient.getRequest("4.0")).readStatus());
             backend.requests.clear();
             Fakes.whileHeld(proxy.loop(), () -> { }, () -> {
-                used.send(ClientFake.post("put", "4.0"));
+                used.send(FakeClient.postRequest("put", "4.0"));
                 used.socket.close();
                 Socket fresh = new Socket(InetAddress.getLoopbackAddress(), proxy.address().getPort());
-                new ClientFake(fresh).send(ClientFake.post("put", "4.0")).close();
+                new FakeClient(fresh).send(FakeClient.postRequest("put", "4.0")).close();
             });
             Fakes.await("both are gone", () -> proxy.clients() == 0);
-            try (ClientFake marker = new ClientFake(proxy)) {
-                assertEquals(200, marker.send(ClientFake.post("save", "4.0")).status());
+            try (FakeClient marker = new FakeClient(proxy)) {
+                assertEquals(200, marker.send(FakeClient.postRequest("save", "4.0")).readStatus());
             }
             assertEquals(1, backend.requests.size(), backend.requests.toString());
             assertTrue(backend.requests.get(0).startsWith("POST /save/"), backend.requests.toString());
@@ -62,11 +62,11 @@
 
     @Test
     void aClientThatLeavesBehindMoreRequestsHasLeft() throws Exception {
-        backend.script = request -> null;
+        backend.responder = request -> null;
         start(backend.port(), SHORT_AIM, LONG_AIM);
-        try (ClientFake client = new ClientFake(proxy)) {
-            client.send(ClientFake.post("put", LONG)).send(ClientFake.post("put", LONG)
-                + ClientFake.post("put", LONG).substring(0, 30));
+        try (FakeClient client = new FakeClient(proxy)) {
+            client.send(FakeClient.postRequest("put", LONG)).send(FakeClient.postRequest("put", LONG)
+                + FakeClient.postRequest("put", LONG).substring(0, 30));
             Fakes.await("the first one is out", () -> backend.requests.size() == 1);
         }
         Fakes.await("it is called off", () -> backend.ended.get() == 1);
@@ -80,19 +80,19 @@
      */
     @Test
     void whatComesBehindARequestIsBounded() throws Exception {
-        backend.script = request -> null;
+        backend.responder = request -> null;
         start(backend.port(), SHORT_AIM, LONG_AIM);
-        try (ClientFake client = new ClientFake(proxy)) {
-            client.send(ClientFake.post("put", LONG));
+        try (FakeClient client = new FakeClient(proxy)) {
+            client.send(FakeClient.postRequest("put", LONG));
             Fakes.await("it is out", () -> backend.requests.size() == 1);
-            String more = ClientFake.get(LONG);
+            String more = FakeClient.getRequest(LONG);
             for (int i = 0; i < 20; i++) { // some 300 kB, all of which is read, and some 2,000 in one write
                 client.send(i == 0 ? "GET /x HTTP/1.1\r\n\r\n".repeat(2_000) : more.repeat(100));
             }
-            backend.script = request -> Fakes.answer("200 OK", "", "other");
-            String answer = Fakes.answer("200 OK", "", "one");
-            backend.open.get(0).getOutputStream().write(answer.getBytes(StandardCharsets.UTF_8));
-            assertTrue(client.answer().endsWith("one"));
+            backend.responder = request -> Fakes.httpResponse("200 OK", "", "other");
+            String answer = Fakes.httpResponse("200 OK", "", "one");
+            backend.openConnections.get(0).getOutputStream().write(answer.getBytes(StandardCharsets.UTF_8));
+            assertTrue(client.readResponse().endsWith("one"));
             Fakes.await("and that is the end of it", () -> proxy.clients() == 0);
         }
         assertEquals(1, backend.requests.size(), "of those behind it none was taken");
@@ -102,14 +102,14 @@
     @Test
     void anAttemptThatWaitsForAConnectionEndsWithItsClient() throws Exception {
         try (Deaf deaf = new Deaf()) {
-            discovery.first(DiscoveryFake.list(2, true, Fakes.entry("s-1", deaf.port(), "active")));
-            String text = Fakes.text(0, discovery.port(), 1024, "", "")
+            discovery.setFirstList(FakeDiscovery.listJson(2, true, Fakes.entryJson("s-1", deaf.port(), "active")));
+            String text = Fakes.configJson(0, discovery.port(), 1024, "", "")
                 .replace("\"MayCancel\":true", "\"MayCancel\":false")
                 .replace("\"ConnectTimeout\":0.5", "\"ConnectTimeout\":600.0");
-            proxy = new Proxy(Fakes.parsed(text));
+            proxy = new Proxy(Fakes.parseConfig(text));
             assertFalse(text.contains("\"MayCancel\":true"));
-            try (ClientFake client = new ClientFake(proxy)) {
-                client.send(ClientFake.post("put", LONG));
+            try (FakeClient client = new FakeClient(proxy)) {
+                client.send(FakeClient.postRequest("put", LONG));
                 Fakes.await("it waits for its connection", () -> proxy.inHand() == 1);
             }
             Fakes.await("nothing waits any more", () -> proxy.inHand() == 0);
--- a/proxy/src/test/java/dockrelay/proxy/ConsoleTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/ConsoleTest.java
@@ -6,9 +6,9 @@
 
 import dockrelay.Balancer.Backend;
 import dockrelay.Balancer.Phase;
-import dockrelay.proxy.Fakes.BackendFake;
-import dockrelay.proxy.Fakes.ClientFake;
-import dockrelay.proxy.Fakes.DiscoveryFake;
+import dockrelay.proxy.Fakes.FakeBackend;
+import dockrelay.proxy.Fakes.FakeClient;
+import dockrelay.proxy.Fakes.FakeDiscovery;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -29,30 +29,30 @@
 
 /** The operators' address, and what it does to the backends that the proxy goes by. */
 class ConsoleTest {
-    private static final String SERVED = Fakes.answer("200 OK", "", "a rate");
+    private static final String SERVED = Fakes.httpResponse("200 OK", "", "a rate");
 
-    private final DiscoveryFake discovery = new DiscoveryFake();
-    private final BackendFake one = new BackendFake(request -> SERVED);
-    private final BackendFake two = new BackendFake(request -> SERVED);
+    private final FakeDiscovery discovery = new FakeDiscovery();
+    private final FakeBackend one = new FakeBackend(request -> SERVED);
+    private final FakeBackend two = new FakeBackend(request -> SERVED);
     @TempDir
     private Path folder;
     private Proxy proxy;
 
     @BeforeEach
     void start() throws Exception {
-        discovery.first(both(2));
+        discovery.setFirstList(both(2));
         proxy = started();
     }
 
     private String both(int version) {
-        return DiscoveryFake.list(version, true, Fakes.entry("s-1", one.port(), "active"),
-            Fakes.entry("s-2", two.port(), "active"));
+        return FakeDiscovery.listJson(version, true, Fakes.entryJson("s-1", one.port(), "active"),
+            Fakes.entryJson("s-2", two.port(), "active"));
     }
 
     private Proxy started() throws IOException {
         Proxy made = new Proxy(Fakes.config(discovery.port(), 1024),
             new Platform(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), folder, null));
-        Fakes.await("yes to PING", () -> Fakes.call(made, "PING\n").startsWith("200 "));
+        Fakes.await("yes to PING", () -> Fakes.callConsole(made, "PING\n").startsWith("200 "));
         return made;
     }
 
@@ -69,9 +69,9 @@
     }
 
     private void ask(int times) throws IOException {
-        try (ClientFake client = new ClientFake(proxy)) {
+        try (FakeClient client = new FakeClient(proxy)) {
             for (int i = 0; i < times; i++) {
-                assertEquals(200, client.send(ClientFake.post("put", "3.0")).status());
+                assertEquals(200, client.send(FakeClient.postRequest("put", "3.0")).readStatus());
             }
         }
     }
@@ -81,7 +81,7 @@
         "DETACH s-9\n", "ATTACH s-9\n", "DETACH s-1 s-2\n", " DETACH s-1\n", "DETACH ../s-1\n", "DETACH s-1",
         "GET / HTTP/1.1\r\n", ""})
     void aBadCallIsToldSoAndChangesNothing(String raw) throws IOException {
-        String answer = Fakes.call(proxy, raw);
+        String answer = Fakes.callConsole(proxy, raw);
         assertTrue(answer.matches("400 [^\\n]+\\n"), answer);
         assertFalse(marked(), "nothing is kept");
     }
@@ -94,22 +94,22 @@
 
     @Test
     void aLineWithoutEndIsCutOff() {
-        assertTrue(Fakes.call(proxy, "DETACH " + "s".repeat(5_000) + "\n").startsWith("400 "));
+        assertTrue(Fakes.callConsole(proxy, "DETACH " + "s".repeat(5_000) + "\n").startsWith("400 "));
     }
 
     @Test
     void whatIsTakenOutGetsNothingWhateverTheListsSayUntilItIsPutBack() throws Exception {
-        assertTrue(Fakes.call(proxy, "DETACH s-1\r\n").startsWith("200 "));
-        assertTrue(Fakes.call(proxy, "DETACH s-1\n").startsWith("200 "), "said twice, it is out as before");
+        assertTrue(Fakes.callConsole(proxy, "DETACH s-1\r\n").startsWith("200 "));
+        assertTrue(Fakes.callConsole(proxy, "DETACH s-1\n").startsWith("200 "), "said twice, it is out as before");
         ask(30);
         discovery.push(both(3));
-        discovery.push(DiscoveryFake.list(4, false, Fakes.entry("s-1", one.port(), "left")));
-        discovery.push(DiscoveryFake.list(5, false, Fakes.entry("s-1", one.port(), "active")));
-        discovery.push(DiscoveryFake.list(6, false, Fakes.entry("s-3", two.port(), "active")));
-        Fakes.await("the last list is known", () -> Fakes.call(proxy, "ATTACH s-3\n").startsWith("200 "));
+        discovery.push(FakeDiscovery.listJson(4, false, Fakes.entryJson("s-1", one.port(), "left")));
+        discovery.push(FakeDiscovery.listJson(5, false, Fakes.entryJson("s-1", one.port(), "active")));
+        discovery.push(FakeDiscovery.listJson(6, false, Fakes.entryJson("s-3", two.port(), "active")));
+        Fakes.await("the last list is known", () -> Fakes.callConsole(proxy, "ATTACH s-3\n").startsWith("200 "));
         ask(30);
         assertEquals(0, one.requests.size());
-        assertTrue(Fakes.call(proxy, "ATTACH s-1\n").startsWith("200 "), "two calls out need one back");
+        assertTrue(Fakes.callConsole(proxy, "ATTACH s-1\n").startsWith("200 "), "two calls out need one back");
         Fakes.await("it is used again", () -> {
             try {
                 ask(5);
@@ -122,14 +122,14 @@
 
     @Test
     void theNextProcessKeepsItOutAndBothNoticeEachOthersChanges() throws Exception {
-        Fakes.call(proxy, "DETACH s-1\n");
+        Fakes.callConsole(proxy, "DETACH s-1\n");
         Proxy first = proxy;
         proxy = started();
         try {
             ask(30);
             assertEquals(0, one.requests.size());
-            Fakes.call(first, "DETACH s-2\n");
-            Fakes.await("no backend is left to it", () -> Fakes.call(proxy, "PING\n").startsWith("400 "));
+            Fakes.callConsole(first, "DETACH s-2\n");
+            Fakes.await("no backend is left to it", () -> Fakes.callConsole(proxy, "PING\n").startsWith("400 "));
         } finally {
             first.stop();
         }
@@ -142,7 +142,7 @@
             hanging.add(connected(proxy));
             hanging.get(i).getOutputStream().write('P');
         }
-        assertTrue(Fakes.call(proxy, "PING\n").startsWith("200 "));
+        assertTrue(Fakes.callConsole(proxy, "PING\n").startsWith("200 "));
         for (Socket socket : hanging) {
             Fakes.await("the caller is sent away", () -> ended(socket));
             socket.close();
@@ -162,14 +162,14 @@
         CountDownLatch busy = new CountDownLatch(1);
         proxy.loop().submit(() -> busy.await(1, TimeUnit.MINUTES));
         try {
-            assertTrue(Fakes.call(proxy, "PING\n").startsWith("200 "));
+            assertTrue(Fakes.callConsole(proxy, "PING\n").startsWith("200 "));
         } finally {
             busy.countDown();
         }
     }
 
-    private static RequestTable.Member listed(Phase phase, long startedAt) {
-        return new RequestTable.Member(new Backend(1, "a", "k", 1, phase, 1, startedAt), null);
+    private static RequestTable.ListedBackend listed(Phase phase, long startedAt) {
+        return new RequestTable.ListedBackend(new Backend(1, "a", "k", 1, phase, 1, startedAt), null);
     }
 
     @Test
--- a/proxy/src/test/java/dockrelay/proxy/CrossedSettingsTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/CrossedSettingsTest.java
@@ -5,9 +5,9 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dockrelay.proxy.Fakes.BackendFake;
-import dockrelay.proxy.Fakes.ClientFake;
-import dockrelay.proxy.Fakes.DiscoveryFake;
+import dockrelay.proxy.Fakes.FakeBackend;
+import dockrelay.proxy.Fakes.FakeClient;
+import dockrelay.proxy.Fakes.FakeDiscovery;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -21,13 +21,13 @@
 
 /** Nothing of one request, or of one configuration, reaches the next on the same connections. */
 class CrossedSettingsTest {
-    private final BackendFake backend = new BackendFake(request -> Fakes.answer("200 OK", "", "one"));
-    private final DiscoveryFake discovery = new DiscoveryFake();
+    private final FakeBackend backend = new FakeBackend(request -> Fakes.httpResponse("200 OK", "", "one"));
+    private final FakeDiscovery discovery = new FakeDiscovery();
     private Proxy proxy;
 
     @BeforeEach
     void start() throws IOException {
-        discovery.first(DiscoveryFake.list(2, true, Fakes.entry("s-1", backend.port(), "active")));
+        discovery.setFirstList(FakeDiscovery.listJson(2, true, Fakes.entryJson("s-1", backend.port(), "active")));
         proxy = new Proxy(Fakes.config(discovery.port(), 1024));
     }
 
@@ -61,7 +61,7 @@
             request("POST", "put", "b", null, "0.7", null), request("GET", "look", "c", "blue", "2.0", null),
             request("POST", "save", "d", null, "0.9", "k-2"),
             request("POST", "put", "e", "red", "3.0", null));
-        try (ClientFake client = new ClientFake(proxy)) {
+        try (FakeClient client = new FakeClient(proxy)) {
             if (together) {
                 client.send(String.join("", all));
             }
@@ -69,7 +69,7 @@
                 if (!together) {
                     client.send(one);
                 }
-                assertEquals(200, client.status());
+                assertEquals(200, client.readStatus());
             }
         }
         assertEquals(all.size(), backend.requests.size());
@@ -89,13 +89,13 @@
     @Test
     void aReloadChangesNoClass(@TempDir Path folder) throws Exception {
         Path file = folder.resolve("config.json");
-        Files.writeString(file, Fakes.text(0, discovery.port(), 1024, "", "")
+        Files.writeString(file, Fakes.configJson(0, discovery.port(), 1024, "", "")
             .replace("\"at_most_once\"", "\"idempotent\""));
         proxy.reload(file);
         proxy.loop().submit(() -> { }).sync();
-        backend.script = request -> "";
-        try (ClientFake client = new ClientFake(proxy)) {
-            assertEquals(502, client.send(ClientFake.post("put", "4.0")).status());
+        backend.responder = request -> "";
+        try (FakeClient client = new FakeClient(proxy)) {
+            assertEquals(502, client.send(FakeClient.postRequest("put", "4.0")).readStatus());
         }
         assertEquals(1, backend.requests.size(), "an unsafe request goes out once");
     }
@@ -112,14 +112,14 @@
     void aWrongValueIsNamedAndChangesNothing(String change, @TempDir Path folder) throws Exception {
         String[] parts = change.split("\\|");
         Path file = folder.resolve("config.json");
-        Files.writeString(file, Fakes.text(0, discovery.port(), 1024, "", "").replace(parts[0], parts[1]));
+        Files.writeString(file, Fakes.configJson(0, discovery.port(), 1024, "", "").replace(parts[0], parts[1]));
         ConfigException wrong =
             assertThrows(ConfigException.class, () -> Config.read(file));
         assertTrue(wrong.getMessage().startsWith(file + ": " + parts[2]), wrong.getMessage());
         assertFalse(wrong.getMessage().contains("\n"), wrong.getMessage());
         proxy.reload(file);
-        try (ClientFake client = new ClientFake(proxy)) {
-            assertEquals(200, client.send(ClientFake.get("4.0")).status());
+        try (FakeClient client = new FakeClient(proxy)) {
+            assertEquals(200, client.send(FakeClient.getRequest("4.0")).readStatus());
         }
     }
 }
--- a/proxy/src/test/java/dockrelay/proxy/CrowdedDiscovery.java
+++ b/proxy/src/test/java/dockrelay/proxy/CrowdedDiscovery.java
@@ -1,6 +1,6 @@
 package dockrelay.proxy;
 
-import dockrelay.proxy.Fakes.DiscoveryFake;
+import dockrelay.proxy.Fakes.FakeDiscovery;
 import java.io.IOException;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
@@ -49,20 +49,20 @@
     }
 
     /** One caller's address; the calls that wait for an answer there. */
-    final class Door extends Fakes.Listener {
+    final class Door extends Fakes.FakeServer {
         private final List<Socket> waiting = new ArrayList<>();
         private int callsInCrowd, answered;
 
         @Override
         void serve(Socket connection) throws IOException {
-            if (Fakes.read(connection.getInputStream()) == null || !admitted(connection)) {
+            if (Fakes.readMessage(connection.getInputStream()) == null || !admitted(connection)) {
                 return;
             }
             connection.getOutputStream().write(("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-                + DiscoveryFake.chunk(list)).getBytes(StandardCharsets.UTF_8));
+                + FakeDiscovery.chunk(list)).getBytes(StandardCharsets.UTF_8));
             while (!connection.isClosed()) { // until the proxy ends the watch: the write fails then
                 pause();
-                connection.getOutputStream().write(DiscoveryFake.chunk("").getBytes(StandardCharsets.UTF_8));
+                connection.getOutputStream().write(FakeDiscovery.chunk("").getBytes(StandardCharsets.UTF_8));
             }
         }
 
@@ -109,7 +109,7 @@
             waiting.add(connection);
             for (Socket each : waiting) {
                 each.getOutputStream().write(
-                    Fakes.answer("503 Crowded", "", "").getBytes(StandardCharsets.UTF_8));
+                    Fakes.httpResponse("503 Crowded", "", "").getBytes(StandardCharsets.UTF_8));
                 each.close();
             }
             waiting.clear();
--- a/proxy/src/test/java/dockrelay/proxy/CrowdedDiscoveryTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/CrowdedDiscoveryTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import dockrelay.proxy.Fakes.DiscoveryFake;
+import dockrelay.proxy.Fakes.FakeDiscovery;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -31,7 +31,7 @@
 
     private final BackendRemoval removal = new BackendRemoval();
     private final CrowdedDiscovery discovery =
-        new CrowdedDiscovery(DiscoveryFake.list(1, true, removal.bothEntries));
+        new CrowdedDiscovery(FakeDiscovery.listJson(1, true, removal.bothEntries));
     private final List<CrowdedDiscovery.Door> doors = new ArrayList<>();
     @TempDir
     private Path folder;
@@ -60,7 +60,7 @@
         for (ProxyProcess proxy : removal.proxies) {
             proxy.kill();
         }
-        discovery.publish(DiscoveryFake.list(2, true, removal.keptEntry));
+        discovery.publish(FakeDiscovery.listJson(2, true, removal.keptEntry));
         startAll();
         long changedAt = System.nanoTime();
         long stopped = changedAt + TimeUnit.MILLISECONDS.toNanos(STOPPED_MILLIS);
--- a/proxy/src/test/java/dockrelay/proxy/CuttingDiscovery.java
+++ b/proxy/src/test/java/dockrelay/proxy/CuttingDiscovery.java
@@ -1,6 +1,6 @@
 package dockrelay.proxy;
 
-import dockrelay.proxy.Fakes.DiscoveryFake;
+import dockrelay.proxy.Fakes.FakeDiscovery;
 import java.io.IOException;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
@@ -86,13 +86,13 @@
     }
 
     /** One caller's address. */
-    final class Door extends Fakes.Listener {
+    final class Door extends Fakes.FakeServer {
         private final List<Socket> watches = new CopyOnWriteArrayList<>();
         private volatile int answersToCut;
 
         @Override
         void serve(Socket connection) throws IOException {
-            if (Fakes.read(connection.getInputStream()) == null) {
+            if (Fakes.readMessage(connection.getInputStream()) == null) {
                 return;
             }
             if (answersToCut > 0) {
@@ -103,7 +103,7 @@
                 }
                 return;
             }
-            write(connection, HEAD + DiscoveryFake.chunk(answer));
+            write(connection, HEAD + FakeDiscovery.chunk(answer));
             watches.add(connection);
             try {
                 while (true) { // until the watch ends: the write fails then
@@ -111,7 +111,7 @@
                     if (stalled.contains(connection)) {
                         continue;
                     }
-                    write(connection, DiscoveryFake.chunk(""));
+                    write(connection, FakeDiscovery.chunk(""));
                 }
             } catch (InterruptedException e) {
                 throw new IllegalStateException(e);
--- a/proxy/src/test/java/dockrelay/proxy/DiscoveryCollapseTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/DiscoveryCollapseTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import dockrelay.proxy.Fakes.DiscoveryFake;
+import dockrelay.proxy.Fakes.FakeDiscovery;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.concurrent.TimeUnit;
@@ -28,7 +28,7 @@
 
     private final BackendRemoval removal = new BackendRemoval();
     private final QueueingDiscovery discovery =
-        new QueueingDiscovery(DiscoveryFake.list(1, true, removal.bothEntries), CALL_MILLIS);
+        new QueueingDiscovery(FakeDiscovery.listJson(1, true, removal.bothEntries), CALL_MILLIS);
     @TempDir
     private Path folder;
 
@@ -53,7 +53,7 @@
         startAll();
         discovery.goDown();
         TimeUnit.MILLISECONDS.sleep(OUTAGE_MILLIS);
-        discovery.comeBack(DiscoveryFake.list(2, true, removal.keptEntry));
+        discovery.comeBack(FakeDiscovery.listJson(2, true, removal.keptEntry));
         long stopped = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(
             DiscoveryTimeouts.TOLD + BackendRemoval.GRACE_MILLIS + BackendRemoval.SLACK_MILLIS);
         removal.assertNoneArrivesAfter(stopped, stopped + TimeUnit.SECONDS.toNanos(1),
--- a/proxy/src/test/java/dockrelay/proxy/DiscoveryWatchTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/DiscoveryWatchTest.java
@@ -4,9 +4,9 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dockrelay.proxy.Fakes.BackendFake;
-import dockrelay.proxy.Fakes.ClientFake;
-import dockrelay.proxy.Fakes.DiscoveryFake;
+import dockrelay.proxy.Fakes.FakeBackend;
+import dockrelay.proxy.Fakes.FakeClient;
+import dockrelay.proxy.Fakes.FakeDiscovery;
 import java.io.IOException;
 import java.io.OutputStream;
 import java.net.Socket;
@@ -30,7 +30,7 @@
     private enum Fault { SILENT, HALF_DEAD, CUT_SHORT, BLANKS_IN_THE_MIDDLE, ENDS_IN_THE_MIDDLE }
 
     /** Each watch does what its number says; the first one goes wrong. */
-    private static final class Odd extends Fakes.Listener {
+    private static final class Odd extends Fakes.FakeServer {
         private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
         final List<String> asked = new CopyOnWriteArrayList<>();
         private final AtomicInteger watches = new AtomicInteger();
@@ -45,7 +45,7 @@
 
         @Override
         void serve(Socket connection) throws IOException {
-            String request = Fakes.read(connection.getInputStream());
+            String request = Fakes.readMessage(connection.getInputStream());
             int number = watches.getAndIncrement();
             asked.add(request);
             OutputStream out = connection.getOutputStream();
@@ -83,8 +83,8 @@
         }
     }
 
-    private final BackendFake one = new BackendFake(request -> Fakes.answer("200 OK", "", "one"));
-    private final BackendFake two = new BackendFake(request -> Fakes.answer("200 OK", "", "two"));
+    private final FakeBackend one = new FakeBackend(request -> Fakes.httpResponse("200 OK", "", "one"));
+    private final FakeBackend two = new FakeBackend(request -> Fakes.httpResponse("200 OK", "", "two"));
     private Proxy proxy;
 
     @AfterEach
@@ -96,15 +96,15 @@
         two.close();
     }
 
-    private String list(int version, BackendFake of) {
-        return DiscoveryFake.list(version, true, Fakes.entry("s-" + of.port(), of.port(), "active"));
+    private String list(int version, FakeBackend of) {
+        return FakeDiscovery.listJson(version, true, Fakes.entryJson("s-" + of.port(), of.port(), "active"));
     }
 
     private void awaitServedBy(String body) throws IOException {
-        try (ClientFake client = new ClientFake(proxy)) {
+        try (FakeClient client = new FakeClient(proxy)) {
             Fakes.await("answers of " + body, () -> {
                 try {
-                    return client.send(ClientFake.get("4.0")).answer().endsWith(body);
+                    return client.send(FakeClient.getRequest("4.0")).readResponse().endsWith(body);
                 } catch (IOException e) {
                     throw new IllegalStateException(e);
                 }
@@ -131,18 +131,18 @@
     @ParameterizedTest
     @ValueSource(strings = {"", ASKED})
     void removalsOfABrokenAnswerAreInForceWithoutItsRest(String mode) throws Exception {
-        String both = DiscoveryFake.list(7, true, Fakes.entry("s-1", one.port(), "active"),
-            Fakes.entry("s-2", two.port(), "active"));
-        String change = DiscoveryFake.list(8, false, Fakes.entry("s-1", one.port(), "leaving"),
-            Fakes.entry("s-2", two.port(), "leaving"));
+        String both = FakeDiscovery.listJson(7, true, Fakes.entryJson("s-1", one.port(), "active"),
+            Fakes.entryJson("s-2", two.port(), "active"));
+        String change = FakeDiscovery.listJson(8, false, Fakes.entryJson("s-1", one.port(), "leaving"),
+            Fakes.entryJson("s-2", two.port(), "leaving"));
         int cut = change.indexOf("s-2");
-        DiscoveryFake discovery = new DiscoveryFake();
+        FakeDiscovery discovery = new FakeDiscovery();
         try (discovery) {
-            discovery.first(both);
+            discovery.setFirstList(both);
             proxy = new Proxy(Fakes.config(0, discovery.port(), 1024, "", mode));
             awaitServedBy("one");
-            discovery.refuse = true;
-            for (Socket watch : discovery.open) {
+            discovery.rejecting = true;
+            for (Socket watch : discovery.openConnections) {
                 watch.getOutputStream().write(Odd.chunk(change.substring(0, cut))
                     .getBytes(StandardCharsets.UTF_8));
                 watch.close();
@@ -153,8 +153,8 @@
                 awaitServedBy("two");
             }
             assertEquals(before, one.requests.size(), "it drains by what was said");
-            discovery.first(DiscoveryFake.list(8, true, Fakes.entry("s-1", one.port(), "active")));
-            discovery.refuse = false;
+            discovery.setFirstList(FakeDiscovery.listJson(8, true, Fakes.entryJson("s-1", one.port(), "active")));
+            discovery.rejecting = false;
             awaitServedBy("one");
         }
     }
@@ -175,10 +175,10 @@
     void aLongListIsTakenInWhole() throws Exception {
         String[] entries = new String[40_000];
         for (int i = 0; i < entries.length; i++) {
-            entries[i] = Fakes.entry("gone-" + i, 1, "leaving");
+            entries[i] = Fakes.entryJson("gone-" + i, 1, "leaving");
         }
-        entries[entries.length / 2] = Fakes.entry("s-1", one.port(), "active");
-        String list = DiscoveryFake.list(7, true, entries);
+        entries[entries.length / 2] = Fakes.entryJson("s-1", one.port(), "active");
+        String list = FakeDiscovery.listJson(7, true, entries);
         assertTrue(list.length() > 4 << 20, list.length() + " bytes");
         for (String mode : new String[] {"", ASKED}) {
             try (Odd discovery = new Odd(Fault.SILENT, list, "")) {
@@ -197,8 +197,8 @@
             proxy = new Proxy(Fakes.config(discovery.port(), 1024));
             Fakes.await("a second watch", () -> discovery.asked.size() > 1);
             Fakes.await("what it says has come", () -> {
-                try (ClientFake client = new ClientFake(proxy)) {
-                    return client.send(ClientFake.get("4.0")).answer().endsWith("one");
+                try (FakeClient client = new FakeClient(proxy)) {
+                    return client.send(FakeClient.getRequest("4.0")).readResponse().endsWith("one");
                 } catch (IOException e) {
                     throw new IllegalStateException(e);
                 }
@@ -211,7 +211,7 @@
     @Test
     void whereDiscoveryIsAskedATryThatSaysNothingDoesNotHoldUpTheNext() throws Exception {
         CountDownLatch speak = new CountDownLatch(1);
-        DiscoveryFake discovery = new DiscoveryFake() {
+        FakeDiscovery discovery = new FakeDiscovery() {
             @Override
             void serve(Socket connection) throws IOException {
                 try {
@@ -223,22 +223,22 @@
             }
         };
         try (discovery) {
-            discovery.first(list(9, two));
+            discovery.setFirstList(list(9, two));
             proxy = new Proxy(Fakes.config(0, discovery.port(), 1024, "",
                 "\"Discovery\":\"ask\",\"Obligations\":{\"AskWithin\":10.0},"));
-            Fakes.await("two tries at once", () -> discovery.open.size() == 2);
+            Fakes.await("two tries at once", () -> discovery.openConnections.size() == 2);
             speak.countDown();
             awaitServedBy("two");
-            Fakes.await("one watch", () -> discovery.open.size() == 1);
+            Fakes.await("one watch", () -> discovery.openConnections.size() == 1);
         }
     }
 
     /** Blank lines alone say that nothing has changed: that is a watch, and no reason for another one. */
     @Test
     void aWatchWithNothingNewIsAWatch() throws Exception {
-        DiscoveryFake discovery = new DiscoveryFake();
+        FakeDiscovery discovery = new FakeDiscovery();
         try (discovery) {
-            discovery.first(""); // and blank lines from then on, until it is told of a change
+            discovery.setFirstList(""); // and blank lines from then on, until it is told of a change
             Thread beats = new Thread(() -> {
                 while (!Thread.currentThread().isInterrupted()) {
                     try {
@@ -250,14 +250,14 @@
                 }
             });
             proxy = new Proxy(Fakes.config(0, discovery.port(), 1024,
-                Fakes.entry("s-1", one.port(), "active"), ASKED));
-            Fakes.await("a watch", () -> discovery.asked.size() == 1);
+                Fakes.entryJson("s-1", one.port(), "active"), ASKED));
+            Fakes.await("a watch", () -> discovery.requests.size() == 1);
             beats.start();
             awaitServedBy("one");
             long since = System.nanoTime();
             long longer = (DiscoveryTimeouts.SILENT + DiscoveryTimeouts.BESIDE) * 1_000_000L;
             Fakes.await("more than a silence has passed", () -> System.nanoTime() - since > longer);
-            assertEquals(1, discovery.asked.size());
+            assertEquals(1, discovery.requests.size());
             beats.interrupt();
             beats.join();
         }
@@ -267,17 +267,17 @@
     @ParameterizedTest
     @ValueSource(strings = {"", "\"Discovery\":\"push\","})
     void nothingIsTakenBeforeThePushedListIsThere(String mode) throws Exception {
-        DiscoveryFake discovery = new DiscoveryFake();
+        FakeDiscovery discovery = new FakeDiscovery();
         try (discovery) {
-            discovery.refuse = true;
-            String known = Fakes.entry("s-1", one.port(), "active");
+            discovery.rejecting = true;
+            String known = Fakes.entryJson("s-1", one.port(), "active");
             Config config = Fakes.config(0, discovery.port(), 1024, known, mode);
             FutureTask<Proxy> starting = new FutureTask<>(() -> new Proxy(config));
             new Thread(starting).start();
-            Fakes.await("some calls that failed", () -> discovery.asked.size() > 5);
+            Fakes.await("some calls that failed", () -> discovery.requests.size() > 5);
             assertFalse(starting.isDone(), "it serves by a list that it kept");
-            discovery.first(list(9, two));
-            discovery.refuse = false;
+            discovery.setFirstList(list(9, two));
+            discovery.rejecting = false;
             proxy = starting.get();
             awaitServedBy("two");
             assertTrue(one.requests.isEmpty());
--- a/proxy/src/test/java/dockrelay/proxy/Fakes.java
+++ b/proxy/src/test/java/dockrelay/proxy/Fakes.java
@@ -49,11 +49,11 @@
 
     /** The same with a port to listen at, what it last knew of the backends, and further settings. */
     static Config config(int port, int discoveryPort, int sockets, String known, String more) {
-        return parsed(text(port, discoveryPort, sockets, known, more));
+        return parseConfig(configJson(port, discoveryPort, sockets, known, more));
     }
 
     /** The same as it stands in its file. */
-    static String text(int port, int discoveryPort, int sockets, String known, String more) {
+    static String configJson(int port, int discoveryPort, int sockets, String known, String more) {
         String service = "{\"Name\":\"%s\",\"Aim\":1.0,\"HardLimit\":5.0,\"Idempotency\":\"%s\","
             + "\"DedupScope\":\"all\",\"MemorySpan\":5.0}";
         return "{\"name\":\"n0\",\"listen\":\"127.0.0.1:" + port + "\",\"discovery\":\"127.0.0.1:"
@@ -65,7 +65,7 @@
             + "\"MayCancel\":true,\"SecondCopies\":true,\"ConnectTimeout\":0.5,\"ConnIdle\":15.0}}}";
     }
 
-    static Config parsed(String text) {
+    static Config parseConfig(String text) {
         try {
             return Config.parse(text);
         } catch (IOException e) {
@@ -77,19 +77,19 @@
     static Config peers(List<Integer> ports, int me) {
         String list = ports.stream().map(port -> "\"127.0.0.1:" + port + "\"")
             .collect(Collectors.joining(","));
-        return parsed("{\"name\":\"n\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:1\","
+        return parseConfig("{\"name\":\"n\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:1\","
             + "\"seed\":\"1\",\"peer_listen\":\"127.0.0.1:" + ports.get(me) + "\",\"peers\":[" + list + "],"
             + "\"settings\":{\"Balancers\":2,\"Me\":" + me + ",\"Services\":[{\"Name\":\"look\",\"Aim\":1.0,"
             + "\"HardLimit\":5.0}]}}");
     }
 
-    static String entry(String id, int port, String state) {
+    static String entryJson(String id, int port, String state) {
         return "{\"id\":\"" + id + "\",\"addr\":\"127.0.0.1:" + port + "\",\"zone\":\"a\",\"kind\":\"k\","
             + "\"cell\":1,\"state\":\"" + state + "\",\"weight\":1.0,\"started_ms\":0}";
     }
 
     /** The head of an HTTP message with its body, or null where the connection ended before it. */
-    static String read(InputStream in) throws IOException {
+    static String readMessage(InputStream in) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         int need = Integer.MAX_VALUE;
         while (bytes.size() < need) {
@@ -110,7 +110,7 @@
     }
 
     /** What the operators' address answers to this line. */
-    static String call(Proxy at, String raw) {
+    static String callConsole(Proxy at, String raw) {
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), at.console().getPort())) {
             socket.getOutputStream().write(raw.getBytes(StandardCharsets.UTF_8));
             if (!raw.endsWith("\n")) {
@@ -122,7 +122,7 @@
         }
     }
 
-    static String answer(String status, String headers, String body) {
+    static String httpResponse(String status, String headers, String body) {
         return "HTTP/1.1 " + status + "\r\n" + headers + "Content-Length: " + body.length() + "\r\n\r\n"
             + body;
     }
@@ -207,13 +207,13 @@
     }
 
     /** Listens on a port of its own and serves each connection on a thread. */
-    abstract static class Listener implements AutoCloseable {
+    abstract static class FakeServer implements AutoCloseable {
         final ServerSocket socket;
-        final List<Socket> open = new CopyOnWriteArrayList<>();
+        final List<Socket> openConnections = new CopyOnWriteArrayList<>();
         final AtomicInteger ended = new AtomicInteger();
         private final Thread acceptor = new Thread(this::accept);
 
-        Listener() {
+        FakeServer() {
             try {
                 socket = new ServerSocket(0, 100, InetAddress.getLoopbackAddress());
             } catch (IOException e) {
@@ -231,7 +231,7 @@
             try {
                 while (true) {
                     Socket connection = socket.accept();
-                    open.add(connection);
+                    openConnections.add(connection);
                     Thread thread = new Thread(() -> run(connection));
                     thread.setDaemon(true);
                     thread.start();
@@ -247,7 +247,7 @@
             } catch (IOException e) {
                 // the other side reset it: ended as well
             } finally {
-                open.remove(connection);
+                openConnections.remove(connection);
                 ended.incrementAndGet();
             }
         }
@@ -263,7 +263,7 @@
             } catch (InterruptedException e) {
                 throw new IllegalStateException(e);
             }
-            for (Socket connection : open) {
+            for (Socket connection : openConnections) {
                 connection.close();
             }
         }
@@ -275,53 +275,53 @@
         String answer(String request);
     }
 
-    static final class BackendFake extends Listener {
+    static final class FakeBackend extends FakeServer {
         final List<String> requests = new CopyOnWriteArrayList<>();
-        volatile Script script;
+        volatile Script responder;
 
-        BackendFake(Script script) {
-            this.script = script;
+        FakeBackend(Script script) {
+            this.responder = script;
         }
 
         @Override
         void serve(Socket connection) throws IOException {
-            String request = read(connection.getInputStream());
+            String request = readMessage(connection.getInputStream());
             while (request != null) {
                 requests.add(request);
-                String answer = script.answer(request);
+                String answer = responder.answer(request);
                 if (answer != null && answer.isEmpty()) {
                     return;
                 } else if (answer != null) {
                     connection.getOutputStream().write(answer.getBytes(StandardCharsets.UTF_8));
                 }
-                request = read(connection.getInputStream());
+                request = readMessage(connection.getInputStream());
             }
         }
     }
 
     /** A backend as a list has it. */
-    static RequestTable.Member member(long id, InetSocketAddress address, boolean ready) {
-        return new RequestTable.Member(new Backend(id, "a", "k", 0, ready ? Phase.READY : Phase.DRAINING, 1,
+    static RequestTable.ListedBackend member(long id, InetSocketAddress address, boolean ready) {
+        return new RequestTable.ListedBackend(new Backend(id, "a", "k", 0, ready ? Phase.READY : Phase.DRAINING, 1,
             0), address);
     }
 
-    static class DiscoveryFake extends Listener {
-        final List<String> asked = new CopyOnWriteArrayList<>();
-        volatile boolean refuse;
+    static class FakeDiscovery extends FakeServer {
+        final List<String> requests = new CopyOnWriteArrayList<>();
+        volatile boolean rejecting;
         private volatile String first = "";
 
         @Override
         void serve(Socket connection) throws IOException {
-            String request = read(connection.getInputStream());
-            if (refuse) {
-                asked.add(request);
+            String request = readMessage(connection.getInputStream());
+            if (rejecting) {
+                requests.add(request);
                 connection.getOutputStream().write(
-                    answer("503 Down", "", "").getBytes(StandardCharsets.UTF_8));
+                    httpResponse("503 Down", "", "").getBytes(StandardCharsets.UTF_8));
                 return;
             }
             connection.getOutputStream().write(("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                 + chunk(first)).getBytes(StandardCharsets.UTF_8));
-            asked.add(request);
+            requests.add(request);
             while (connection.getInputStream().read() >= 0) {
                 continue; // until the watch ends
             }
@@ -331,38 +331,38 @@
             return Integer.toHexString(line.length() + 1) + "\r\n" + line + "\n\r\n";
         }
 
-        static String list(int version, boolean full, String... entries) {
+        static String listJson(int version, boolean full, String... entries) {
             return "{\"version\":" + version + ",\"full\":" + full + ",\"servers\":["
                 + List.of(entries).stream().collect(Collectors.joining(",")) + "]}";
         }
 
         /** What the next watch is told first. */
-        void first(String line) {
+        void setFirstList(String line) {
             first = line;
         }
 
         void push(String line) throws IOException {
-            for (Socket watch : open) {
+            for (Socket watch : openConnections) {
                 watch.getOutputStream().write(chunk(line).getBytes(StandardCharsets.UTF_8));
             }
         }
     }
 
     /** A client's connection, byte by byte. */
-    static final class ClientFake implements AutoCloseable {
+    static final class FakeClient implements AutoCloseable {
         private static final AtomicInteger IDS = new AtomicInteger();
         final Socket socket;
 
-        ClientFake(Proxy proxy) throws IOException {
+        FakeClient(Proxy proxy) throws IOException {
             this(new Socket(InetAddress.getLoopbackAddress(), proxy.address().getPort()));
         }
 
-        ClientFake(Socket connected) throws IOException {
+        FakeClient(Socket connected) throws IOException {
             socket = connected;
             socket.setSoTimeout(PATIENCE_MILLIS);
         }
 
-        ClientFake send(String raw) throws IOException {
+        FakeClient send(String raw) throws IOException {
             socket.getOutputStream().write(raw.getBytes(StandardCharsets.UTF_8));
             return this;
         }
@@ -372,22 +372,22 @@
                 + "\r\nX-Request-ID: id-" + IDS.incrementAndGet() + "\r\n" + headers + "\r\n";
         }
 
-        static String get(String timeout) {
+        static String getRequest(String timeout) {
             return request("GET", "look", "X-Timeout: " + timeout + "\r\n");
         }
 
-        static String post(String spec, String timeout) {
+        static String postRequest(String spec, String timeout) {
             return request("POST", spec, "X-Timeout: " + timeout + "\r\nContent-Length: 0\r\n"
                 + ("save".equals(spec) ? "Idempotency-Key: k\r\n" : ""));
         }
 
         /** The next whole answer, or null where the connection ended without one. */
-        String answer() throws IOException {
-            return read(socket.getInputStream());
+        String readResponse() throws IOException {
+            return readMessage(socket.getInputStream());
         }
 
-        int status() throws IOException {
-            String answer = answer();
+        int readStatus() throws IOException {
+            String answer = readResponse();
             return answer == null ? 0 : Integer.parseInt(answer.substring(9, 12));
         }
 
--- a/proxy/src/test/java/dockrelay/proxy/KnownListTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/KnownListTest.java
@@ -5,9 +5,9 @@
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dockrelay.proxy.Fakes.BackendFake;
-import dockrelay.proxy.Fakes.ClientFake;
-import dockrelay.proxy.Fakes.DiscoveryFake;
+import dockrelay.proxy.Fakes.FakeBackend;
+import dockrelay.proxy.Fakes.FakeClient;
+import dockrelay.proxy.Fakes.FakeDiscovery;
 import java.io.File;
 import java.io.IOException;
 import java.net.InetAddress;
@@ -27,25 +27,25 @@
     private static final int MANY = 86_000;
 
     private static KnownList known(String value) {
-        return Fakes.parsed(Fakes.text(0, 1, 1024, "", "").replaceFirst("\"known\":\\{[^}]*\\}",
+        return Fakes.parseConfig(Fakes.configJson(0, 1, 1024, "", "").replaceFirst("\"known\":\\{[^}]*\\}",
             "\"known\":" + value)).known();
     }
 
     @Test
     void eachEntryIsAMemberAsSoonAsItIsRead() {
-        String one = Fakes.entry("s-1", 81, "active"), two = Fakes.entry("s-2", 82, "draining");
+        String one = Fakes.entryJson("s-1", 81, "active"), two = Fakes.entryJson("s-2", 82, "draining");
         KnownList known = known("{\"servers\":[" + one + "," + two + ",{\"id\":\"s-3\"},7],\"version\":9}");
         List<Object> entries = known.take();
         assertEquals(9, known.version());
-        assertInstanceOf(RequestTable.Member.class, entries.get(0));
-        assertInstanceOf(RequestTable.Member.class, entries.get(1));
+        assertInstanceOf(RequestTable.ListedBackend.class, entries.get(0));
+        assertInstanceOf(RequestTable.ListedBackend.class, entries.get(1));
         assertEquals(Map.of("id", "s-3"), entries.get(2), "what says too little is judged when it is taken");
         assertEquals(7L, entries.get(3));
         assertTrue(known.take().isEmpty(), "it is kept for nobody");
 
         Listing listing = new Listing(new OperatorOverrides(null));
         listing.take(entries, true);
-        RequestTable.Member first = listing.get("s-1");
+        RequestTable.ListedBackend first = listing.get("s-1");
         assertEquals(entries.get(0), first);
         assertEquals(first, listing.read(Map.of("id", "s-1", "zone", first.backend().zone(), "kind",
             first.backend().kind(), "addr", "127.0.0.1:81", "cell", first.backend().cell(), "weight",
@@ -66,7 +66,7 @@
     @Test
     void aRunningProxyReadsNoneOfIt(@TempDir Path folder) throws Exception {
         Path file = folder.resolve("config.json");
-        Files.writeString(file, Fakes.text(0, 1, 1024, Fakes.entry("s-1", 81, "active"), ""));
+        Files.writeString(file, Fakes.configJson(0, 1, 1024, Fakes.entryJson("s-1", 81, "active"), ""));
         assertEquals(1, Config.read(file).known().take().size());
         assertTrue(Config.readAgain(file).known().take().isEmpty());
     }
@@ -78,19 +78,19 @@
         try (ServerSocket any = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             port = any.getLocalPort();
         }
-        try (BackendFake backend = new BackendFake(request -> Fakes.answer("200 OK", "", "one"));
-             DiscoveryFake away = new DiscoveryFake(); DiscoveryFake next = new DiscoveryFake()) {
-            away.refuse = true;
-            next.first(DiscoveryFake.list(2, true, Fakes.entry("s-1", backend.port(), "active")));
-            String all = IntStream.range(0, MANY).mapToObj(i -> Fakes.entry("s-" + i, backend.port(),
+        try (FakeBackend backend = new FakeBackend(request -> Fakes.httpResponse("200 OK", "", "one"));
+             FakeDiscovery away = new FakeDiscovery(); FakeDiscovery next = new FakeDiscovery()) {
+            away.rejecting = true;
+            next.setFirstList(FakeDiscovery.listJson(2, true, Fakes.entryJson("s-1", backend.port(), "active")));
+            String all = IntStream.range(0, MANY).mapToObj(i -> Fakes.entryJson("s-" + i, backend.port(),
                 "active")).collect(Collectors.joining(","));
             Path file = folder.resolve("config.json");
-            Files.writeString(file, Fakes.text(port, away.port(), 1024, all, ""));
+            Files.writeString(file, Fakes.configJson(port, away.port(), 1024, all, ""));
             Process process = start(file, folder);
             try {
                 Fakes.await("it serves", () -> !process.isAlive() || answers(port));
                 assertTrue(process.isAlive(), () -> log(folder));
-                Files.writeString(file, Fakes.text(port, next.port(), 1024, all, ""));
+                Files.writeString(file, Fakes.configJson(port, next.port(), 1024, all, ""));
                 new ProcessBuilder("kill", "-HUP", Long.toString(process.pid())).start().waitFor();
                 Fakes.await("the next discovery's list is there", () -> !process.isAlive()
                     || log(folder).contains("list of version 2, entries 1"));
@@ -115,8 +115,8 @@
     }
 
     private static boolean answers(int port) {
-        try (ClientFake client = new ClientFake(new Socket(InetAddress.getLoopbackAddress(), port))) {
-            return client.send(ClientFake.get("4.0")).status() == 200;
+        try (FakeClient client = new FakeClient(new Socket(InetAddress.getLoopbackAddress(), port))) {
+            return client.send(FakeClient.getRequest("4.0")).readStatus() == 200;
         } catch (IOException e) {
             return false;
         }
--- a/proxy/src/test/java/dockrelay/proxy/ListApplierTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/ListApplierTest.java
@@ -8,7 +8,7 @@
 import dockrelay.Balancer.ListUpdateType;
 import dockrelay.Balancer.Phase;
 import dockrelay.proxy.ListParser.Update;
-import dockrelay.proxy.RequestTable.Member;
+import dockrelay.proxy.RequestTable.ListedBackend;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
@@ -47,7 +47,7 @@
         }
 
         @Override
-        public void tell(ListUpdateType scope, List<Member> members) {
+        public void tell(ListUpdateType scope, List<ListedBackend> members) {
             if (failing > 0 && --failing == 0) {
                 throw new IllegalStateException("a fault of whoever is told");
             }
@@ -56,7 +56,7 @@
             if (scope == ListUpdateType.FULL) {
                 holds.clear();
             }
-            for (Member member : members) {
+            for (ListedBackend member : members) {
                 holds.put(member.backend().id(), member.backend());
             }
             holds.values().removeIf(backend -> backend.phase() == Phase.GONE);
@@ -85,7 +85,7 @@
         Map<String, Backend> listed() {
             Map<String, Backend> listed = new TreeMap<>();
             for (int i = 0; i < NAMES; i++) {
-                Member member = listing.get("s-" + i);
+                ListedBackend member = listing.get("s-" + i);
                 if (member != null) {
                     listed.put(member.name(), member.backend());
                 }
@@ -224,7 +224,7 @@
         }
         told.operators.attach("s-900");
         for (int i = 500; i < 1_000; i++) {
-            Member member = told.listing.operated("s-" + i);
+            ListedBackend member = told.listing.operated("s-" + i);
             assertEquals(member != null, told.holds.containsKey(EntryReader.number("s-" + i)),
                 "told as long as it is held, and no longer");
         }
--- a/proxy/src/test/java/dockrelay/proxy/ListCrossingTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/ListCrossingTest.java
@@ -3,9 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dockrelay.proxy.Fakes.BackendFake;
-import dockrelay.proxy.Fakes.ClientFake;
-import dockrelay.proxy.Fakes.DiscoveryFake;
+import dockrelay.proxy.Fakes.FakeBackend;
+import dockrelay.proxy.Fakes.FakeClient;
+import dockrelay.proxy.Fakes.FakeDiscovery;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -20,16 +20,16 @@
 
 /** Lists and reloads that come while a backend drains and still has requests. */
 class ListCrossingTest {
-    private static final String SERVED = Fakes.answer("200 OK", "", "served"),
-        LATE = Fakes.answer("200 OK", "", "late"),
+    private static final String SERVED = Fakes.httpResponse("200 OK", "", "served"),
+        LATE = Fakes.httpResponse("200 OK", "", "late"),
         HEALTH = "GET /healthz HTTP/1.1\r\nHost: app\r\n\r\n";
     /** In seconds: the time in which a request may be held, however slow the machine is. */
     private static final String PATIENCE = "60.0";
     private static final int SOCKETS = 1024, SOME = 4, ROUNDS = 10, LONG = 3_000, LONGER = 20_000;
 
-    private final DiscoveryFake discovery = new DiscoveryFake();
+    private final FakeDiscovery discovery = new FakeDiscovery();
     private final CountDownLatch released = new CountDownLatch(1);
-    private final BackendFake draining = new BackendFake(request -> {
+    private final FakeBackend draining = new FakeBackend(request -> {
         try {
             released.await();
         } catch (InterruptedException e) {
@@ -38,7 +38,7 @@
         return LATE;
     });
     private volatile CountDownLatch held = new CountDownLatch(0);
-    private final BackendFake staying = new BackendFake(this::served), newest = new BackendFake(this::served);
+    private final FakeBackend staying = new FakeBackend(this::served), newest = new FakeBackend(this::served);
     @TempDir
     private Path marks;
     private Proxy proxy;
@@ -71,7 +71,7 @@
 
     /** With room for more than the request that it has: it would be sent to if it did not drain. */
     private String first(String state) {
-        return roomy(Fakes.entry("s-1", draining.port(), state));
+        return roomy(Fakes.entryJson("s-1", draining.port(), state));
     }
 
     private String leaving() {
@@ -79,46 +79,46 @@
     }
 
     private String active() {
-        return roomy(Fakes.entry("s-2", staying.port(), "active"));
+        return roomy(Fakes.entryJson("s-2", staying.port(), "active"));
     }
 
     /** Told last, so that what it serves shows that all before was taken. */
     private String last() {
-        return roomy(Fakes.entry("s-3", newest.port(), "active"));
+        return roomy(Fakes.entryJson("s-3", newest.port(), "active"));
     }
 
     /** A proxy with one request that the only backend has in hand. */
-    private ClientFake held() throws Exception {
-        discovery.first(DiscoveryFake.list(1, true, first("active")));
-        proxy = new Proxy(Fakes.parsed(Fakes.text(0, discovery.port(), SOCKETS, "", "")
+    private FakeClient held() throws Exception {
+        discovery.setFirstList(FakeDiscovery.listJson(1, true, first("active")));
+        proxy = new Proxy(Fakes.parseConfig(Fakes.configJson(0, discovery.port(), SOCKETS, "", "")
             .replace("\"HardLimit\":5.0", "\"HardLimit\":60.0")),
             new Platform(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), marks, null));
         Fakes.await("healthz 200", () -> {
-            try (ClientFake client = new ClientFake(proxy)) {
-                return client.send(HEALTH).status() == 200;
+            try (FakeClient client = new FakeClient(proxy)) {
+                return client.send(HEALTH).readStatus() == 200;
             } catch (IOException e) {
                 return false;
             }
         });
-        ClientFake waits = new ClientFake(proxy);
-        waits.send(ClientFake.post("put", PATIENCE));
+        FakeClient waits = new FakeClient(proxy);
+        waits.send(FakeClient.postRequest("put", PATIENCE));
         Fakes.await("it has the request", () -> draining.requests.size() == 1);
         return waits;
     }
 
     /** The same, and the backend drains from then on. */
-    private ClientFake drained() throws Exception {
-        ClientFake waits = held();
-        discovery.push(DiscoveryFake.list(2, false, leaving(), active()));
+    private FakeClient drained() throws Exception {
+        FakeClient waits = held();
+        discovery.push(FakeDiscovery.listJson(2, false, leaving(), active()));
         awaitServed(staying);
         return waits;
     }
 
     /** This one is known. */
-    private void awaitServed(BackendFake by) {
+    private void awaitServed(FakeBackend by) {
         Fakes.await("it serves", () -> {
-            try (ClientFake client = new ClientFake(proxy)) {
-                return client.send(ClientFake.get("1.0")).status() == 200 && !by.requests.isEmpty();
+            try (FakeClient client = new FakeClient(proxy)) {
+                return client.send(FakeClient.getRequest("1.0")).readStatus() == 200 && !by.requests.isEmpty();
             } catch (IOException e) {
                 return false;
             }
@@ -127,7 +127,7 @@
 
     /** The last one is known; no request is sent for it, which might go to whoever is there before. */
     private void awaitLast() {
-        Fakes.await("the last one is known", () -> Fakes.call(proxy, "ATTACH s-3\n").startsWith("200 "));
+        Fakes.await("the last one is known", () -> Fakes.callConsole(proxy, "ATTACH s-3\n").startsWith("200 "));
     }
 
     /** All others have something in hand, so that whoever may be sent to is. */
@@ -142,9 +142,9 @@
     private int takenByOthers() throws IOException {
         held = new CountDownLatch(1);
         int before = staying.requests.size() + newest.requests.size();
-        List<ClientFake> clients = new ArrayList<>();
+        List<FakeClient> clients = new ArrayList<>();
         for (int i = 0; i < SOME; i++) {
-            clients.add(new ClientFake(proxy).send(ClientFake.post("put", PATIENCE)));
+            clients.add(new FakeClient(proxy).send(FakeClient.postRequest("put", PATIENCE)));
         }
         Fakes.await("all are in hand, or turned away", () -> staying.requests.size() + newest.requests.size()
             + draining.requests.size() + clients.stream().filter(ListCrossingTest::answered).count()
@@ -152,8 +152,8 @@
         assertEquals(1, draining.requests.size(), "nothing new");
         held.countDown();
         int served = 0;
-        for (ClientFake client : clients) {
-            int status = client.status();
+        for (FakeClient client : clients) {
+            int status = client.readStatus();
             assertTrue(status == 200 || status == 503, "answered by " + status);
             served += status == 200 ? 1 : 0;
             client.close();
@@ -161,7 +161,7 @@
         return served;
     }
 
-    private static boolean answered(ClientFake client) {
+    private static boolean answered(FakeClient client) {
         try {
             return client.socket.getInputStream().available() > 0;
         } catch (IOException e) {
@@ -170,21 +170,21 @@
     }
 
     /** What is under way ends there, and nothing new comes. */
-    private void assertDrains(ClientFake waits) throws IOException {
+    private void assertDrains(FakeClient waits) throws IOException {
         assertNothingNew();
         released.countDown();
-        String answer = waits.answer();
+        String answer = waits.readResponse();
         assertEquals("late", answer.substring(answer.length() - 4), answer);
         waits.close();
-        Fakes.await("its connection is closed", () -> draining.open.isEmpty());
+        Fakes.await("its connection is closed", () -> draining.openConnections.isEmpty());
         assertEquals(1, draining.requests.size(), "nothing new, and nothing twice");
     }
 
     @Test
     void aWholeListThatLeavesOutADrainingBackendLeavesItsRequestsAlone() throws Exception {
-        ClientFake waits = drained();
-        discovery.push(DiscoveryFake.list(3, true, active()));
-        discovery.push(DiscoveryFake.list(4, false, last()));
+        FakeClient waits = drained();
+        discovery.push(FakeDiscovery.listJson(3, true, active()));
+        discovery.push(FakeDiscovery.listJson(4, false, last()));
         awaitServed(newest);
         assertDrains(waits);
     }
@@ -192,8 +192,8 @@
     /** The same with no word of a drain before: it is gone, also where it still answers. */
     @Test
     void aWholeListThatLeavesOutABackendThatServedLeavesItsRequestsAlone() throws Exception {
-        ClientFake waits = held();
-        discovery.push(DiscoveryFake.list(2, true, active(), last()));
+        FakeClient waits = held();
+        discovery.push(FakeDiscovery.listJson(2, true, active(), last()));
         awaitServed(newest);
         assertDrains(waits);
     }
@@ -202,18 +202,18 @@
     private String longList(int length, String... first) {
         List<String> all = new ArrayList<>(List.of(first));
         for (int i = 0; i < length; i++) {
-            all.add(Fakes.entry("away-" + i, staying.port(), "leaving"));
+            all.add(Fakes.entryJson("away-" + i, staying.port(), "leaving"));
         }
-        return DiscoveryFake.list(2, true, all.toArray(new String[0]));
+        return FakeDiscovery.listJson(2, true, all.toArray(new String[0]));
     }
 
     /** What is said right behind it counts after it. */
     @Test
     void aDrainToldBehindALongListStands() throws Exception {
-        ClientFake waits = held();
+        FakeClient waits = held();
         discovery.push(longList(LONG, active(), first("active")));
-        discovery.push(DiscoveryFake.list(3, false, leaving()));
-        discovery.push(DiscoveryFake.list(4, false, last()));
+        discovery.push(FakeDiscovery.listJson(3, false, leaving()));
+        discovery.push(FakeDiscovery.listJson(4, false, last()));
         awaitLast();
         assertDrains(waits);
     }
@@ -221,15 +221,15 @@
     /** A read brings some 130 changes and a turn applies 256 entries, so that more waits than may. */
     @Test
     void whatIsSaidFasterThanItIsAppliedWaitsInItsOrder() throws Exception {
-        ClientFake waits = held();
+        FakeClient waits = held();
         int version = 2;
         StringBuilder all = new StringBuilder(longList(LONGER, active(), first("active"))).append('\n');
         for (int i = 0; i < 2 * ListApplier.MOST_WAITING; i++) {
             String entry = i == ListApplier.MOST_WAITING ? leaving()
-                : Fakes.entry("away-" + i, staying.port(), "left");
-            all.append(DiscoveryFake.list(++version, false, entry)).append('\n');
+                : Fakes.entryJson("away-" + i, staying.port(), "left");
+            all.append(FakeDiscovery.listJson(++version, false, entry)).append('\n');
         }
-        discovery.push(all.append(DiscoveryFake.list(++version, false, last())).toString());
+        discovery.push(all.append(FakeDiscovery.listJson(++version, false, last())).toString());
         awaitLast();
         assertDrains(waits);
     }
@@ -237,9 +237,9 @@
     /** And what a long list leaves out is gone, in the turns after those that it names. */
     @Test
     void aLongListThatLeavesOutABackendThatServedLeavesItsRequestsAlone() throws Exception {
-        ClientFake waits = held();
+        FakeClient waits = held();
         discovery.push(longList(LONG, active()));
-        discovery.push(DiscoveryFake.list(3, false, last()));
+        discovery.push(FakeDiscovery.listJson(3, false, last()));
         awaitLast();
         assertDrains(waits);
     }
@@ -247,16 +247,16 @@
     /** From the reload to the new address's first list goes by what the old one said. */
     @Test
     void aReloadBetweenADrainAndItsEndKeepsIt(@TempDir Path folder) throws Exception {
-        ClientFake waits = drained();
-        try (DiscoveryFake other = new DiscoveryFake()) {
-            other.refuse = true;
+        FakeClient waits = drained();
+        try (FakeDiscovery other = new FakeDiscovery()) {
+            other.rejecting = true;
             Path file = folder.resolve("config.json");
-            Files.writeString(file, Fakes.text(0, other.port(), SOCKETS, "", ""));
+            Files.writeString(file, Fakes.configJson(0, other.port(), SOCKETS, "", ""));
             proxy.reload(file);
-            Fakes.await("asked at the new address, in vain", () -> !other.asked.isEmpty());
+            Fakes.await("asked at the new address, in vain", () -> !other.requests.isEmpty());
             assertNothingNew();
-            other.first(DiscoveryFake.list(1, true, leaving(), active(), last()));
-            other.refuse = false;
+            other.setFirstList(FakeDiscovery.listJson(1, true, leaving(), active(), last()));
+            other.rejecting = false;
             awaitServed(newest);
             assertDrains(waits);
         }
--- a/proxy/src/test/java/dockrelay/proxy/ListProbe.java
+++ b/proxy/src/test/java/dockrelay/proxy/ListProbe.java
@@ -45,18 +45,18 @@
     private long worst;
 
     private ListProbe(EventLoop loop) {
-        Config config = Fakes.parsed(Fakes.text(0, 1, 1024, "",
+        Config config = Fakes.parseConfig(Fakes.configJson(0, 1, 1024, "",
             "\"Balancers\":" + PROXIES + ",\"Me\":" + PROXIES / 3 + ",\"Obligations\":{\"ColdTime\":10.0},"));
-        BackendPool pool = new BackendPool(new Bootstrap().group(loop).channel(NioSocketChannel.class), loop,
-            100, 250_000, 15_000_000, new Counters(), new Buffers(() -> 0, 144));
+        BackendConnectionPool pool = new BackendConnectionPool(new Bootstrap().group(loop).channel(NioSocketChannel.class), loop,
+            100, 250_000, 15_000_000, new Counters(), new BufferLimit(() -> 0, 144));
         table = new RequestTable(loop, pool, () -> System.nanoTime() / 1000, config, new Counters());
         module = new RiqBalancer(config.settings(), 7, this);
-        table.attach(module, () -> { }, message -> { });
+        table.attachBalancer(module, () -> { }, message -> { });
     }
 
     @Override
-    public void tell(ListUpdateType scope, List<RequestTable.Member> members) {
-        table.members(scope, members);
+    public void tell(ListUpdateType scope, List<RequestTable.ListedBackend> members) {
+        table.updateBackends(scope, members);
     }
 
     @Override
@@ -198,7 +198,7 @@
             request();
         }
         print("  a request %.2f us; the log's line %d characters; heap %.1f MB", (processor() - start)
-            / 1e3 / REQUESTS, table.status().length(), used());
+            / 1e3 / REQUESTS, table.balancerStatus().length(), used());
     }
 
     /** Sizes, each of which is best measured by a process of its own. */
--- a/proxy/src/test/java/dockrelay/proxy/ListingTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/ListingTest.java
@@ -9,7 +9,7 @@
 
 import com.sun.management.ThreadMXBean;
 import dockrelay.Balancer.Phase;
-import dockrelay.proxy.RequestTable.Member;
+import dockrelay.proxy.RequestTable.ListedBackend;
 import io.netty.util.collection.LongObjectHashMap;
 import io.netty.util.collection.LongObjectMap;
 import java.lang.management.ManagementFactory;
@@ -68,7 +68,7 @@
     @Test
     void namesThatFallTogetherAreToldApartAndKeepTheirNumbers() {
         Listing narrow = new Listing(operators, name -> 7, Listing::map);
-        List<Member> told = narrow.take(entries(3), true);
+        List<ListedBackend> told = narrow.take(entries(3), true);
         assertEquals(List.of(7L, 8L, 9L), told.stream().map(member -> member.backend().id()).toList());
         assertEquals(List.of(7L, 8L, 9L), narrow.take(entries(3), true).stream()
             .map(member -> member.backend().id()).toList(), "said again");
@@ -88,16 +88,16 @@
     @Test
     void whatChangesLeaveOutStaysAndWhatStaysIsTheSameObject() {
         Object read = listing.read(entry("s-1", "active"));
-        Member first = listing.take(List.of(read), true).get(0);
+        ListedBackend first = listing.take(List.of(read), true).get(0);
         assertSame(read, first);
         assertSame(first, listing.read(entry("s-1", "active")));
         Map<String, Object> drained = Map.of("id", "s-1", "state", "leaving");
         assertSame(drained, listing.read(drained), "it has to wait for its turn");
-        Member then = listing.take(List.of(listing.read(drained)), false).get(0);
+        ListedBackend then = listing.take(List.of(listing.read(drained)), false).get(0);
         assertEquals(Phase.DRAINING, then.backend().phase());
         assertEquals(first.address(), then.address());
         assertEquals(3, then.backend().cell());
-        assertSame(first.backend().zone(), ((Member) listing.read(entry("s-9", "active"))).backend().zone());
+        assertSame(first.backend().zone(), ((ListedBackend) listing.read(entry("s-9", "active"))).backend().zone());
     }
 
     /** In each thing that an entry says by itself: none may pass for the one known before. */
@@ -105,12 +105,12 @@
     void whatDiffersInAnythingIsAnotherObject() {
         Map<String, Object> others = Map.of("state", "leaving", "addr", "10.0.0.2:80", "zone", "z2", "kind",
             "k2", "cell", 4L, "weight", 2.0, "started_ms", 1L);
-        Member known = listing.take(List.of(entry("s-1", "active")), true).get(0);
+        ListedBackend known = listing.take(List.of(entry("s-1", "active")), true).get(0);
         assertEquals(others.size() + 1, entry("s-1", "active").size(), "all but its name");
         others.forEach((key, value) -> {
             Map<String, Object> other = entry("s-1", "active");
             other.put(key, value);
-            Member read = (Member) listing.read(other);
+            ListedBackend read = (ListedBackend) listing.read(other);
             assertNotEquals(known, read, key);
             assertSame(read, listing.take(List.of(read), false).get(0));
             assertEquals(read, listing.get("s-1"), key);
@@ -128,7 +128,7 @@
             read.add(listing.read(each));
         }
         read.add("no entry");
-        assertEquals(List.of("s-1", "s-3"), listing.take(read, true).stream().map(Member::name).toList());
+        assertEquals(List.of("s-1", "s-3"), listing.take(read, true).stream().map(ListedBackend::name).toList());
     }
 
     /** The same name twice in a list: the later one holds, laid over the earlier one. */
@@ -182,7 +182,7 @@
     }
 
     /** A map that counts what it is asked, and each walk over all as all. */
-    private static final class Counted extends LongObjectHashMap<Member> {
+    private static final class Counted extends LongObjectHashMap<ListedBackend> {
         private final long[] steps;
 
         Counted(int size, long[] steps) {
@@ -191,19 +191,19 @@
         }
 
         @Override
-        public Member get(long key) {
+        public ListedBackend get(long key) {
             steps[0]++;
             return super.get(key);
         }
 
         @Override
-        public Member put(long key, Member value) {
+        public ListedBackend put(long key, ListedBackend value) {
             steps[0]++;
             return super.put(key, value);
         }
 
         @Override
-        public Member remove(long key) {
+        public ListedBackend remove(long key) {
             steps[0]++;
             return super.remove(key);
         }
@@ -221,13 +221,13 @@
         }
 
         @Override
-        public Collection<Member> values() {
+        public Collection<ListedBackend> values() {
             steps[0] += size();
             return super.values();
         }
 
         @Override
-        public Iterable<LongObjectMap.PrimitiveEntry<Member>> entries() {
+        public Iterable<LongObjectMap.PrimitiveEntry<ListedBackend>> entries() {
             steps[0] += size();
             return super.entries();
         }
--- a/proxy/src/test/java/dockrelay/proxy/PeerGroupsTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/PeerGroupsTest.java
@@ -47,7 +47,7 @@
     }
 
     private static Config config(int me, int count, String groups) {
-        return Fakes.parsed(text(me, peers(count), groups(groups), ""));
+        return Fakes.parseConfig(text(me, peers(count), groups(groups), ""));
     }
 
     @Test
@@ -57,7 +57,7 @@
         assertTrue(config(0, most, "").groups().grouping().isSingleGroup());
         assertEquals(2, config(0, most + 1, "").groups().grouping().groupCount());
         assertEquals(3, config(0, 97, "{\"size\":32}").groups().grouping().groupCount());
-        assertNull(Fakes.parsed(text(0, "[\"127.0.0.1:7\"]", "", "")).groups());
+        assertNull(Fakes.parseConfig(text(0, "[\"127.0.0.1:7\"]", "", "")).groups());
     }
 
     @Test
@@ -127,7 +127,7 @@
     }
 
     private static Config budgets(int me, int count, String groups, String budget, String tenants) {
-        return Fakes.parsed(text(me, peers(count), groups(groups) + "\"budgets\":{" + budget + "},",
+        return Fakes.parseConfig(text(me, peers(count), groups(groups) + "\"budgets\":{" + budget + "},",
             tenants));
     }
 
--- a/proxy/src/test/java/dockrelay/proxy/PeersProcessTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/PeersProcessTest.java
@@ -5,8 +5,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dockrelay.fleet.group.GroupAssignment;
-import dockrelay.proxy.Fakes.BackendFake;
-import dockrelay.proxy.Fakes.DiscoveryFake;
+import dockrelay.proxy.Fakes.FakeBackend;
+import dockrelay.proxy.Fakes.FakeDiscovery;
 import java.io.File;
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -35,8 +35,8 @@
 class PeersProcessTest {
     /** Of 5,700 names, and of one fewer. */
     private static final long GROUPS = Math.round(5_700.0 / GroupAssignment.DEFAULT_GROUP_SIZE);
-    private final BackendFake backend = new BackendFake(request -> Fakes.answer("200 OK", "", "one"));
-    private final DiscoveryFake discovery = new DiscoveryFake();
+    private final FakeBackend backend = new FakeBackend(request -> Fakes.httpResponse("200 OK", "", "one"));
+    private final FakeDiscovery discovery = new FakeDiscovery();
     @TempDir
     private Path folder;
     private Process process;
@@ -51,7 +51,7 @@
             console = two.getLocalPort();
             peer = three.getLocalPort();
         }
-        discovery.first(DiscoveryFake.list(2, true, Fakes.entry("s-1", backend.port(), "active")));
+        discovery.setFirstList(FakeDiscovery.listJson(2, true, Fakes.entryJson("s-1", backend.port(), "active")));
     }
 
     @AfterEach
@@ -65,7 +65,7 @@
 
     /** With these keys before all others. */
     private void write(String keys) throws IOException {
-        Files.writeString(folder.resolve("config.json"), Fakes.text(port, discovery.port(), 1024, "", "")
+        Files.writeString(folder.resolve("config.json"), Fakes.configJson(port, discovery.port(), 1024, "", "")
             .replaceFirst("\\{", "{" + keys).replaceFirst("\"Permissions\":\\{",
                 "\"Permissions\":{\"Peers\":true,"));
     }
--- a/proxy/src/test/java/dockrelay/proxy/PiecesTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/PiecesTest.java
@@ -3,9 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dockrelay.proxy.Fakes.BackendFake;
-import dockrelay.proxy.Fakes.ClientFake;
-import dockrelay.proxy.Fakes.DiscoveryFake;
+import dockrelay.proxy.Fakes.FakeBackend;
+import dockrelay.proxy.Fakes.FakeClient;
+import dockrelay.proxy.Fakes.FakeDiscovery;
 import java.io.IOException;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
@@ -18,25 +18,25 @@
  */
 class PiecesTest {
     private static final int CUTS_A_PROXY = 15; // with two requests a cut
-    private static final String BODY = "in pieces", SERVED = Fakes.answer("200 OK", "", "served"),
+    private static final String BODY = "in pieces", SERVED = Fakes.httpResponse("200 OK", "", "served"),
         HEALTH = "GET /healthz HTTP/1.1\r\nHost: app\r\n\r\n";
 
-    private final DiscoveryFake discovery = new DiscoveryFake();
-    private final BackendFake backend = new BackendFake(request -> SERVED);
+    private final FakeDiscovery discovery = new FakeDiscovery();
+    private final FakeBackend backend = new FakeBackend(request -> SERVED);
     private Proxy proxy;
 
     /** What is done with a cut, on a connection of its own and with another one beside it. */
     private interface Cut {
-        void at(int cut, ClientFake client, ClientFake beside) throws IOException;
+        void at(int cut, FakeClient client, FakeClient beside) throws IOException;
     }
 
     @BeforeEach
     void start() throws Exception {
-        discovery.first(DiscoveryFake.list(1, true, Fakes.entry("s-1", backend.port(), "active")));
+        discovery.setFirstList(FakeDiscovery.listJson(1, true, Fakes.entryJson("s-1", backend.port(), "active")));
         proxy = new Proxy(Fakes.config(discovery.port(), 1024));
         Fakes.await("healthz 200", () -> {
-            try (ClientFake client = new ClientFake(proxy)) {
-                return client.send(HEALTH).status() == 200;
+            try (FakeClient client = new FakeClient(proxy)) {
+                return client.send(HEALTH).readStatus() == 200;
             } catch (IOException e) {
                 return false;
             }
@@ -51,23 +51,23 @@
     }
 
     private static String whole(int number) {
-        return ClientFake.request("POST", "put", "X-Timeout: 9.0\r\nX-Number: " + number + "\r\n"
+        return FakeClient.request("POST", "put", "X-Timeout: 9.0\r\nX-Number: " + number + "\r\n"
             + "Content-Length: " + BODY.length() + "\r\n") + BODY;
     }
 
     private static String chunked(int number) {
-        return ClientFake.request("POST", "put", "X-Timeout: 9.0\r\nX-Number: " + number + "\r\n"
+        return FakeClient.request("POST", "put", "X-Timeout: 9.0\r\nX-Number: " + number + "\r\n"
             + "Transfer-Encoding: chunked\r\n") + "4\r\nin p\r\n5\r\nieces\r\n0\r\n\r\n";
     }
 
     /** That the proxy has read what came before: its one loop has turned since. */
-    private void awaitRead(ClientFake beside) throws IOException {
-        assertEquals(200, beside.send(HEALTH).status());
+    private void awaitRead(FakeClient beside) throws IOException {
+        assertEquals(200, beside.send(HEALTH).readStatus());
     }
 
     /** The last request arrived once and unchanged, and was served. */
-    private void assertServed(ClientFake client, int number, int cut) throws IOException {
-        assertEquals(200, client.status(), "cut at " + cut);
+    private void assertServed(FakeClient client, int number, int cut) throws IOException {
+        assertEquals(200, client.readStatus(), "cut at " + cut);
         assertEquals(number, backend.requests.size(), "cut at " + cut);
         String request = backend.requests.get(number - 1);
         assertTrue(request.contains("X-Number: " + number + "\r\n") && request.endsWith("\r\n\r\n" + BODY),
@@ -81,7 +81,7 @@
                 proxy.stop();
                 start();
             }
-            try (ClientFake client = new ClientFake(proxy); ClientFake beside = new ClientFake(proxy)) {
+            try (FakeClient client = new FakeClient(proxy); FakeClient beside = new FakeClient(proxy)) {
                 client.socket.setTcpNoDelay(true);
                 for (int cut = from; cut < Math.min(length, from + CUTS_A_PROXY); cut++) {
                     test.at(cut, client, beside);
@@ -90,7 +90,7 @@
         }
     }
 
-    private void assertWhole(String request, int number, int cut, ClientFake client, ClientFake beside)
+    private void assertWhole(String request, int number, int cut, FakeClient client, FakeClient beside)
         throws IOException {
         client.send(request.substring(0, cut));
         awaitRead(beside);
@@ -113,7 +113,7 @@
 
     @Test
     void aRequestThatComesByteByByteArrivesOnceAndWhole() throws Exception {
-        try (ClientFake client = new ClientFake(proxy); ClientFake beside = new ClientFake(proxy)) {
+        try (FakeClient client = new FakeClient(proxy); FakeClient beside = new FakeClient(proxy)) {
             client.socket.setTcpNoDelay(true);
             String request = whole(1);
             for (int at = 0; at < request.length(); at++) {
--- a/proxy/src/test/java/dockrelay/proxy/ProcessTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/ProcessTest.java
@@ -3,9 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dockrelay.proxy.Fakes.BackendFake;
-import dockrelay.proxy.Fakes.ClientFake;
-import dockrelay.proxy.Fakes.DiscoveryFake;
+import dockrelay.proxy.Fakes.FakeBackend;
+import dockrelay.proxy.Fakes.FakeClient;
+import dockrelay.proxy.Fakes.FakeDiscovery;
 import java.io.IOException;
 import java.net.Socket;
 import java.nio.file.Path;
@@ -16,8 +16,8 @@
 
 /** Signals to a process of its own: at each of its stages, and more than one. */
 class ProcessTest {
-    private final BackendFake backend = new BackendFake(request -> Fakes.answer("200 OK", "", "one"));
-    private final DiscoveryFake discovery = new DiscoveryFake();
+    private final FakeBackend backend = new FakeBackend(request -> Fakes.httpResponse("200 OK", "", "one"));
+    private final FakeDiscovery discovery = new FakeDiscovery();
     @TempDir
     private Path folder;
     private ProxyProcess process;
@@ -25,7 +25,7 @@
     @BeforeEach
     void prepare() throws IOException {
         process = new ProxyProcess(folder);
-        discovery.first(DiscoveryFake.list(2, true, Fakes.entry("s-1", backend.port(), "active")));
+        discovery.setFirstList(FakeDiscovery.listJson(2, true, Fakes.entryJson("s-1", backend.port(), "active")));
     }
 
     @AfterEach
@@ -46,9 +46,9 @@
     /** Before the list is there it takes no request, and has nothing to serve out. */
     @Test
     void askedToEndWhileItStartsItEndsWithoutListening() throws Exception {
-        discovery.refuse = true;
+        discovery.rejecting = true;
         start();
-        Fakes.await("it waits for its list", () -> discovery.asked.size() > 1);
+        Fakes.await("it waits for its list", () -> discovery.requests.size() > 1);
         process.signal("TERM");
         assertEndsWell();
         assertTrue(process.log().contains("stop: asked to end before it listened"));
@@ -57,22 +57,22 @@
     /** A backend hangs, a client reads nothing, the signal comes twice, and a reload in between. */
     @Test
     void askedToEndTwiceItAnswersWhatItHasAndEndsInTime() throws Exception {
-        backend.script = request ->
-            request.startsWith("POST /put") ? null : Fakes.answer("200 OK", "", "one");
+        backend.responder = request ->
+            request.startsWith("POST /put") ? null : Fakes.httpResponse("200 OK", "", "one");
         start();
         process.awaitServing();
-        try (ClientFake hanging = process.client(); ClientFake deaf = process.client();
-             ClientFake resting = process.client()) {
-            assertEquals(200, resting.send(ClientFake.get("4.0")).status());
-            hanging.send(ClientFake.post("put", "1.0"));
-            deaf.send(ClientFake.post("put", "1.0"));
+        try (FakeClient hanging = process.client(); FakeClient deaf = process.client();
+             FakeClient resting = process.client()) {
+            assertEquals(200, resting.send(FakeClient.getRequest("4.0")).readStatus());
+            hanging.send(FakeClient.postRequest("put", "1.0"));
+            deaf.send(FakeClient.postRequest("put", "1.0"));
             Fakes.await("both are out", () -> backend.requests.stream()
                 .filter(request -> request.startsWith("POST /put")).count() == 2);
             process.signal("TERM");
             process.configure("not a configuration");
             process.signal("HUP");
             process.signal("TERM");
-            String answer = hanging.answer();
+            String answer = hanging.readResponse();
             assertTrue(answer != null && answer.startsWith("HTTP/1.1 50"), answer);
             assertEndsWell();
         }
@@ -83,11 +83,11 @@
     void aReloadWhileDiscoveryIsAwayIsTakenUp() throws Exception {
         start();
         process.awaitServing();
-        try (DiscoveryFake next = new DiscoveryFake();
-             BackendFake other = new BackendFake(request -> Fakes.answer("200 OK", "", "other"))) {
-            next.first(DiscoveryFake.list(1, true, Fakes.entry("s-9", other.port(), "active")));
-            discovery.refuse = true;
-            for (Socket watch : discovery.open) {
+        try (FakeDiscovery next = new FakeDiscovery();
+             FakeBackend other = new FakeBackend(request -> Fakes.httpResponse("200 OK", "", "other"))) {
+            next.setFirstList(FakeDiscovery.listJson(1, true, Fakes.entryJson("s-9", other.port(), "active")));
+            discovery.rejecting = true;
+            for (Socket watch : discovery.openConnections) {
                 watch.close();
             }
             process.configure("{\"name\":");
@@ -96,8 +96,8 @@
             process.configure(next.port(), "", "");
             process.signal("HUP");
             Fakes.await("the new list is in force", () -> {
-                try (ClientFake client = process.client()) {
-                    return client.send(ClientFake.get("4.0")).answer().endsWith("other");
+                try (FakeClient client = process.client()) {
+                    return client.send(FakeClient.getRequest("4.0")).readResponse().endsWith("other");
                 } catch (IOException e) {
                     throw new IllegalStateException(e);
                 }
--- a/proxy/src/test/java/dockrelay/proxy/ProxyProcess.java
+++ b/proxy/src/test/java/dockrelay/proxy/ProxyProcess.java
@@ -46,7 +46,7 @@
      * Writes the configuration: this list and these further settings, as {@link Fakes#text} lays them out.
      */
     void configure(int discoveryPort, String known, String settings) throws IOException {
-        configure(Fakes.text(port, discoveryPort, 1024, known, settings)
+        configure(Fakes.configJson(port, discoveryPort, 1024, known, settings)
             .replace("\"listen\":\"127.0.0.1:", "\"listen\":\"" + host + ":")
             .replaceFirst("\"seed\":\"[0-9a-f]*\"", "\"seed\":\"" + seed + "\""));
     }
@@ -72,16 +72,16 @@
 
     void awaitServing() {
         Fakes.await("it serves", () -> {
-            try (Fakes.ClientFake client = client()) {
-                return client.send(Fakes.ClientFake.get("4.0")).status() == 200;
+            try (Fakes.FakeClient client = client()) {
+                return client.send(Fakes.FakeClient.getRequest("4.0")).readStatus() == 200;
             } catch (IOException e) {
                 return false;
             }
         });
     }
 
-    Fakes.ClientFake client() throws IOException {
-        return new Fakes.ClientFake(new Socket(host, port));
+    Fakes.FakeClient client() throws IOException {
+        return new Fakes.FakeClient(new Socket(host, port));
     }
 
     String log() {
--- a/proxy/src/test/java/dockrelay/proxy/ProxyTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/ProxyTest.java
@@ -5,9 +5,9 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dockrelay.proxy.Fakes.BackendFake;
-import dockrelay.proxy.Fakes.ClientFake;
-import dockrelay.proxy.Fakes.DiscoveryFake;
+import dockrelay.proxy.Fakes.FakeBackend;
+import dockrelay.proxy.Fakes.FakeClient;
+import dockrelay.proxy.Fakes.FakeDiscovery;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
@@ -30,13 +30,13 @@
 
 /** The whole proxy between a client, two backends and discovery, on loopback sockets. */
 class ProxyTest {
-    private static final String SERVED = Fakes.answer("200 OK", "", "a rate");
+    private static final String SERVED = Fakes.httpResponse("200 OK", "", "a rate");
     private static final String HEALTH = "GET /healthz HTTP/1.1\r\nHost: app\r\n\r\n";
     private static final int USUAL_SOCKETS = 1024;
 
-    private final DiscoveryFake discovery = new DiscoveryFake();
-    private final BackendFake one = new BackendFake(request -> SERVED);
-    private final BackendFake two = new BackendFake(request -> SERVED);
+    private final FakeDiscovery discovery = new FakeDiscovery();
+    private final FakeBackend one = new FakeBackend(request -> SERVED);
+    private final FakeBackend two = new FakeBackend(request -> SERVED);
     private Proxy proxy;
 
     @BeforeEach
@@ -45,16 +45,16 @@
     }
 
     private void start(int sockets) throws Exception {
-        discovery.first(DiscoveryFake.list(2, true, Fakes.entry("s-1", one.port(), "active"),
-            Fakes.entry("s-2", two.port(), "active")));
+        discovery.setFirstList(FakeDiscovery.listJson(2, true, Fakes.entryJson("s-1", one.port(), "active"),
+            Fakes.entryJson("s-2", two.port(), "active")));
         proxy = new Proxy(Fakes.config(discovery.port(), sockets));
         awaitReady();
     }
 
     private void awaitReady() {
         Fakes.await("healthz 200", () -> {
-            try (ClientFake client = new ClientFake(proxy)) {
-                return client.send(HEALTH).status() == 200;
+            try (FakeClient client = new FakeClient(proxy)) {
+                return client.send(HEALTH).readStatus() == 200;
             } catch (java.io.IOException e) {
                 return false;
             }
@@ -76,22 +76,22 @@
     }
 
     private void both(Fakes.Script script) {
-        one.script = script;
-        two.script = script;
+        one.responder = script;
+        two.responder = script;
     }
 
     @Test
     void aRequestIsPassedOnAndItsAnswerComesBackUnchanged() throws Exception {
-        try (ClientFake client = new ClientFake(proxy)) {
-            String answer = client.send(ClientFake.get("2.000")).answer();
+        try (FakeClient client = new FakeClient(proxy)) {
+            String answer = client.send(FakeClient.getRequest("2.000")).readResponse();
             assertTrue(answer.startsWith("HTTP/1.1 200"), answer);
             assertTrue(answer.endsWith("\r\n\r\na rate"), answer);
             String body = "POST /save/q?x=1 HTTP/1.1\r\nHost: app\r\nX-Priority-Class: save\r\n"
                 + "X-Request-ID: own\r\nX-Timeout: 2\r\n"
                 + "Idempotency-Key: key-7\r\nConnection: close, X-Mine\r\nX-Mine: 1\r\n"
                 + "Content-Length: 5\r\n\r\nhello";
-            assertEquals(200, client.send(body).status());
-            assertNull(client.answer(), "closed, as the client asked");
+            assertEquals(200, client.send(body).readStatus());
+            assertNull(client.readResponse(), "closed, as the client asked");
         }
         String sent = (one.requests.toString() + two.requests).toLowerCase();
         assertTrue(sent.contains("post /save/q?x=1 http/1.1"), sent);
@@ -109,9 +109,9 @@
         "504 Over,X-Not-Processed: 1,503,2", "503 Who knows,'',502,1", "404 Nothing,'',502,1"})
     void eachAnswerOfABackendIsTakenAsTheTableSays(String status, String headers, int answer, int attempts)
         throws Exception {
-        both(request -> Fakes.answer(status, headers.isEmpty() ? "" : headers + "\r\n", ""));
-        try (ClientFake client = new ClientFake(proxy)) {
-            assertEquals(answer, client.send(ClientFake.post("put", "3.0")).status());
+        both(request -> Fakes.httpResponse(status, headers.isEmpty() ? "" : headers + "\r\n", ""));
+        try (FakeClient client = new FakeClient(proxy)) {
+            assertEquals(answer, client.send(FakeClient.postRequest("put", "3.0")).readStatus());
         }
         assertEquals(attempts, seen());
     }
@@ -119,21 +119,21 @@
     @Test
     void aConnectionThatBreaksAfterTheRequestMayHaveRunIt() throws Exception {
         both(request -> "");
-        try (ClientFake client = new ClientFake(proxy)) {
-            assertEquals(502, client.send(ClientFake.post("put", "3.0")).status());
+        try (FakeClient client = new FakeClient(proxy)) {
+            assertEquals(502, client.send(FakeClient.postRequest("put", "3.0")).readStatus());
         }
         assertEquals(1, seen(), "an unsafe request goes out once");
     }
 
     @Test
     void anAnswerCutShortIsNoAnswer() throws Exception {
-        one.script = request -> {
-            one.open.forEach(Fakes::half);
+        one.responder = request -> {
+            one.openConnections.forEach(Fakes::half);
             return "";
         };
-        two.script = one.script;
-        try (ClientFake client = new ClientFake(proxy)) {
-            assertEquals(502, client.send(ClientFake.post("put", "3.0")).status());
+        two.responder = one.responder;
+        try (FakeClient client = new FakeClient(proxy)) {
+            assertEquals(502, client.send(FakeClient.postRequest("put", "3.0")).readStatus());
         }
     }
 
@@ -148,10 +148,10 @@
         "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n"})
     void anAnswerOfDoubtfulFramingIsNotPassedOnAndEndsItsConnection(String doubtful) throws Exception {
         both(request -> seen() == 1 ? doubtful : SERVED);
-        try (ClientFake client = new ClientFake(proxy)) {
-            assertEquals(502, client.send(ClientFake.post("put", "3.0")).status());
+        try (FakeClient client = new FakeClient(proxy)) {
+            assertEquals(502, client.send(FakeClient.postRequest("put", "3.0")).readStatus());
             Fakes.await("its connection closed", () -> one.ended.get() + two.ended.get() == 1);
-            String next = client.send(ClientFake.post("put", "3.0")).answer();
+            String next = client.send(FakeClient.postRequest("put", "3.0")).readResponse();
             assertTrue(next.startsWith("HTTP/1.1 200") && next.endsWith("a rate"), next);
         }
     }
@@ -159,9 +159,9 @@
     @Test
     void anInterimAnswerIsNotTheAnswer() throws Exception {
         both(request -> "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + SERVED);
-        try (ClientFake client = new ClientFake(proxy)) {
+        try (FakeClient client = new FakeClient(proxy)) {
             for (int i = 0; i < 3; i++) {
-                String answer = client.send(ClientFake.post("put", "3.0")).answer();
+                String answer = client.send(FakeClient.postRequest("put", "3.0")).readResponse();
                 assertTrue(answer.startsWith("HTTP/1.1 200") && answer.endsWith("a rate"), answer);
             }
         }
@@ -171,12 +171,12 @@
     /** Bytes that come while nothing is asked would be read as the start of the next answer. */
     @Test
     void bytesOnAnIdleConnectionEndIt() throws Exception {
-        try (ClientFake client = new ClientFake(proxy)) {
-            assertEquals(200, client.send(ClientFake.post("put", "3.0")).status());
-            one.open.forEach(Fakes::half);
-            two.open.forEach(Fakes::half);
-            Fakes.await("its connection closed", () -> one.open.isEmpty() && two.open.isEmpty());
-            String next = client.send(ClientFake.post("put", "3.0")).answer();
+        try (FakeClient client = new FakeClient(proxy)) {
+            assertEquals(200, client.send(FakeClient.postRequest("put", "3.0")).readStatus());
+            one.openConnections.forEach(Fakes::half);
+            two.openConnections.forEach(Fakes::half);
+            Fakes.await("its connection closed", () -> one.openConnections.isEmpty() && two.openConnections.isEmpty());
+            String next = client.send(FakeClient.postRequest("put", "3.0")).readResponse();
             assertTrue(next.endsWith("a rate"), next);
         }
     }
@@ -185,26 +185,26 @@
     void aBackendThatIsDownNeverRanTheRequest() throws Exception {
         one.close();
         two.close();
-        try (ClientFake client = new ClientFake(proxy)) {
-            assertEquals(503, client.send(ClientFake.post("put", "3.0")).status());
+        try (FakeClient client = new FakeClient(proxy)) {
+            assertEquals(503, client.send(FakeClient.postRequest("put", "3.0")).readStatus());
         }
     }
 
     @Test
     void silentBackendsEndInAnAnswerInTime() throws Exception {
         both(request -> null);
-        try (ClientFake client = new ClientFake(proxy)) {
-            assertEquals(502, client.send(ClientFake.post("put", "0.3")).status());
-            assertEquals(503, client.send(ClientFake.get("0.3")).status());
+        try (FakeClient client = new FakeClient(proxy)) {
+            assertEquals(502, client.send(FakeClient.postRequest("put", "0.3")).readStatus());
+            assertEquals(503, client.send(FakeClient.getRequest("0.3")).readStatus());
         }
-        Fakes.await("all attempts called off", () -> one.open.isEmpty() && two.open.isEmpty());
+        Fakes.await("all attempts called off", () -> one.openConnections.isEmpty() && two.openConnections.isEmpty());
     }
 
     @Test
     void theLoserOfTwoCopiesIsCalledOff() throws Exception {
         both(request -> seen() < 2 ? null : SERVED);
-        try (ClientFake client = new ClientFake(proxy)) {
-            assertEquals(200, client.send(ClientFake.get("4.0")).status());
+        try (FakeClient client = new FakeClient(proxy)) {
+            assertEquals(200, client.send(FakeClient.getRequest("4.0")).readStatus());
             Fakes.await("the loser's connection closed", () -> one.ended.get() + two.ended.get() == 1);
             assertEquals(2, seen());
         }
@@ -212,15 +212,15 @@
 
     @Test
     void nothingNewGoesToABackendThatDrains() throws Exception {
-        try (ClientFake client = new ClientFake(proxy)) {
-            while (one.open.isEmpty()) {
-                assertEquals(200, client.send(ClientFake.get("4.0")).status());
+        try (FakeClient client = new FakeClient(proxy)) {
+            while (one.openConnections.isEmpty()) {
+                assertEquals(200, client.send(FakeClient.getRequest("4.0")).readStatus());
             }
             int before = one.requests.size();
-            discovery.push(DiscoveryFake.list(3, false, Fakes.entry("s-1", one.port(), "leaving")));
-            Fakes.await("idle connections closed", () -> one.open.isEmpty());
+            discovery.push(FakeDiscovery.listJson(3, false, Fakes.entryJson("s-1", one.port(), "leaving")));
+            Fakes.await("idle connections closed", () -> one.openConnections.isEmpty());
             for (int i = 0; i < 20; i++) {
-                assertEquals(200, client.send(ClientFake.get("4.0")).status());
+                assertEquals(200, client.send(FakeClient.getRequest("4.0")).readStatus());
             }
             assertEquals(before, one.requests.size());
         }
@@ -228,15 +228,15 @@
 
     @Test
     void aKeptConnectionThatTheBackendClosedIsNotUsedAgain() throws Exception {
-        try (ClientFake client = new ClientFake(proxy)) {
+        try (FakeClient client = new FakeClient(proxy)) {
             for (int i = 0; i < 5; i++) {
-                assertEquals(200, client.send(ClientFake.post("put", "4.0")).status());
-                for (BackendFake backend : List.of(one, two)) {
-                    for (Socket socket : backend.open) {
+                assertEquals(200, client.send(FakeClient.postRequest("put", "4.0")).readStatus());
+                for (FakeBackend backend : List.of(one, two)) {
+                    for (Socket socket : backend.openConnections) {
                         socket.shutdownOutput();
                     }
                 }
-                Fakes.await("closed by the proxy as well", () -> one.open.isEmpty() && two.open.isEmpty());
+                Fakes.await("closed by the proxy as well", () -> one.openConnections.isEmpty() && two.openConnections.isEmpty());
             }
         }
         assertEquals(5, seen());
@@ -245,8 +245,8 @@
     @Test
     void aClientThatLeavesHasItsAttemptsCalledOff() throws Exception {
         both(request -> null);
-        try (ClientFake client = new ClientFake(proxy)) {
-            client.send(ClientFake.post("put", "4.0"));
+        try (FakeClient client = new FakeClient(proxy)) {
+            client.send(FakeClient.postRequest("put", "4.0"));
             Fakes.await("the attempt", () -> seen() == 1);
         }
         Fakes.await("the attempt called off", () -> one.ended.get() + two.ended.get() == 1);
@@ -257,27 +257,27 @@
         List<String> bad = new ArrayList<>(List.of(
             "404GET /nothing/x HTTP/1.1\r\nHost: app\r\n\r\n", "404GET / HTTP/1.1\r\nHost: app\r\n\r\n",
             "400GET /look/x HTTP/1.1\r\nHost: app\r\nX-Priority-Class: look\r\nX-Request-ID: i\r\n\r\n",
-            "400" + ClientFake.get("soon"), "400" + ClientFake.get("-1"), "400" + ClientFake.get("NaN"),
-            "400" + ClientFake.get("1e9"), "405" + ClientFake.post("look", "1"),
-            "400" + ClientFake.request("POST", "save", "X-Timeout: 1\r\nContent-Length: 0\r\n"),
-            "400" + ClientFake.request("GET", "look", "X-Timeout: 1\r\nX-Cost: much\r\n"),
-            "400" + ClientFake.request("GET", "look", "X-Timeout: 1\r\nX-Timeout: 2\r\n"),
-            "400" + ClientFake.request("GET", "look", "X-Timeout: 1\r\nX-Request-ID: another\r\n"),
-            "400" + ClientFake.request("GET", "look", "X-Timeout: 1\r\nContent-Length: 1\r\n") + "x",
-            "400" + ClientFake.get("1").replace("Host: app\r\n", ""),
-            "505" + ClientFake.get("1").replace("HTTP/1.1", "HTTP/2.0"),
+            "400" + FakeClient.getRequest("soon"), "400" + FakeClient.getRequest("-1"), "400" + FakeClient.getRequest("NaN"),
+            "400" + FakeClient.getRequest("1e9"), "405" + FakeClient.postRequest("look", "1"),
+            "400" + FakeClient.request("POST", "save", "X-Timeout: 1\r\nContent-Length: 0\r\n"),
+            "400" + FakeClient.request("GET", "look", "X-Timeout: 1\r\nX-Cost: much\r\n"),
+            "400" + FakeClient.request("GET", "look", "X-Timeout: 1\r\nX-Timeout: 2\r\n"),
+            "400" + FakeClient.request("GET", "look", "X-Timeout: 1\r\nX-Request-ID: another\r\n"),
+            "400" + FakeClient.request("GET", "look", "X-Timeout: 1\r\nContent-Length: 1\r\n") + "x",
+            "400" + FakeClient.getRequest("1").replace("Host: app\r\n", ""),
+            "505" + FakeClient.getRequest("1").replace("HTTP/1.1", "HTTP/2.0"),
             "400 /look/x nonsense\r\n\r\n", "414GET /look/" + "x".repeat(9000) + " HTTP/1.1\r\n\r\n",
-            "431" + ClientFake.request("GET", "look", "X-Long: " + "x".repeat(20_000) + "\r\n"),
-            "413" + ClientFake.request("POST", "put", "X-Timeout: 1\r\nContent-Length: 33554433\r\n")));
+            "431" + FakeClient.request("GET", "look", "X-Long: " + "x".repeat(20_000) + "\r\n"),
+            "413" + FakeClient.request("POST", "put", "X-Timeout: 1\r\nContent-Length: 33554433\r\n")));
         for (String raw : bad) {
-            try (ClientFake client = new ClientFake(proxy)) {
+            try (FakeClient client = new FakeClient(proxy)) {
                 client.send(raw.substring(3));
-                assertEquals(Integer.parseInt(raw.substring(0, 3)), client.status(), raw.substring(0, 12));
+                assertEquals(Integer.parseInt(raw.substring(0, 3)), client.readStatus(), raw.substring(0, 12));
             }
         }
         assertEquals(0, seen());
-        try (ClientFake client = new ClientFake(proxy)) {
-            assertEquals(200, client.send(ClientFake.get("4.0")).status());
+        try (FakeClient client = new FakeClient(proxy)) {
+            assertEquals(200, client.send(FakeClient.getRequest("4.0")).readStatus());
         }
     }
 
@@ -296,23 +296,23 @@
         "Expect: 200-ok\r\nContent-Length: 999\r\n\r\n",
         "Expect: 100-continue\r\nContent-Length: 33554433\r\n\r\n"})
     void aRequestInsideTheBodyOfAnotherGoesNowhere(String framing) throws Exception {
-        try (ClientFake client = new ClientFake(proxy)) {
-            String head = ClientFake.request("POST", "save", "X-Timeout: 4\r\nIdempotency-Key: k\r\n");
-            client.send(head.substring(0, head.length() - 2) + framing + ClientFake.get("4.0"));
-            int status = client.status();
+        try (FakeClient client = new FakeClient(proxy)) {
+            String head = FakeClient.request("POST", "save", "X-Timeout: 4\r\nIdempotency-Key: k\r\n");
+            client.send(head.substring(0, head.length() - 2) + framing + FakeClient.getRequest("4.0"));
+            int status = client.readStatus();
             assertTrue(status >= 400 && status < 500, framing + status);
-            assertNull(client.answer(), "what follows may be its body");
+            assertNull(client.readResponse(), "what follows may be its body");
         }
         assertEquals(0, seen());
     }
 
     @Test
     void aChunkedBodyAndAnExpectedContinueAreUnderstood() throws Exception {
-        try (ClientFake client = new ClientFake(proxy)) {
-            String head = ClientFake.request("POST", "save", "X-Timeout: 4\r\nIdempotency-Key: k\r\n"
+        try (FakeClient client = new FakeClient(proxy)) {
+            String head = FakeClient.request("POST", "save", "X-Timeout: 4\r\nIdempotency-Key: k\r\n"
                 + "Expect: 100-continue\r\nTransfer-Encoding: chunked\r\n");
-            assertEquals(100, client.send(head).status());
-            assertEquals(200, client.send("5;a=b\r\nhello\r\n4\r\n you\r\n0\r\n\r\n").status());
+            assertEquals(100, client.send(head).readStatus());
+            assertEquals(200, client.send("5;a=b\r\nhello\r\n4\r\n you\r\n0\r\n\r\n").readStatus());
         }
         String sent = one.requests.toString() + two.requests;
         assertTrue(sent.contains("hello you") && !sent.toLowerCase().contains("chunked"), sent);
@@ -320,43 +320,43 @@
 
     @Test
     void aPeerThatSaysNothingOrNeverEndsItsRequestIsSentAway() throws Exception {
-        try (ClientFake silent = new ClientFake(proxy); ClientFake slow = new ClientFake(proxy);
-             ClientFake kept = new ClientFake(proxy)) {
+        try (FakeClient silent = new FakeClient(proxy); FakeClient slow = new FakeClient(proxy);
+             FakeClient kept = new FakeClient(proxy)) {
             slow.send("GET /look/x HTTP/1.1\r\nX-Slow: ");
-            assertEquals(200, kept.send(ClientFake.post("put", "4.0")).status());
-            kept.send(ClientFake.post("put", "4.0").replace("Length: 0", "Length: 9"));
-            assertNull(silent.answer());
-            assertEquals(408, slow.status());
-            assertNull(slow.answer());
-            assertEquals(408, kept.status());
+            assertEquals(200, kept.send(FakeClient.postRequest("put", "4.0")).readStatus());
+            kept.send(FakeClient.postRequest("put", "4.0").replace("Length: 0", "Length: 9"));
+            assertNull(silent.readResponse());
+            assertEquals(408, slow.readStatus());
+            assertNull(slow.readResponse());
+            assertEquals(408, kept.readStatus());
         }
         assertEquals(1, seen(), "the one whole request");
     }
 
     @Test
     void pipelinedRequestsAreAnsweredInTurn() throws Exception {
-        try (ClientFake client = new ClientFake(proxy)) {
-            client.send(ClientFake.get("4.0") + ClientFake.get("4.0") + ClientFake.get("x"));
-            assertEquals(200, client.status());
-            assertEquals(200, client.status());
-            assertEquals(400, client.status());
+        try (FakeClient client = new FakeClient(proxy)) {
+            client.send(FakeClient.getRequest("4.0") + FakeClient.getRequest("4.0") + FakeClient.getRequest("x"));
+            assertEquals(200, client.readStatus());
+            assertEquals(200, client.readStatus());
+            assertEquals(400, client.readStatus());
         }
     }
 
     @Test
     void aBrokenWatchIsTakenUpAgainFromTheVersionAtHand() throws Exception {
-        discovery.first(DiscoveryFake.list(5, false, Fakes.entry("s-1", one.port(), "left")));
-        for (Socket watch : discovery.open) {
+        discovery.setFirstList(FakeDiscovery.listJson(5, false, Fakes.entryJson("s-1", one.port(), "left")));
+        for (Socket watch : discovery.openConnections) {
             watch.close();
         }
-        Fakes.await("a second watch", () -> discovery.asked.size() == 2);
-        assertTrue(discovery.asked.get(1).startsWith("GET /v1/servers?watch=1&after=2 "));
-        discovery.push(DiscoveryFake.list(3, false, Fakes.entry("s-2", two.port(), "left"))); // old news
-        discovery.push(DiscoveryFake.list(6, false, Fakes.entry("s-3", two.port(), "active")));
-        discovery.push(DiscoveryFake.list(7, false, Fakes.entry("s-3", two.port(), "left")));
-        try (ClientFake client = new ClientFake(proxy)) {
+        Fakes.await("a second watch", () -> discovery.requests.size() == 2);
+        assertTrue(discovery.requests.get(1).startsWith("GET /v1/servers?watch=1&after=2 "));
+        discovery.push(FakeDiscovery.listJson(3, false, Fakes.entryJson("s-2", two.port(), "left"))); // old news
+        discovery.push(FakeDiscovery.listJson(6, false, Fakes.entryJson("s-3", two.port(), "active")));
+        discovery.push(FakeDiscovery.listJson(7, false, Fakes.entryJson("s-3", two.port(), "left")));
+        try (FakeClient client = new FakeClient(proxy)) {
             for (int i = 0; i < 10; i++) {
-                assertEquals(200, client.send(ClientFake.get("4.0")).status());
+                assertEquals(200, client.send(FakeClient.getRequest("4.0")).readStatus());
             }
         }
         assertEquals(10, two.requests.size());
@@ -365,13 +365,13 @@
     /** The fake's watch sends no empty lines: nothing tells it from one whose other end has vanished. */
     @Test
     void aWatchThatFallsSilentIsTakenUpAgain() throws Exception {
-        Fakes.await("a second watch", () -> discovery.asked.size() == 2);
-        assertTrue(discovery.asked.get(1).startsWith("GET /v1/servers?watch=1&after=2 "));
-        discovery.push(DiscoveryFake.list(3, false, Fakes.entry("s-1", one.port(), "left")));
+        Fakes.await("a second watch", () -> discovery.requests.size() == 2);
+        assertTrue(discovery.requests.get(1).startsWith("GET /v1/servers?watch=1&after=2 "));
+        discovery.push(FakeDiscovery.listJson(3, false, Fakes.entryJson("s-1", one.port(), "left")));
         Fakes.await("the first watch closed", () -> discovery.ended.get() == 1);
-        try (ClientFake client = new ClientFake(proxy)) {
+        try (FakeClient client = new FakeClient(proxy)) {
             for (int i = 0; i < 10; i++) {
-                assertEquals(200, client.send(ClientFake.get("4.0")).status());
+                assertEquals(200, client.send(FakeClient.getRequest("4.0")).readStatus());
             }
         }
     }
@@ -380,23 +380,23 @@
     @Test
     void whereDiscoveryIsAskedTheModuleAsksAgainAfterEachFailure() throws Exception {
         proxy.stop();
-        discovery.asked.clear();
-        discovery.refuse = true;
+        discovery.requests.clear();
+        discovery.rejecting = true;
         proxy = new Proxy(Fakes.config(0, discovery.port(), USUAL_SOCKETS, "",
             "\"Discovery\":\"ask\",\"Obligations\":{\"AskWithin\":0.1},"));
-        Fakes.await("asked again after a 503", () -> discovery.asked.size() >= 2);
-        try (ClientFake client = new ClientFake(proxy)) {
-            assertEquals(503, client.send(HEALTH).status());
+        Fakes.await("asked again after a 503", () -> discovery.requests.size() >= 2);
+        try (FakeClient client = new FakeClient(proxy)) {
+            assertEquals(503, client.send(HEALTH).readStatus());
         }
-        discovery.refuse = false;
+        discovery.rejecting = false;
         awaitReady();
-        int before = discovery.asked.size();
-        for (Socket watch : discovery.open) {
+        int before = discovery.requests.size();
+        for (Socket watch : discovery.openConnections) {
             watch.close();
         }
-        Fakes.await("asked again after the watch ended", () -> discovery.asked.size() > before);
-        try (ClientFake client = new ClientFake(proxy)) {
-            assertEquals(200, client.send(ClientFake.get("4.0")).status());
+        Fakes.await("asked again after the watch ended", () -> discovery.requests.size() > before);
+        try (FakeClient client = new FakeClient(proxy)) {
+            assertEquals(200, client.send(FakeClient.getRequest("4.0")).readStatus());
         }
     }
 
@@ -414,11 +414,11 @@
                     dropped++;
                 }
             }
-            discovery.push(DiscoveryFake.list(3, true, Fakes.entry("s-9", deaf.getLocalPort(), "active")));
-            try (ClientFake client = new ClientFake(proxy)) {
+            discovery.push(FakeDiscovery.listJson(3, true, Fakes.entryJson("s-9", deaf.getLocalPort(), "active")));
+            try (FakeClient client = new FakeClient(proxy)) {
                 int status = 200; // until the proxy has heard of the change
                 while (status == 200) {
-                    status = client.send(ClientFake.post("put", "4.0")).status();
+                    status = client.send(FakeClient.postRequest("put", "4.0")).readStatus();
                 }
                 assertEquals(503, status, "nothing ran");
             }
@@ -441,23 +441,23 @@
             return SERVED;
         });
         Thread stop = new Thread(proxy::stop);
-        try (ClientFake before = new ClientFake(proxy); ClientFake kept = new ClientFake(proxy)) {
-            before.send(ClientFake.get("4.0"));
+        try (FakeClient before = new FakeClient(proxy); FakeClient kept = new FakeClient(proxy)) {
+            before.send(FakeClient.getRequest("4.0"));
             Fakes.await("the request", () -> seen() > 0);
             stop.start();
             Fakes.await("not ready any more", () -> {
-                try (ClientFake client = new ClientFake(proxy)) {
-                    return client.send(HEALTH).status() == 503;
+                try (FakeClient client = new FakeClient(proxy)) {
+                    return client.send(HEALTH).readStatus() == 503;
                 } catch (java.io.IOException e) {
                     return true;
                 }
             });
-            kept.send(ClientFake.get("4.0"));
+            kept.send(FakeClient.getRequest("4.0"));
             late.countDown();
-            String answer = before.answer();
+            String answer = before.readResponse();
             assertTrue(answer.startsWith("HTTP/1.1 200"), answer);
             assertTrue(answer.toLowerCase().contains("connection: close"), answer);
-            assertEquals(200, kept.status());
+            assertEquals(200, kept.readStatus());
             stop.join();
             proxy = null;
         }
@@ -467,13 +467,13 @@
     void shortOfDescriptorsItClosesWhatIsIdleAndServesOn() throws Exception {
         proxy.stop();
         start(37); // leaves three connections for the clients and two for the backends
-        List<ClientFake> clients = new ArrayList<>();
+        List<FakeClient> clients = new ArrayList<>();
         for (int i = 0; i < 12; i++) {
-            ClientFake client = new ClientFake(proxy);
+            FakeClient client = new FakeClient(proxy);
             clients.add(client);
-            assertEquals(200, client.send(ClientFake.get("4.0")).status());
+            assertEquals(200, client.send(FakeClient.getRequest("4.0")).readStatus());
         }
-        for (ClientFake client : clients) {
+        for (FakeClient client : clients) {
             client.close();
         }
     }
@@ -482,20 +482,20 @@
     void shortOfDescriptorsWhatIsLongAtRestMakesRoomForWhatIsInUse() throws Exception {
         proxy.stop();
         start(40); // leaves five connections for the clients
-        try (ClientFake oldest = new ClientFake(proxy); ClientFake second = new ClientFake(proxy);
-             ClientFake third = new ClientFake(proxy)) {
-            for (ClientFake resting : List.of(oldest, second, third)) {
-                assertEquals(200, resting.send(HEALTH).status());
+        try (FakeClient oldest = new FakeClient(proxy); FakeClient second = new FakeClient(proxy);
+             FakeClient third = new FakeClient(proxy)) {
+            for (FakeClient resting : List.of(oldest, second, third)) {
+                assertEquals(200, resting.send(HEALTH).readStatus());
             }
             Fakes.await("an answer that does not end its connection", () -> {
-                try (ClientFake client = new ClientFake(proxy)) {
-                    return !client.send(HEALTH).answer().toLowerCase().contains("connection: close");
+                try (FakeClient client = new FakeClient(proxy)) {
+                    return !client.send(HEALTH).readResponse().toLowerCase().contains("connection: close");
                 } catch (java.io.IOException e) {
                     throw new IllegalStateException(e);
                 }
             });
-            assertNull(oldest.answer(), "closed to make room");
-            assertEquals(200, third.send(HEALTH).status());
+            assertNull(oldest.readResponse(), "closed to make room");
+            assertEquals(200, third.send(HEALTH).readStatus());
         }
     }
 
@@ -504,16 +504,16 @@
     void shortOfDescriptorsAnAnswerEndsItsConnection() throws Exception {
         proxy.stop();
         start(40); // leaves five connections for the clients
-        List<ClientFake> clients = new ArrayList<>();
+        List<FakeClient> clients = new ArrayList<>();
         String last = "";
         for (int i = 0; i < 4; i++) {
-            ClientFake client = new ClientFake(proxy);
+            FakeClient client = new FakeClient(proxy);
             clients.add(client);
-            last = client.send(HEALTH).answer(); // answered: so the proxy has this connection on its list
+            last = client.send(HEALTH).readResponse(); // answered: so the proxy has this connection on its list
         }
         assertTrue(last.toLowerCase().contains("connection: close"), last);
-        assertNull(clients.get(3).answer(), "closed after its answer");
-        for (ClientFake client : clients) {
+        assertNull(clients.get(3).readResponse(), "closed after its answer");
+        for (FakeClient client : clients) {
             client.close();
         }
     }
@@ -522,12 +522,12 @@
     void shortOfDescriptorsNoConnectionIsClosedBeforeItsFirstRequestIsRead() throws Exception {
         proxy.stop();
         start(37);
-        List<ClientFake> clients = new ArrayList<>();
+        List<FakeClient> clients = new ArrayList<>();
         for (int i = 0; i < 12; i++) {
-            clients.add(new ClientFake(proxy).send(ClientFake.get("4.0")));
+            clients.add(new FakeClient(proxy).send(FakeClient.getRequest("4.0")));
         }
-        for (ClientFake client : clients) {
-            assertTrue(client.status() > 0, "answered, be it with a refusal");
+        for (FakeClient client : clients) {
+            assertTrue(client.readStatus() > 0, "answered, be it with a refusal");
             client.close();
         }
     }
@@ -537,15 +537,15 @@
     void shortOfDescriptorsWhatIsSilentWithinARequestMakesRoomBeforeItsTimeIsUp() throws Exception {
         proxy.stop();
         start(37);
-        List<ClientFake> halves = new ArrayList<>();
+        List<FakeClient> halves = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
-            halves.add(new ClientFake(proxy).send("GET /look"));
+            halves.add(new FakeClient(proxy).send("GET /look"));
         }
-        try (ClientFake whole = new ClientFake(proxy)) {
-            assertEquals(200, whole.send(ClientFake.get("4.0")).status());
-            assertNull(halves.get(0).answer(), "the quietest made room");
+        try (FakeClient whole = new FakeClient(proxy)) {
+            assertEquals(200, whole.send(FakeClient.getRequest("4.0")).readStatus());
+            assertNull(halves.get(0).readResponse(), "the quietest made room");
         }
-        for (ClientFake half : halves) {
+        for (FakeClient half : halves) {
             half.close();
         }
     }
@@ -556,7 +556,7 @@
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             port = free.getLocalPort();
         }
-        String known = Fakes.entry("s-1", one.port(), "active");
+        String known = Fakes.entryJson("s-1", one.port(), "active");
         Config config = Fakes.config(port, discovery.port(), USUAL_SOCKETS, known, "");
         proxy.stop();
         FutureTask<Proxy> starting = new FutureTask<>(() -> new Proxy(config));
@@ -573,8 +573,8 @@
                 Thread.sleep(1);
             }
         }
-        try (ClientFake client = new ClientFake(socket)) {
-            assertEquals(200, client.send(HEALTH).status());
+        try (FakeClient client = new FakeClient(socket)) {
+            assertEquals(200, client.send(HEALTH).readStatus());
         }
         proxy = starting.get();
     }
@@ -590,19 +590,19 @@
         Path file = folder.resolve("config.json");
         Files.writeString(file, "{\"name\":");
         proxy.reload(file);
-        try (DiscoveryFake other = new DiscoveryFake(); ClientFake client = new ClientFake(proxy)) {
-            other.first(DiscoveryFake.list(1, true, Fakes.entry("s-2", two.port(), "active")));
-            Files.writeString(file, Fakes.text(0, other.port(), USUAL_SOCKETS, "", asked));
+        try (FakeDiscovery other = new FakeDiscovery(); FakeClient client = new FakeClient(proxy)) {
+            other.setFirstList(FakeDiscovery.listJson(1, true, Fakes.entryJson("s-2", two.port(), "active")));
+            Files.writeString(file, Fakes.configJson(0, other.port(), USUAL_SOCKETS, "", asked));
             proxy.reload(file);
-            Fakes.await("asked at the new address", () -> !other.asked.isEmpty());
-            assertTrue(other.asked.get(0).startsWith("GET /v1/servers?watch=1 "), other.asked.get(0));
-            Fakes.await("s-1 out of use", () -> one.open.isEmpty() && discovery.open.isEmpty());
+            Fakes.await("asked at the new address", () -> !other.requests.isEmpty());
+            assertTrue(other.requests.get(0).startsWith("GET /v1/servers?watch=1 "), other.requests.get(0));
+            Fakes.await("s-1 out of use", () -> one.openConnections.isEmpty() && discovery.openConnections.isEmpty());
             int before = one.requests.size();
             for (int i = 0; i < 10; i++) {
-                assertEquals(200, client.send(ClientFake.get("4.0")).status());
+                assertEquals(200, client.send(FakeClient.getRequest("4.0")).readStatus());
             }
-            other.push(DiscoveryFake.list(2, false, Fakes.entry("s-2", two.port(), "left")));
-            Fakes.await("news from the new address", () -> two.open.isEmpty());
+            other.push(FakeDiscovery.listJson(2, false, Fakes.entryJson("s-2", two.port(), "left")));
+            Fakes.await("news from the new address", () -> two.openConnections.isEmpty());
             assertEquals(before, one.requests.size());
         }
     }
@@ -624,14 +624,14 @@
 
     @Test
     void oneBadEntryInAListDoesNotHideTheOthers() throws Exception {
-        try (ClientFake client = new ClientFake(proxy)) {
-            while (two.open.isEmpty()) {
-                assertEquals(200, client.send(ClientFake.get("4.0")).status());
+        try (FakeClient client = new FakeClient(proxy)) {
+            while (two.openConnections.isEmpty()) {
+                assertEquals(200, client.send(FakeClient.getRequest("4.0")).readStatus());
             }
-            discovery.push(DiscoveryFake.list(3, false, "{\"addr\":7}",
-                Fakes.entry("s-2", two.port(), "left")));
-            Fakes.await("s-2 known to be gone", () -> two.open.isEmpty());
-            assertEquals(200, client.send(ClientFake.get("4.0")).status());
+            discovery.push(FakeDiscovery.listJson(3, false, "{\"addr\":7}",
+                Fakes.entryJson("s-2", two.port(), "left")));
+            Fakes.await("s-2 known to be gone", () -> two.openConnections.isEmpty());
+            assertEquals(200, client.send(FakeClient.getRequest("4.0")).readStatus());
         }
     }
 }
--- a/proxy/src/test/java/dockrelay/proxy/QueueingDiscovery.java
+++ b/proxy/src/test/java/dockrelay/proxy/QueueingDiscovery.java
@@ -1,6 +1,6 @@
 package dockrelay.proxy;
 
-import dockrelay.proxy.Fakes.DiscoveryFake;
+import dockrelay.proxy.Fakes.FakeDiscovery;
 import java.io.IOException;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
@@ -88,25 +88,25 @@
     }
 
     /** One caller's address. */
-    final class Door extends Fakes.Listener {
+    final class Door extends Fakes.FakeServer {
         private final List<Socket> watches = new CopyOnWriteArrayList<>();
 
         @Override
         void serve(Socket connection) throws IOException {
-            if (Fakes.read(connection.getInputStream()) == null) {
+            if (Fakes.readMessage(connection.getInputStream()) == null) {
                 return;
             }
             try {
                 if (!waitForTurn()) {
-                    write(connection, Fakes.answer("503 Busy", "", ""));
+                    write(connection, Fakes.httpResponse("503 Busy", "", ""));
                     return;
                 }
                 watches.add(connection);
                 write(connection, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-                    + DiscoveryFake.chunk(list));
+                    + FakeDiscovery.chunk(list));
                 while (!down) { // until the proxy ends the watch: the write fails then
                     Thread.sleep(HEARTBEAT_MILLIS);
-                    write(connection, DiscoveryFake.chunk(""));
+                    write(connection, FakeDiscovery.chunk(""));
                 }
             } catch (InterruptedException e) {
                 throw new IllegalStateException(e);
--- a/proxy/src/test/java/dockrelay/proxy/RequestTableTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/RequestTableTest.java
@@ -35,9 +35,9 @@
 class RequestTableTest {
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final Config config = Fakes.config(1, 1024);
-    private final BackendPool pool = new BackendPool(new Bootstrap().group(group)
+    private final BackendConnectionPool pool = new BackendConnectionPool(new Bootstrap().group(group)
         .channel(NioSocketChannel.class), group.next(), 8, 500_000, 15_000_000, new Counters(),
-        new Buffers(() -> 0, 144));
+        new BufferLimit(() -> 0, 144));
     private final RequestTable table =
         new RequestTable(group.next(), pool, () -> System.nanoTime() / 1000, config, new Counters());
     private final List<FullHttpResponse> answers = new CopyOnWriteArrayList<>();
@@ -57,7 +57,7 @@
                 calls.add("end");
                 return null;
             });
-        table.attach(made, () -> { }, message -> { });
+        table.attachBalancer(made, () -> { }, message -> { });
     }
 
     private void take(long budget) {
@@ -147,8 +147,8 @@
     @Test
     void theEndOfALosingAttemptDoesNotCloseARequestWhoseAnswerIsBeingPassedOn() throws Exception {
         String half = "HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\nhalf";
-        try (Fakes.BackendFake winner = new Fakes.BackendFake(request -> half);
-             Fakes.BackendFake loser = new Fakes.BackendFake(request -> null)) {
+        try (Fakes.FakeBackend winner = new Fakes.FakeBackend(request -> half);
+             Fakes.FakeBackend loser = new Fakes.FakeBackend(request -> null)) {
             module((event, arguments) -> {
                 if ("onRequest".equals(event)) {
                     table.send("r", 2, 0);
@@ -179,7 +179,7 @@
             }).syncUninterruptibly();
             Fakes.await("the loser's end", () -> calls.contains("0 CANCELLED closed false"));
             assertTrue(calls.contains("begins"));
-            winner.open.forEach(RequestTableTest::end);
+            winner.openConnections.forEach(RequestTableTest::end);
             Fakes.await("the winner's end", () -> calls.contains("1 RESET closed true"));
             assertTrue(answers.isEmpty());
         }
@@ -195,12 +195,12 @@
 
     @Test
     void aLoadReportIsReadByItsNamesAndWhatItLacksIsNoNumber() {
-        Balancer.LoadReport report = BackendPool.report("TEXT inflight=7, queue=2, util=0.61, odd=x");
+        Balancer.LoadReport report = BackendConnectionPool.report("TEXT inflight=7, queue=2, util=0.61, odd=x");
         assertEquals(7, report.outstanding());
         assertEquals(2, report.queued());
         assertEquals(0.61, report.utilization());
         assertTrue(Double.isNaN(report.latencyMs()));
-        assertNull(BackendPool.report(null));
+        assertNull(BackendConnectionPool.report(null));
     }
 
     @Test
--- a/proxy/src/test/java/dockrelay/proxy/ResponseDecoderTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/ResponseDecoderTest.java
@@ -16,7 +16,7 @@
 class ResponseDecoderTest {
     private static final String OK = "HTTP/1.1 200 OK\r\n";
     private final EmbeddedChannel channel =
-        new EmbeddedChannel(new ResponseDecoder(), new HttpObjectAggregator(Buffers.MOST_WHOLE));
+        new EmbeddedChannel(new ResponseDecoder(), new HttpObjectAggregator(BufferLimit.MAX_BUFFERED_MESSAGE_BYTES));
 
     private FullHttpResponse read(String raw) {
         channel.writeInbound(Unpooled.copiedBuffer(raw, StandardCharsets.ISO_8859_1));
