--- a/proxy/src/test/java/dockrelay/proxy/RestingTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/RestingTest.java
@@ -4,9 +4,9 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dockrelay.proxy.Fakes.BackendFake;
-import dockrelay.proxy.Fakes.ClientFake;
-import dockrelay.proxy.Fakes.DiscoveryFake;
+import dockrelay.proxy.Fakes.FakeBackend;
+import dockrelay.proxy.Fakes.FakeClient;
+import dockrelay.proxy.Fakes.FakeDiscovery;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.Socket;
@@ -19,12 +19,12 @@
 
 /** Requests that cross the end of a connection, which the proxy closes, or of its listener. */
 class RestingTest {
-    private final BackendFake backend = new BackendFake(request -> Fakes.answer("200 OK", "", "one"));
-    private final DiscoveryFake discovery = new DiscoveryFake();
+    private final FakeBackend backend = new FakeBackend(request -> Fakes.httpResponse("200 OK", "", "one"));
+    private final FakeDiscovery discovery = new FakeDiscovery();
     private Proxy proxy;
 
     private void start(int sockets) throws IOException {
-        discovery.first(DiscoveryFake.list(2, true, Fakes.entry("s-1", backend.port(), "active")));
+        discovery.setFirstList(FakeDiscovery.listJson(2, true, Fakes.entryJson("s-1", backend.port(), "active")));
         proxy = new Proxy(Fakes.config(discovery.port(), sockets));
     }
 
@@ -40,12 +40,12 @@
     @Test
     void aRequestThatComesAsItsRestingConnectionIsAboutToBeClosedIsServed() throws Exception {
         start(1024);
-        try (ClientFake client = new ClientFake(proxy)) {
-            assertEquals(200, client.send(ClientFake.get("4.0")).status());
-            Fakes.whileHeld(proxy.loop(), () -> proxy.clientSide().closeResting(), () -> {
-                client.send(ClientFake.get("4.0"));
+        try (FakeClient client = new FakeClient(proxy)) {
+            assertEquals(200, client.send(FakeClient.getRequest("4.0")).readStatus());
+            Fakes.whileHeld(proxy.loop(), () -> proxy.clientSide().closeIdle(), () -> {
+                client.send(FakeClient.getRequest("4.0"));
             });
-            assertEquals(200, client.status());
+            assertEquals(200, client.readStatus());
         }
     }
 
@@ -56,18 +56,18 @@
     @Test
     void whatCrossesTheEndOfARestingConnectionGoesNowhereAndIsNotReset() throws Exception {
         start(1024);
-        try (ClientFake client = new ClientFake(proxy)) {
-            assertEquals(200, client.send(ClientFake.get("4.0")).status());
-            String request = ClientFake.post("put", "4.0");
-            Fakes.whileHeld(proxy.loop(), () -> proxy.clientSide().closeResting(), () -> {
+        try (FakeClient client = new FakeClient(proxy)) {
+            assertEquals(200, client.send(FakeClient.getRequest("4.0")).readStatus());
+            String request = FakeClient.postRequest("put", "4.0");
+            Fakes.whileHeld(proxy.loop(), () -> proxy.clientSide().closeIdle(), () -> {
                 client.send(request.substring(0, 20));
             });
-            assertNull(client.answer(), "an end in good order, and no reset over what was not read");
+            assertNull(client.readResponse(), "an end in good order, and no reset over what was not read");
             client.send(request.substring(20));
         }
         Fakes.await("it is gone", () -> proxy.clients() == 0);
-        try (ClientFake marker = new ClientFake(proxy)) {
-            assertEquals(200, marker.send(ClientFake.get("4.0")).status());
+        try (FakeClient marker = new FakeClient(proxy)) {
+            assertEquals(200, marker.send(FakeClient.getRequest("4.0")).readStatus());
         }
         assertTrue(backend.requests.stream().noneMatch(request -> request.startsWith("POST")));
     }
@@ -76,14 +76,14 @@
     @Test
     void halfARequestKeepsItsConnection() throws Exception {
         start(1024);
-        try (ClientFake client = new ClientFake(proxy)) {
-            assertEquals(200, client.send(ClientFake.get("4.0")).status());
-            String request = ClientFake.get("4.0");
-            Fakes.whileHeld(proxy.loop(), () -> proxy.clientSide().limit(1), () -> {
+        try (FakeClient client = new FakeClient(proxy)) {
+            assertEquals(200, client.send(FakeClient.getRequest("4.0")).readStatus());
+            String request = FakeClient.getRequest("4.0");
+            Fakes.whileHeld(proxy.loop(), () -> proxy.clientSide().limitConnections(1), () -> {
                 client.send(request.substring(0, 20));
             });
             client.send(request.substring(20));
-            assertEquals(200, client.status());
+            assertEquals(200, client.readStatus());
         }
     }
 
@@ -91,38 +91,38 @@
     @Test
     void whatWaitsInTheBacklogAtSigtermIsServed() throws Exception {
         CountDownLatch answers = new CountDownLatch(1);
-        backend.script = request -> {
+        backend.responder = request -> {
             try {
                 answers.await();
             } catch (InterruptedException e) {
                 throw new IllegalStateException(e);
             }
-            return Fakes.answer("200 OK", "", "one");
+            return Fakes.httpResponse("200 OK", "", "one");
         };
         start(1024);
-        List<ClientFake> busy = new ArrayList<>();
+        List<FakeClient> busy = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
-            busy.add(new ClientFake(proxy).send(ClientFake.post("save", "4.0")));
+            busy.add(new FakeClient(proxy).send(FakeClient.postRequest("save", "4.0")));
         }
         Fakes.await("they are out", () -> backend.requests.size() == 3);
-        proxy.loop().submit(() -> proxy.clientSide().limit(3)).sync();
+        proxy.loop().submit(() -> proxy.clientSide().limitConnections(3)).sync();
         int port = proxy.address().getPort();
         Thread stopping = new Thread(proxy::stop);
         stopping.start();
         Fakes.await("it is asked to end", proxy::isStopping);
-        List<ClientFake> waiting = new ArrayList<>();
+        List<FakeClient> waiting = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
             Socket socket = new Socket(InetAddress.getLoopbackAddress(), port);
-            waiting.add(new ClientFake(socket).send(ClientFake.get("4.0")));
+            waiting.add(new FakeClient(socket).send(FakeClient.getRequest("4.0")));
         }
         // By the loop's own clock, after the time at which nothing new need be taken any more.
         proxy.loop().schedule(answers::countDown, Proxy.LAST_CONNECTIONS_MILLIS + 100, TimeUnit.MILLISECONDS);
-        for (ClientFake one : busy) {
-            assertEquals(200, one.status());
+        for (FakeClient one : busy) {
+            assertEquals(200, one.readStatus());
             one.close();
         }
-        for (ClientFake one : waiting) {
-            assertEquals(200, one.status());
+        for (FakeClient one : waiting) {
+            assertEquals(200, one.readStatus());
             one.close();
         }
         stopping.join();
--- a/proxy/src/test/java/dockrelay/proxy/RequestLoop.java
+++ b/proxy/src/test/java/dockrelay/proxy/SequentialClient.java
@@ -1,16 +1,16 @@
 package dockrelay.proxy;
 
-import dockrelay.proxy.Fakes.ClientFake;
+import dockrelay.proxy.Fakes.FakeClient;
 import java.io.IOException;
 import java.util.concurrent.FutureTask;
 
 /** A client that sends one request after another to a proxy until a moment of the nano clock. */
-final class RequestLoop {
+final class SequentialClient {
     private static final long PAUSE_MILLIS = 10;
     private final FutureTask<Integer> task;
 
     /** Starts at once on a thread of its own; counts what is served from one moment to the other. */
-    RequestLoop(ProxyProcess proxy, long countedFrom, long until) {
+    SequentialClient(ProxyProcess proxy, long countedFrom, long until) {
         task = new FutureTask<>(() -> run(proxy, countedFrom, until));
         new Thread(task).start();
     }
@@ -18,9 +18,9 @@
     private static int run(ProxyProcess proxy, long countedFrom, long until)
         throws IOException, InterruptedException {
         int served = 0;
-        try (ClientFake client = proxy.client()) {
+        try (FakeClient client = proxy.client()) {
             while (System.nanoTime() < until) {
-                int status = client.send(ClientFake.get("4.0")).status();
+                int status = client.send(FakeClient.getRequest("4.0")).readStatus();
                 if (status == 0) {
                     throw new IOException("closed without an answer, log:\n" + proxy.log());
                 }
@@ -32,7 +32,7 @@
     }
 
     /** How many requests were served in that time, once it is over. */
-    int served() throws Exception {
+    int servedCount() throws Exception {
         return task.get();
     }
 }
--- a/proxy/src/test/java/dockrelay/proxy/StopTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/StopTest.java
@@ -3,9 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dockrelay.proxy.Fakes.BackendFake;
-import dockrelay.proxy.Fakes.ClientFake;
-import dockrelay.proxy.Fakes.DiscoveryFake;
+import dockrelay.proxy.Fakes.FakeBackend;
+import dockrelay.proxy.Fakes.FakeClient;
+import dockrelay.proxy.Fakes.FakeDiscovery;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.Socket;
@@ -15,13 +15,13 @@
 
 /** After SIGTERM, on the connections that stay open. */
 class StopTest {
-    private final BackendFake backend = new BackendFake(request -> Fakes.answer("200 OK", "", "one"));
-    private final DiscoveryFake discovery = new DiscoveryFake();
+    private final FakeBackend backend = new FakeBackend(request -> Fakes.httpResponse("200 OK", "", "one"));
+    private final FakeDiscovery discovery = new FakeDiscovery();
     private Proxy proxy;
 
     @BeforeEach
     void start() throws IOException {
-        discovery.first(DiscoveryFake.list(2, true, Fakes.entry("s-1", backend.port(), "active")));
+        discovery.setFirstList(FakeDiscovery.listJson(2, true, Fakes.entryJson("s-1", backend.port(), "active")));
         proxy = new Proxy(Fakes.config(discovery.port(), 1024));
     }
 
@@ -34,10 +34,10 @@
     /** One has been used, one never was, and of one request only a part has come. */
     @Test
     void whatStaysOpenIsAnsweredAlsoOnceNothingNewIsTaken() throws Exception {
-        try (ClientFake used = new ClientFake(proxy); ClientFake fresh = new ClientFake(proxy);
-             ClientFake half = new ClientFake(proxy)) {
-            assertEquals(200, used.send(ClientFake.get("4.0")).status());
-            String request = ClientFake.get("4.0");
+        try (FakeClient used = new FakeClient(proxy); FakeClient fresh = new FakeClient(proxy);
+             FakeClient half = new FakeClient(proxy)) {
+            assertEquals(200, used.send(FakeClient.getRequest("4.0")).readStatus());
+            String request = FakeClient.getRequest("4.0");
             half.send(request.substring(0, 20));
             Fakes.await("three connections", () -> proxy.clients() == 3);
             int port = proxy.address().getPort();
@@ -51,11 +51,11 @@
                     return true;
                 }
             });
-            for (ClientFake one : new ClientFake[] {used, fresh, half}) {
-                one.send(one == half ? request.substring(20) : ClientFake.get("4.0"));
+            for (FakeClient one : new FakeClient[] {used, fresh, half}) {
+                one.send(one == half ? request.substring(20) : FakeClient.getRequest("4.0"));
             }
-            for (ClientFake one : new ClientFake[] {used, fresh, half}) {
-                String answer = one.answer();
+            for (FakeClient one : new FakeClient[] {used, fresh, half}) {
+                String answer = one.readResponse();
                 assertTrue(answer != null && answer.startsWith("HTTP/1.1 200"), answer);
                 assertTrue(answer.toLowerCase().contains("connection: close"), answer);
             }
--- a/proxy/src/test/java/dockrelay/proxy/StreamTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/StreamTest.java
@@ -5,8 +5,8 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dockrelay.proxy.Fakes.ClientFake;
-import dockrelay.proxy.Fakes.DiscoveryFake;
+import dockrelay.proxy.Fakes.FakeClient;
+import dockrelay.proxy.Fakes.FakeDiscovery;
 import io.netty.buffer.Unpooled;
 import io.netty.handler.codec.http.DefaultHttpContent;
 import io.netty.handler.codec.http.DefaultLastHttpContent;
@@ -45,7 +45,7 @@
         void serve(Socket connection) throws IOException;
     }
 
-    private static final class Backend extends Fakes.Listener {
+    private static final class Backend extends Fakes.FakeServer {
         volatile Serving serving;
 
         @Override
@@ -54,22 +54,22 @@
         }
     }
 
-    private final DiscoveryFake discovery = new DiscoveryFake();
+    private final FakeDiscovery discovery = new FakeDiscovery();
     private final Backend backend = new Backend();
     private final List<byte[]> bodies = new CopyOnWriteArrayList<>();
     private Proxy proxy;
 
     @BeforeEach
     void start() throws Exception {
-        start(DiscoveryFake.list(2, true, Fakes.entry("s-1", backend.port(), "active")));
+        start(FakeDiscovery.listJson(2, true, Fakes.entryJson("s-1", backend.port(), "active")));
     }
 
     private void start(String list) throws Exception {
-        discovery.first(list);
+        discovery.setFirstList(list);
         proxy = new Proxy(Fakes.config(discovery.port(), 1024));
         Fakes.await("healthz 200", () -> {
-            try (ClientFake client = new ClientFake(proxy)) {
-                return client.send("GET /healthz HTTP/1.1\r\nHost: app\r\n\r\n").status() == 200;
+            try (FakeClient client = new FakeClient(proxy)) {
+                return client.send("GET /healthz HTTP/1.1\r\nHost: app\r\n\r\n").readStatus() == 200;
             } catch (IOException e) {
                 return false;
             }
@@ -144,28 +144,28 @@
         backend.serving = connection -> {
             while (true) {
                 bodies.add(body(connection.getInputStream(), head(connection.getInputStream())));
-                write(connection, Fakes.answer("200 OK", "", "a rate"));
+                write(connection, Fakes.httpResponse("200 OK", "", "a rate"));
             }
         };
     }
 
     private static String post(String framing) {
-        return ClientFake.request("POST", "save", "X-Timeout: 4\r\nIdempotency-Key: k\r\n" + framing);
+        return FakeClient.request("POST", "save", "X-Timeout: 4\r\nIdempotency-Key: k\r\n" + framing);
     }
 
     @ParameterizedTest
     @ValueSource(ints = {100, 7_000, 500_000})
     void aLongBodyInPiecesOfAnySizeArrivesWholeAndItsConnectionGoesOn(int piece) throws Exception {
         keepBodies();
-        try (ClientFake client = new ClientFake(proxy)) {
+        try (FakeClient client = new FakeClient(proxy)) {
             client.send(post("Transfer-Encoding: chunked\r\n"));
             chunked(client.socket.getOutputStream(), LONG, piece);
-            assertEquals(200, client.send("0\r\nTrailing: x\r\n\r\n").status());
+            assertEquals(200, client.send("0\r\nTrailing: x\r\n\r\n").readStatus());
             client.send(post("Expect: 100-continue\r\nContent-Length: " + LONG.length + "\r\n"));
-            assertEquals(100, client.status());
+            assertEquals(100, client.readStatus());
             client.socket.getOutputStream().write(LONG);
-            assertEquals(200, client.status());
-            assertEquals(200, client.send(post("Content-Length: 2\r\n") + "ab").status());
+            assertEquals(200, client.readStatus());
+            assertEquals(200, client.send(post("Content-Length: 2\r\n") + "ab").readStatus());
         }
         assertEquals(3, bodies.size());
         assertArrayEquals(LONG, bodies.get(0));
@@ -177,13 +177,13 @@
         keepBodies();
         ServerSocket down = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
         down.close(); // its port is nobody's now
-        discovery.push(DiscoveryFake.list(3, true, Fakes.entry("s-2", down.getLocalPort(), "active")));
-        discovery.push(DiscoveryFake.list(4, false, Fakes.entry("s-1", backend.port(), "active")));
+        discovery.push(FakeDiscovery.listJson(3, true, Fakes.entryJson("s-2", down.getLocalPort(), "active")));
+        discovery.push(FakeDiscovery.listJson(4, false, Fakes.entryJson("s-1", backend.port(), "active")));
         for (int i = 0; i < 8; i++) {
-            try (ClientFake client = new ClientFake(proxy)) {
+            try (FakeClient client = new FakeClient(proxy)) {
                 client.send(post("Content-Length: " + LONG.length + "\r\n"));
                 client.socket.getOutputStream().write(LONG);
-                assertEquals(200, client.status());
+                assertEquals(200, client.readStatus());
             }
         }
         assertEquals(8, bodies.size());
@@ -199,13 +199,13 @@
                 ended.countDown();
             }
         };
-        try (ClientFake client = new ClientFake(proxy)) {
+        try (FakeClient client = new FakeClient(proxy)) {
             client.send(post("Transfer-Encoding: chunked\r\n"));
             chunked(client.socket.getOutputStream(), LONG, 9_000);
             client.send("no size\r\n");
-            assertEquals(400, client.status());
+            assertEquals(400, client.readStatus());
         }
-        try (ClientFake client = new ClientFake(proxy)) {
+        try (FakeClient client = new FakeClient(proxy)) {
             client.send(post("Content-Length: " + 2 * LONG.length + "\r\n"));
             client.socket.getOutputStream().write(LONG);
         }
@@ -244,18 +244,18 @@
                 }
             }
         };
-        try (ClientFake client = new ClientFake(proxy)) {
+        try (FakeClient client = new FakeClient(proxy)) {
             InputStream in = client.socket.getInputStream();
-            String head = head(client.send(ClientFake.post("put", "4.0")).socket.getInputStream());
+            String head = head(client.send(FakeClient.postRequest("put", "4.0")).socket.getInputStream());
             assertTrue(head.startsWith("http/1.1 200"), head);
             firstBytes.countDown();
             assertArrayEquals(LONG, body(in, head));
             long since = System.nanoTime();
-            Fakes.await("it is settled", () -> System.nanoTime() - since > BackendPool.SETTLED_NANOS);
-            head = head(client.send(ClientFake.post("put", "4.0")).socket.getInputStream());
+            Fakes.await("it is settled", () -> System.nanoTime() - since > BackendConnectionPool.SETTLED_NANOS);
+            head = head(client.send(FakeClient.postRequest("put", "4.0")).socket.getInputStream());
             assertArrayEquals(LONG, body(in, head));
         }
-        assertEquals(1, backend.open.size(), "both went over one connection");
+        assertEquals(1, backend.openConnections.size(), "both went over one connection");
     }
 
     /** The client can tell, and what may have run is not sent again. */
@@ -272,9 +272,9 @@
                 connection.getOutputStream().write(LONG);
             }
         };
-        try (ClientFake client = new ClientFake(proxy)) {
+        try (FakeClient client = new FakeClient(proxy)) {
             InputStream in = client.socket.getInputStream();
-            String head = head(client.send(ClientFake.get("4.0")).socket.getInputStream());
+            String head = head(client.send(FakeClient.getRequest("4.0")).socket.getInputStream());
             assertThrows(IOException.class, () -> body(in, head));
         }
         assertEquals(1, asked.size());
@@ -291,8 +291,8 @@
                 connection.setSoLinger(true, 0);
             }
         };
-        try (ClientFake client = new ClientFake(proxy)) {
-            String answer = client.send(ClientFake.post("put", "4.0")).answer();
+        try (FakeClient client = new FakeClient(proxy)) {
+            String answer = client.send(FakeClient.postRequest("put", "4.0")).readResponse();
             assertTrue(answer.startsWith(reset ? "HTTP/1.1 502" : "HTTP/1.1 200"), answer);
             assertEquals(!reset, answer.endsWith("\r\n\r\nuntil the end"), answer);
         }
@@ -306,8 +306,8 @@
             write(connection, "HTTP/1.1 500 Oops\r\nContent-Length: " + LONG.length + "\r\n\r\n");
             connection.getOutputStream().write(LONG);
         };
-        try (ClientFake client = new ClientFake(proxy)) {
-            assertEquals(502, client.send(ClientFake.post("put", "4.0")).status());
+        try (FakeClient client = new FakeClient(proxy)) {
+            assertEquals(502, client.send(FakeClient.postRequest("put", "4.0")).readStatus());
         }
     }
 
@@ -316,11 +316,11 @@
         List<String> asked = new CopyOnWriteArrayList<>();
         backend.serving = connection -> {
             asked.add(head(connection.getInputStream()));
-            write(connection, Fakes.answer("200 OK", "", "a rate"));
+            write(connection, Fakes.httpResponse("200 OK", "", "a rate"));
         };
-        try (ClientFake client = new ClientFake(proxy)) {
-            String request = ClientFake.get("4.0").replace("GET /look", "GET http://app.svc/look");
-            assertEquals(200, client.send(request).status());
+        try (FakeClient client = new FakeClient(proxy)) {
+            String request = FakeClient.getRequest("4.0").replace("GET /look", "GET http://app.svc/look");
+            assertEquals(200, client.send(request).readStatus());
         }
         assertTrue(asked.get(0).startsWith("get /look/thing http/1.1"), asked.get(0));
     }
--- a/proxy/src/test/java/dockrelay/proxy/UpgradeTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/UpgradeTest.java
@@ -5,9 +5,9 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dockrelay.proxy.Fakes.BackendFake;
-import dockrelay.proxy.Fakes.ClientFake;
-import dockrelay.proxy.Fakes.DiscoveryFake;
+import dockrelay.proxy.Fakes.FakeBackend;
+import dockrelay.proxy.Fakes.FakeClient;
+import dockrelay.proxy.Fakes.FakeDiscovery;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -22,15 +22,15 @@
 
 /** Two processes of one proxy at one listening socket that neither of them owns. */
 class UpgradeTest {
-    private final DiscoveryFake discovery = new DiscoveryFake();
-    private final BackendFake backend = new BackendFake(request -> Fakes.answer("200 OK", "", "a rate"));
+    private final FakeDiscovery discovery = new FakeDiscovery();
+    private final FakeBackend backend = new FakeBackend(request -> Fakes.httpResponse("200 OK", "", "a rate"));
     private ServerSocketChannel listener;
     @TempDir
     private Path folder;
 
     @BeforeEach
     void start() throws IOException {
-        discovery.first(DiscoveryFake.list(2, true, Fakes.entry("s-1", backend.port(), "active")));
+        discovery.setFirstList(FakeDiscovery.listJson(2, true, Fakes.entryJson("s-1", backend.port(), "active")));
         listener = ServerSocketChannel.open()
             .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
     }
@@ -45,38 +45,38 @@
     private Proxy started() throws IOException {
         Proxy proxy = new Proxy(Fakes.config(discovery.port(), 1024),
             new Platform(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), folder, listener));
-        assertTrue(Fakes.call(proxy, "PING\n").startsWith("200 "), "it accepts once it is listed");
+        assertTrue(Fakes.callConsole(proxy, "PING\n").startsWith("200 "), "it accepts once it is listed");
         return proxy;
     }
 
-    private ClientFake client() throws IOException {
+    private FakeClient client() throws IOException {
         int port = ((InetSocketAddress) listener.getLocalAddress()).getPort();
-        return new ClientFake(new Socket(InetAddress.getLoopbackAddress(), port));
+        return new FakeClient(new Socket(InetAddress.getLoopbackAddress(), port));
     }
 
     @Test
     void askedToEndItServesWhatItAcceptedAndLeavesTheRestToTheNextOne() throws Exception {
         Proxy first = started();
-        try (ClientFake unread = client(); ClientFake resting = client()) {
-            assertEquals(200, resting.send(ClientFake.get("2.0")).status());
+        try (FakeClient unread = client(); FakeClient resting = client()) {
+            assertEquals(200, resting.send(FakeClient.getRequest("2.0")).readStatus());
             Fakes.await("both are accepted", () -> first.clients() == 2);
             Proxy next = started();
             Thread stopping = new Thread(first::stop);
             stopping.start();
-            Fakes.await("it says that it ends", () -> Fakes.call(first, "PING\n").startsWith("400 "));
-            try (ClientFake late = client()) {
-                assertEquals(200, late.send(ClientFake.get("2.0")).status());
+            Fakes.await("it says that it ends", () -> Fakes.callConsole(first, "PING\n").startsWith("400 "));
+            try (FakeClient late = client()) {
+                assertEquals(200, late.send(FakeClient.getRequest("2.0")).readStatus());
                 assertEquals(1, next.clients(), "the next one has it");
-                for (ClientFake kept : new ClientFake[] {unread, resting}) {
-                    String answer = kept.send(ClientFake.get("2.0")).answer();
+                for (FakeClient kept : new FakeClient[] {unread, resting}) {
+                    String answer = kept.send(FakeClient.getRequest("2.0")).readResponse();
                     assertTrue(answer.startsWith("HTTP/1.1 200"), answer);
                     assertTrue(answer.contains("connection: close"), answer);
-                    assertNull(kept.answer());
+                    assertNull(kept.readResponse());
                     kept.close();
                 }
                 stopping.join();
                 assertTrue(listener.isOpen(), "closing it would point the log at nothing");
-                assertEquals(200, late.send(ClientFake.get("2.0")).status());
+                assertEquals(200, late.send(FakeClient.getRequest("2.0")).readStatus());
             }
             next.stop();
         }
