--- a/proxy/src/main/java/dockrelay/proxy/BackendConnectionPool.java
+++ b/proxy/src/main/java/dockrelay/proxy/BackendConnectionPool.java
@@ -79,8 +79,8 @@
     private final int fullMost;
     private int most;
     private final long idleNanos, settledNanos;
-    private LongObjectMap<RequestTable.ListedBackend> listed = Listing.map(0);
-    private final LongObjectMap<Peer> peers = Listing.map(0); // those of them that were sent to
+    private LongObjectMap<RequestTable.ListedBackend> listed = BackendRegistry.newIdMap(0);
+    private final LongObjectMap<Peer> peers = BackendRegistry.newIdMap(0); // those of them that were sent to
     private final Set<Connection> idle = new LinkedHashSet<>(); // the first one was used first
     private int connections;
     private boolean spoilt;
@@ -125,7 +125,7 @@
         this.buffers = buffers;
         this.loop = loop;
         this.counters = counters;
-        counters.gauge("backend-connections", () -> connections);
+        counters.registerGauge("backend-connections", () -> connections);
         this.fullMost = most;
         this.most = most;
         this.idleNanos = (long) (connectionIdle * IDLE_SHARE * 1000);
@@ -172,7 +172,7 @@
 
     /** Likewise of all there are: none but these may be sent anything. */
     void learnAll(List<RequestTable.ListedBackend> members) {
-        listed = Listing.map(members.size());
+        listed = BackendRegistry.newIdMap(members.size());
         for (RequestTable.ListedBackend member : members) {
             learn(member);
         }
@@ -259,12 +259,12 @@
         }
         Connection kept = takeIdle(peer);
         if (kept != null) {
-            counters.add(Count.REUSED);
+            counters.increment(Count.REUSED);
             exchange.writeTo(kept);
         } else if (connections < most || evict()) {
             connect(exchange);
         } else {
-            Log.line("pool", "all " + most + " connections are busy");
+            Log.write("pool", "all " + most + " connections are busy");
             exchange.end(Outcome.NOT_SENT, null); // our own lack, not the backend's
         }
         return exchange;
@@ -304,9 +304,9 @@
     private void connect(Exchange exchange) {
         connections++;
         exchange.peer.open++;
-        counters.add(Count.CONNECTS);
+        counters.increment(Count.CONNECTS);
         SocketAddress address = exchange.peer.address;
-        ChannelFuture connecting = bootstrap.connect(Endpoint.socket(address));
+        ChannelFuture connecting = bootstrap.connect(Endpoint.toInetSocketAddress(address));
         exchange.channel = connecting.channel();
         connecting.addListener(done -> {
             if (!done.isSuccess()) {
@@ -445,7 +445,7 @@
             stopTimer();
             timer = loop.schedule(() -> {
                 if (moving.passed() == passed) {
-                    Log.line("pool", "a body stood still for " + STILL_SECONDS + " s");
+                    Log.write("pool", "a body stood still for " + STILL_SECONDS + " s");
                     timeOut();
                 } else {
                     watch(moving);
@@ -462,7 +462,7 @@
 
         private void begin(HttpResponse head, Body from) {
             answer = from;
-            counters.add(Count.STREAMED);
+            counters.increment(Count.STREAMED);
             watch(from);
             listener.began(head, from);
         }
@@ -514,7 +514,7 @@
             ended = true;
             neverRan = outcome.provesNotExecuted();
             if (outcome != Outcome.OK) {
-                counters.add(Count.valueOf(outcome.name()));
+                counters.increment(Count.valueOf(outcome.name()));
             }
             ReferenceCountUtil.release(request);
             stopTimer();
@@ -718,10 +718,10 @@
         }
 
         private void unreadable(String why) {
-            counters.add(Count.UNREADABLE);
+            counters.increment(Count.UNREADABLE);
             spoilt = true;
             spoiltAt = System.nanoTime();
-            Log.line("unreadable", "from " + address + ": " + why);
+            Log.write("unreadable", "from " + address + ": " + why);
         }
 
         @Override
--- a/proxy/src/main/java/dockrelay/proxy/Listing.java
+++ b/proxy/src/main/java/dockrelay/proxy/BackendRegistry.java
@@ -23,7 +23,7 @@
  * connections and what was seen of it go by that. A proxy that starts then gives it its own: until it is
  * listed anew it stands elsewhere in the order there, which moves a window by one backend at the most.
  */
-final class Listing {
+final class BackendRegistry {
     private final OperatorOverrides operators;
     private final ToLongFunction<String> numbers;
     private final IntFunction<LongObjectMap<ListedBackend>> maps;
@@ -33,12 +33,12 @@
     private LongObjectMap<ListedBackend> known;
     private int ready; // by the list
 
-    Listing(OperatorOverrides operators) {
-        this(operators, EntryReader::number, Listing::map);
+    BackendRegistry(OperatorOverrides operators) {
+        this(operators, EntryReader::number, BackendRegistry::newIdMap);
     }
 
     /** With other numbers of names, and with other maps. */
-    Listing(OperatorOverrides operators, ToLongFunction<String> numbers, IntFunction<LongObjectMap<ListedBackend>> maps) {
+    BackendRegistry(OperatorOverrides operators, ToLongFunction<String> numbers, IntFunction<LongObjectMap<ListedBackend>> maps) {
         this.operators = operators;
         this.numbers = numbers;
         this.maps = maps;
@@ -46,7 +46,7 @@
     }
 
     /** A map for so many: a few places more than that, of a few bytes each. */
-    static <T> LongObjectMap<T> map(int size) {
+    static <T> LongObjectMap<T> newIdMap(int size) {
         float filled = 0.8f;
         return new LongObjectHashMap<>((int) (size / filled) + LongObjectHashMap.DEFAULT_CAPACITY, filled);
     }
--- a/proxy/src/main/java/dockrelay/proxy/BudgetConfigReader.java
+++ b/proxy/src/main/java/dockrelay/proxy/BudgetConfigReader.java
@@ -27,9 +27,9 @@
                     + ", each {\"per_second\": NUMBER, \"burst\": NUMBER}");
             }
             Map<?, ?> of = (Map<?, ?>) value;
-            Budget budget = Budget.perSecond((String) name, Config.number(of, "per_second", 0));
+            Budget budget = Budget.perSecond((String) name, Config.numberOrDefault(of, "per_second", 0));
             budget = of.containsKey("burst") ? new Budget(budget.name(), budget.rate(),
-                Math.round(Config.number(of, "burst", 0) * Budget.MICROTOKENS_PER_TOKEN)) : budget;
+                Math.round(Config.numberOrDefault(of, "burst", 0) * Budget.MICROTOKENS_PER_TOKEN)) : budget;
             if (groups != null && !divisible(budget, groups)) {
                 throw tooSmall(budget, groups);
             }
--- a/proxy/src/main/java/dockrelay/proxy/BudgetService.java
+++ b/proxy/src/main/java/dockrelay/proxy/BudgetService.java
@@ -45,9 +45,9 @@
         this.sender = sender;
         long now = now();
         this.reportedAt = now;
-        this.machine = new BudgetNode(config.name(), config.neighbours(), config.groupBudgets(), life,
+        this.machine = new BudgetNode(config.name(), config.groupMemberNames(), config.groupBudgets(), life,
             BudgetTiming.DEFAULT, random, this, now);
-        machine.retired(now, config.retired());
+        machine.retired(now, config.retiredMembers());
         schedule();
         table.eventLoop().scheduleWithFixedDelay(this::report, REPORT_MILLIS, REPORT_MILLIS,
             TimeUnit.MILLISECONDS);
@@ -91,8 +91,8 @@
     }
 
     void configure(Config next) {
-        machine.configure(now(), next.neighbours(), next.groupBudgets());
-        machine.retired(now(), next.retired());
+        machine.configure(now(), next.groupMemberNames(), next.groupBudgets());
+        machine.retired(now(), next.retiredMembers());
     }
 
     @Override
@@ -152,13 +152,13 @@
     void log() {
         Map<String, Long> refused = machine.refused();
         if (!refused.isEmpty()) {
-            Log.line("budgets-refused", "datagrams not taken: " + refused);
+            Log.write("budgets-refused", "datagrams not taken: " + refused);
         }
     }
 
     @Override
     public void logEvent(String text) {
-        Log.line("budgets", text);
+        Log.write("budgets", text);
     }
 
     /** What the console answers: a line for all, then one a budget. */
--- a/proxy/src/main/java/dockrelay/proxy/ClientFrontend.java
+++ b/proxy/src/main/java/dockrelay/proxy/ClientFrontend.java
@@ -111,7 +111,7 @@
         this.buffers = buffers;
         this.table = table;
         this.counters = counters;
-        counters.gauge("clients", connections::size);
+        counters.registerGauge("clients", connections::size);
         this.fullMost = most;
         this.most = most;
         this.ready = ready;
@@ -249,7 +249,7 @@
                     return;
                 }
                 first = false;
-                counters.add(Count.EVICTED);
+                counters.increment(Count.EVICTED);
                 longest.retire(false);
             }
             return;
@@ -266,7 +266,7 @@
         }
         long left = quietest.timeout.heardAt() + QUIET_NANOS - System.nanoTime();
         if (left <= 0) {
-            counters.add(Count.EVICTED);
+            counters.increment(Count.EVICTED);
             quietest.retire(true);
         } else {
             evicting = true;
@@ -284,7 +284,7 @@
         if (System.nanoTime() - longest.restingSince < REST_NANOS) {
             return false;
         }
-        counters.add(Count.EVICTED);
+        counters.increment(Count.EVICTED);
         longest.retire(false);
         return true;
     }
@@ -326,7 +326,7 @@
             channel = context.channel();
             restingSince = System.nanoTime();
             connections.add(this);
-            counters.add(Count.ACCEPTED);
+            counters.increment(Count.ACCEPTED);
             makeRoom();
         }
 
@@ -365,7 +365,7 @@
             if (whole != null) {
                 whole.message.release();
                 whole = null;
-                counters.add(Count.GONE);
+                counters.increment(Count.GONE);
             }
             if (gathered != null) {
                 gathered.release();
@@ -387,13 +387,13 @@
                 if (inHand != null && upload == null) {
                     timeout.again(); // what came behind the request in hand has its time after that
                 } else if (late == RequestTimeout.Late.NOT_WHOLE && answer == null) {
-                    counters.add(Count.LATE);
+                    counters.increment(Count.LATE);
                     end(HttpResponseStatus.REQUEST_TIMEOUT);
                 } else if (answer == null) {
-                    counters.add(Count.LATE);
+                    counters.increment(Count.LATE);
                     retire(false); // its first request may be on its way just now
                 } else {
-                    counters.add(Count.LATE);
+                    counters.increment(Count.LATE);
                     context.close();
                 }
             }
@@ -429,8 +429,8 @@
 
         /** From here on its bytes are dropped as they come, and the answer that is due ends it. */
         private void overrun() {
-            counters.add(Count.IMPROPER);
-            Log.line("improper", "more behind a request than there is room for, from "
+            counters.increment(Count.IMPROPER);
+            Log.write("improper", "more behind a request than there is room for, from "
                 + channel.remoteAddress());
             keep = false;
             timeout.discard();
@@ -599,7 +599,7 @@
                 return;
             }
             if (!channel.isActive()) {
-                counters.add(Count.GONE);
+                counters.increment(Count.GONE);
                 next.message.release();
             } else if (table.holds(next.request.id())) {
                 next.message.release();
@@ -754,8 +754,8 @@
         }
 
         private void improper(HttpResponseStatus status, Throwable cause) {
-            counters.add(Count.IMPROPER);
-            Log.line("improper",
+            counters.increment(Count.IMPROPER);
+            Log.write("improper",
                 status + " to " + channel.remoteAddress() + (cause == null ? "" : ": " + cause));
             end(status);
         }
@@ -775,7 +775,7 @@
         private boolean isLast() {
             boolean ends = !keep || closing || head != null;
             if (!ends && crowded() && !closeLongestAtRest()) {
-                counters.add(Count.CROWDED);
+                counters.increment(Count.CROWDED);
                 ends = true;
             }
             return ends;
--- a/proxy/src/main/java/dockrelay/proxy/Config.java
+++ b/proxy/src/main/java/dockrelay/proxy/Config.java
@@ -29,10 +29,10 @@
  * nobody, and groups are null.
  */
 record Config(String name, InetSocketAddress listen, InetSocketAddress discovery, long seed, int sockets,
-              int memory, KnownList known, Settings settings, long connectTimeout, long connectionIdle,
-              boolean retryAfter, InetSocketAddress console, InetSocketAddress peerListen,
-              PeerDirectory peers, InetSocketAddress peersAll, PeerGroups groups, List<Budget> budgets,
-              List<String> retired, Set<String> streaming) {
+              int memory, KnownList known, Settings settings, long connectTimeoutMicros, long connectionIdle,
+              boolean sendsRetryAfter, InetSocketAddress console, InetSocketAddress peerListenAddress,
+              PeerDirectory peers, InetSocketAddress peerBroadcastAddress, PeerGroups peerGroups, List<Budget> budgets,
+              List<String> retiredMembers, Set<String> streamingClasses) {
     private static final double MICROS = 1_000_000;
 
     /** Whatever is wrong is told in one line, with the file. */
@@ -97,8 +97,8 @@
             seed(text(top, "seed")), within(map(top, "limits"), "limits.", "sockets", 1024, 34),
             within(map(top, "limits"), "limits.", "memory_mb", 192, 16),
             known, read,
-            (long) (number(allowed, "ConnectTimeout", 0.25) * MICROS),
-            (long) (number(allowed, "ConnIdle", 15) * MICROS),
+            (long) (numberOrDefault(allowed, "ConnectTimeout", 0.25) * MICROS),
+            (long) (numberOrDefault(allowed, "ConnIdle", 15) * MICROS),
             !Boolean.FALSE.equals(allowed.get("RetryAfter")), maybe(top, "console"),
             maybe(top, "peer_listen"), peers, maybe(top, "peers_all"), groups,
             top.get("budgets") instanceof Map<?, ?> budgets ? BudgetConfigReader.read(budgets, read, groups)
@@ -149,18 +149,18 @@
     }
 
     /** The names of the own group, its own among them. */
-    List<String> neighbours() {
-        return groups.namesInGroupOf(name);
+    List<String> groupMemberNames() {
+        return peerGroups.namesInGroupOf(name);
     }
 
     /** The own group's parts of the budgets; all of them where there is one group. */
     List<Budget> groupBudgets() {
-        return BudgetConfigReader.groupShares(budgets, neighbours().size(), groups);
+        return BudgetConfigReader.groupShares(budgets, groupMemberNames().size(), peerGroups);
     }
 
     /** Whether the proxies are to know of each other. */
     boolean membership() {
-        return settings.limits().peers() && peerListen != null && groups != null;
+        return settings.limits().peers() && peerListenAddress != null && peerGroups != null;
     }
 
     private static InetSocketAddress address(String key, Object value) {
@@ -194,7 +194,7 @@
         return from.get(key) instanceof List<?> value ? value : List.of();
     }
 
-    static double number(Map<?, ?> from, String key, double fallback) {
+    static double numberOrDefault(Map<?, ?> from, String key, double fallback) {
         return from.get(key) instanceof Number value ? value.doubleValue() : fallback;
     }
 
--- a/proxy/src/main/java/dockrelay/proxy/Console.java
+++ b/proxy/src/main/java/dockrelay/proxy/Console.java
@@ -114,7 +114,7 @@
                 boolean out = "DETACH".equals(words[0]);
                 boolean changed = out ? operators.detach(words[1]) : operators.attach(words[1]);
                 if (changed) {
-                    Log.line("console", line + ": " + operators.out() + " backends are out");
+                    Log.write("console", line + ": " + operators.out() + " backends are out");
                 }
                 // Also where nothing changed: the call before may not be in force yet.
                 return enforce.apply(words[1]).completeOnTimeout(null, IN_FORCE_MILLIS, TimeUnit.MILLISECONDS)
--- a/proxy/src/main/java/dockrelay/proxy/Counters.java
+++ b/proxy/src/main/java/dockrelay/proxy/Counters.java
@@ -48,7 +48,7 @@
     private final Map<Count, Long> counted = new EnumMap<>(Count.class);
     private final Map<String, Gauge> gauges = new LinkedHashMap<>();
 
-    void add(Count count) {
+    void increment(Count count) {
         counted.merge(count, 1L, Long::sum);
     }
 
@@ -57,12 +57,12 @@
         return counted.getOrDefault(count, 0L);
     }
 
-    void gauge(String name, Gauge gauge) {
+    void registerGauge(String name, Gauge gauge) {
         gauges.put(name, gauge);
     }
 
     /** The counts that are not zero, then the gauges; counting starts anew. */
-    String line() {
+    String formatAndReset() {
         List<String> words = new ArrayList<>();
         counted.forEach((count, number) -> words.add(count.name().toLowerCase(Locale.ROOT) + "=" + number));
         gauges.forEach((name, gauge) -> words.add(name + "=" + gauge.now()));
--- a/proxy/src/main/java/dockrelay/proxy/Discovery.java
+++ b/proxy/src/main/java/dockrelay/proxy/Discovery.java
@@ -34,7 +34,7 @@
     private InetSocketAddress address;
     private final boolean asked;
     private final RequestTable table;
-    private final Listing listing;
+    private final BackendRegistry listing;
     private final ListApplier applier;
     private final Counters counters;
     private volatile boolean anyReady;
@@ -58,10 +58,10 @@
     Discovery(Bootstrap template, EventLoop loop, Config config, RequestTable table, OperatorOverrides operators,
               Counters counters) {
         this.counters = counters;
-        counters.gauge("list-version", () -> version);
-        counters.gauge("list-unconfirmed-ms",
+        counters.registerGauge("list-version", () -> version);
+        counters.registerGauge("list-unconfirmed-ms",
             () -> TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - confirmedAt));
-        this.listing = new Listing(operators);
+        this.listing = new BackendRegistry(operators);
         // Not by execute: what is executed from within the loop may run before the next look at the sockets.
         this.applier = new ListApplier(listing, task -> loop.schedule(task, 0, TimeUnit.NANOSECONDS), this);
         this.asked = config.settings().mustSubscribe();
@@ -136,7 +136,7 @@
     /** Goes on at another address, and asks there for the whole list: its versions may be counted anew. */
     void move(InetSocketAddress to) {
         if (!to.equals(address)) {
-            Log.line("discovery", "moves from " + address + " to " + to);
+            Log.write("discovery", "moves from " + address + " to " + to);
             address = to;
             version = -1;
             resetWaits();
@@ -147,8 +147,8 @@
     }
 
     private void abandon(DiscoveryWatch call, String why) {
-        counters.add(Count.DISCOVERY_ABANDONED);
-        Log.line("discovery", call.describe() + ", is given up: " + why);
+        counters.increment(Count.DISCOVERY_ABANDONED);
+        Log.write("discovery", call.describe() + ", is given up: " + why);
         call.close();
     }
 
@@ -179,7 +179,7 @@
         DiscoveryWatch call = standby == null ? new DiscoveryWatch(bootstrap, address, this) : standby;
         standby = null;
         trying.add(call);
-        counters.add(Count.DISCOVERY_CALLS);
+        counters.increment(Count.DISCOVERY_CALLS);
         call.call(version, ++calls);
         long unanswered = pacing.whileUnanswered();
         attemptIn(unanswered);
@@ -232,20 +232,20 @@
         }
         boolean wasWatch = ended == watch;
         if (tried) {
-            counters.add(Count.DISCOVERY_FAILURES);
+            counters.increment(Count.DISCOVERY_FAILURES);
         }
-        Log.line("discovery", ended.describe() + (wasWatch ? ", the watch ended: " : ", failed: ") + why
+        Log.write("discovery", ended.describe() + (wasWatch ? ", the watch ended: " : ", failed: ") + why
             + "; others under way: " + trying.size());
         watch = wasWatch ? null : watch;
         if (ended.isBroken()) {
-            counters.add(Count.DISCOVERY_BROKEN);
+            counters.increment(Count.DISCOVERY_BROKEN);
             applyRemovals(ended.partial());
         }
         if (!trying.isEmpty() && (wasWatch || !ended.isBroken())) {
             return;
         }
         long wait = asked ? waitAfter(ended, wasWatch) : pushedWaitAfter(ended, wasWatch);
-        Log.line("discovery", "the next call is due in " + wait + " ms");
+        Log.write("discovery", "the next call is due in " + wait + " ms");
         attemptIn(wait);
         if (asked) {
             table.updateBackends(ListUpdateType.FAILED, List.of());
@@ -317,7 +317,7 @@
         callBesideWatch = false;
         boolean isNew = by != watch;
         if (isNew) {
-            Log.line("discovery", by.describe() + ", is answered");
+            Log.write("discovery", by.describe() + ", is answered");
             pacing.answered(by.answerMillis());
             trying.remove(by);
         }
@@ -337,7 +337,7 @@
         boolean alone = by == watch ? trying.isEmpty() : trying.size() == 1 && trying.contains(by);
         if (!closed && alone) {
             long wait = asked ? pacing.afterBrokenAnswer() : pushedBackoff.next();
-            Log.line("discovery", by.describe() + ", has stopped; the next call is due in " + wait + " ms");
+            Log.write("discovery", by.describe() + ", has stopped; the next call is due in " + wait + " ms");
             callBesideWatch = by == watch;
             attemptIn(wait);
         }
@@ -346,7 +346,7 @@
     @Override
     public void heartbeat(DiscoveryWatch by) {
         if (adopt(by)) {
-            Log.line("discovery", "nothing new since version " + version);
+            Log.write("discovery", "nothing new since version " + version);
         }
     }
 
@@ -363,7 +363,7 @@
         lastSender = by;
         if (received < version) { // what is newer stands
             if (first) {
-                Log.line("discovery", "version " + received + " is older than " + version + ", which stands");
+                Log.write("discovery", "version " + received + " is older than " + version + ", which stands");
                 lookAgain();
             }
             return;
@@ -380,10 +380,10 @@
     @Override
     public void applied(ListParser.Update update) {
         if (removalsOnly.remove(update)) {
-            Log.line("discovery", "removals of a broken answer, entries " + update.entries().size());
+            Log.write("discovery", "removals of a broken answer, entries " + update.entries().size());
             return;
         }
-        Log.line("discovery", (update.full() ? "list of version " : "changes to version ") + update.version()
+        Log.write("discovery", (update.full() ? "list of version " : "changes to version ") + update.version()
             + ", entries " + update.entries().size());
         listed.countDown();
     }
--- a/proxy/src/main/java/dockrelay/proxy/Endpoint.java
+++ b/proxy/src/main/java/dockrelay/proxy/Endpoint.java
@@ -39,11 +39,11 @@
     }
 
     /** What a socket connects to. */
-    static SocketAddress socket(SocketAddress kept) {
-        return kept instanceof Endpoint endpoint ? endpoint.socket() : kept;
+    static SocketAddress toInetSocketAddress(SocketAddress kept) {
+        return kept instanceof Endpoint endpoint ? endpoint.toInetSocketAddress() : kept;
     }
 
-    private InetSocketAddress socket() {
+    private InetSocketAddress toInetSocketAddress() {
         byte[] bytes = {(byte) (host >>> 24), (byte) (host >>> 16), (byte) (host >>> 8), (byte) host};
         try {
             return new InetSocketAddress(InetAddress.getByAddress(bytes), port);
@@ -64,6 +64,6 @@
 
     @Override
     public String toString() {
-        return socket().toString();
+        return toInetSocketAddress().toString();
     }
 }
--- a/proxy/src/main/java/dockrelay/proxy/EntryReader.java
+++ b/proxy/src/main/java/dockrelay/proxy/EntryReader.java
@@ -66,9 +66,9 @@
         Backend old = before == null ? new Backend(number, "", "", 0, Phase.GONE, 1, 0) : before.backend();
         String zone = entry.get("zone") instanceof String text ? shared(text) : old.zone();
         String kind = entry.get("kind") instanceof String text ? shared(text) : old.kind();
-        Backend backend = new Backend(old.id(), zone, kind, (long) Config.number(entry, "cell", old.cell()),
-            phase(entry), Config.number(entry, "weight", old.weight()),
-            (long) (Config.number(entry, "started_ms", old.startedAt() / 1000.0) * 1000));
+        Backend backend = new Backend(old.id(), zone, kind, (long) Config.numberOrDefault(entry, "cell", old.cell()),
+            phase(entry), Config.numberOrDefault(entry, "weight", old.weight()),
+            (long) (Config.numberOrDefault(entry, "started_ms", old.startedAt() / 1000.0) * 1000));
         SocketAddress listed = before == null ? null : before.address();
         SocketAddress address = entry.get("addr") instanceof String text ? Endpoint.of(text) : listed;
         boolean same = before != null && same(backend, old) && Objects.equals(address, listed);
--- a/proxy/src/main/java/dockrelay/proxy/KnownList.java
+++ b/proxy/src/main/java/dockrelay/proxy/KnownList.java
@@ -56,7 +56,7 @@
         return version;
     }
 
-    /** The entries, as {@link Listing#take} takes them; none the next time. */
+    /** The entries, as {@link BackendRegistry#take} takes them; none the next time. */
     List<Object> take() {
         List<Object> taken = entries;
         entries = List.of();
--- a/proxy/src/main/java/dockrelay/proxy/ListApplier.java
+++ b/proxy/src/main/java/dockrelay/proxy/ListApplier.java
@@ -29,17 +29,17 @@
         void idle();
     }
 
-    private final Listing listing;
+    private final BackendRegistry listing;
     private final Executor nextTurn;
     private final Sink sink;
     private final Deque<ListParser.Update> waiting = new ArrayDeque<>();
     private final List<ListParser.Update> current = new ArrayList<>(); // those that are being applied
-    private Listing.Taking taking;
+    private BackendRegistry.Taking taking;
     private int weightWaiting;
     private boolean busy; // this turn has had its batch
 
     /** The executor runs a task in a later turn of the loop, after what has come meanwhile. */
-    ListApplier(Listing listing, Executor nextTurn, Sink sink) {
+    ListApplier(BackendRegistry listing, Executor nextTurn, Sink sink) {
         this.listing = listing;
         this.nextTurn = nextTurn;
         this.sink = sink;
--- a/proxy/src/main/java/dockrelay/proxy/ListParser.java
+++ b/proxy/src/main/java/dockrelay/proxy/ListParser.java
@@ -69,7 +69,7 @@
         if (top == null || !(top.get(VERSION) instanceof Number)) {
             return null;
         }
-        return new Update((long) Config.number(top, VERSION, -1), false, new ArrayList<>(entries));
+        return new Update((long) Config.numberOrDefault(top, VERSION, -1), false, new ArrayList<>(entries));
     }
 
     /** Takes the next bytes; false once the taker wants no more. */
@@ -101,7 +101,7 @@
         } else if (listing && token == JsonToken.END_ARRAY) {
             listing = false;
         } else if (!listing && token == JsonToken.END_OBJECT) {
-            Update update = new Update((long) Config.number(top, VERSION, -1),
+            Update update = new Update((long) Config.numberOrDefault(top, VERSION, -1),
                 Boolean.TRUE.equals(top.get("full")), entries);
             top = null;
             entries = null;
--- a/proxy/src/main/java/dockrelay/proxy/Log.java
+++ b/proxy/src/main/java/dockrelay/proxy/Log.java
@@ -20,7 +20,7 @@
     }
 
     /** One line of a kind; the kind is counted, so it must come from a fixed set. */
-    static synchronized void line(String kind, String text) {
+    static synchronized void write(String kind, String text) {
         long now = System.nanoTime();
         Window window = WINDOWS.computeIfAbsent(kind, k -> new Window());
         if (window.lines == 0 || now - window.since >= WINDOW_NANOS) {
@@ -32,14 +32,14 @@
             window.dropped = 0;
         }
         if (window.lines++ < LINES_EACH) {
-            System.err.println(kind + ": " + printable(text));
+            System.err.println(kind + ": " + sanitize(text));
         } else {
             window.dropped++;
         }
     }
 
     /** Peers word some of the text: it must not forge lines or fill the log. */
-    static String printable(String text) {
+    static String sanitize(String text) {
         String start = text.length() > LONGEST ? text.substring(0, LONGEST) + "..." : text;
         return start.replaceAll("[^\\x20-\\x7e]", "?");
     }
@@ -47,6 +47,6 @@
     /** An error with the place it came from. */
     static void error(String kind, Throwable cause) {
         StackTraceElement[] trace = cause.getStackTrace();
-        line(kind, cause + (trace.length == 0 ? "" : " at " + trace[0]));
+        write(kind, cause + (trace.length == 0 ? "" : " at " + trace[0]));
     }
 }
--- a/proxy/src/main/java/dockrelay/proxy/Main.java
+++ b/proxy/src/main/java/dockrelay/proxy/Main.java
@@ -15,7 +15,7 @@
                 Proxy.main();
                 return;
             case "rehearse":
-                Proxy.rehearse();
+                Proxy.runClassArchiveTraining();
                 return;
             default:
                 System.err.println("usage: java -jar dockrelay.jar serve|rehearse");
--- a/proxy/src/main/java/dockrelay/proxy/MembershipService.java
+++ b/proxy/src/main/java/dockrelay/proxy/MembershipService.java
@@ -94,7 +94,7 @@
         // What others remember of a higher one is countered; the wall clock only makes that rare.
         long incarnation = Math.max(kept() + 1, System.currentTimeMillis() / 1000);
         int life = random.nextInt() | 1;
-        machine = new GroupedMembership(config.name(), config.groups().grouping(), incarnation, life, ProtocolTiming.DEFAULT, random,
+        machine = new GroupedMembership(config.name(), config.peerGroups().grouping(), incarnation, life, ProtocolTiming.DEFAULT, random,
             this, now());
         if (!config.budgets().isEmpty()) {
             budgets = new BudgetService(loop, table, config, life, new Random(random.nextLong()), this::send);
@@ -152,7 +152,7 @@
             }
             MembershipSnapshot standing = machine.snapshot(now());
             told.accept(new FleetView(standing.countedMembers(), standing.ownRank(), standing.budgetShare(), standing.minBudgetShare(),
-                Agreement.valueOf(standing.agreement().name()), 0, config.groups().grouping().isSingleGroup() ? 0
+                Agreement.valueOf(standing.agreement().name()), 0, config.peerGroups().grouping().isSingleGroup() ? 0
                     : Math.max(1, standing.oldestReportAge()))); // also where nothing of the others counts any more
         }
     }
@@ -177,13 +177,13 @@
         StringBuilder line = new StringBuilder();
         for (String one : news) {
             if (line.length() > 0 && line.length() + one.length() > LONGEST_LINE) {
-                Log.line("members", line.toString());
+                Log.write("members", line.toString());
                 line.setLength(0);
             }
             line.append(line.length() == 0 ? "" : "; ").append(one);
         }
         if (line.length() > 0) {
-            Log.line("members", line.toString());
+            Log.write("members", line.toString());
         }
         news.clear();
         if (budgets != null) {
@@ -191,21 +191,21 @@
         }
         Map<String, Long> refused = machine.takeRefusalCounts();
         if (!refused.isEmpty()) {
-            Log.line("members-refused", "datagrams not taken: " + refused);
+            Log.write("members-refused", "datagrams not taken: " + refused);
         }
     }
 
     @Override
     public void nameConflict(String name, String why) {
         clashes++;
-        Log.line("members-clash", "two processes go by the name " + name + ": " + why);
+        Log.write("members-clash", "two processes go by the name " + name + ": " + why);
     }
 
     private long kept() {
         try {
             return file == null || !Files.exists(file) ? 0 : Long.parseLong(Files.readString(file).trim());
         } catch (IOException | NumberFormatException e) {
-            Log.line("members", "cannot read the incarnation that was kept: " + e);
+            Log.write("members", "cannot read the incarnation that was kept: " + e);
             return 0;
         }
     }
@@ -232,16 +232,16 @@
     void configure(Config file) {
         loop.execute(() -> guarded(() -> {
             if (!file.name().equals(config.name())) {
-                Log.line("reload", "name is " + file.name() + " in the file, this process is "
+                Log.write("reload", "name is " + file.name() + " in the file, this process is "
                     + config.name() + "; the peers that were in force stay so");
                 return;
             }
-            if (!file.groups().same(config.groups())) {
+            if (!file.peerGroups().same(config.peerGroups())) {
                 if (machine != null) {
-                    machine.configure(now(), file.groups().grouping());
+                    machine.configure(now(), file.peerGroups().grouping());
                     schedule();
                 }
-                Log.line("members", listed(file));
+                Log.write("members", listed(file));
             }
             config = file;
             peers.configure(file);
@@ -252,9 +252,9 @@
     }
 
     private String listed(Config next) {
-        GroupAssignment grouping = next.groups().grouping();
+        GroupAssignment grouping = next.peerGroups().grouping();
         String names = PeerGroups.abbreviate(next.peers().names());
-        if (grouping.isSingleGroup() && config.groups().grouping().isSingleGroup()) {
+        if (grouping.isSingleGroup() && config.peerGroups().grouping().isSingleGroup()) {
             return "the list is now " + names;
         }
         long fresh = next.peers().names().stream().filter(name -> !config.peers().names(name)).count();
@@ -314,7 +314,7 @@
         return answered(() -> {
             long now = now();
             MembershipSnapshot standing = machine.snapshot(now);
-            GroupAssignment grouping = config.groups().grouping();
+            GroupAssignment grouping = config.peerGroups().grouping();
             StringBuilder text = new StringBuilder(MembersText.figures(standing, machine.digest(),
                 machine.healthScore(), suspicions, clashes));
             text.append(MembersText.place(standing, grouping.groupCount(),
@@ -334,7 +334,7 @@
     /** What the console answers of one member, whom another group may have to be asked for. */
     CompletableFuture<String> describe(String name) {
         return answered(() -> {
-            GroupAssignment grouping = config.groups().grouping();
+            GroupAssignment grouping = config.peerGroups().grouping();
             int group = grouping.groupOf(name);
             if (group < 0) {
                 return CompletableFuture.completedFuture("400 " + name + " is no name of peers here");
--- a/proxy/src/main/java/dockrelay/proxy/OperatorOverrides.java
+++ b/proxy/src/main/java/dockrelay/proxy/OperatorOverrides.java
@@ -135,7 +135,7 @@
         Matcher matcher = KEPT.matcher(text);
         if (!matcher.matches()) {
             if (spoilt.add(file.getFileName().toString())) {
-                Log.line("operators", "cannot read " + file.getFileName());
+                Log.write("operators", "cannot read " + file.getFileName());
             }
             return null;
         }
--- a/proxy/src/main/java/dockrelay/proxy/PeerTransport.java
+++ b/proxy/src/main/java/dockrelay/proxy/PeerTransport.java
@@ -49,7 +49,7 @@
 
     PeerTransport(EventLoop loop, Config config, RequestTable table) {
         this(loop, config, table, null);
-        channel = bootstrap().bind(config.peerListen()).syncUninterruptibly().channel();
+        channel = bootstrap().bind(config.peerListenAddress()).syncUninterruptibly().channel();
     }
 
     private Bootstrap bootstrap() {
@@ -76,12 +76,12 @@
 
     /** Opens the socket as soon as nobody else has it: in an upgrade the process before may. */
     void open(long retryMillis, Runnable opened) {
-        bootstrap().bind(config.peerListen()).addListener((ChannelFutureListener) done -> {
+        bootstrap().bind(config.peerListenAddress()).addListener((ChannelFutureListener) done -> {
             if (done.isSuccess() && !closed) {
                 channel = done.channel();
                 opened.run();
             } else if (!closed) {
-                Log.line("peers", "cannot listen at " + config.peerListen() + " yet: " + done.cause());
+                Log.write("peers", "cannot listen at " + config.peerListenAddress() + " yet: " + done.cause());
                 loop.schedule(() -> open(retryMillis, opened), retryMillis, TimeUnit.MILLISECONDS);
             } else {
                 done.channel().close();
@@ -101,7 +101,7 @@
     private void taken(ChannelHandlerContext context, DatagramPacket packet) {
         int from = config.peers().at(packet.sender()); // the address is all that tells who it is
         ByteBuf content = packet.content();
-        if (members != null && ++read >= MOST + MOST_EACH * config.neighbours().size()) {
+        if (members != null && ++read >= MOST + MOST_EACH * config.groupMemberNames().size()) {
             context.channel().config().setAutoRead(false);
         }
         if (members != null && content.isReadable()
@@ -119,7 +119,7 @@
      * fleet of more than one group, where the bytes would grow with tenants and with proxies.
      */
     private boolean toldToAll() {
-        return config.groups() == null || config.groups().grouping().isSingleGroup();
+        return config.peerGroups() == null || config.peerGroups().grouping().isSingleGroup();
     }
 
     /** Goes by another list of peers. */
@@ -148,9 +148,9 @@
         if (here == null) {
             return;
         } else if (bytes.readableBytes() > LONGEST) {
-            Log.line("peers", "a message of " + bytes.readableBytes() + " bytes was left out");
-        } else if (config.peersAll() != null) {
-            here.writeAndFlush(new DatagramPacket(bytes, config.peersAll()));
+            Log.write("peers", "a message of " + bytes.readableBytes() + " bytes was left out");
+        } else if (config.peerBroadcastAddress() != null) {
+            here.writeAndFlush(new DatagramPacket(bytes, config.peerBroadcastAddress()));
         } else {
             for (int i = 0; i < config.peers().size(); i++) {
                 if (i != config.settings().me()) {
--- a/proxy/src/main/java/dockrelay/proxy/Platform.java
+++ b/proxy/src/main/java/dockrelay/proxy/ProcessEnvironment.java
@@ -11,17 +11,17 @@
  * What a process is given beside its configuration; each may be null. The folder outlives the process where
  * another takes its place, and the listener is the clients' socket where the platform holds it.
  */
-record Platform(InetSocketAddress console, Path folder, ServerSocketChannel listener) {
+record ProcessEnvironment(InetSocketAddress console, Path folder, ServerSocketChannel listener) {
     /** A process on its own. */
-    static final Platform NONE = new Platform(null, null, null);
+    static final ProcessEnvironment NONE = new ProcessEnvironment(null, null, null);
     private static final String STANDARD_INPUT = "0";
 
     /** Reads the environment; what is set and cannot be used fails the start. */
-    static Platform of(Config config, Map<String, String> environment) throws IOException {
+    static ProcessEnvironment read(Config config, Map<String, String> environment) throws IOException {
         String console = environment.get("PROXY_CONSOLE");
         String folder = environment.get("TMPDIR");
         String listener = environment.get("PROXY_SOCKET_FD");
-        return new Platform(console == null || console.isEmpty() ? config.console() : Config.address(console),
+        return new ProcessEnvironment(console == null || console.isEmpty() ? config.console() : Config.address(console),
             folder == null || folder.isEmpty() ? null : Path.of(folder).resolve("operators"),
             listener == null || listener.isEmpty() ? null : inherited(listener));
     }
--- a/proxy/src/main/java/dockrelay/proxy/Proxy.java
+++ b/proxy/src/main/java/dockrelay/proxy/Proxy.java
@@ -39,7 +39,7 @@
     /** Holds a burst of new connections while the loop is busy for a moment. */
     private static final int BACKLOG = 1024;
     /** After SIGTERM new connections go on coming for up to 0.4 s; none is turned away. */
-    static final long LAST_CONNECTIONS_MILLIS = 550;
+    static final long ACCEPT_AFTER_STOP_MILLIS = 550;
     /** Two processes notice each other and each other's changes within this. */
     private static final long LOOK_MILLIS = 100;
     /** After the warm-up: the next process is to serve within 6 s of its start, discovery or not. */
@@ -89,10 +89,10 @@
     private long looked, latest;
 
     Proxy(Config config) throws IOException {
-        this(config, Platform.NONE);
+        this(config, ProcessEnvironment.NONE);
     }
 
-    Proxy(Config config, Platform platform) throws IOException {
+    Proxy(Config config, ProcessEnvironment platform) throws IOException {
         this(config, platform, System.nanoTime(), new AtomicBoolean());
     }
 
@@ -100,7 +100,7 @@
      * Begun at this time of the nano clock. Who sets the mark first settles whether it ever listens: from
      * then on there may be requests to answer, and it has to be asked to stop.
      */
-    private Proxy(Config config, Platform platform, long begun, AtomicBoolean settled) throws IOException {
+    private Proxy(Config config, ProcessEnvironment platform, long begun, AtomicBoolean settled) throws IOException {
         LongSupplier clock = clock();
         PooledByteBufAllocator buffers = new PooledByteBufAllocator(true, 1, 1, 8192, 5, 256, 64, false);
         Bootstrap sockets = new Bootstrap().group(loop).channel(NioSocketChannel.class)
@@ -108,7 +108,7 @@
         room = Math.max(2, config.sockets() - SPARE_DESCRIPTORS);
         int fromClients = Math.max(1, (int) (room * CLIENTS_SHARE));
         BufferLimit bound = BufferLimit.forAllocator(buffers, config.memory());
-        pool = new BackendConnectionPool(sockets, loop, room - fromClients, config.connectTimeout(),
+        pool = new BackendConnectionPool(sockets, loop, room - fromClients, config.connectTimeoutMicros(),
             config.connectionIdle(), counters, bound);
         table = new RequestTable(loop, pool, clock, config, counters);
         operators = new OperatorOverrides(platform.console() == null ? null : platform.folder());
@@ -117,7 +117,7 @@
         if (config.membership()) {
             members = new MembershipService(config, platform.folder(), table, this::told);
             tell = members.transport()::broadcast;
-        } else if (config.settings().limits().peers() && config.peerListen() != null) {
+        } else if (config.settings().limits().peers() && config.peerListenAddress() != null) {
             tell = new PeerTransport(loop, config, table)::broadcast;
         }
         table.attachBalancer(new RiqBalancer(config.settings(), config.seed(), table), discovery::subscribe, tell);
@@ -163,14 +163,14 @@
             members.join();
         }
         loop.execute(this::count);
-        Log.line("start", config.name() + " listens at " + config.listen() + (shared ? ", shared" : ""));
+        Log.write("start", config.name() + " listens at " + config.listen() + (shared ? ", shared" : ""));
     }
 
     /** Guards against taking clients over with an old list while the process before has a new one. */
     private void awaitList(long millis) {
         try {
             if (!discovery.awaitList(millis)) {
-                Log.line("start", "no list of discovery's yet: what was known before has to do");
+                Log.write("start", "no list of discovery's yet: what was known before has to do");
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -179,8 +179,8 @@
 
     /** Writes the counters to the log, and with them the most that the loop was late. */
     private void count() {
-        counters.gauge("loop-late-ms", () -> latest);
-        counters.gauge("heap-mb", () -> {
+        counters.registerGauge("loop-late-ms", () -> latest);
+        counters.registerGauge("heap-mb", () -> {
             Runtime runtime = Runtime.getRuntime();
             return runtime.totalMemory() - runtime.freeMemory() >> 20;
         });
@@ -191,8 +191,8 @@
             looked = now;
         }, LATENESS_MILLIS, LATENESS_MILLIS, TimeUnit.MILLISECONDS);
         loop.scheduleWithFixedDelay(() -> {
-            Log.line("counters", counters.line());
-            Log.line("decisions", table.balancerStatus());
+            Log.write("counters", counters.formatAndReset());
+            Log.write("decisions", table.balancerStatus());
             latest = 0;
         }, COUNTERS_MILLIS, COUNTERS_MILLIS, TimeUnit.MILLISECONDS);
     }
@@ -215,11 +215,11 @@
             Path file = Path.of(named);
             Signals.onHangUp(() -> started.thenAccept(proxy -> proxy.reload(file)));
             Config config = Config.read(file);
-            started.complete(new Proxy(config, Platform.of(config, System.getenv()), STARTED, settled));
+            started.complete(new Proxy(config, ProcessEnvironment.read(config, System.getenv()), STARTED, settled));
         } catch (EndedException e) {
             return; // the other thread ends the process
         } catch (ConfigException | SettingException e) {
-            fail(started, failed, e, () -> Log.line("start", e.getMessage()));
+            fail(started, failed, e, () -> Log.write("start", e.getMessage()));
         } catch (IOException | RuntimeException e) {
             fail(started, failed, e, () -> Log.error("start", e));
         }
@@ -241,7 +241,7 @@
     /** Before it listens there is nothing to serve out; from then on the start is over soon. */
     private static void end(CompletableFuture<Proxy> started, AtomicBoolean settled) {
         if (settled.compareAndSet(false, true)) {
-            Log.line("stop", "asked to end before it listened");
+            Log.write("stop", "asked to end before it listened");
             return;
         }
         try {
@@ -262,13 +262,13 @@
             if (members != null && next.membership()) {
                 members.configure(next);
             } else if (members != null) {
-                Log.line("reload", file + ": no members are named, or Peers is false: those that were in"
+                Log.write("reload", file + ": no members are named, or Peers is false: those that were in"
                     + " force stay so until a restart");
             } else if (next.membership()) {
-                Log.line("reload", file + ": members are named: they are taken up by a restart");
+                Log.write("reload", file + ": members are named: they are taken up by a restart");
             }
         } catch (ConfigException e) {
-            Log.line("reload", e.getMessage() + "; what was in force stays so");
+            Log.write("reload", e.getMessage() + "; what was in force stays so");
         } catch (RuntimeException e) {
             Log.error("reload", e);
         }
@@ -278,7 +278,7 @@
      * Starts and ends a proxy that nobody uses, so that the build can archive the classes a start takes:
      * a proxy that was killed is back sooner when the runtime finds them ready-made.
      */
-    public static void rehearse() throws IOException {
+    public static void runClassArchiveTraining() throws IOException {
         new Proxy(Config.parse(REHEARSAL)).stop();
     }
 
@@ -289,20 +289,20 @@
         return () -> wall + (System.nanoTime() - start) / 1000;
     }
 
-    InetSocketAddress address() {
+    InetSocketAddress listenAddress() {
         return (InetSocketAddress) clients.localAddress();
     }
 
-    InetSocketAddress console() {
+    InetSocketAddress consoleAddress() {
         return console.address();
     }
 
     /** How many connections of clients there are. */
-    int clients() {
+    int clientConnectionCount() {
         return clients.connectionCount();
     }
 
-    EventLoop loop() {
+    EventLoop eventLoop() {
         return loop;
     }
 
@@ -315,7 +315,7 @@
     }
 
     /** How many requests are in hand, or have attempts out still. */
-    int inHand() {
+    int inFlightRequestCount() {
         return table.inFlightCount();
     }
 
@@ -343,7 +343,7 @@
             int others = succession.exchangeDescriptorCounts(held);
             if (others >= 0 != beside) {
                 beside = others >= 0;
-                Log.line("console", beside ? "another process of this proxy runs beside" : "alone again");
+                Log.write("console", beside ? "another process of this proxy runs beside" : "alone again");
             }
             loop.execute(() -> {
                 int left = others < 0 ? room : room - SPARE_DESCRIPTORS - others;
@@ -359,7 +359,7 @@
     /** Answers all that comes and all that was taken, then ends; returns once that is done. */
     void stop() {
         loop.execute(() -> {
-            Log.line("stop", "asked to end with " + table.inFlightCount() + " requests in hand");
+            Log.write("stop", "asked to end with " + table.inFlightCount() + " requests in hand");
             stopping = true;
             if (members != null) {
                 members.stopSpending();
@@ -373,7 +373,7 @@
         });
         try {
             boolean done = finished.await(LONGEST_SHUTDOWN_SECONDS, TimeUnit.SECONDS);
-            Log.line("stop", done ? "done" : "gave up waiting");
+            Log.write("stop", done ? "done" : "gave up waiting");
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -396,7 +396,7 @@
                 clients.stopAcceptingOnceBacklogEmpty(LOOK_MILLIS / 2,
                     () -> clients.whenAllClosed(() -> table.whenEmpty(this::finish)));
                 loop.scheduleWithFixedDelay(clients::closeLongIdle, 0, LOOK_MILLIS, TimeUnit.MILLISECONDS);
-            }, Math.min(left, LAST_CONNECTIONS_MILLIS), TimeUnit.MILLISECONDS);
+            }, Math.min(left, ACCEPT_AFTER_STOP_MILLIS), TimeUnit.MILLISECONDS);
         }
         loop.schedule(clients::closeIdle, left, TimeUnit.MILLISECONDS);
     }
--- a/proxy/src/main/java/dockrelay/proxy/RequestTable.java
+++ b/proxy/src/main/java/dockrelay/proxy/RequestTable.java
@@ -133,12 +133,12 @@
         this.loop = loop;
         this.pool = pool;
         this.counters = counters;
-        counters.gauge("in-hand", pending::size);
+        counters.registerGauge("in-hand", pending::size);
         this.clock = clock;
         this.maxAttempts = config.settings().limits().maxAttempts();
-        this.retryAfter = config.retryAfter();
-        this.probeTimeout = config.connectTimeout();
-        this.streaming = config.streaming();
+        this.retryAfter = config.sendsRetryAfter();
+        this.probeTimeout = config.connectTimeoutMicros();
+        this.streaming = config.streamingClasses();
         for (ServiceClass spec : config.settings().classes()) {
             classes.put(spec.name(), spec);
         }
@@ -214,13 +214,13 @@
 
     /** Takes a request of which more is to come; its time starts with {@link #whole}. */
     void take(Request request, FullHttpRequest message, Body body, Reply reply) {
-        counters.add(Count.UPLOADED);
+        counters.increment(Count.UPLOADED);
         take(new Pending(request, message, body, reply));
     }
 
     private void take(Pending p) {
         pending.put(p.request.id(), p);
-        counters.add(Count.TAKEN);
+        counters.increment(Count.TAKEN);
         enter(p, () -> module.onRequest(clock.getAsLong(), p.request));
     }
 
@@ -252,7 +252,7 @@
     /** The host's own deadline: the module has let the client's time run out. */
     private void overdue(Pending p) {
         if (!p.answered) {
-            counters.add(Count.OVERDUE);
+            counters.increment(Count.OVERDUE);
             conclude(p, plain(HttpResponseStatus.GATEWAY_TIMEOUT));
             enter(p, () -> module.onClientDisconnected(clock.getAsLong(), p.request.id()));
             callOffUnsent(p);
@@ -265,7 +265,7 @@
         if (p == null || p.answered && p.streaming == null) {
             return;
         }
-        counters.add(Count.GONE);
+        counters.increment(Count.GONE);
         conclude(p, null);
         enter(p, () -> module.onClientDisconnected(clock.getAsLong(), requestId));
         callOffUnsent(p);
@@ -298,7 +298,7 @@
         p.answered = true;
         stopTime(p);
         if (response != null) {
-            counters.add(answer(response.status()));
+            counters.increment(answer(response.status()));
             p.reply.answer(response);
         }
         retire(p);
@@ -345,7 +345,7 @@
         stopTime(p);
         p.beganAt = clock.getAsLong();
         p.streaming = p.attempts.get(attempt);
-        counters.add(Count.SERVED);
+        counters.increment(Count.SERVED);
         p.reply.begin(head, body);
         enter(p, () -> module.onStreamStart(clock.getAsLong(), p.request.id(), attempt, backend,
             latency(p, sentAt, p.beganAt)));
@@ -364,7 +364,7 @@
         }
         p.timer = loop.schedule(() -> {
             if (!p.streaming.hasEnded() && !p.streaming.isLong()) {
-                counters.add(Count.OVERDUE);
+                counters.increment(Count.OVERDUE);
                 p.streaming.timeOut();
             }
         }, Math.max(0, p.deadline - clock.getAsLong()) + UNENDING, TimeUnit.MICROSECONDS);
@@ -421,7 +421,7 @@
     public void send(String requestId, long backend, long timeout) {
         Pending p = pending.get(requestId);
         if (p == null) {
-            Log.line("module", "a send for a request that is not in hand");
+            Log.write("module", "a send for a request that is not in hand");
             return;
         }
         int attempt = p.attempts.size();
--- a/proxy/src/main/java/dockrelay/proxy/Signals.java
+++ b/proxy/src/main/java/dockrelay/proxy/Signals.java
@@ -17,13 +17,13 @@
                     action.run();
                     return null;
                 });
-            signal.getMethod("handle", signal, handler).invoke(null, hangUp(), told);
+            signal.getMethod("handle", signal, handler).invoke(null, hangUpSignal(), told);
         } catch (ReflectiveOperationException e) {
             throw new IllegalStateException("cannot take SIGHUP", e);
         }
     }
 
-    static Object hangUp() throws ReflectiveOperationException {
+    static Object hangUpSignal() throws ReflectiveOperationException {
         return Class.forName("sun.misc.Signal").getConstructor(String.class).newInstance("HUP");
     }
 }
--- a/proxy/src/test/java/dockrelay/proxy/BackendCrossingTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/BackendCrossingTest.java
@@ -305,7 +305,7 @@
                 }
             }, "a reset, so that it does not pass for whole");
         }
-        Fakes.await("its attempt is over as well", () -> proxy.inHand() == 0);
+        Fakes.await("its attempt is over as well", () -> proxy.inFlightRequestCount() == 0);
     }
 
     /** An answer may last until its connection ends, but a reset is no end. */
@@ -345,7 +345,7 @@
             client.send(FakeClient.postRequest("put", "0.4"));
             Fakes.await("it is out", () -> backend.requests.size() == 1);
             long due = System.nanoTime() + 400_000_000L;
-            Fakes.whileHeld(proxy.loop(), () -> { }, () -> {
+            Fakes.whileHeld(proxy.eventLoop(), () -> { }, () -> {
                 answer.countDown();
                 Fakes.await("the deadline", () -> System.nanoTime() > due);
             });
--- a/proxy/src/test/java/dockrelay/proxy/ClientGoneTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/ClientGoneTest.java
@@ -45,13 +45,13 @@
         try (FakeClient used = new FakeClient(proxy)) {
             assertEquals(200, used.send(FakeClient.getRequest("4.0")).readStatus());
             backend.requests.clear();
-            Fakes.whileHeld(proxy.loop(), () -> { }, () -> {
+            Fakes.whileHeld(proxy.eventLoop(), () -> { }, () -> {
                 used.send(FakeClient.postRequest("put", "4.0"));
                 used.socket.close();
-                Socket fresh = new Socket(InetAddress.getLoopbackAddress(), proxy.address().getPort());
+                Socket fresh = new Socket(InetAddress.getLoopbackAddress(), proxy.listenAddress().getPort());
                 new FakeClient(fresh).send(FakeClient.postRequest("put", "4.0")).close();
             });
-            Fakes.await("both are gone", () -> proxy.clients() == 0);
+            Fakes.await("both are gone", () -> proxy.clientConnectionCount() == 0);
             try (FakeClient marker = new FakeClient(proxy)) {
                 assertEquals(200, marker.send(FakeClient.postRequest("save", "4.0")).readStatus());
             }
@@ -70,7 +70,7 @@
             Fakes.await("the first one is out", () -> backend.requests.size() == 1);
         }
         Fakes.await("it is called off", () -> backend.ended.get() == 1);
-        Fakes.await("nothing is in hand", () -> proxy.inHand() == 0);
+        Fakes.await("nothing is in hand", () -> proxy.inFlightRequestCount() == 0);
         assertEquals(1, backend.requests.size());
     }
 
@@ -93,7 +93,7 @@
             String answer = Fakes.httpResponse("200 OK", "", "one");
             backend.openConnections.get(0).getOutputStream().write(answer.getBytes(StandardCharsets.UTF_8));
             assertTrue(client.readResponse().endsWith("one"));
-            Fakes.await("and that is the end of it", () -> proxy.clients() == 0);
+            Fakes.await("and that is the end of it", () -> proxy.clientConnectionCount() == 0);
         }
         assertEquals(1, backend.requests.size(), "of those behind it none was taken");
     }
@@ -110,9 +110,9 @@
             assertFalse(text.contains("\"MayCancel\":true"));
             try (FakeClient client = new FakeClient(proxy)) {
                 client.send(FakeClient.postRequest("put", LONG));
-                Fakes.await("it waits for its connection", () -> proxy.inHand() == 1);
+                Fakes.await("it waits for its connection", () -> proxy.inFlightRequestCount() == 1);
             }
-            Fakes.await("nothing waits any more", () -> proxy.inHand() == 0);
+            Fakes.await("nothing waits any more", () -> proxy.inFlightRequestCount() == 0);
         }
     }
 }
--- a/proxy/src/test/java/dockrelay/proxy/ConsoleTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/ConsoleTest.java
@@ -51,7 +51,7 @@
 
     private Proxy started() throws IOException {
         Proxy made = new Proxy(Fakes.config(discovery.port(), 1024),
-            new Platform(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), folder, null));
+            new ProcessEnvironment(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), folder, null));
         Fakes.await("yes to PING", () -> Fakes.callConsole(made, "PING\n").startsWith("200 "));
         return made;
     }
@@ -65,7 +65,7 @@
     }
 
     private static Socket connected(Proxy at) throws IOException {
-        return new Socket(InetAddress.getLoopbackAddress(), at.console().getPort());
+        return new Socket(InetAddress.getLoopbackAddress(), at.consoleAddress().getPort());
     }
 
     private void ask(int times) throws IOException {
@@ -160,7 +160,7 @@
     @Test
     void aBusyLoopDelaysNoAnswer() throws Exception {
         CountDownLatch busy = new CountDownLatch(1);
-        proxy.loop().submit(() -> busy.await(1, TimeUnit.MINUTES));
+        proxy.eventLoop().submit(() -> busy.await(1, TimeUnit.MINUTES));
         try {
             assertTrue(Fakes.callConsole(proxy, "PING\n").startsWith("200 "));
         } finally {
--- a/proxy/src/test/java/dockrelay/proxy/CrossedSettingsTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/CrossedSettingsTest.java
@@ -92,7 +92,7 @@
         Files.writeString(file, Fakes.configJson(0, discovery.port(), 1024, "", "")
             .replace("\"at_most_once\"", "\"idempotent\""));
         proxy.reload(file);
-        proxy.loop().submit(() -> { }).sync();
+        proxy.eventLoop().submit(() -> { }).sync();
         backend.responder = request -> "";
         try (FakeClient client = new FakeClient(proxy)) {
             assertEquals(502, client.send(FakeClient.postRequest("put", "4.0")).readStatus());
--- a/proxy/src/test/java/dockrelay/proxy/CrowdedDiscoveryTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/CrowdedDiscoveryTest.java
@@ -68,7 +68,7 @@
         removal.assertNoneArrivesAfter(stopped, until, "discovery is crowded");
         for (int i = 0; i < PROXIES; i++) {
             assertEquals(1, doors.get(i).answered(), "calls of n" + i + " that were answered\n"
-                + removal.proxies.get(i).log());
+                + removal.proxies.get(i).readLog());
         }
     }
 }
--- a/proxy/src/test/java/dockrelay/proxy/Fakes.java
+++ b/proxy/src/test/java/dockrelay/proxy/Fakes.java
@@ -111,7 +111,7 @@
 
     /** What the operators' address answers to this line. */
     static String callConsole(Proxy at, String raw) {
-        try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), at.console().getPort())) {
+        try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), at.consoleAddress().getPort())) {
             socket.getOutputStream().write(raw.getBytes(StandardCharsets.UTF_8));
             if (!raw.endsWith("\n")) {
                 socket.shutdownOutput();
@@ -354,7 +354,7 @@
         final Socket socket;
 
         FakeClient(Proxy proxy) throws IOException {
-            this(new Socket(InetAddress.getLoopbackAddress(), proxy.address().getPort()));
+            this(new Socket(InetAddress.getLoopbackAddress(), proxy.listenAddress().getPort()));
         }
 
         FakeClient(Socket connected) throws IOException {
--- a/proxy/src/test/java/dockrelay/proxy/KnownListTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/KnownListTest.java
@@ -43,7 +43,7 @@
         assertEquals(7L, entries.get(3));
         assertTrue(known.take().isEmpty(), "it is kept for nobody");
 
-        Listing listing = new Listing(new OperatorOverrides(null));
+        BackendRegistry listing = new BackendRegistry(new OperatorOverrides(null));
         listing.take(entries, true);
         RequestTable.ListedBackend first = listing.get("s-1");
         assertEquals(entries.get(0), first);
--- a/proxy/src/test/java/dockrelay/proxy/ListApplierTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/ListApplierTest.java
@@ -29,7 +29,7 @@
     /** One that is told, and holds what it was told as the pool and the module do. */
     private static final class Told implements ListApplier.Sink {
         final OperatorOverrides operators = new OperatorOverrides(null);
-        final Listing listing;
+        final BackendRegistry listing;
         final Deque<Runnable> turns = new ArrayDeque<>();
         final ListApplier applier;
         final Map<Long, Backend> holds = new TreeMap<>();
@@ -42,7 +42,7 @@
         }
 
         Told(ToLongFunction<String> numbers) {
-            listing = new Listing(operators, numbers, Listing::map);
+            listing = new BackendRegistry(operators, numbers, BackendRegistry::newIdMap);
             applier = new ListApplier(listing, turns::add, this);
         }
 
--- a/proxy/src/test/java/dockrelay/proxy/ListCrossingTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/ListCrossingTest.java
@@ -92,7 +92,7 @@
         discovery.setFirstList(FakeDiscovery.listJson(1, true, first("active")));
         proxy = new Proxy(Fakes.parseConfig(Fakes.configJson(0, discovery.port(), SOCKETS, "", "")
             .replace("\"HardLimit\":5.0", "\"HardLimit\":60.0")),
-            new Platform(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), marks, null));
+            new ProcessEnvironment(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), marks, null));
         Fakes.await("healthz 200", () -> {
             try (FakeClient client = new FakeClient(proxy)) {
                 return client.send(HEALTH).readStatus() == 200;
--- a/proxy/src/test/java/dockrelay/proxy/ListParserTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/ListParserTest.java
@@ -38,7 +38,7 @@
         try (JsonParser json = new JsonFactory().createParser(text)) {
             json.nextToken();
             Map<?, ?> map = (Map<?, ?>) Json.readValue(json);
-            return new ListParser.Update((long) Config.number(map, "version", -1),
+            return new ListParser.Update((long) Config.numberOrDefault(map, "version", -1),
                 Boolean.TRUE.equals(map.get("full")), new ArrayList<>(Config.list(map, "servers")));
         }
     }
--- a/proxy/src/test/java/dockrelay/proxy/ListProbe.java
+++ b/proxy/src/test/java/dockrelay/proxy/ListProbe.java
@@ -33,7 +33,7 @@
     private record Sent(String request, int attempt, long backend, long at) {
     }
 
-    private final Listing listing = new Listing(new OperatorOverrides(null));
+    private final BackendRegistry listing = new BackendRegistry(new OperatorOverrides(null));
     private final RequestTable table;
     private final RiqBalancer module;
     private final Deque<Runnable> turns = new ArrayDeque<>();
--- a/proxy/src/test/java/dockrelay/proxy/ListingTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/ListingTest.java
@@ -26,7 +26,7 @@
     private static final int[] SIZES = {500, 1_000, 2_000};
 
     private final OperatorOverrides operators = new OperatorOverrides(null);
-    private final Listing listing = new Listing(operators);
+    private final BackendRegistry listing = new BackendRegistry(operators);
 
     private static Map<String, Object> entry(String name, String state) {
         Map<String, Object> entry = new HashMap<>();
@@ -49,7 +49,7 @@
         return entries;
     }
 
-    private long id(Listing of, String name, String state) {
+    private long id(BackendRegistry of, String name, String state) {
         return of.take(List.of(entry(name, state)), false).get(0).backend().id();
     }
 
@@ -60,14 +60,14 @@
         assertEquals(0, listing.size());
         assertNull(listing.get("s-1"), "it is forgotten with the backend");
         assertEquals(first, id(listing, "s-1", "active"));
-        assertEquals(first, id(new Listing(operators), "s-1", "active"), "at all proxies");
+        assertEquals(first, id(new BackendRegistry(operators), "s-1", "active"), "at all proxies");
         assertNotEquals(first, id(listing, "s-2", "active"));
     }
 
     /** All names have the same number here. */
     @Test
     void namesThatFallTogetherAreToldApartAndKeepTheirNumbers() {
-        Listing narrow = new Listing(operators, name -> 7, Listing::map);
+        BackendRegistry narrow = new BackendRegistry(operators, name -> 7, BackendRegistry::newIdMap);
         List<ListedBackend> told = narrow.take(entries(3), true);
         assertEquals(List.of(7L, 8L, 9L), told.stream().map(member -> member.backend().id()).toList());
         assertEquals(List.of(7L, 8L, 9L), narrow.take(entries(3), true).stream()
@@ -234,11 +234,11 @@
     }
 
     /** Steps and bytes that something costs at each size, of a listing that has as many. */
-    private static long[][] costs(boolean listed, Consumer<Listing> what) {
+    private static long[][] costs(boolean listed, Consumer<BackendRegistry> what) {
         long[][] costs = new long[2][SIZES.length];
         for (int i = 0; i < SIZES.length; i++) {
             long[] steps = new long[1];
-            Listing each = new Listing(new OperatorOverrides(null), name -> {
+            BackendRegistry each = new BackendRegistry(new OperatorOverrides(null), name -> {
                 steps[0]++;
                 return name.hashCode() * 0x9E3779B97F4A7C15L;
             }, size -> new Counted(size, steps));
@@ -268,7 +268,7 @@
     void aListTakenInWholeCostsItsLength() {
         List<Map<String, Object>> all = entries(SIZES[2]);
         for (boolean listed : new boolean[] {false, true}) {
-            Consumer<Listing> whole = each ->
+            Consumer<BackendRegistry> whole = each ->
                 each.take(all.subList(0, Math.max(SIZES[0], each.size())), true);
             costs(listed, whole); // what is loaded on the way is not the list's
             for (long[] counts : costs(true, whole)) {
@@ -278,7 +278,7 @@
         long[] steps = new long[SIZES.length];
         for (int i = 0; i < SIZES.length; i++) {
             long[] counted = new long[1];
-            Listing fresh = new Listing(new OperatorOverrides(null), String::hashCode, size -> new Counted(size,
+            BackendRegistry fresh = new BackendRegistry(new OperatorOverrides(null), String::hashCode, size -> new Counted(size,
                 counted));
             fresh.take(all.subList(0, SIZES[i]), true);
             steps[i] = counted[0];
@@ -288,7 +288,7 @@
 
     @Test
     void aChangeCostsNothingOfTheRest() {
-        Consumer<Listing> changes = each -> {
+        Consumer<BackendRegistry> changes = each -> {
             for (int i = 0; i < 100; i++) {
                 each.take(List.of(entry("s-" + i, "leaving")), false);
                 each.take(List.of(entry("s-" + i, "left")), false);
--- a/proxy/src/test/java/dockrelay/proxy/PeerGroupsTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/PeerGroupsTest.java
@@ -53,30 +53,30 @@
     @Test
     void withoutAWordOfGroupsAllAreInOneUpToOneAndAHalfTimesItsSize() {
         int most = GroupAssignment.DEFAULT_GROUP_SIZE * 3 / 2;
-        assertTrue(config(0, 3, "").groups().grouping().isSingleGroup());
-        assertTrue(config(0, most, "").groups().grouping().isSingleGroup());
-        assertEquals(2, config(0, most + 1, "").groups().grouping().groupCount());
-        assertEquals(3, config(0, 97, "{\"size\":32}").groups().grouping().groupCount());
-        assertNull(Fakes.parseConfig(text(0, "[\"127.0.0.1:7\"]", "", "")).groups());
+        assertTrue(config(0, 3, "").peerGroups().grouping().isSingleGroup());
+        assertTrue(config(0, most, "").peerGroups().grouping().isSingleGroup());
+        assertEquals(2, config(0, most + 1, "").peerGroups().grouping().groupCount());
+        assertEquals(3, config(0, 97, "{\"size\":32}").peerGroups().grouping().groupCount());
+        assertNull(Fakes.parseConfig(text(0, "[\"127.0.0.1:7\"]", "", "")).peerGroups());
     }
 
     @Test
     void zonesAreGroupsOfTheirOwn() {
         Config config = config(3, 6, "{\"zones\":" + SIX + "}");
-        assertEquals(3, config.groups().grouping().groupCount());
-        assertEquals(List.of("n3", "n4"), config.neighbours());
-        assertEquals("b/1", config.groups().grouping().label(config.groups().grouping().groupOf("n3")));
+        assertEquals(3, config.peerGroups().grouping().groupCount());
+        assertEquals(List.of("n3", "n4"), config.groupMemberNames());
+        assertEquals("b/1", config.peerGroups().grouping().label(config.peerGroups().grouping().groupOf("n3")));
     }
 
     /** The order of a file's names is nothing that one group could differ in from the next. */
     @Test
     void aChangeOfZonesOrSizeIsAChange() {
-        PeerGroups one = config(0, 6, "{\"zones\":" + SIX + "}").groups();
+        PeerGroups one = config(0, 6, "{\"zones\":" + SIX + "}").peerGroups();
         String usual = "{\"size\":" + GroupAssignment.DEFAULT_GROUP_SIZE + ",\"zones\":" + SIX + "}";
-        assertTrue(one.same(config(4, 6, usual).groups()));
+        assertTrue(one.same(config(4, 6, usual).peerGroups()));
         for (String other : List.of("", "{\"size\":40,\"zones\":" + SIX + "}",
             "{\"zones\":{\"a\":[\"n0\",\"n1\",\"n2\",\"n3\"],\"b\":[\"n4\"],\"c\":[\"n5\"]}}")) {
-            assertTrue(!one.same(config(0, 6, other).groups()), other);
+            assertTrue(!one.same(config(0, 6, other).peerGroups()), other);
         }
     }
 
--- a/proxy/src/test/java/dockrelay/proxy/ProcessTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/ProcessTest.java
@@ -40,7 +40,7 @@
     }
 
     private void assertEndsWell() throws Exception {
-        assertEquals(0, process.awaitEnd(), process.log());
+        assertEquals(0, process.awaitEnd(), process.readLog());
     }
 
     /** Before the list is there it takes no request, and has nothing to serve out. */
@@ -51,7 +51,7 @@
         Fakes.await("it waits for its list", () -> discovery.requests.size() > 1);
         process.signal("TERM");
         assertEndsWell();
-        assertTrue(process.log().contains("stop: asked to end before it listened"));
+        assertTrue(process.readLog().contains("stop: asked to end before it listened"));
     }
 
     /** A backend hangs, a client reads nothing, the signal comes twice, and a reload in between. */
@@ -61,8 +61,8 @@
             request.startsWith("POST /put") ? null : Fakes.httpResponse("200 OK", "", "one");
         start();
         process.awaitServing();
-        try (FakeClient hanging = process.client(); FakeClient deaf = process.client();
-             FakeClient resting = process.client()) {
+        try (FakeClient hanging = process.connectClient(); FakeClient deaf = process.connectClient();
+             FakeClient resting = process.connectClient()) {
             assertEquals(200, resting.send(FakeClient.getRequest("4.0")).readStatus());
             hanging.send(FakeClient.postRequest("put", "1.0"));
             deaf.send(FakeClient.postRequest("put", "1.0"));
@@ -92,11 +92,11 @@
             }
             process.configure("{\"name\":");
             process.signal("HUP");
-            Fakes.await("it says so", () -> process.log().contains("reload: "));
+            Fakes.await("it says so", () -> process.readLog().contains("reload: "));
             process.configure(next.port(), "", "");
             process.signal("HUP");
             Fakes.await("the new list is in force", () -> {
-                try (FakeClient client = process.client()) {
+                try (FakeClient client = process.connectClient()) {
                     return client.send(FakeClient.getRequest("4.0")).readResponse().endsWith("other");
                 } catch (IOException e) {
                     throw new IllegalStateException(e);
--- a/proxy/src/test/java/dockrelay/proxy/ProxyProcess.java
+++ b/proxy/src/test/java/dockrelay/proxy/ProxyProcess.java
@@ -72,7 +72,7 @@
 
     void awaitServing() {
         Fakes.await("it serves", () -> {
-            try (Fakes.FakeClient client = client()) {
+            try (Fakes.FakeClient client = connectClient()) {
                 return client.send(Fakes.FakeClient.getRequest("4.0")).readStatus() == 200;
             } catch (IOException e) {
                 return false;
@@ -80,11 +80,11 @@
         });
     }
 
-    Fakes.FakeClient client() throws IOException {
+    Fakes.FakeClient connectClient() throws IOException {
         return new Fakes.FakeClient(new Socket(host, port));
     }
 
-    String log() {
+    String readLog() {
         try {
             return Files.readString(folder.resolve("log"));
         } catch (IOException e) {
--- a/proxy/src/test/java/dockrelay/proxy/ProxyTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/ProxyTest.java
@@ -611,7 +611,7 @@
     void aHangUpDoesNotEndTheProgram() throws Exception {
         AtomicInteger told = new AtomicInteger();
         Signals.onHangUp(told::incrementAndGet);
-        Object hangUp = Signals.hangUp();
+        Object hangUp = Signals.hangUpSignal();
         hangUp.getClass().getMethod("raise", hangUp.getClass()).invoke(null, hangUp);
         Fakes.await("the signal", () -> told.get() == 1);
     }
@@ -619,7 +619,7 @@
     /** The build archives what a start has loaded, once the start is over. */
     @Test
     void aRehearsedStartEndsByItself() {
-        assertDoesNotThrow(Proxy::rehearse);
+        assertDoesNotThrow(Proxy::runClassArchiveTraining);
     }
 
     @Test
--- a/proxy/src/test/java/dockrelay/proxy/RequestTableTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/RequestTableTest.java
@@ -205,19 +205,19 @@
 
     @Test
     void theLogIsNotForgedByWhatPeersWrite() {
-        assertEquals("a?start: b?", Log.printable("a\nstart: b\u00e9"));
-        assertEquals("x".repeat(500) + "...", Log.printable("x".repeat(10_000)));
+        assertEquals("a?start: b?", Log.sanitize("a\nstart: b\u00e9"));
+        assertEquals("x".repeat(500) + "...", Log.sanitize("x".repeat(10_000)));
     }
 
     @Test
     void countersTellWhatWasCountedSinceTheLineBefore() {
         Counters counters = new Counters();
-        counters.gauge("in-hand", () -> 4);
-        counters.add(Counters.Count.TAKEN);
-        counters.add(Counters.Count.TAKEN);
-        counters.add(Counters.Count.NOT_SENT);
-        assertEquals("taken=2 not_sent=1 in-hand=4", counters.line());
-        assertEquals("in-hand=4", counters.line());
+        counters.registerGauge("in-hand", () -> 4);
+        counters.increment(Counters.Count.TAKEN);
+        counters.increment(Counters.Count.TAKEN);
+        counters.increment(Counters.Count.NOT_SENT);
+        assertEquals("taken=2 not_sent=1 in-hand=4", counters.formatAndReset());
+        assertEquals("in-hand=4", counters.formatAndReset());
     }
 
     @Test
--- a/proxy/src/test/java/dockrelay/proxy/RestingTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/RestingTest.java
@@ -42,7 +42,7 @@
         start(1024);
         try (FakeClient client = new FakeClient(proxy)) {
             assertEquals(200, client.send(FakeClient.getRequest("4.0")).readStatus());
-            Fakes.whileHeld(proxy.loop(), () -> proxy.clientSide().closeIdle(), () -> {
+            Fakes.whileHeld(proxy.eventLoop(), () -> proxy.clientSide().closeIdle(), () -> {
                 client.send(FakeClient.getRequest("4.0"));
             });
             assertEquals(200, client.readStatus());
@@ -59,13 +59,13 @@
         try (FakeClient client = new FakeClient(proxy)) {
             assertEquals(200, client.send(FakeClient.getRequest("4.0")).readStatus());
             String request = FakeClient.postRequest("put", "4.0");
-            Fakes.whileHeld(proxy.loop(), () -> proxy.clientSide().closeIdle(), () -> {
+            Fakes.whileHeld(proxy.eventLoop(), () -> proxy.clientSide().closeIdle(), () -> {
                 client.send(request.substring(0, 20));
             });
             assertNull(client.readResponse(), "an end in good order, and no reset over what was not read");
             client.send(request.substring(20));
         }
-        Fakes.await("it is gone", () -> proxy.clients() == 0);
+        Fakes.await("it is gone", () -> proxy.clientConnectionCount() == 0);
         try (FakeClient marker = new FakeClient(proxy)) {
             assertEquals(200, marker.send(FakeClient.getRequest("4.0")).readStatus());
         }
@@ -79,7 +79,7 @@
         try (FakeClient client = new FakeClient(proxy)) {
             assertEquals(200, client.send(FakeClient.getRequest("4.0")).readStatus());
             String request = FakeClient.getRequest("4.0");
-            Fakes.whileHeld(proxy.loop(), () -> proxy.clientSide().limitConnections(1), () -> {
+            Fakes.whileHeld(proxy.eventLoop(), () -> proxy.clientSide().limitConnections(1), () -> {
                 client.send(request.substring(0, 20));
             });
             client.send(request.substring(20));
@@ -105,8 +105,8 @@
             busy.add(new FakeClient(proxy).send(FakeClient.postRequest("save", "4.0")));
         }
         Fakes.await("they are out", () -> backend.requests.size() == 3);
-        proxy.loop().submit(() -> proxy.clientSide().limitConnections(3)).sync();
-        int port = proxy.address().getPort();
+        proxy.eventLoop().submit(() -> proxy.clientSide().limitConnections(3)).sync();
+        int port = proxy.listenAddress().getPort();
         Thread stopping = new Thread(proxy::stop);
         stopping.start();
         Fakes.await("it is asked to end", proxy::isStopping);
@@ -116,7 +116,7 @@
             waiting.add(new FakeClient(socket).send(FakeClient.getRequest("4.0")));
         }
         // By the loop's own clock, after the time at which nothing new need be taken any more.
-        proxy.loop().schedule(answers::countDown, Proxy.LAST_CONNECTIONS_MILLIS + 100, TimeUnit.MILLISECONDS);
+        proxy.eventLoop().schedule(answers::countDown, Proxy.ACCEPT_AFTER_STOP_MILLIS + 100, TimeUnit.MILLISECONDS);
         for (FakeClient one : busy) {
             assertEquals(200, one.readStatus());
             one.close();
--- a/proxy/src/test/java/dockrelay/proxy/SequentialClient.java
+++ b/proxy/src/test/java/dockrelay/proxy/SequentialClient.java
@@ -18,11 +18,11 @@
     private static int run(ProxyProcess proxy, long countedFrom, long until)
         throws IOException, InterruptedException {
         int served = 0;
-        try (FakeClient client = proxy.client()) {
+        try (FakeClient client = proxy.connectClient()) {
             while (System.nanoTime() < until) {
                 int status = client.send(FakeClient.getRequest("4.0")).readStatus();
                 if (status == 0) {
-                    throw new IOException("closed without an answer, log:\n" + proxy.log());
+                    throw new IOException("closed without an answer, log:\n" + proxy.readLog());
                 }
                 served += status == 200 && System.nanoTime() > countedFrom ? 1 : 0;
                 Thread.sleep(PAUSE_MILLIS);
--- a/proxy/src/test/java/dockrelay/proxy/StopTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/StopTest.java
@@ -39,8 +39,8 @@
             assertEquals(200, used.send(FakeClient.getRequest("4.0")).readStatus());
             String request = FakeClient.getRequest("4.0");
             half.send(request.substring(0, 20));
-            Fakes.await("three connections", () -> proxy.clients() == 3);
-            int port = proxy.address().getPort();
+            Fakes.await("three connections", () -> proxy.clientConnectionCount() == 3);
+            int port = proxy.listenAddress().getPort();
             Thread stopping = new Thread(proxy::stop);
             stopping.start();
             Fakes.await("nothing new is taken", () -> {
--- a/proxy/src/test/java/dockrelay/proxy/UpgradeTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/UpgradeTest.java
@@ -44,7 +44,7 @@
 
     private Proxy started() throws IOException {
         Proxy proxy = new Proxy(Fakes.config(discovery.port(), 1024),
-            new Platform(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), folder, listener));
+            new ProcessEnvironment(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), folder, listener));
         assertTrue(Fakes.callConsole(proxy, "PING\n").startsWith("200 "), "it accepts once it is listed");
         return proxy;
     }
@@ -59,14 +59,14 @@
         Proxy first = started();
         try (FakeClient unread = client(); FakeClient resting = client()) {
             assertEquals(200, resting.send(FakeClient.getRequest("2.0")).readStatus());
-            Fakes.await("both are accepted", () -> first.clients() == 2);
+            Fakes.await("both are accepted", () -> first.clientConnectionCount() == 2);
             Proxy next = started();
             Thread stopping = new Thread(first::stop);
             stopping.start();
             Fakes.await("it says that it ends", () -> Fakes.callConsole(first, "PING\n").startsWith("400 "));
             try (FakeClient late = client()) {
                 assertEquals(200, late.send(FakeClient.getRequest("2.0")).readStatus());
-                assertEquals(1, next.clients(), "the next one has it");
+                assertEquals(1, next.clientConnectionCount(), "the next one has it");
                 for (FakeClient kept : new FakeClient[] {unread, resting}) {
                     String answer = kept.send(FakeClient.getRequest("2.0")).readResponse();
                     assertTrue(answer.startsWith("HTTP/1.1 200"), answer);
@@ -100,7 +100,7 @@
         Config config = Fakes.config(1, 1024);
         for (String descriptor : new String[] {"0", "3", "x"}) {
             IOException failed = assertThrows(IOException.class,
-                () -> Platform.of(config, Map.of("PROXY_SOCKET_FD", descriptor)));
+                () -> ProcessEnvironment.read(config, Map.of("PROXY_SOCKET_FD", descriptor)));
             assertTrue(failed.getMessage().contains("no listening socket"), failed.getMessage());
         }
     }
