--- a/fleet/src/main/java/dockrelay/fleet/Datagram.java
+++ b/fleet/src/main/java/dockrelay/fleet/Datagram.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.zip.CRC32C;
 
-/** What members send each other, as bytes. docs/membership.md has the format. */
+/** Encoder and decoder of the datagrams between members of a group; docs/membership.md has the format. */
 final class Datagram {
     static final int LONGEST = 1400;
     static final byte MAGIC = (byte) 0xd5;
@@ -14,36 +14,43 @@
     private static final byte VERSION = 1;
     private static final byte ENTRIES = 1, WORDS = 2;
     private static final int CHECKSUM = 4, SECTION = 3;
-    /** The most that an entry takes. */
+    /** The maximum encoded size of an entry in bytes. */
     static final int ENTRY = 4 + 1 + 8 + 4;
     private static final int DICTIONARY = 64;
     private static final long LONGEST_AGE = 1L << 40;
 
-    /** HEARD is a helper's yes to ASK; MISNAMED tells one that its address is another one's. */
+    /**
+     * Kinds by their code on the wire. ASK requests an indirect ping, HEARD reports its success. MISNAMED
+     * tells the receiver that its address belongs to another member.
+     */
     enum Kind { PING, ACK, ASK, HEARD, SYNC, MISNAMED }
 
-    /** Why a datagram was not taken. */
+    /** Why a datagram was rejected. */
     enum Refusal { CUT, FOREIGN, CHECKSUM, NEWER, STRANGER, MISNAMED }
 
-    /** What is held of a member, by the word of another. */
+    /** A gossiped state of a member, with the id of the member that first reported it. */
     record Entry(int id, MemberState state, long incarnation, int by) {
     }
 
-    /** What a member said it holds, how long ago at the most, in microseconds. */
+    /**
+     * A member's report of its view, with the maximum age in microseconds and the hash of its member list.
+     */
     record Word(int id, long incarnation, long beat, long age, int list, byte[] marks) {
     }
 
-    /** The fields that each has; {@code to} is the life of the receiver as far as the sender knows it, or
-     * 0. */
+    /**
+     * The header of each datagram; {@code to} identifies the receiving process, as far as the sender knows
+     * it, else it is 0.
+     */
     record Head(Kind kind, int sender, long incarnation, int life, int to, boolean leaving, int view,
                 int sequence, int target) {
     }
 
-    /** One that was read. */
+    /** A decoded datagram. */
     record Read(Head head, List<Entry> entries, List<Word> words) {
     }
 
-    /** It could not be read. */
+    /** Thrown if a datagram cannot be decoded. */
     static final class Unreadable extends Exception {
         private static final long serialVersionUID = 1L;
         final transient Refusal refusal;
@@ -68,7 +75,7 @@
         return bytes.remaining() - CHECKSUM - SECTION;
     }
 
-    /** Appends what fits of these, from this one on; returns the index of the first that did not. */
+    /** Appends entries from an index on as far as they fit; returns the index of the first one left out. */
     int entries(List<Entry> entries, int from, int most) {
         int at = from;
         int start = bytes.position();
@@ -85,7 +92,7 @@
         return at;
     }
 
-    /** Appends as many of these words as fit. Many hold the same: what they hold is written once. */
+    /** Appends as many reports as fit. Many report the same view: each distinct view is written once. */
     void words(List<Word> words) {
         List<Word> taken = new ArrayList<>(), distinct = new ArrayList<>();
         List<Integer> which = new ArrayList<>();
@@ -171,7 +178,7 @@
                     }
                 } else if (tag == WORDS) {
                     words(section, words);
-                } // one of a later program: skipped
+                } // sections of later versions are skipped
             }
             return new Read(head, entries, words);
         } catch (BufferUnderflowException | IndexOutOfBoundsException | IllegalArgumentException e) {
@@ -186,7 +193,7 @@
             lists[i] = in.getInt();
             int length = in.getShort() & 0xffff;
             if (length > in.remaining()) {
-                throw new BufferUnderflowException(); // before so much is taken of the heap
+                throw new BufferUnderflowException(); // checked before the allocation
             }
             marks[i] = new byte[length];
             in.get(marks[i]);
@@ -199,7 +206,7 @@
         }
     }
 
-    /** Rounded up: an age is never under-stated. */
+    /** Rounds up: an age must never be understated. */
     private static long millis(long age) {
         return (age + 999) / 1000;
     }
@@ -208,7 +215,7 @@
         return Math.max(1, (64 - Long.numberOfLeadingZeros(value) + 6) / 7);
     }
 
-    /** Seven bits a byte, the low ones first. */
+    /** Writes a variable-length integer: seven bits per byte, low bits first. */
     private static void number(ByteBuffer out, long value) {
         long left = value;
         while (left > 0x7f) {
--- a/fleet/src/main/java/dockrelay/fleet/Gossip.java
+++ b/fleet/src/main/java/dockrelay/fleet/Gossip.java
@@ -5,7 +5,7 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** What is new rides on the datagrams that are sent anyway, each piece a bounded number of times. */
+/** State updates to be piggybacked on outgoing datagrams, each a bounded number of times. */
 final class Gossip {
     private static final int TIMES = 3;
 
@@ -20,8 +20,10 @@
 
     private final List<Item> items = new ArrayList<>();
 
-    /** News of a member takes the place of older news; a suspicion by one more accuser goes beside the
-     * others. */
+    /**
+     * Queues an update. It replaces older updates of the same member, except that suspicions of the same
+     * incarnation by different accusers are kept side by side.
+     */
     void add(Entry entry) {
         items.removeIf(item -> item.entry.id() == entry.id() && !(entry.state() == MemberState.SUSPECT
             && item.entry.state() == MemberState.SUSPECT && item.entry.incarnation() == entry.incarnation()
@@ -33,7 +35,10 @@
         items.removeIf(item -> item.entry.id() == id);
     }
 
-    /** The pieces that were sent least, for one datagram among so many members. */
+    /**
+     * Returns the least often sent updates for one datagram. An update is dropped after a number of
+     * transmissions that grows with the logarithm of the number of members.
+     */
     List<Entry> next(int most, int members) {
         if (items.isEmpty()) {
             return List.of();
--- a/fleet/src/main/java/dockrelay/fleet/Member.java
+++ b/fleet/src/main/java/dockrelay/fleet/Member.java
@@ -1,17 +1,17 @@
 package dockrelay.fleet;
 
-/** A member as another one holds it. */
+/** A member's entry in another member's view. Times are in microseconds. */
 final class Member {
     final int index, id;
     final String name;
     MemberState state = MemberState.JOINING;
     long incarnation, since, changedAt, answeredAt = Long.MIN_VALUE / 2, syncedAt = Long.MIN_VALUE / 2;
-    long listedAt; // on lists of names without a break since then
+    long listedAt; // start of the time it has been on the member list without interruption
     long differsSince = -1, clashAt, askedAt = Long.MIN_VALUE / 2;
-    int life, lastLife, lifeBefore, clashes; // a life is 0 while that of its incarnation is not known
+    int life, lastLife, lifeBefore, clashes; // life is 0 while the process of the incarnation is unknown
     boolean doubled, hearsay;
-    boolean knowsMe; // it has sent something itself, so this one's name is on its list
-    boolean behind; // it goes by a lower incarnation than it once had, which others still know
+    boolean knowsMe; // it has sent a datagram itself, so this member is on its list
+    boolean behind; // it uses a lower incarnation than the one that peers know of its name
     String by;
     Suspicion suspicion;
 
--- a/fleet/src/main/java/dockrelay/fleet/MemberList.java
+++ b/fleet/src/main/java/dockrelay/fleet/MemberList.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.zip.CRC32C;
 
-/** The names of a deployment's members, in an order that all who were given the same ones see alike. */
+/** The configured member names of a group, in an order that depends on the names alone. */
 public final class MemberList {
     private static final int MOST = 1024, LONGEST_NAME = 64;
 
@@ -18,6 +18,12 @@
     private final Map<String, Integer> byName = new HashMap<>();
     private final int hash;
 
+    /**
+     * Sorts and indexes the names.
+     *
+     * @throws IllegalArgumentException if there are too few or too many names, one is empty or too long, or
+     *     two have the same id
+     */
     public MemberList(Collection<String> given) {
         if (given.isEmpty() || given.size() > MOST) {
             throw new IllegalArgumentException(given.size() + " members; allowed are 1 to " + MOST);
@@ -45,7 +51,7 @@
         hash = (int) whole.getValue();
     }
 
-    /** A name as it stands on the wire. */
+    /** Returns the id of a name on the wire: its CRC-32C. */
     public static int idOf(String name) {
         CRC32C crc = new CRC32C();
         crc.update(name.getBytes(StandardCharsets.UTF_8));
@@ -68,22 +74,22 @@
         return ids[index];
     }
 
-    /** Below 0 where nobody has it. */
+    /** Returns the index of the member with this id, or -1. */
     public int indexOf(int id) {
         return byId.getOrDefault(id, -1);
     }
 
-    /** Below 0 where nobody has it. */
+    /** Returns the index of the member with this name, or -1. */
     public int indexOf(String name) {
         return byName.getOrDefault(name, -1);
     }
 
-    /** Equal where the names are the same. */
+    /** Returns a hash of the names; equal for equal lists. */
     public int hash() {
         return hash;
     }
 
-    /** A member's name, or the bare id of one that is not on the list. */
+    /** Returns the name of a member, or its id in hexadecimal if it is not on the list. */
     public String nameOrId(int id) {
         int index = indexOf(id);
         return index >= 0 ? nameAt(index) : String.format("#%08x", id);
--- a/fleet/src/main/java/dockrelay/fleet/MemberState.java
+++ b/fleet/src/main/java/dockrelay/fleet/MemberState.java
@@ -1,18 +1,18 @@
 package dockrelay.fleet;
 
-/** What a member is to another one. */
+/** The state of a member in another member's view. */
 public enum MemberState {
-    /** Named by the configuration and not heard of yet; of itself: nobody has answered yet. */
+    /** Configured but not heard of yet; for a member itself: no peer has answered it yet. */
     JOINING,
     PRESENT,
-    /** Did not answer a probe, neither directly nor through helpers; it may still counter that. */
+    /** Answered neither a direct nor an indirect probe; it may still refute that. */
     SUSPECT,
     /** Declared dead. */
     GONE,
-    /** Said goodbye. */
+    /** Announced that it leaves the fleet. */
     LEFT;
 
-    /** Whether nobody counts on it. */
+    /** Whether the member does not take part: it is gone or has left. */
     public boolean away() {
         return this == GONE || this == LEFT;
     }
--- a/fleet/src/main/java/dockrelay/fleet/MemberStateChange.java
+++ b/fleet/src/main/java/dockrelay/fleet/MemberStateChange.java
@@ -2,7 +2,9 @@
 
 import java.util.Locale;
 
-/** What has become of a member in somebody's view, and by whose word. */
+/**
+ * A change of a member's state or process in one member's view: its old and new state, and by whose report.
+ */
 public record MemberStateChange(String member, MemberState previousState, MemberState newState, String by, long incarnation,
     boolean restarted) {
     @Override
--- a/fleet/src/main/java/dockrelay/fleet/Membership.java
+++ b/fleet/src/main/java/dockrelay/fleet/Membership.java
@@ -19,42 +19,52 @@
 import java.util.TreeMap;
 
 /**
- * One member's view of who is there (SWIM with Lifeguard's refinements; docs/membership.md has what differs).
- * All times are microseconds of elapsed time, handed in; nothing here waits, sends or reads a clock.
+ * One member's view of its peers: the SWIM failure detector with the Lifeguard extensions.
+ * docs/membership.md describes the deviations from both. This is a state machine without I/O: the owner
+ * passes in the elapsed time in microseconds, sends the datagrams that are handed to {@link Callbacks}, and
+ * calls {@link #tick} when it is due. Not thread-safe.
  */
 public class Membership {
     private static final int HELPERS = 3, CONFIRMATIONS = 3, CHECKERS = 5;
     private static final int HEALTH_WORST = 8, MOST_ENTRIES = 24, MOST_PROBES = 4, MOST_ASKED = 64;
-    /** Periods between datagrams to one that is away, and between full views to the same member. */
+    /** Protocol periods between pings to absent members, and between full state syncs to the same member. */
     private static final int CONTACT_PERIODS = 5, SYNC_PERIODS = 5;
-    /** Two processes have one name once this many incarnations were not one's own within so many periods. */
+    /**
+     * A name conflict is reported once incarnations of another process of the name were seen this many times,
+     * each within this many periods of the one before.
+     */
     private static final int CLASHES = 3, CLASH_PERIODS = 50;
     private static final int GOODBYES = 16;
-    /** A restarted machine's incarnation has to be found out within so many periods before it counts itself
-     * in. */
+    /**
+     * A restarted process that nobody answers joins after this many periods. Until then it tries to learn
+     * from its peers which incarnation its name had.
+     */
     private static final int JOIN_PERIODS = 5;
 
-    /** What the machine has done. */
+    /** What the owner has to do for this state machine. Called on the thread that calls the state machine. */
     public interface Callbacks {
-        /** Sends this to a member; it may be lost. */
+        /** Sends a datagram to a member; delivery is not guaranteed. */
         void send(String to, ByteBuffer datagram);
 
-        /** The view changed. */
+        /** Reports that the state or the process of a member changed in this view. */
         void memberChanged(MemberStateChange change);
 
-        /** From now on this is the own incarnation: the next start has to have a higher one. */
+        /** Reports this member's own incarnation; the next start of the process must use a higher one. */
         void incarnationChanged(long own);
 
-        /** Another process goes by this name; by a member's own doing or by its address. */
+        /**
+         * Reports that another process uses a name, either this member's own or that of a peer, because of
+         * its incarnations or of the address that it answers from.
+         */
         void nameConflict(String name, String why);
     }
 
-    /** A probe in flight: first directly, then through helpers. */
+    /** A probe in flight: a direct ping first, then indirect pings through helpers. */
     private static final class Probe {
         final int sequence;
         final Member target;
         final long heardBefore;
-        final boolean known; // as far as it could tell then, the target had this one's name on its list
+        final boolean known; // whether the target presumably had this member on its list at the start
         long askAt, failAt;
         boolean asked;
 
@@ -68,7 +78,10 @@
         }
     }
 
-    /** A datagram sent that an answer may come to: a helper's probe, or a try at one that is away. */
+    /**
+     * A ping that may still be acknowledged; {@code asker} is set if it was sent on behalf of another
+     * member.
+     */
     private record Sent(Member to, long at, Member asker, int askersSequence) {
     }
 
@@ -91,8 +104,12 @@
     private boolean left, syncedThisPeriod, checkedThisPeriod, joined;
 
     /**
-     * The incarnation has to be higher than any that this name had before, as far as that is known: a higher
-     * one that others remember is countered.
+     * Starts the protocol at {@code now}. The incarnation has to be higher than any that this name had
+     * before, as far as the caller knows: if peers remember a higher one, this member raises its own above
+     * it.
+     *
+     * @param life a random number other than 0 that tells this process from others of the same name
+     * @throws IllegalArgumentException if {@code names} does not contain {@code self} or is not a valid list
      */
     public Membership(String self, Collection<String> names, long incarnation, int life, ProtocolTiming pace,
                       Random random, Callbacks actions, long now) {
@@ -102,7 +119,7 @@
         this.actions = actions;
         this.life = life;
         this.startedAt = now;
-        // Members that start together are out of step.
+        // A random offset keeps members that start together from probing in lockstep.
         this.periodAt = now + (long) (random.nextDouble() * pace.period());
         this.nextAt = periodAt;
         this.members = List.of();
@@ -113,7 +130,7 @@
         speak(now);
     }
 
-    /** Goes by another list of names; what is known of those on both is kept. */
+    /** Replaces the list of members; the state of members that are on both lists is kept. */
     public void configure(long now, Collection<String> names) {
         roster(now, names);
         speak(now);
@@ -123,7 +140,7 @@
         MemberList next = new MemberList(names);
         int own = next.indexOf(MemberList.idOf(self));
         if (own < 0) {
-            throw new IllegalArgumentException("the own name \"" + self + "\" is not among the members");
+            throw new IllegalArgumentException("own name \"" + self + "\" is not in the list of members");
         }
         List<Member> kept = new ArrayList<>();
         for (int i = 0; i < next.size(); i++) {
@@ -160,14 +177,14 @@
         turns = new ArrayList<>();
     }
 
-    // --- time
+    // --- timers
 
-    /** When the next tick is due. */
+    /** Returns the time at which {@link #tick} is due next, in microseconds. */
     public long nextTickAt() {
         return nextAt;
     }
 
-    /** Does all that is due. */
+    /** Runs everything that is due: probe time-outs, suspicion time-outs and the protocol period. */
     public void tick(long now) {
         stall(now);
         for (Iterator<Probe> each = probes.iterator(); each.hasNext();) {
@@ -183,7 +200,7 @@
         for (Member member : members) {
             if (member.suspicion != null && now >= member.suspicion.until(1 + health)) {
                 if (now - member.answeredAt < 2 * pace.period()) {
-                    // It answers: it will counter this once it hears of it.
+                    // It answers probes, so it will refute the suspicion once the gossip has reached it.
                     member.suspicion.delay(pace.period());
                     gossip.add(new Entry(member.id, MemberState.SUSPECT, member.incarnation, me.id));
                 } else {
@@ -209,7 +226,10 @@
         }
     }
 
-    /** Time in which this process did not run is nobody's silence: all that is in flight waits longer. */
+    /**
+     * Extends the deadlines of probes and suspicions by the time in which this process did not run: peers
+     * must not be blamed for answers that it could not receive.
+     */
     void stall(long now) {
         long late = now - nextAt;
         if (late < pace.period() / 2) {
@@ -243,7 +263,7 @@
         if (left) {
             return;
         }
-        if (periods % (1 + health) == 0) { // one that doubts itself asks less often
+        if (periods % (1 + health) == 0) { // a member in poor local health probes less often
             Member target = periods / (1 + health) % 2 == 0 ? successor() : byTurns();
             if (target != null && probes.size() < MOST_PROBES) {
                 probe(now, target);
@@ -259,7 +279,7 @@
         }
     }
 
-    /** One that is away may be back, or behind a cut that has healed. */
+    /** Pings an absent member: it may have restarted, or a network partition may have healed. */
     void reachOut(long now, Member away) {
         ping(now, away, null, 0);
     }
@@ -271,7 +291,7 @@
         }
     }
 
-    /** Issues the own word anew. */
+    /** Issues a new version of this member's own view report. */
     private void speak(long now) {
         outlook.speak(now, beat, this::steady);
     }
@@ -282,7 +302,7 @@
 
     // --- probes
 
-    /** The next one in the ring of names that is not away. */
+    /** Returns the next member on the list, as a ring, that is present or suspect; null if there is none. */
     private Member successor() {
         for (int i = 1; i < members.size(); i++) {
             Member member = members.get((me.index + i) % members.size());
@@ -310,7 +330,8 @@
     private void probe(long now, Member target) {
         int stretch = 1 + health;
         int number = ping(now, target, null, 0);
-        // A list is told to one after the other: who has not sent anything yet may not be going by it.
+        // A new list does not reach all members at once: a target that has not sent anything yet may not have
+        // this member on its list, and then does not answer.
         boolean known = target.knowsMe || now - target.listedAt >= pace.joining();
         probes.add(new Probe(number, target, known, heard, now + stretch * pace.direct(),
             now + stretch * pace.period()));
@@ -339,7 +360,8 @@
 
     private void failed(long now, Probe probe) {
         if (heard == probe.heardBefore) {
-            health = Math.min(HEALTH_WORST, health + 1); // nobody at all was heard meanwhile: it may be me
+            // Nothing was received from any peer during the probe: the fault may be on this side.
+            health = Math.min(HEALTH_WORST, health + 1);
         }
         Member target = probe.target;
         if (probe.known && (target.state == MemberState.PRESENT || target.state == MemberState.SUSPECT)) {
@@ -354,7 +376,8 @@
             set(now, member, MemberState.SUSPECT, incarnation, by);
             member.suspicion = new Suspicion(now, by, confirmations, pace.suspicionLeast(present),
                 pace.suspicionMost(present));
-            // Some of those who hear of it find out for themselves.
+            // A few of the members that learn of a suspicion through gossip check it with a probe of their
+            // own.
             if (by != me.id && !left && !checkedThisPeriod && probes.size() < MOST_PROBES
                 && random.nextInt(Math.max(1, present - 2)) < CHECKERS) {
                 checkedThisPeriod = true;
@@ -372,7 +395,12 @@
 
     // --- datagrams
 
-    /** What a peer sent, by the name that its address has here; null where it has none. */
+    /**
+     * Handles a datagram from a peer. A datagram that is malformed or comes from an unknown sender is
+     * counted in {@link #refused} and otherwise ignored.
+     *
+     * @param from the member name that the sender's address has on this side; null if it has none
+     */
     public void receive(long now, String from, ByteBuffer datagram) {
         stall(now);
         Datagram.Read read;
@@ -389,21 +417,22 @@
         }
         Head head = read.head();
         if (head.kind() == Kind.MISNAMED) {
-            clash(now, "at " + sender.name + " this address is that of " + roster.nameOrId(head.target()));
+            clash(now, "member " + sender.name + " has this address listed as that of "
+                + roster.nameOrId(head.target()));
             return;
         }
         if (head.sender() != sender.id) {
             refused.merge(Refusal.MISNAMED, 1L, Long::sum);
             tell(now, Kind.MISNAMED, sender, 0, sender.id);
             actions.nameConflict(roster.nameOrId(head.sender()), "the process at " + sender.name
-                + "'s address goes by it");
+                + "'s address uses this name");
             return;
         }
         heard++;
         sender.knowsMe = true;
         Sent question = head.kind() == Kind.ACK ? sent.remove(head.sequence()) : null;
         boolean fresh = question != null && question.to == sender;
-        // Guards against late datagrams meant for the process before this one: it knew what they are worth.
+        // Guards against delayed datagrams that were sent to an earlier process of this name.
         boolean mine = head.to() == life;
         sender.behind = head.incarnation() < sender.incarnation;
         if (head.incarnation() >= sender.incarnation && (mine || fresh)) {
@@ -446,8 +475,9 @@
     }
 
     /**
-     * What came from a name that is not on this list but has this member on its own: it is told that this one
-     * lives, and nothing that it says is taken but what it says of this one.
+     * Handles a datagram from a sender that is not on this list but has this member on its own. A ping is
+     * acknowledged, so that the sender sees this member alive. Of the gossip only what concerns this member
+     * itself is applied.
      */
     public void answerForeign(long now, String from, ByteBuffer datagram) {
         stall(now);
@@ -469,7 +499,10 @@
         }
     }
 
-    /** A member speaks for itself; who is not held present has to have answered to be. */
+    /**
+     * Applies what a member says of itself. A member that is not present yet becomes present only by
+     * acknowledging a ping of this member.
+     */
     private void introduce(long now, Member sender, Head head, boolean fresh) {
         boolean newer = head.incarnation() > sender.incarnation;
         boolean another = sender.lastLife != 0 && sender.lastLife != head.life();
@@ -483,12 +516,12 @@
             verify(now, sender);
             return;
         }
-        // The same incarnation in another process: the one that started later has to take a higher one.
+        // Two processes have the same incarnation: the one that started later has to take a higher one.
         sender.doubled = another && !newer && sender.life != 0;
         boolean anew = another && !sender.doubled;
         if (anew) {
             if (head.life() == sender.lifeBefore) {
-                // Guards against two processes of one name, which take each other's place over and over.
+                // Detects two running processes of one name, which keep replacing each other.
                 sender.clashes = now - sender.clashAt > CLASH_PERIODS * pace.period() ? 1 : sender.clashes
                     + 1;
                 sender.clashAt = now;
@@ -507,7 +540,7 @@
         }
     }
 
-    /** Asks one that turned up whether it is there, once a period at the most. */
+    /** Pings a member that sent something although it is not present, at most once per period. */
     private void verify(long now, Member sender) {
         if (now - sender.askedAt >= pace.period() && !left) {
             sender.askedAt = now;
@@ -544,7 +577,7 @@
         }
     }
 
-    /** What is told in an answer was so no later than at the question. */
+    /** Adds the whole round trip to a reported age: the answer may have been composed right at its start. */
     long aged(long age, long trip) {
         return age + trip;
     }
@@ -562,7 +595,7 @@
             target));
     }
 
-    /** Who is doubted hears of it first, so that it can counter that. */
+    /** Adds gossip; whatever the receiver may have to refute about itself comes first. */
     private void gossip(Datagram datagram, Member to) {
         List<Entry> entries = new ArrayList<>();
         if (to.doubled || to.hearsay) {
@@ -570,7 +603,8 @@
         } else if (to.state == MemberState.SUSPECT || to.state.away()) {
             entries.add(entry(to));
         } else if (to.behind) {
-            // Restarted before it was missed, and without its folder: until it knows, its words are old ones.
+            // It restarted before anybody suspected it, and lost its stored incarnation. Until it learns the
+            // higher one, peers take its view reports for old ones.
             entries.add(new Entry(to.id, MemberState.PRESENT, to.incarnation, me.id));
         }
         entries.addAll(gossip.next(MOST_ENTRIES - entries.size(), members.size()));
@@ -582,7 +616,7 @@
             MemberList.idOf(member.by));
     }
 
-    /** The whole view, in as many datagrams as it takes. */
+    /** Sends the full view, split over as many datagrams as it needs. */
     private void sync(long now, Member to) {
         to.syncedAt = now;
         syncedThisPeriod = true;
@@ -595,7 +629,7 @@
         }
     }
 
-    // --- what is held of others
+    // --- view of the peers
 
     private Member member(int id) {
         int index = roster.indexOf(id);
@@ -605,7 +639,7 @@
     private void merge(long now, Entry entry) {
         Member member = member(entry.id());
         if (member == null) {
-            return; // not on this list
+            return; // not on this member's list
         }
         if (member == me) {
             counter(now, entry);
@@ -617,7 +651,7 @@
         }
         boolean newer = entry.incarnation() > member.incarnation;
         if (newer) {
-            member.life = 0; // whether it is another process, it has to say itself
+            member.life = 0; // only the member itself can tell whether it is a new process
         }
         if (!newer && said.ordinal() < member.state.ordinal()) {
             return;
@@ -626,24 +660,25 @@
             member.hearsay = false;
             suspect(now, member, entry.incarnation(), entry.by());
         } else if (doubts(entry, member.state)) {
-            // After a heal all hold all of the other side gone: that is not passed on, and it may counter it.
+            // After a partition each side holds the other side's members gone. That is not passed on, and the
+            // member gets the time to refute it.
             suspect(now, member, entry.incarnation(), entry.by());
             member.hearsay = true;
             gossip.forget(member.id);
         } else if (said == MemberState.GONE && member.state == MemberState.SUSPECT
             && (member.hearsay || member.suspicion.young(now))) {
-            return; // likewise: it has had no time to counter
+            return; // as above: the member has had no time to refute it
         } else if (newer || said != member.state) {
             set(now, member, said, entry.incarnation(), entry.by());
         }
     }
 
-    /** One that is held present is not gone because somebody says so. */
+    /** Whether a peer's report that a member is gone only raises a suspicion, as this view has it present. */
     boolean doubts(Entry entry, MemberState held) {
         return entry.state() == MemberState.GONE && held == MemberState.PRESENT;
     }
 
-    /** What others say of this one, if it is not so: a higher incarnation says that it lives. */
+    /** Refutes what peers wrongly hold of this member, by taking a higher incarnation. */
     void counter(long now, Entry entry) {
         boolean wrong = entry.state() != MemberState.PRESENT && entry.state() != MemberState.JOINING && !left;
         if (entry.incarnation() > me.incarnation || wrong && entry.incarnation() == me.incarnation) {
@@ -651,7 +686,7 @@
                 clashes = now - lastClash > CLASH_PERIODS * pace.period() ? 1 : clashes + 1;
                 lastClash = now;
                 if (clashes >= CLASHES) {
-                    clash(now, "somebody else raises its incarnation");
+                    clash(now, "another process raises the incarnation of this name");
                 }
             }
             if (wrong && entry.state() == MemberState.SUSPECT) {
@@ -697,11 +732,11 @@
             actions.memberChanged(new MemberStateChange(member.name, before, state, member.by, incarnation, anew));
         }
         if (was != state.away()) {
-            speak(now); // what the own word says must not lag behind what is done
+            speak(now); // the own report must not lag behind the view that decisions are based on
         }
     }
 
-    /** Says goodbye: to some directly, who pass it on. */
+    /** Leaves the fleet: announces it to a few members, which spread it by gossip. */
     public void leave(long now) {
         if (left) {
             return;
@@ -717,9 +752,9 @@
         }
     }
 
-    // --- what it comes to
+    // --- results
 
-    /** Equal where the same members are held away. */
+    /** Returns a hash of the list and the members' states, with suspect members taken as present. */
     private int hashed() {
         int hash = roster.hash();
         for (Member member : members) {
@@ -728,27 +763,30 @@
         return hash;
     }
 
-    /** What this member may go by now; docs/membership.md proves the share. */
+    /**
+     * Returns the counts, agreement and budget share at {@code now}; docs/membership.md proves the share
+     * safe.
+     */
     public MembershipSnapshot snapshot(long now) {
         return outlook.standing(now, left);
     }
 
-    /** All members in order, as an operator is told of them. */
+    /** Returns the status of all members, in the order of the list, for operators. */
     public List<MemberStatus> memberStatuses(long now) {
         return outlook.rows(now);
     }
 
-    /** Equal where two members see the same ones. */
+    /** Returns a hash of the view, in hexadecimal; equal if two members have the same view. */
     public String digest() {
         return String.format("%08x", view);
     }
 
-    /** The same as a number. */
+    /** Returns the hash that {@link #digest} prints. */
     public int view() {
         return view;
     }
 
-    /** What is held of a member. */
+    /** Returns the state of a member that is on the list. */
     public MemberState state(String name) {
         return members.get(roster.indexOf(name)).state;
     }
@@ -757,12 +795,12 @@
         return members.get(roster.indexOf(name)).incarnation;
     }
 
-    /** How far this member doubts itself, 0 to 8. */
+    /** Returns the local health score of Lifeguard: 0 is healthy, 8 the worst. */
     public int health() {
         return health;
     }
 
-    /** Datagrams that were not taken, by reason, since the last call. */
+    /** Returns the number of rejected datagrams by reason since the last call, and resets the counts. */
     public Map<String, Long> refused() {
         Map<String, Long> result = new TreeMap<>();
         refused.forEach((reason, count) -> result.put(reason.name().toLowerCase(Locale.ROOT),
@@ -771,7 +809,7 @@
         return result;
     }
 
-    /** Whether these bytes are meant for this machine rather than somebody else on the same socket. */
+    /** Whether a datagram with this first byte belongs to this protocol; other protocols share the socket. */
     public static boolean ours(byte first) {
         return first == Datagram.MAGIC;
     }
--- a/fleet/src/main/java/dockrelay/fleet/MembershipSnapshot.java
+++ b/fleet/src/main/java/dockrelay/fleet/MembershipSnapshot.java
@@ -1,12 +1,13 @@
 package dockrelay.fleet;
 
 /**
- * What a member may go by, at one moment: how many share the work and which of them it is, by number; the
- * part of a budget of all together that it may spend, whatever others believe; who shares its view; and how
- * old the oldest of what others told is that this rests on, in microseconds (0 where all are in one group).
+ * A member's conclusions from its view at one moment: the number of members that share the work and its own
+ * rank among them; the share of a fleet-wide budget that it may spend whatever the others' views are; how
+ * many members have the same view; and the maximum age of the reports of other groups that this is based on,
+ * in microseconds (0 if all members are in one group).
  */
 public record MembershipSnapshot(int countedMembers, int ownRank, double budgetShare, double minBudgetShare, Agreement agreement,
                        int agreeingMembers, int presentMembers, int configuredMembers, long oldestReportAge) {
-    /** How many of the members see the same ones as this one does. */
+    /** Whether all present members, a majority of all members, or only a minority have the same view. */
     public enum Agreement { ALL, MAJORITY, MINORITY }
 }
--- a/fleet/src/main/java/dockrelay/fleet/Outlook.java
+++ b/fleet/src/main/java/dockrelay/fleet/Outlook.java
@@ -7,15 +7,15 @@
 import java.util.function.LongPredicate;
 
 /**
- * What a member's view comes to beside what the others said last of theirs: who agrees, how many share the
- * work, and which part of a budget is its own. It changes nothing that is held of anybody.
+ * Compares a member's view with the latest reports of its peers' views: who agrees, how many members share
+ * the work, and which share of a budget this member may spend. It never changes the state of a member.
  */
 final class Outlook {
     private final MemberList roster;
     private final List<Member> members;
     private final Member me;
     private final Words words;
-    private byte[] marks; // as they are in the own word
+    private byte[] marks; // as in the own report
 
     Outlook(MemberList roster, List<Member> members, Member me, ProtocolTiming pace) {
         this.roster = roster;
@@ -24,7 +24,10 @@
         this.words = new Words(roster, pace.wordStale());
     }
 
-    /** Issues the own word anew; told how long something has not changed, it says whether that is steady. */
+    /**
+     * Issues a new version of the own report. {@code steady} decides whether a state that has not changed for
+     * that many microseconds counts as stable.
+     */
     void speak(long now, long beat, LongPredicate steady) {
         marks = new byte[Words.length(members.size())];
         for (Member member : members) {
@@ -42,7 +45,7 @@
         return words.toTell(now);
     }
 
-    /** Notes since when each member has been seeing others than this one does. */
+    /** Records since when each peer's view has differed from this member's view. */
     void disagree(long now) {
         for (Member member : members) {
             if (member == me || agrees(now, member) || words.age(now, member.index) < 0) {
@@ -53,13 +56,13 @@
         }
     }
 
-    /** Whether what a member said last, not too long ago, is what this one holds. */
+    /** Whether a peer's latest report is recent enough and equal to this member's view. */
     private boolean agrees(long now, Member member) {
         return words.age(now, member.index) >= 0 && words.sameList(now, member.index)
             && !words.differs(now, member.index, marks);
     }
 
-    /** Whom a member holds away and this one does not, or the other way round. */
+    /** Returns the names of the members that are absent in only one of the two views. */
     private List<String> differing(long now, Member member) {
         List<String> result = new ArrayList<>();
         for (Member of : members) {
@@ -71,7 +74,10 @@
         return result;
     }
 
-    /** What this member may go by now; docs/membership.md proves the share. */
+    /**
+     * Returns the counts, agreement and budget share at {@code now}. docs/membership.md proves that the
+     * shares of all members add up to at most 1.
+     */
     MembershipSnapshot standing(long now, boolean left) {
         int n = members.size(), quorum = n / 2 + 1, said = 0, present = 0, agreeing = 0;
         boolean all = true;
@@ -110,7 +116,7 @@
             0);
     }
 
-    /** All members in order. */
+    /** Returns the status of all members, in the order of the list. */
     List<MemberStatus> rows(long now) {
         return members.stream().map(member -> new MemberStatus(member.name, member.state, now - member.since,
             member.by,
--- a/fleet/src/main/java/dockrelay/fleet/ProtocolTiming.java
+++ b/fleet/src/main/java/dockrelay/fleet/ProtocolTiming.java
@@ -1,21 +1,21 @@
 package dockrelay.fleet;
 
-/** How fast members watch each other. All follows from the period, in microseconds. */
+/** The time-outs of the membership protocol, in microseconds; all are multiples of the protocol period. */
 public record ProtocolTiming(long period) {
     public static final ProtocolTiming DEFAULT = new ProtocolTiming(200_000);
 
     public ProtocolTiming {
         if (period < 10_000) {
-            throw new IllegalArgumentException("a period of " + period + " us is under 10 ms");
+            throw new IllegalArgumentException("protocol period is " + period + " us; minimum is 10 ms");
         }
     }
 
-    /** An answer that comes later than this is asked for through helpers. */
+    /** A direct ping without an acknowledgement for this long is followed by indirect pings. */
     long direct() {
         return period * 2 / 5;
     }
 
-    /** The least and the most that a suspicion lasts among so many. */
+    /** Returns the minimum duration of a suspicion in a group of this many members. */
     long suspicionLeast(int members) {
         return Math.round(2.2 * period * Math.max(1, Math.log10(members)));
     }
@@ -24,23 +24,28 @@
         return 3 * suspicionLeast(members);
     }
 
-    /** One that was never heard of counts as gone after this. */
+    /** A member that was never heard of counts as gone after this time. */
     long joining() {
         return 50 * period;
     }
 
-    /** Past this age a member's word says nothing any more. */
+    /** A member's view report is ignored once it is older than this. */
     public long wordStale() {
         return 20 * period;
     }
 
-    /** What a member holds counts as steady once it has not changed for this long: well over the age of a
-     * word. */
+    /**
+     * A member's state counts as stable once it has not changed for this long, which is well over the maximum
+     * age of a view report.
+     */
     public long steady() {
         return 30 * period;
     }
 
-    /** What was computed from words may be acted on for this long: the rest is for clocks that differ. */
+    /**
+     * A standing may be used for this long after it was computed. The remaining fifth of the time between
+     * report expiry and stability allows for clocks that run at different rates.
+     */
     public long standingStale() {
         return (steady() - wordStale()) * 4 / 5;
     }
--- a/fleet/src/main/java/dockrelay/fleet/Suspicion.java
+++ b/fleet/src/main/java/dockrelay/fleet/Suspicion.java
@@ -3,7 +3,10 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** One member's doubt of another: it lasts the shorter the more have found the same on their own. */
+/**
+ * A suspicion that a member has failed. Its time-out shrinks with the number of members that report the same
+ * independently (Lifeguard). Times are in microseconds.
+ */
 final class Suspicion {
     private final Set<Integer> accusers = new HashSet<>();
     private final long least, most;
@@ -18,24 +21,24 @@
         accusers.add(accuser);
     }
 
-    /** Whether that is one more, of as many as count. */
+    /** Records an accuser; returns whether it is a new one that still shortens the time-out. */
     boolean confirm(int accuser) {
         return accusers.size() <= wanted && accusers.add(accuser);
     }
 
-    /** When it ends, for one that stretches its times by this much. */
+    /** Returns when the suspicion times out; {@code stretch} multiplies the duration (local health). */
     long until(int stretch) {
         double share = wanted == 0 ? 0.75 : Math.log(Math.min(accusers.size(), wanted + 1)) / Math.log(wanted
             + 1.0);
         return began + stretch * Math.max(least, Math.round(most - (most - least) * share));
     }
 
-    /** Whether it has just begun: who is suspect has hardly heard of it. */
+    /** Whether it is so recent that the suspect has hardly had the time to refute it. */
     boolean young(long now) {
         return now - began < least;
     }
 
-    /** Time in which nobody could have answered does not count. */
+    /** Extends the suspicion by a time in which no refutation could have arrived. */
     void delay(long by) {
         began += by;
     }
--- a/fleet/src/main/java/dockrelay/fleet/Words.java
+++ b/fleet/src/main/java/dockrelay/fleet/Words.java
@@ -6,11 +6,11 @@
 import java.util.List;
 
 /**
- * What each member said last that it holds of all, with how long ago that was at the most: what is passed on
- * grows older by the time it was held here and by the round trip that brought it.
+ * The latest view report of each member with its maximum age. The age of a relayed report grows by the time
+ * that it was held here and by the round trip that brought it.
  */
 final class Words {
-    /** Two bits a member: whether it is away, and whether that has been so long enough to count on. */
+    /** Two flag bits per member: whether it is absent, and whether that has not changed for a while. */
     static final int AWAY = 2, STEADY = 1;
     private static final int AWAY_BITS = 0xaa;
 
@@ -38,7 +38,7 @@
         this.stale = stale;
     }
 
-    /** Takes what is newer of its kind, or the same with a lower age. */
+    /** Stores a report that is newer than the stored one of the same member, or equal with a lower age. */
     void hear(long now, Word word) {
         int of = roster.indexOf(word.id());
         if (of < 0 || word.age() > stale) {
@@ -52,7 +52,7 @@
         }
     }
 
-    /** Those that still tell something, the newest first: where not all fit, news gets on. */
+    /** Returns the reports that are not stale, newest first, as not all may fit into a datagram. */
     List<Word> toTell(long now) {
         List<Word> result = new ArrayList<>(held.length);
         for (Held one : held) {
@@ -66,17 +66,19 @@
         return result;
     }
 
-    /** How old a member's word is at the most; below 0 where it has none that tells anything. */
+    /**
+     * Returns the maximum age of a member's report in microseconds, or -1 if there is none or it is stale.
+     */
     long age(long now, int of) {
         return held[of] == null || held[of].age(now) > stale ? -1 : held[of].age(now);
     }
 
-    /** Whether a member was given the same names; also true where nothing is known. */
+    /** Whether a member has the same list of names; true if that is not known. */
     boolean sameList(long now, int of) {
         return age(now, of) < 0 || held[of].word.list() == roster.hash();
     }
 
-    /** What a member holds of another one; below 0 where that is not known. */
+    /** Returns the flags that one member reports of another, or -1 if they are not known. */
     int mark(long now, int by, int of) {
         if (age(now, by) < 0 || held[by].word.list() != roster.hash()
             || held[by].word.marks().length != length(roster.size())) {
@@ -85,7 +87,7 @@
         return mark(held[by].word.marks(), of);
     }
 
-    /** Whether a member holds others away than these marks do; false where nothing of it is known. */
+    /** Whether a member's report has other members absent than these flags have; false without a report. */
     boolean differs(long now, int by, byte[] marks) {
         if (age(now, by) < 0 || held[by].word.marks().length != marks.length) {
             return false;
--- a/fleet/src/main/java/dockrelay/fleet/group/Between.java
+++ b/fleet/src/main/java/dockrelay/fleet/group/Between.java
@@ -15,7 +15,10 @@
 import java.util.Map;
 import java.util.Random;
 
-/** All that goes on between the groups of one list, as one member sees it; its parts share this. */
+/**
+ * One member's part of the protocol between groups, for one list of members. Its components share this
+ * object to reach each other.
+ */
 final class Between {
     final GroupedMembership groups;
     final String self;
@@ -61,7 +64,7 @@
         this.nextAt = now;
     }
 
-    // --- time
+    // --- timers
 
     long nextAt() {
         return nextAt;
@@ -86,7 +89,7 @@
         nextAt = Math.min(due, questions.nextAt());
     }
 
-    /** After a stop nobody's silence counts for the time of it. */
+    /** After a pause of this process, extends time-outs: nobody is blamed for the time of the pause. */
     private void awake(long now) {
         long late = now - nextAt;
         if (late >= rhythm.retry() / 4) {
@@ -163,12 +166,12 @@
 
     // --- the own group
 
-    /** Whether this member speaks for its group. */
+    /** Whether this member is a representative of its group. */
     boolean speaker() {
         return members.state(self) == MemberState.PRESENT && speakers.mine();
     }
 
-    /** One that was not heard by any other member yet has nothing to say of its group. */
+    /** Whether a peer has answered this member; before that it knows nothing about its group. */
     boolean joined() {
         return members.state(self) != MemberState.JOINING;
     }
@@ -192,7 +195,7 @@
             standing.agreement(), standing.agreeingMembers(), speakers.ids(), id);
     }
 
-    // --- what it comes to
+    // --- results
 
     MembershipSnapshot standing(long now) {
         return count.standing(now, members.snapshot(now));
@@ -211,7 +214,7 @@
         rest(now);
     }
 
-    /** Another list takes its place. */
+    /** Ends this protocol, as another list of members replaces it. */
     void end() {
         finder.end();
     }
@@ -220,7 +223,7 @@
         actions.memberLookupCompleted(name, row);
     }
 
-    /** Datagrams that were not taken, by reason, since the last call. */
+    /** Adds the number of rejected datagrams by reason since the last call, and resets the counts. */
     void refused(Map<String, Long> into) {
         refused.forEach((reason, times) -> into.merge(reason.name().toLowerCase(java.util.Locale.ROOT), times,
             Long::sum));
--- a/fleet/src/main/java/dockrelay/fleet/group/Count.java
+++ b/fleet/src/main/java/dockrelay/fleet/group/Count.java
@@ -3,7 +3,7 @@
 import dockrelay.fleet.MembershipSnapshot;
 import dockrelay.fleet.MembershipSnapshot.Agreement;
 
-/** What the table comes to: how many of the fleet count as there, which of them this one is, who agrees. */
+/** Totals over all groups, from the table: the counted members, this member's rank, and the agreement. */
 final class Count {
     private final Between here;
 
@@ -11,12 +11,15 @@
         this.here = here;
     }
 
-    /** Whether what a group said last still counts. */
+    /** Whether a group's latest summary is recent enough to count. */
     boolean fresh(long now, int group) {
         return here.table.summary(group) != null && here.groups.fresh(here.table.age(now, group));
     }
 
-    /** Whether most hear nothing of a group, and neither does this member. */
+    /**
+     * Whether a group is excluded: a majority of the fleet does not hear of it, and neither does this
+     * member.
+     */
     boolean out(long now, int group) {
         return group != here.own && here.table.quiet(now, group) > here.rhythm.silent() && marked(now, group);
     }
@@ -29,14 +32,17 @@
         return here.groups.sameNames(here.table.summary(group).hash(), here.grouping.hash(group));
     }
 
-    /** How many of a group's names count as there. A group by another list than this one has all of them. */
+    /**
+     * Returns how many of a group's names are counted: none if the group is excluded, and all if its summary
+     * is stale or is based on other names than this member's list.
+     */
     int counted(long now, int group) {
         int names = here.grouping.memberNames(group).size();
         return out(now, group) ? 0 : fresh(now, group) && sameNames(group)
             ? here.groups.counted(here.table.summary(group), names) : names;
     }
 
-    /** How many said goodbye, as far as that is known: what is most of the others goes by it. */
+    /** Returns the known number of members that have left; majorities are of the other members. */
     int left(long now) {
         int left = here.left(now);
         for (int group = 0; group < here.grouping.groupCount(); group++) {
--- a/fleet/src/main/java/dockrelay/fleet/group/Finder.java
+++ b/fleet/src/main/java/dockrelay/fleet/group/Finder.java
@@ -5,11 +5,11 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Asks for a member of another group by name: those of its group know. */
+/** Looks up a member of another group by asking members of that group. */
 final class Finder {
     private static final int MOST_TRIES = 6, MOST_SEARCHES = 32;
 
-    /** One name that is asked for. */
+    /** A lookup in progress. */
     static final class Search {
         final String name;
         final int group;
@@ -69,7 +69,7 @@
         ask(now, question.search);
     }
 
-    /** Who does not have the name in its group says nothing of it: by its list it may be elsewhere. */
+    /** Answers without a status if the name is not in this group: on the asker's list it may be elsewhere. */
     void answer(long now, String from, Message asked) {
         if (asked.name != null && here.joined()) {
             Writer writer = here.writer(Kind.TELL_NAME, asked.sequence);
@@ -88,7 +88,7 @@
         }
     }
 
-    /** Nobody is asked any more. */
+    /** Ends all lookups without a result. */
     void end() {
         new ArrayList<>(searches).forEach(search -> end(search, null));
     }
--- a/fleet/src/main/java/dockrelay/fleet/group/GroupAsker.java
+++ b/fleet/src/main/java/dockrelay/fleet/group/GroupAsker.java
@@ -7,21 +7,23 @@
 import java.util.List;
 
 /**
- * A speaker's questions to other groups: each speaker asks its part of them, once a round and out of step,
- * sooner while one does not agree. For one that is late another speaker asks too, for one that seems silent
- * all do. One of the other's speakers is asked; its other names where none is known or none answers.
+ * The queries of a representative to other groups. The representatives of a group divide the other groups
+ * among themselves and query each once per round, at random offsets, and more often while a group has no
+ * agreement. If the data about a group is overdue, a second representative queries it too, and all do if the
+ * group seems unreachable. A query goes to a representative of the other group, or to any of its members if
+ * none is known or none answers.
  */
 final class GroupAsker {
     private static final int MOST_MISSING = 4, AT_A_TIME = 7;
-    /** After so many questions in vain a group is silent; it is asked on, but not at once. */
+    /** After this many failed queries a group counts as unreachable, and is no longer retried at once. */
     private static final int VAIN = 8;
 
     private final Between here;
     private final long[] dueAt;
     private boolean asks;
-    private List<String> rankedAmong; // ranks are of this speaker among these
+    private List<String> rankedAmong; // the representatives for which the ranks were computed
     private final int[] ranks;
-    private final int[] tries, asked, from; // in vain; since it answered; where among its names
+    private final int[] tries, asked, from; // failures; queries since the last answer; first name tried
 
     GroupAsker(Between here) {
         this.here = here;
@@ -33,7 +35,7 @@
         java.util.Arrays.fill(dueAt, Long.MAX_VALUE);
     }
 
-    /** Asks what is due; returns when the next one is. */
+    /** Sends the queries that are due; returns the time of the next one. */
     long tick(long now) {
         long next = Long.MAX_VALUE;
         boolean speaker = here.speaker(), idle = !speaker && !asks;
@@ -47,7 +49,7 @@
                 dueAt[group] = Long.MAX_VALUE;
                 continue;
             }
-            if (dueAt[group] == Long.MAX_VALUE) { // one more: soon, but not all at a time
+            if (dueAt[group] == Long.MAX_VALUE) { // a newly assigned group: soon, but not all at once
                 boolean late = here.table.unsure(now, group) > here.rhythm.late();
                 dueAt[group] = now + (long) (here.random.nextDouble() * (late ? here.rhythm.retry() / 4
                     : here.rhythm.round()));
@@ -62,7 +64,7 @@
         return next;
     }
 
-    /** Anew where others speak than before: hashes of all speakers for all groups. */
+    /** Recomputes the ranks if the representatives changed; this hashes each of them for each group. */
     private void rank() {
         if (rankedAmong != here.speakers.names()) {
             rankedAmong = here.speakers.names();
@@ -75,17 +77,17 @@
     private boolean mine(long now, int group) {
         long unsure = here.table.unsure(now, group);
         if (unsure > here.rhythm.silent()) {
-            return true; // whether all hear nothing has to be known soon
+            return true; // all representatives query it, to establish quickly whether it is unreachable
         }
         return ranks[group] == 0 || ranks[group] == 1 && unsure > here.rhythm.late();
     }
 
-    /** Whether a group was asked in vain so often, since it answered, that it is no speaker's loss. */
+    /** Whether so many queries to a group failed that the loss of one of its members cannot be the cause. */
     boolean vain(int group) {
         return tries[group] >= VAIN;
     }
 
-    /** One is asked; many at a time where one has not answered and the group is late: it may be silent. */
+    /** Queries one member, or several at once if a query failed and the group's data is overdue. */
     private void ask(long now, int group) {
         long next = here.table.unsettled(now, group) ? here.rhythm.soon() : here.rhythm.round();
         dueAt[group] = now + (long) (next * (0.95 + 0.1 * here.random.nextDouble()));
@@ -99,7 +101,7 @@
         }
     }
 
-    /** Those known to speak for the group, one after the other; then all its names. */
+    /** Returns the next member to query: each known representative in turn, then all members. */
     private String target(int group) {
         List<String> names = here.grouping.memberNames(group);
         Summary held = here.table.summary(group);
@@ -107,9 +109,9 @@
         if (position == 0) {
             from[group] = here.random.nextInt(names.size());
         }
-        // A minority's speakers know of no others: the majority has to be come upon.
+        // The representatives of a minority do not know the majority: other members have to be tried as well.
         if (position < known && !(held.minority() && here.random.nextBoolean())) {
-            int speaker = held.speakers()[(here.own + position) % known]; // as many ask each of them
+            int speaker = held.speakers()[(here.own + position) % known]; // spreads the load over them
             int index = here.grouping.roster(group).indexOf(speaker);
             if (index >= 0) {
                 return here.groups.isRepresentative(group, names.get(index));
@@ -118,7 +120,7 @@
         return here.groups.isRepresentative(group, names.get((from[group] + position) % names.size()));
     }
 
-    /** Some of the silent ones: another group may hear them. */
+    /** Returns some of the unreachable groups: another group may have recent data about them. */
     private List<Integer> missing(long now) {
         List<Integer> silent = new ArrayList<>();
         for (int group = 0; group < dueAt.length; group++) {
@@ -130,7 +132,7 @@
         return silent.subList(0, Math.min(MOST_MISSING, silent.size()));
     }
 
-    /** Others are asked at once, until there have been so many. */
+    /** Schedules a query to another member at once, unless too many have failed. */
     void failed(long now, Question question) {
         int group = question.group;
         if (++tries[group] < VAIN && dueAt[group] != Long.MAX_VALUE) {
@@ -138,7 +140,7 @@
         }
     }
 
-    /** What a member of another group says of it. */
+    /** Answers another group's query with a summary of this group. */
     void answer(long now, String from, Message asked) {
         if (here.joined()) {
             List<Aged> relayed = new ArrayList<>();
--- a/fleet/src/main/java/dockrelay/fleet/group/GroupAssignment.java
+++ b/fleet/src/main/java/dockrelay/fleet/group/GroupAssignment.java
@@ -13,19 +13,23 @@
 import java.util.zip.CRC32C;
 
 /**
- * All names of a fleet, zone by zone, in groups that all who were given the same names make alike. A name
- * goes to the group of its zone that draws the highest number for it (rendezvous hashing) and is not full:
- * one name more or fewer moves hardly another one, and one group more or fewer about a group's worth.
+ * Assigns the members of a fleet to groups, zone by zone. The result depends on the names alone, so all
+ * members with the same list compute the same groups. Within a zone a name goes to the group with the
+ * highest hash for it that is not full (rendezvous hashing): adding or removing a name moves hardly any
+ * other, and adding or removing a group moves about one group's worth of names.
  */
 public final class GroupAssignment {
-    /** The size that is aimed at: the smallest of which groups still have the least that is wanted. */
+    /**
+     * The default target size is the smallest one with which groups, which vary in size, stay at or above the
+     * minimum size.
+     */
     public static final int DEFAULT_GROUP_SIZE = 48, MIN_GROUP_SIZE = 32, MAX_GROUP_SIZE = 128;
     private static final int MOST_NAMES = 16_384, LONGEST_NAME = 64;
-    /** What is told of each group has to fit one datagram. */
+    /** The per-group data of a table has to fit into one datagram. */
     private static final int MOST_GROUPS = 512;
-    /** A group holds at most this many times the mean of its zone, and is filled up to so much of it. */
+    /** Upper and lower bound of a group's size, as multiples of the mean group size of its zone. */
     private static final double FULLEST = 1.2, EMPTIEST = 0.9;
-    /** Groups of more than this part of the most in the mean could pass it by chance. */
+    /** With a mean above this fraction of the maximum, a group could exceed the maximum by chance. */
     private static final double MOST_MEAN = 0.9;
 
     private final List<MemberList> rosters = new ArrayList<>();
@@ -74,7 +78,12 @@
         }
     }
 
-    /** By zone; one zone named "" where the configuration names none. */
+    /**
+     * Assigns names to groups of about {@code size} members.
+     *
+     * @param zones the names by zone; a single zone "" if the configuration has no zones
+     * @throws GroupException if the size, a zone or a name is invalid, or there are too many names or groups
+     */
     public static GroupAssignment of(Map<String, ? extends Collection<String>> zones, int size) {
         if (size < MIN_GROUP_SIZE || size > MAX_GROUP_SIZE) {
             throw new GroupException(Code.SIZE, "group size", Integer.toString(size),
@@ -83,7 +92,7 @@
         return new GroupAssignment(zones, size, MIN_GROUP_SIZE, MAX_GROUP_SIZE);
     }
 
-    /** With groups of a size that only tests want. */
+    /** As {@link #of}, but with any group size; for tests. */
     static GroupAssignment ofAnySize(Map<String, ? extends Collection<String>> zones, int size) {
         return new GroupAssignment(zones, size, 0, MOST_NAMES);
     }
@@ -121,8 +130,8 @@
     }
 
     /**
-     * Within a group names go by 32 bits. Over the whole fleet they do not: one list of 5,700 in 260 would
-     * have two that are alike.
+     * Checks that the 32-bit ids of a group's names are distinct. Ids are not used across groups: of all
+     * lists of 5,700 names, one in 260 would contain two names with the same id.
      */
     private static void apart(List<String> names) {
         Map<Integer, String> byId = new HashMap<>();
@@ -159,14 +168,14 @@
             }
             result.get(best).add(name);
         }
-        result.removeIf(List::isEmpty); // chance, among the few names of a test
+        result.removeIf(List::isEmpty); // possible by chance with very few names, as in tests
         if (least > 0) {
             fill(result, (int) Math.min(least, EMPTIEST * n / groups), seeds);
         }
         return result;
     }
 
-    /** Groups that chance has made too small take those names that come next for them. */
+    /** Fills groups below the minimum with the names of larger groups that have the highest hash for them. */
     private static void fill(List<List<String>> groups, int least, long[] seeds) {
         for (int i = 0; i < groups.size(); i++) {
             while (groups.get(i).size() < least) {
@@ -189,7 +198,7 @@
         }
     }
 
-    /** FNV-1a. */
+    /** FNV-1a with a final mix. */
     private static long hashed(String text) {
         long hash = 0xcbf29ce484222325L;
         for (byte each : text.getBytes(StandardCharsets.UTF_8)) {
@@ -198,14 +207,14 @@
         return mixed(hash);
     }
 
-    /** SplitMix's last steps: each bit of the result hangs on all of the value. */
+    /** The finalizer of SplitMix64: each bit of the result depends on all bits of the value. */
     static long mixed(long value) {
         long mixed = (value ^ value >>> 30) * 0xbf58476d1ce4e5b9L;
         mixed = (mixed ^ mixed >>> 27) * 0x94d049bb133111ebL;
         return mixed ^ mixed >>> 31;
     }
 
-    /** Whether all are in one group: nothing is sent between groups. */
+    /** Whether all members are in one group, so that nothing is sent between groups. */
     public boolean isSingleGroup() {
         return rosters.size() == 1;
     }
@@ -214,47 +223,47 @@
         return rosters.size();
     }
 
-    /** Below 0 where nobody has it. */
+    /** Returns the index of a member's group, or -1 if the name is not on the list. */
     public int groupOf(String name) {
         return byName.getOrDefault(name, -1);
     }
 
-    /** In the order that all see alike. */
+    /** Returns the names of a group in the order of its member list. */
     public List<String> memberNames(int group) {
         return rosters.get(group).names();
     }
 
-    /** As "zone/3"; without the zone where there is none. */
+    /** Returns a group's name, as "zone/3", or "3" if there are no zones. */
     public String label(int group) {
         return labels.get(group);
     }
 
-    /** All names. */
+    /** Returns the number of members in all groups. */
     public int memberCount() {
         return before[before.length - 1];
     }
 
-    /** Equal where the names, their zones and groups are the same. */
+    /** Returns a hash of the names, their zones and their groups. */
     public int hash() {
         return hash;
     }
 
-    /** Equal where the names of the group are the same. */
+    /** Returns a hash of the names of a group. */
     int hash(int group) {
         return rosters.get(group).hash();
     }
 
-    /** How many names are in the groups before this one. */
+    /** Returns the number of members in the groups before this one. */
     int before(int group) {
         return before[group];
     }
 
-    /** A group as it stands on the wire. */
+    /** Returns the key of a group on the wire: a hash of its label. */
     int key(int group) {
         return keys[group];
     }
 
-    /** Below 0 where no group has it. */
+    /** Returns the index of the group with this key, or -1. */
     int group(int key) {
         return byKey.getOrDefault(key, -1);
     }
--- a/fleet/src/main/java/dockrelay/fleet/group/GroupException.java
+++ b/fleet/src/main/java/dockrelay/fleet/group/GroupException.java
@@ -1,10 +1,10 @@
 package dockrelay.fleet.group;
 
-/** Something about the list of groups cannot be: which key, what it is, and what is allowed. */
+/** Thrown if a configuration of groups is invalid: says which key, its value, and what is allowed. */
 public final class GroupException extends IllegalArgumentException {
     private static final long serialVersionUID = 1L;
 
-    /** What an operator finds in docs/on-call.md. */
+    /** Error codes, described for operators in docs/on-call.md. */
     public enum Code { SIZE, ZONE, EMPTY, NAME, TWICE, ALIKE, TOO_MANY }
 
     private final Code code;
@@ -22,7 +22,7 @@
         return code;
     }
 
-    /** What is wrong, as the list names it: its size, a zone, a name. */
+    /** Returns the kind of setting that is invalid: the group size, a zone or a name. */
     public String key() {
         return key;
     }
@@ -31,7 +31,7 @@
         return value;
     }
 
-    /** What it may be, or what an operator can do. */
+    /** Returns the allowed values, or what an operator can do. */
     public String allowed() {
         return allowed;
     }
--- a/fleet/src/main/java/dockrelay/fleet/group/GroupStatus.java
+++ b/fleet/src/main/java/dockrelay/fleet/group/GroupStatus.java
@@ -3,9 +3,9 @@
 import dockrelay.fleet.MembershipSnapshot.Agreement;
 
 /**
- * A group as an operator is told of it: what it said last of itself, how long ago at the most (below 0 where
- * it never did), whether that still counts and whether it goes by the same list; and the first of its members
- * that speak for it (null where that is not known).
+ * A group's status for operators: the counts of its latest summary, the summary's maximum age in
+ * microseconds (negative if there is none), whether it is recent enough to count, whether the group has the
+ * same list, and the first of its representatives (null if not known).
  */
 public record GroupStatus(String label, int configuredMembers, int presentMembers, int leftMembers, int goneMembers, int countedMembers,
                        Agreement agreement, long reportAge, boolean fresh, boolean sameMemberList, String representative) {
--- a/fleet/src/main/java/dockrelay/fleet/group/GroupedMembership.java
+++ b/fleet/src/main/java/dockrelay/fleet/group/GroupedMembership.java
@@ -13,18 +13,21 @@
 import java.util.TreeMap;
 
 /**
- * One member's view of a fleet in groups: every member of its own group, and of the others what they say of
- * themselves. All times are microseconds of elapsed time, handed in. A fleet in one group is a
- * {@link Membership} and nothing else. docs/membership.md has what is asked of whom.
+ * One member's view of a fleet that is divided into groups: each member of its own group, and a summary of
+ * each other group. A fleet in one group behaves exactly as a {@link Membership}. Like that one, this is a
+ * state machine without I/O: the owner passes in the elapsed time in microseconds. Not thread-safe.
+ * docs/membership.md describes the queries between groups.
  */
 public class GroupedMembership {
-    /** What the machine has done. */
+    /** What the owner has to do for this state machine. Called on the thread that calls the state machine. */
     public interface Callbacks extends Membership.Callbacks {
-        /** What became of a question for a name: null where nobody who may know has answered. */
+        /**
+         * Reports the result of {@link #find}; {@code row} is null if nobody who may know the name answered.
+         */
         void memberLookupCompleted(String name, MemberStatus row);
     }
 
-    /** Members' doings go on to whoever owns this machine; some decide who speaks for the group. */
+    /** Forwards to the owner's callbacks; a change in the own group may also change its representatives. */
     private final class Passed implements Membership.Callbacks {
         @Override
         public void send(String to, ByteBuffer datagram) {
@@ -56,8 +59,13 @@
     private final Random random;
     private final Callbacks actions;
     private GroupAssignment grouping;
-    private Between between; // null where all are in one group
+    private Between between; // null if all members are in one group
 
+    /**
+     * Starts the protocol at {@code now}; see {@link Membership} for the parameters.
+     *
+     * @throws IllegalArgumentException if {@code grouping} does not contain {@code self}
+     */
     public GroupedMembership(String self, GroupAssignment grouping, long incarnation, int life, ProtocolTiming pace, Random random,
                   Callbacks actions, long now) {
         this.self = self;
@@ -74,7 +82,7 @@
     private List<String> names(GroupAssignment of) {
         int group = of.groupOf(self);
         if (group < 0) {
-            throw new IllegalArgumentException("the own name \"" + self + "\" is not among the members");
+            throw new IllegalArgumentException("own name \"" + self + "\" is not in the list of members");
         }
         return of.memberNames(group);
     }
@@ -83,7 +91,7 @@
         return new Between(this, self, grouping, own, pace, random, actions, now);
     }
 
-    /** Goes by another list; what is known of members and groups on both is kept. */
+    /** Replaces the list of members; the state of members and groups that are on both lists is kept. */
     public void configure(long now, GroupAssignment next) {
         List<String> names = names(next), namesBefore = names(grouping);
         Between before = between;
@@ -100,12 +108,12 @@
         }
     }
 
-    /** When the next tick is due. */
+    /** Returns the time at which {@link #tick} is due next, in microseconds. */
     public long nextTickAt() {
         return between == null ? own.nextTickAt() : Math.min(own.nextTickAt(), between.nextAt());
     }
 
-    /** Does all that is due. */
+    /** Runs everything that is due in the own group and between groups. */
     public void tick(long now) {
         if (between == null) {
             own.tick(now);
@@ -117,7 +125,11 @@
         between.tick(now);
     }
 
-    /** What a peer sent, by the name that its address has here; null where it has none. */
+    /**
+     * Handles a datagram from a peer, within the group or between groups.
+     *
+     * @param from the member name that the sender's address has on this side; null if it has none
+     */
     public void receive(long now, String from, ByteBuffer datagram) {
         if (between == null) {
             own.receive(now, from, datagram);
@@ -130,22 +142,22 @@
         }
     }
 
-    /** Says goodbye. */
+    /** Leaves the fleet: announces it to members of the own group. */
     public void leave(long now) {
         own.leave(now);
     }
 
-    /** What this member may go by now, of the whole fleet. */
+    /** Returns the counts, agreement and budget share at {@code now}, over the whole fleet. */
     public MembershipSnapshot snapshot(long now) {
         return between == null ? own.snapshot(now) : between.standing(now);
     }
 
-    /** The members of the own group in order, as an operator is told of them. */
+    /** Returns the status of the members of the own group, in the order of the list, for operators. */
     public List<MemberStatus> memberStatuses(long now) {
         return own.memberStatuses(now);
     }
 
-    /** All groups in order, as an operator is told of them. */
+    /** Returns the status of all groups in order, for operators. */
     public List<GroupStatus> groupStatuses(long now) {
         if (between != null) {
             return between.rows(now);
@@ -160,22 +172,22 @@
             here.countedMembers(), here.agreement(), 0, true, true, self));
     }
 
-    /** Whether this member speaks for its group; in one group there is nobody to speak to. */
+    /** Whether this member is a representative of its group; false if there is only one group. */
     public boolean isRepresentative() {
         return between != null && between.speaker();
     }
 
-    /** Equal where two members of a group see the same ones of it. */
+    /** Returns a hash of the view of the own group, in hexadecimal. */
     public String digest() {
         return own.digest();
     }
 
-    /** How far this member doubts itself, 0 to 8. */
+    /** Returns the local health score of Lifeguard: 0 is healthy, 8 the worst. */
     public int healthScore() {
         return own.health();
     }
 
-    /** Datagrams that were not taken, by reason, since the last call. */
+    /** Returns the number of rejected datagrams by reason since the last call, and resets the counts. */
     public Map<String, Long> takeRefusalCounts() {
         Map<String, Long> result = new TreeMap<>(own.refused());
         if (between != null) {
@@ -184,7 +196,7 @@
         return result;
     }
 
-    /** Asks for a member by name; it is told by {@link Callbacks#found}. */
+    /** Looks up a member by name; the result is passed to {@link Callbacks#found}. */
     public void findMember(long now, String name) {
         if (between != null) {
             between.find(now, name);
@@ -194,43 +206,44 @@
         }
     }
 
-    /** Whether these bytes are meant for this machine rather than somebody else on the same socket. */
+    /** Whether a datagram with this first byte belongs to this protocol; other protocols share the socket. */
     public static boolean isMembershipDatagram(byte first) {
         return Membership.ours(first) || first == Message.MAGIC;
     }
 
-    // --- what broken ones in tests get wrong
+    // --- rules that tests override with faulty ones
 
-    /** What is told in an answer was so no later than at the question. */
+    /** Adds the whole round trip to a reported age: the answer may have been composed right at its start. */
     long aged(long age, long trip) {
         return age + trip;
     }
 
-    /** Whether a summary of this age still counts. */
+    /** Whether a summary of this age is recent enough to count. */
     boolean fresh(long age) {
         return age <= pace.wordStale();
     }
 
-    /** A group has one row, whoever tells it: the later word takes the place of the one before. */
+    /** A group has one row, whoever reports it: a newer summary replaces the one before. */
     Summary taken(Summary before, long beforeAge, Summary told) {
         return told;
     }
 
-    /** How many a group says count as there; it cannot have more than it has names. */
+    /** Returns the number of members that a group counts, limited to the number of its names. */
     int counted(Summary of, int names) {
         return Math.min(names, of.counted());
     }
 
-    /** Whether a group told of has the names that it has here. */
+    /** Whether a group has the same names in a received summary as on this member's list. */
     boolean sameNames(int told, int here) {
         return told == here;
     }
 
-    /** Who is asked for another group, and for all groups within the own one. */
+    /** Returns the member of another group to query for that group. */
     String isRepresentative(int group, String chosen) {
         return chosen;
     }
 
+    /** Returns the member of the own group to query for the table of all groups. */
     String source(String chosen) {
         return chosen;
     }
@@ -243,7 +256,9 @@
         return own;
     }
 
-    /** How many rows of groups this member holds, its own table and those of its speakers. */
+    /**
+     * Returns the number of group rows held, in this member's table and its copies of other members' tables.
+     */
     int rowsHeld() {
         return between == null ? 0 : grouping.groupCount() - 1 + between.tables.held();
     }
--- a/fleet/src/main/java/dockrelay/fleet/group/Message.java
+++ b/fleet/src/main/java/dockrelay/fleet/group/Message.java
@@ -12,36 +12,39 @@
 import java.util.BitSet;
 import java.util.List;
 
-/** What was read of a datagram between groups or within one; docs/membership.md has the format. */
+/** A decoded datagram of the protocol between groups; docs/membership.md has the format. */
 final class Message {
     static final byte MAGIC = (byte) 0xd7, SECOND = 0x52, VERSION = 1;
-    /** The sections; others are passed over. */
+    /** Section tags; sections with other tags are skipped. */
     static final byte MISSING = 1, SUMMARY = 2, SILENT = 3, RELAYED = 4, SINCE = 5, UP_TO = 6, AGES = 7,
         ROWS = 8, SILENT_TO = 9, NAME = 10, MEMBER = 11, SILENT_ALIKE = 12, OWN_AGES = 13;
-    /** A row's flags beside its agreement: by its key, and by another list than its teller's. */
+    /** Flags of a table row beside its agreement: it has a key; its list differs from the sender's. */
     static final int AGREEMENT = 3, KEYED = 4, OTHER_LIST = 8;
-    /** What a row leaves out as it follows: nobody left, the rest is present, all those count, all agree. */
+    /**
+     * Flags of counts that a table row leaves out, as they follow from others: no member left, all others not
+     * gone are present, all present members are counted, all present members agree.
+     */
     static final int NONE_LEFT = 16, REST_PRESENT = 32, PRESENT_COUNT = 64, PRESENT_AGREE = 128;
-    /** A count that was left out. */
+    /** Stands for a count that was left out. */
     static final int FOLLOWS = -1;
     /**
-     * Of who asks for a table: to be told to whom groups hear nothing; that it reads what is brief; that it
-     * asks all speakers and wants of each what that one has asked for itself, with the ages of these alone.
+     * Flags of a table query: the asker wants to know which groups are unreachable to whom; it can read the
+     * compact formats; it queries all representatives, and wants from each only what that one queried itself.
      */
     static final int WANTS_SILENT = 1, READS_BRIEF = 2, OWN_PART = 4;
-    /** Ages in units of a rhythm: the last ones mean something else. */
+    /** Ages in units of {@link Rhythm#unit}; the highest values are special. */
     static final int OLDEST = 252, NONE = 253, OLD = 254, OUT = 255;
 
     private static final long LONGEST_AGE = 1L << 40;
     private static final int MOST_GROUPS = 4096;
 
-    /** Who asks whom for what: a group for itself, a member for all groups, a group for one of its names. */
+    /** Queries and replies about a group itself, the table of all groups, and a single member. */
     enum Kind { ASK_GROUP, TELL_GROUP, ASK_TABLE, TELL_TABLE, ASK_NAME, TELL_NAME }
 
-    /** Why one was not taken; the words are those that members have. */
+    /** Why a datagram was rejected; the names are the same as those within a group. */
     enum Refusal { CUT, FOREIGN, CHECKSUM, NEWER, STRANGER, MISNAMED }
 
-    /** It could not be read. */
+    /** Thrown if a datagram cannot be decoded. */
     static final class Unreadable extends Exception {
         private static final long serialVersionUID = 1L;
         final transient Refusal refusal;
@@ -52,17 +55,18 @@
         }
     }
 
-    /** A summary of another group that somebody holds, how old at the most, in microseconds. */
+    /** A relayed summary of a third group with its maximum age in microseconds. */
     record Aged(Summary summary, long age) {
     }
 
     /**
-     * A changed row of a table; the key is 0 where it goes by the teller's order, which the asker shares.
-     * Such a one may leave out counts that follow from the others and from how many names the group has.
+     * A changed row of a table. The key is 0 if sender and receiver have the same list, so that the index
+     * identifies the group. Such a row may leave out counts that follow from others and from the group's
+     * size.
      */
     record Told(int index, int key, boolean otherList, int list, int hash, int present, int left, int gone,
                 int counted, Agreement agreement, int agreeing, int speaker) {
-        /** With all counts, of a group of so many names. */
+        /** Returns the row with all counts filled in, for a group of this many names. */
         Told whole(int names) {
             int none = left == FOLLOWS ? 0 : left;
             int there = present == FOLLOWS ? Math.max(0, names - none - gone) : present;
@@ -72,7 +76,10 @@
         }
     }
 
-    /** To whom a group hears nothing, both in the teller's order, and how long ago at the most, in units. */
+    /**
+     * The set of groups that are unreachable to a group, as a bitmap, and the maximum age of that report in
+     * units of {@link Rhythm#unit}. Groups are in the order of the sender's list.
+     */
     record SilentTo(int group, byte[] silent, int age) {
     }
 
@@ -84,7 +91,7 @@
     final List<Aged> relayed = new ArrayList<>();
     int epoch;
     long version;
-    boolean wantsSilent, readsBrief, ownPart, more; // a question's, and what an answer is
+    boolean wantsSilent, readsBrief, ownPart, more; // flags of a table query or reply
     byte[] ages;
     final List<Told> rows = new ArrayList<>();
     final List<SilentTo> silentTo = new ArrayList<>();
@@ -168,14 +175,14 @@
             case SILENT_ALIKE -> silentAlike(in);
             case NAME -> name = text(in);
             case MEMBER -> member = member(in);
-            default -> { } // one of a later program
+            default -> { } // a section of a later version
         }
     }
 
     private static byte[] ownAges(ByteBuffer in) {
         int groups = number(in);
         if (groups > MOST_GROUPS) {
-            throw new IllegalArgumentException("a table of " + groups + " groups");
+            throw new IllegalArgumentException("table of " + groups + " groups is too large");
         }
         byte[] ages = new byte[groups];
         Arrays.fill(ages, (byte) NONE);
@@ -257,7 +264,7 @@
     private static int number(ByteBuffer in) {
         long value = WireFormat.getVarint(in);
         if (value < 0 || value > 1 << 20) {
-            throw new IllegalArgumentException("a count of " + value);
+            throw new IllegalArgumentException("count out of range: " + value);
         }
         return (int) value;
     }
@@ -266,7 +273,7 @@
         return new String(bytes(in, in.get() & 0xff), StandardCharsets.UTF_8);
     }
 
-    /** Before so much is taken of the heap it has to be there. */
+    /** Reads bytes; checks the length before it allocates. */
     private static byte[] bytes(ByteBuffer in, int length) {
         if (length > in.remaining()) {
             throw new BufferUnderflowException();
--- a/fleet/src/main/java/dockrelay/fleet/group/Question.java
+++ b/fleet/src/main/java/dockrelay/fleet/group/Question.java
@@ -1,12 +1,12 @@
 package dockrelay.fleet.group;
 
-/** One that was asked; an answer tells what was so when it was asked. */
+/** A query that was sent. The age of what its reply reports is counted from the time of the query. */
 final class Question {
-    final int sequence, group; // below 0 where it is not of one group
+    final int sequence, group; // the group is -1 if the query is not about a single group
     final Message.Kind kind;
     final String to;
     final long at;
-    final Finder.Search search; // null where it is not for a name
+    final Finder.Search search; // null unless the query is about a single member
     long failAt;
     boolean answered;
 
--- a/fleet/src/main/java/dockrelay/fleet/group/Questions.java
+++ b/fleet/src/main/java/dockrelay/fleet/group/Questions.java
@@ -6,11 +6,13 @@
 import java.util.Map;
 import java.util.Random;
 
-/** Those asked that an answer may still come to. */
+/** The queries that may still be answered. */
 final class Questions {
     private final Rhythm rhythm;
     private final Map<Integer, Question> open = new HashMap<>();
-    /** In the order of their asking, which is that in which they fail and in which they are forgotten. */
+    /**
+     * In the order in which they were sent, which is also the order of their time-outs and of their expiry.
+     */
     private final Deque<Question> waiting = new ArrayDeque<>(), kept = new ArrayDeque<>();
     private int sequence;
 
@@ -27,7 +29,7 @@
         return question;
     }
 
-    /** What this answers; null where nobody of that name was asked that, or too long ago. */
+    /** Returns and removes the query that a reply matches; null if there is none or it has expired. */
     Question answered(int number, String from, Message.Kind kind) {
         Question question = open.get(number);
         if (question == null || !question.to.equals(from) || question.kind != kind) {
@@ -38,7 +40,7 @@
         return question;
     }
 
-    /** The next one without an answer in time; null where there is none. Its answer may still come. */
+    /** Returns the next query that timed out, or null. A reply to it is still accepted until it expires. */
     Question failed(long now) {
         while (!kept.isEmpty() && now - kept.peek().at >= rhythm.forgotten()) {
             open.remove(kept.poll().sequence);
@@ -59,7 +61,7 @@
         return waiting.isEmpty() ? Long.MAX_VALUE : waiting.peek().failAt;
     }
 
-    /** Time in which this process did not run is nobody's silence. */
+    /** Extends the time-outs by a time in which this process did not run. */
     void delay(long by) {
         waiting.forEach(question -> question.failAt += by);
     }
--- a/fleet/src/main/java/dockrelay/fleet/group/Rhythm.java
+++ b/fleet/src/main/java/dockrelay/fleet/group/Rhythm.java
@@ -2,77 +2,86 @@
 
 import dockrelay.fleet.ProtocolTiming;
 
-/** How often groups ask each other and how long an answer tells something, in microseconds. */
+/** Query intervals, time-outs and expiry times of the protocol between groups, in microseconds. */
 record Rhythm(ProtocolTiming pace) {
-    /** Between two questions for the same thing. */
+    /** The interval between two queries for the same group. */
     long round() {
         return 5 * pace.period();
     }
 
-    /** A member asks a speaker for what is new of all groups so often. */
+    /** The interval at which a member queries a representative for changes of the table. */
     long table() {
         return round() * 3 / 4;
     }
 
     /**
-     * Speakers join their parts, and ask a group in which something is going on, so often: all else that a
-     * group learns of others waits for these.
+     * The shorter interval at which representatives query each other's tables, and query groups without
+     * agreement: everything else that a group learns about other groups waits for these queries.
      */
     long soon() {
         return round() / 2;
     }
 
-    /** For so long after it changed a group that does not agree is asked sooner: it may never agree. */
+    /**
+     * A group without agreement is queried more often only for this long after a change: it may never agree.
+     */
     long unsettled() {
         return stale();
     }
 
-    /** A member whose speaker knows nothing younger asks another one: by then most count out who is lost. */
+    /**
+     * A member whose representative has no newer data than this about a group queries another
+     * representative. By then the majority has excluded a group that is lost, so the query is not wasted on
+     * it.
+     */
     long missed() {
         return stale() + round();
     }
 
-    /** A member that found its speaker wanting comes back to it after this. */
+    /** The time after which a member that switched to another representative returns to its usual one. */
     long aside() {
         return 8 * table();
     }
 
-    /** Without an answer for this long another one is asked. */
+    /** A query without a reply for this long has failed, and another member is asked. */
     long retry() {
         return 2 * pace.period();
     }
 
-    /** Another speaker asks for a group of which it holds nothing younger: whose part it is may be dead. */
+    /**
+     * Data about a group is overdue after this time: a second representative queries the group too, as the
+     * one that it is assigned to may have died.
+     */
     long late() {
         return 9 * pace.period();
     }
 
-    /** A group of which speakers hold nothing younger is silent to them: asked for by all, and said so. */
+    /** A group without newer data is unreachable: all representatives query it, and report that to others. */
     long silent() {
         return 12 * pace.period();
     }
 
-    /** Past this age a summary counts for nothing. */
+    /** A summary older than this is ignored. */
     long stale() {
         return pace.wordStale();
     }
 
-    /** A minority's word does not take the place of another's that is younger than this. */
+    /** A summary by a minority of a group does not replace a majority's summary that is newer than this. */
     long retained() {
         return 8 * pace.period();
     }
 
-    /** A group that was never heard of is not silent before this. */
+    /** The additional time before a group that was never heard of counts as unreachable. */
     long unheard() {
         return 50 * pace.period();
     }
 
-    /** An answer later than this is not waited for. */
+    /** A reply that takes longer than this is not accepted. */
     long forgotten() {
         return stale();
     }
 
-    /** What an age is told in, where there is one byte for it. */
+    /** The unit of ages that are sent as one byte. */
     long unit() {
         return pace.period() / 10;
     }
--- a/fleet/src/main/java/dockrelay/fleet/group/Silence.java
+++ b/fleet/src/main/java/dockrelay/fleet/group/Silence.java
@@ -3,9 +3,10 @@
 import java.util.BitSet;
 
 /**
- * Which groups this speaker hears nothing of, and which of those most of the fleet hears nothing of: only
- * they are counted out. It takes questions of its own in vain, and counts from when this process could
- * listen: it was running, and a speaker.
+ * Determines which groups are unreachable to this representative, and which of those are unreachable to a
+ * majority of the fleet; only the latter are excluded from the counts. A group is unreachable only after
+ * failed queries of this member, and only for the time in which this process was running and was a
+ * representative.
  */
 final class Silence {
     private final Between here;
@@ -18,7 +19,7 @@
         this.listeningSince = now;
     }
 
-    /** This process did not run until now. */
+    /** Restarts the observation after a pause of this process. */
     void woken(long now) {
         listeningSince = now;
         computedAt = Long.MIN_VALUE / 2;
@@ -31,21 +32,24 @@
         speaking = speaks;
     }
 
-    /** Whether this speaker has heard nothing of a group for long. */
+    /** Whether a group has been unreachable to this representative for long enough. */
     boolean of(long now, int group) {
         return speaking && group != here.own && here.asker.vain(group)
             && Math.min(here.table.quiet(now, group), now - listeningSince) > here.rhythm.silent();
     }
 
     /**
-     * Whether this member holds nothing young of a group either, but cannot say by questions of its own that
-     * it is silent: it does not speak, or has come to just now, as when a speaker was suspect for a moment.
+     * Whether this member has no recent data about a group, but cannot tell from its own queries that the
+     * group is unreachable: it is not a representative, or has just become one, as when another
+     * representative was suspect for a moment.
      */
     boolean undecided(long now, int group) {
         return group != here.own && here.table.quiet(now, group) > here.rhythm.silent() && !of(now, group);
     }
 
-    /** All that this speaker hears nothing of, in order; null where there is none. */
+    /**
+     * Returns the bitmap of the groups that are unreachable to this representative; null if there are none.
+     */
     byte[] said(long now) {
         BitSet silent = new BitSet();
         for (int group = 0; group < here.grouping.groupCount(); group++) {
@@ -54,7 +58,7 @@
         return silent.isEmpty() ? null : silent.toByteArray();
     }
 
-    /** Whether groups with most of those that have not left say so too. */
+    /** Whether groups with a majority of the members that have not left report a group unreachable. */
     boolean agreed(long now, int group) {
         if (now - computedAt >= here.rhythm.retry() / 4) {
             computedAt = now;
--- a/fleet/src/main/java/dockrelay/fleet/group/Source.java
+++ b/fleet/src/main/java/dockrelay/fleet/group/Source.java
@@ -1,19 +1,19 @@
 package dockrelay.fleet.group;
 
-/** One member of the own group as a source: its table as it told it last, in the order of its groups. */
+/** A copy of the table of another member of the own group, in the order of that member's list. */
 final class Source {
     final String name;
-    int epoch, list, times; // how often it was asked
-    boolean part; // up to its version only what it has asked for itself was told
+    int epoch, list, times; // times: how often it was queried
+    boolean part; // up to the version, only rows that the other member queried itself were received
     long version, askedAt = Long.MIN_VALUE / 2;
     Summary[] rows = {};
-    boolean[] out = {}; // whom most hear nothing of
+    boolean[] out = {}; // groups that are unreachable to a majority of the fleet
 
     Source(String name) {
         this.name = name;
     }
 
-    /** Another table than before: nothing that was told holds. */
+    /** Resets the copy: the other member restarted or has a new table, so earlier rows are void. */
     void anew(int itsEpoch, int itsList, int groups) {
         epoch = itsEpoch;
         list = itsList;
--- a/fleet/src/main/java/dockrelay/fleet/group/Speakers.java
+++ b/fleet/src/main/java/dockrelay/fleet/group/Speakers.java
@@ -8,14 +8,15 @@
 import java.util.List;
 
 /**
- * Who speaks for the own group: the first few that are present, in an order that all see alike and that no
- * zone or number decides. It follows from the own view alone: nobody is elected, and two views have speakers
- * of their own for as long as they differ.
+ * The representatives of the own group: the first few present members in a pseudo-random order, which is the
+ * same for all members and independent of zones and numbering. They follow from the member's own view
+ * without an election; members with different views have different representatives until the views converge.
  */
 final class Speakers {
     /**
-     * Each asks its part of the other groups and tells its part of the members: the more, the less each; but
-     * all ask each other. So there are more where there are many groups, by the part that each then has.
+     * Minimum and maximum number of representatives, and the number of groups per representative. More of
+     * them share the queries to other groups and the answers to members, but all of them query each other.
+     * So their number grows with the number of groups.
      */
     static final int LEAST = 5, MOST = 12, PART = 16;
     private static final long ORDER = 0x5eaceL;
@@ -35,12 +36,12 @@
             .thenComparing(Comparator.naturalOrder()));
     }
 
-    /** How many speak for each of so many groups. */
+    /** Returns the number of representatives per group in a fleet of this many groups. */
     static int most(int groups) {
         return Math.max(LEAST, Math.min(MOST, (groups + PART - 1) / PART));
     }
 
-    /** The view has changed. */
+    /** Discards the computed representatives after a change of the view. */
     void changed() {
         now = null;
     }
@@ -62,8 +63,8 @@
     }
 
     /**
-     * Whose turn it is to ask for another group: 0 for the one whose part it is, which draws the highest
-     * number for it, 1 for the next.
+     * Returns this member's rank among the representatives for a group: 0 if the group is assigned to it, by
+     * the highest hash (rendezvous hashing), 1 if it is the next one.
      */
     int rank(int key) {
         long mine = drawn(self, key);
--- a/fleet/src/main/java/dockrelay/fleet/group/Summary.java
+++ b/fleet/src/main/java/dockrelay/fleet/group/Summary.java
@@ -4,12 +4,12 @@
 import java.util.Arrays;
 
 /**
- * What a group says of itself by one of its members: which it is by key, the hashes of the whole list, of the
- * group's names and of the view, the counts, and who speaks for it, first things first, as ids.
+ * A group's summary by one of its members: the group's key; hashes of the whole list, of the group's names
+ * and of the view; the member counts; and the ids of the representatives in order.
  */
 record Summary(int key, int list, int hash, int view, int present, int left, int gone, int counted,
                Agreement agreement, int agreeing, int[] speakers, int by) {
-    /** Whether it tells the members of a group nothing new. */
+    /** Whether the two are equal in all that the table passes on to members. */
     boolean same(Summary other) {
         return other != null && key == other.key && list == other.list && hash == other.hash
             && present == other.present && left == other.left && gone == other.gone
@@ -17,18 +17,18 @@
             && first() == other.first();
     }
 
-    /** Whether nothing but how many agree is told. */
+    /** Whether the two differ at most in the number of members that agree. */
     boolean sameBut(Summary other) {
         return other != null && same(other.agreeing(agreeing));
     }
 
-    /** The same with so many that agree. */
+    /** Returns a copy with this number of members that agree. */
     Summary agreeing(int count) {
         return new Summary(key, list, hash, view, present, left, gone, counted, agreement, count, speakers,
             by);
     }
 
-    /** Who speaks first for the group; 0 where that is not known. */
+    /** Returns the id of the group's first representative, or 0 if not known. */
     int first() {
         return speakers.length == 0 ? 0 : speakers[0];
     }
@@ -37,7 +37,9 @@
         return agreement == Agreement.MINORITY;
     }
 
-    /** With the speakers that an earlier one named, where this one has come with the first only. */
+    /**
+     * Returns a copy with all representatives of an earlier summary if this one has only the first of them.
+     */
     Summary speaking(Summary before) {
         return before == null || speakers.length > 1 || before.speakers.length < 2
             || before.first() != first() ? this : new Summary(key, list, hash, view, present, left, gone,
--- a/fleet/src/main/java/dockrelay/fleet/group/Table.java
+++ b/fleet/src/main/java/dockrelay/fleet/group/Table.java
@@ -3,18 +3,19 @@
 import dockrelay.fleet.MembershipSnapshot.Agreement;
 
 /**
- * What one member holds of each group but its own: one row a group, whoever told it, and since when it may be
- * no longer true. What changes gets a number, so that others can be told what is new to them.
+ * A member's table of the other groups: one row per group, whoever reported it, with the time since which it
+ * may be outdated. Each change gets a version number, so that replies contain only what is new to the
+ * receiver.
  */
 class Table {
-    /** What is held of a group. */
+    /** The row of a group. */
     static final class Held {
-        Summary summary; // null where it was never heard of
-        long origin;     // it was so then, at the earliest
+        Summary summary; // null if the group was never heard of
+        long origin;     // the earliest time at which the summary may have been made
         long version, changedAt;
-        byte[] silent;   // to whom this group hears nothing, in the order of the groups; null where unknown
+        byte[] silent;   // bitmap of the groups that are unreachable to this group; null if unknown
         long silentAt;
-        boolean firstHand; // this member was told of it by a group, not by its own
+        boolean firstHand; // received from another group, not from a member of the own group
     }
 
     private final GroupAssignment grouping;
@@ -33,7 +34,7 @@
         }
     }
 
-    /** What another list's table has of groups that this one has too. */
+    /** Copies the rows of groups that are also in the table of an earlier list. */
     void keep(Table before) {
         for (Held of : before.held) {
             int group = of.summary == null ? -1 : grouping.group(of.summary.key());
@@ -45,7 +46,7 @@
         }
     }
 
-    /** Takes what is younger; a minority's word not at once where another's is held. */
+    /** Stores a newer summary. A summary by a minority replaces a majority's summary only after a while. */
     void hear(long now, Summary told, long age, boolean firstHand) {
         int group = grouping.group(told.key());
         if (group < 0 || age > rhythm.stale()) {
@@ -59,11 +60,12 @@
         }
         Summary taken = told.speaking(of.summary);
         if (told.sameBut(of.summary) && now - of.changedAt < rhythm.unsettled()) {
-            // How many agree changes with each word while something goes on: what it comes to is told.
+            // During a change the number of members that agree differs with each summary: only the final
+            // number is passed on.
             taken = taken.agreeing(of.summary.agreeing());
         }
         boolean same = taken.same(of.summary);
-        // Who asks for this member's own part was not told a row while it was somebody else's.
+        // A row that was not first-hand has not been sent to those that query only first-hand rows.
         if (!same || firstHand && !of.firstHand) {
             of.version = ++version;
         }
@@ -75,19 +77,19 @@
         of.origin = origin;
     }
 
-    /** Whether a group is known by this member's own question, not by what others of its group said. */
+    /** Whether a group's row comes from this member's own queries, not from others of its group. */
     boolean firstHand(int group) {
         return held[group].firstHand;
     }
 
-    /** Whether something is going on in a group: its members did not agree lately. */
+    /** Whether a group changed recently and its members do not agree yet. */
     boolean unsettled(long now, int group) {
         Held of = held[group];
         return of.summary != null && of.summary.agreement() != Agreement.ALL
             && now - of.changedAt < rhythm.unsettled();
     }
 
-    /** Takes to whom a group hears nothing. */
+    /** Stores the bitmap of the groups that are unreachable to a group, if it is newer. */
     void silent(long now, int group, byte[] silent, long age) {
         Held of = held[group];
         if (of.silent == null || now - age > of.silentAt) {
@@ -96,28 +98,31 @@
         }
     }
 
-    /** What a group said last; null where it never did. */
+    /** Returns a group's latest summary, or null. */
     Summary summary(int group) {
         return held[group].summary;
     }
 
-    /** How old that is at the most; below 0 where there is none. */
+    /** Returns the maximum age of the latest summary in microseconds, or -1 if there is none. */
     long age(long now, int group) {
         return held[group].summary == null ? -1 : now - held[group].origin;
     }
 
-    /** Since when nothing has been heard of a group: as long as this list is gone by, where it never was. */
+    /**
+     * Returns how long nothing has been heard of a group. A group that was never heard of gets additional
+     * time from the start of this table.
+     */
     long quiet(long now, int group) {
         return held[group].summary == null ? Math.max(0, now - since - rhythm.unheard()) : now
             - held[group].origin;
     }
 
-    /** For how long a group may have been unheard of. */
+    /** Returns the time since the latest summary of a group, or since the start of this table. */
     long unsure(long now, int group) {
         return now - (held[group].summary == null ? since : held[group].origin);
     }
 
-    /** To whom a group hears nothing, if it said so not too long ago; else null. */
+    /** Returns the bitmap of the groups that are unreachable to a group; null if unknown or stale. */
     byte[] silent(long now, int group) {
         Held of = held[group];
         return of.silent == null || now - of.silentAt > rhythm.stale() ? null : of.silent;
@@ -127,7 +132,7 @@
         return now - held[group].silentAt;
     }
 
-    /** The number of the last change of a group's row. */
+    /** Returns the version number of the last change of a group's row. */
     long version(int group) {
         return held[group].version;
     }
--- a/fleet/src/main/java/dockrelay/fleet/group/TableAsker.java
+++ b/fleet/src/main/java/dockrelay/fleet/group/TableAsker.java
@@ -9,17 +9,18 @@
 import java.util.Map;
 
 /**
- * What the other groups say, within one group: a member asks one of the speakers once a round, another one
- * after no answer or while it misses something; a speaker asks each of the others, which joins their parts.
+ * The queries of a member to its own group's representatives for the table of the other groups. A member
+ * queries one representative per round, and another one if that does not answer or lacks data. A
+ * representative queries each of the others, so that their assigned parts add up to the whole table.
  */
 final class TableAsker {
     private final Between here;
     private final Map<String, Source> sources = new HashMap<>();
     private final Map<String, Long> dueAt = new HashMap<>();
-    private final int home; // which of the speakers is asked while all is well: as many members ask each
+    private final int home; // selects the usual representative; spreads the members evenly over them
     private long nextRound, homeAt;
     private int detour, tries;
-    private String asked, answered; // the last ones: what the one said holds until the other has answered
+    private String asked, answered; // the last ones; data of the latter is kept until the former answers
 
     TableAsker(Between here, long now) {
         this.here = here;
@@ -27,7 +28,7 @@
         this.home = here.grouping.roster(here.own).indexOf(here.self);
     }
 
-    /** Asks what is due; returns when the next one is. */
+    /** Sends the queries that are due; returns the time of the next one. */
     long tick(long now) {
         List<String> speakers = here.speakers.names();
         if (!here.speaker()) {
@@ -65,15 +66,19 @@
         return next;
     }
 
-    /** Another speaker is asked for some rounds: were it for ever, all would end up with the same one. */
+    /**
+     * Switches to another representative for some rounds only; else all members would end up with the same
+     * one.
+     */
     private void aside(long now) {
         detour++;
         homeAt = now + here.rhythm.aside();
     }
 
     /**
-     * Whether something has counted for nothing for a while that another speaker may know better. To ask that
-     * one costs a whole table, and speakers tell each other what they know, also who is counted out.
+     * Whether data about a group has been too old for so long that another representative may have newer
+     * data. Groups known to be excluded do not matter: a query to another representative costs a whole
+     * table, and the representatives share their data, including which groups are excluded.
      */
     private boolean misses(long now) {
         for (int group = 0; group < here.grouping.groupCount(); group++) {
@@ -98,19 +103,23 @@
         }
     }
 
-    /** Of each of all speakers its own part joins to the whole; one that is asked alone has to tell all. */
+    /**
+     * Queries a member for changes of the table. With {@code ownPart} it sends only the rows that it queried
+     * itself: a representative queries all others, and their parts add up to the whole table.
+     */
     private void ask(long now, String to, boolean ownPart) {
         asked = to;
         Source source = sources.get(to);
         Question question = here.questions.ask(now, Kind.ASK_TABLE, to, -1, null);
-        // To whom groups hear nothing is told to speakers only, and as often as groups themselves say it.
+        // Only representatives need the bitmaps of unreachable groups, and not more often than groups send
+        // them.
         boolean silent = here.speaker() && (source == null || source.times++ % 2 == 0);
-        boolean anew = source == null || source.part && !ownPart; // it passed over what was not its own
+        boolean anew = source == null || source.part && !ownPart; // rows of others were left out so far
         here.send(to, here.writer(Kind.ASK_TABLE, question.sequence).since(anew ? 0 : source.epoch,
             anew ? 0 : source.version, silent, ownPart));
     }
 
-    /** Another one is asked. */
+    /** Queries another representative after a time-out. */
     void failed(long now) {
         if (!here.speaker() && tries <= here.speakers.names().size()) {
             tries++;
@@ -126,7 +135,7 @@
         }
         Source source = sources.computeIfAbsent(question.to, Source::new);
         if (question.at < source.askedAt) {
-            return; // overtaken by an answer to a later question
+            return; // a reply to a later query arrived first
         }
         if (source.epoch != told.epoch || source.rows.length != told.ages.length) {
             source.anew(told.epoch, told.list, told.ages.length);
@@ -178,12 +187,12 @@
             row.agreeing(), speakers, speakers.length == 0 ? 0 : speakers[0]);
     }
 
-    /** How many rows of others' tables are held beside the own one. */
+    /** Returns the number of rows in all copies of other members' tables. */
     int held() {
         return sources.values().stream().mapToInt(source -> source.rows.length).sum();
     }
 
-    /** Whether a speaker said lately that most hear nothing of a group. */
+    /** Whether a representative recently reported a group as unreachable to a majority of the fleet. */
     boolean marked(long now, int group) {
         for (Source source : sources.values()) {
             if (source.list == here.grouping.hash() && group < source.out.length && source.out[group]
--- a/fleet/src/main/java/dockrelay/fleet/group/TableTeller.java
+++ b/fleet/src/main/java/dockrelay/fleet/group/TableTeller.java
@@ -8,8 +8,8 @@
 import java.util.List;
 
 /**
- * Answers members of the own group that ask for the table: what changed since the answer before, and a byte
- * of age for each group.
+ * Answers table queries of members of the own group, with the rows that changed since the last reply and the
+ * age of each group's data as one byte.
  */
 final class TableTeller {
     private final Between here;
@@ -34,12 +34,12 @@
         }
         changed.sort(Comparator.comparingLong(table::version));
         List<Told> rows = new ArrayList<>();
-        if (keyed) { // by its list it may be of another group than this one's
+        if (keyed) { // on the asker's list the two members may be in different groups
             rows.add(row(here.own, here.summary(now), true));
         }
         changed.forEach(group -> rows.add(row(group, table.summary(group), keyed)));
         Writer writer = here.writer(Kind.TELL_TABLE, asked.sequence);
-        int ages = groups * (asked.ownPart ? 2 : 1); // the way to a group and its age, or the age alone
+        int ages = groups * (asked.ownPart ? 2 : 1); // distance to the group and its age, or the age alone
         int written = writer.rows(rows, keyed, ages + 24, asked.readsBrief
             ? group -> here.grouping.memberNames(group).size() : null);
         boolean more = written < rows.size();
@@ -73,7 +73,10 @@
         here.send(from, writer);
     }
 
-    /** Speakers ask each other for what each has asked for: all else they ask for, or hear of, themselves. */
+    /**
+     * Whether a row belongs into the reply: a query for the own part gets only rows that this member
+     * queried.
+     */
     private boolean tells(Message asked, int group) {
         return !asked.ownPart || group == here.own || here.table.firstHand(group);
     }
@@ -90,7 +93,7 @@
         return units(here.table.age(now, group));
     }
 
-    /** Rounded up: an age is never under-stated. */
+    /** Rounds up: an age must never be understated. */
     private int units(long age) {
         long units = (age + here.rhythm.unit() - 1) / here.rhythm.unit();
         return units > Message.OLDEST ? Message.OLD : (int) units;
--- a/fleet/src/main/java/dockrelay/fleet/group/Writer.java
+++ b/fleet/src/main/java/dockrelay/fleet/group/Writer.java
@@ -11,13 +11,16 @@
 import java.util.Map;
 import java.util.function.IntUnaryOperator;
 
-/** Writes a datagram, section after section, as long as there is room. */
+/** Encodes a datagram of the protocol between groups, section by section, within the maximum size. */
 final class Writer {
     static final int LONGEST = 1400;
     private static final int CHECKSUM = 4, SECTION = 3, MOST_DIFFERING = 8, MOST_DISTINCT = 255;
-    /** What is of about one age, in units, is told with the highest; the most that one group takes alone. */
+    /**
+     * Bitmaps whose ages lie in the same range of this many units are sent together with the highest age; and
+     * the maximum size in bytes of an entry for a single group.
+     */
     private static final int ALIKE_AGES = 64, MOST_OF_ONE = 5;
-    /** The most that a row of a table, or a summary, takes. */
+    /** The maximum encoded size of a table row and of a summary in bytes. */
     private static final int LONGEST_ROW = 3 + 1 + 12 + 5 * 3 + 4, LONGEST_SUMMARY = 17 + 5 * 3 + 4 + 1
         + 4 * Speakers.MOST;
 
@@ -110,7 +113,7 @@
         return this;
     }
 
-    /** The same of a part: how many groups there are, then each group that has one, by the way to it. */
+    /** Writes the number of groups, then each known age with its distance from the group before. */
     Writer ownAges(byte[] ages) {
         begin(Message.OWN_AGES);
         WireFormat.putVarint(out, ages.length);
@@ -127,8 +130,9 @@
     }
 
     /**
-     * Rows in their order; returns how many there was room for beside so many bytes. With the names of each
-     * group, counts that follow from them are left out; without, as for one who cannot read that, none is.
+     * Writes rows in order and returns how many fit, with {@code kept} bytes left for other sections. Counts
+     * that follow from others are left out if {@code names} gives the number of names of each group; it is
+     * null for a receiver that cannot read such rows.
      */
     int rows(List<Message.Told> rows, boolean keyed, int kept, IntUnaryOperator names) {
         begin(Message.ROWS);
@@ -184,8 +188,8 @@
     }
 
     /**
-     * The same for one who reads what is brief: who hears nothing of the same ones, by words of about one
-     * age, is written together, with the highest age. Where hardly any are alike, each by itself.
+     * Writes bitmaps of unreachable groups in the compact format: groups with the same bitmap and similar
+     * ages share one entry with the highest age. If few are equal, uses the format of {@link #silentTo}.
      */
     Writer silentAlike(List<Message.SilentTo> all) {
         Map<String, List<Message.SilentTo>> alike = new LinkedHashMap<>();
@@ -217,7 +221,7 @@
         return this;
     }
 
-    /** Many groups hear nothing of the same ones: those are written once. As many as fit. */
+    /** Writes as many bitmaps of unreachable groups as fit; each distinct bitmap is written once. */
     Writer silentTo(List<Message.SilentTo> all) {
         if (all.isEmpty()) {
             return this;
@@ -298,7 +302,7 @@
         out.put((byte) bytes.length).put(bytes);
     }
 
-    /** Rounded up: an age is never under-stated. */
+    /** Rounds up: an age must never be understated. */
     private static long millis(long age) {
         return (age + 999) / 1000;
     }
--- a/fleet/src/main/java/dockrelay/fleet/wire/WireFormat.java
+++ b/fleet/src/main/java/dockrelay/fleet/wire/WireFormat.java
@@ -4,17 +4,17 @@
 import java.nio.ByteBuffer;
 import java.util.zip.CRC32C;
 
-/** Numbers as few bytes, and what shows that a datagram came as it was sent. */
+/** Variable-length integers and checksums of datagrams. */
 public final class WireFormat {
     private static final int CHECKSUM = 4, LONGEST_SHIFT = 63;
 
     private WireFormat() {
     }
 
-    /** Seven bits a byte, the low ones first; nothing is below 0. */
+    /** Writes a non-negative number, seven bits per byte, low bits first. */
     public static void putVarint(ByteBuffer out, long value) {
         if (value < 0) {
-            throw new IllegalArgumentException("a number below 0: " + value);
+            throw new IllegalArgumentException("number must not be negative: " + value);
         }
         long left = value;
         while (left > 0x7f) {
@@ -24,6 +24,11 @@
         out.put((byte) left);
     }
 
+    /**
+     * Reads a number.
+     *
+     * @throws BufferUnderflowException if the buffer ends before the number does, or the number is too long
+     */
     public static long getVarint(ByteBuffer in) {
         long value = 0;
         for (int shift = 0; shift < LONGEST_SHIFT; shift += 7) {
@@ -36,13 +41,13 @@
         throw new BufferUnderflowException();
     }
 
-    /** Ends what has been written by its checksum, to be read. */
+    /** Appends the checksum of the bytes written so far, and flips the buffer. */
     public static ByteBuffer appendChecksum(ByteBuffer written) {
         written.putInt(checksum(written.array(), written.position()));
         return written.flip();
     }
 
-    /** What was sealed, without its checksum; null where it is not as it was sent. */
+    /** Returns the content without its checksum, or null if the checksum does not match. */
     public static ByteBuffer verifyChecksum(ByteBuffer from) {
         byte[] bytes = new byte[from.remaining()];
         from.get(bytes);
--- a/fleet/src/test/java/dockrelay/fleet/BrokenMembers.java
+++ b/fleet/src/test/java/dockrelay/fleet/BrokenMembers.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.Random;
 
-/** Members each of which gets one thing wrong: the simulation has to notice. */
+/** Faulty variants of {@link Membership}, each with one defect that the simulation has to detect. */
 final class BrokenMembers {
     private static class Altered extends Membership {
         Altered(String self, List<String> names, long incarnation, int life, ProtocolTiming pace, Random random,
@@ -19,13 +19,13 @@
 
     static Map<String, Simulation.Maker> all() {
         Map<String, Simulation.Maker> all = new LinkedHashMap<>();
-        all.put("counters nothing that is said of it", (s, n, i, l, p, r, a, t) ->
+        all.put("never refutes a suspicion of itself", (s, n, i, l, p, r, a, t) ->
             new Altered(s, n, i, l, p, r, a, t) {
                 @Override
                 void counter(long now, Datagram.Entry entry) {
                 }
             });
-        all.put("does not take a higher incarnation than its forgotten one", (s, n, i, l, p, r, a, t) ->
+        all.put("does not raise its incarnation above a forgotten one", (s, n, i, l, p, r, a, t) ->
             new Altered(s, n, 1, l, p, r, a, t) {
                 @Override
                 void counter(long now, Datagram.Entry entry) {
@@ -34,27 +34,27 @@
                     }
                 }
             });
-        all.put("goes by its timers after a stop", (s, n, i, l, p, r, a, t) ->
+        all.put("does not extend time-outs after a pause", (s, n, i, l, p, r, a, t) ->
             new Altered(s, n, i, l, p, r, a, t) {
                 @Override
                 void stall(long now) {
                 }
             });
-        all.put("calls steady what has just changed", (s, n, i, l, p, r, a, t) ->
+        all.put("reports a state as stable right after a change", (s, n, i, l, p, r, a, t) ->
             new Altered(s, n, i, l, p, r, a, t) {
                 @Override
                 boolean steady(long unchanged) {
                     return true;
                 }
             });
-        all.put("under-states the age of words", (s, n, i, l, p, r, a, t) ->
+        all.put("understates the age of view reports", (s, n, i, l, p, r, a, t) ->
             new Altered(s, n, i, l, p, r, a, t) {
                 @Override
                 long aged(long age, long trip) {
                     return 0;
                 }
             });
-        all.put("never tries those that are away", (s, n, i, l, p, r, a, t) ->
+        all.put("never pings members that are gone or have left", (s, n, i, l, p, r, a, t) ->
             new Altered(s, n, i, l, p, r, a, t) {
                 @Override
                 void reachOut(long now, Member away) {
@@ -63,7 +63,7 @@
                     }
                 }
             });
-        all.put("takes gone at its word", (s, n, i, l, p, r, a, t) ->
+        all.put("accepts a gone report without suspicion", (s, n, i, l, p, r, a, t) ->
             new Altered(s, n, i, l, p, r, a, t) {
                 @Override
                 boolean doubts(Datagram.Entry entry, MemberState held) {
--- a/fleet/src/test/java/dockrelay/fleet/DatagramTest.java
+++ b/fleet/src/test/java/dockrelay/fleet/DatagramTest.java
@@ -19,6 +19,7 @@
 import java.util.zip.CRC32C;
 import org.junit.jupiter.api.Test;
 
+/** Encoding and decoding of datagrams between members. */
 class DatagramTest {
     private static byte[] some(Random random, List<Entry> entries, List<Word> words) {
         Datagram datagram = new Datagram(new Head(Kind.values()[random.nextInt(6)], random.nextInt(),
@@ -39,8 +40,10 @@
         return bytes;
     }
 
-    /** What was written is read; as many words are taken as fit, the first ones; ages are not under-stated.
-     * */
+    /**
+     * Entries and reports survive encoding and decoding; the first reports are sent, as many as fit; ages are
+     * rounded up.
+     */
     @Test
     void whatIsWrittenIsReadAndNeverTooLong() throws Exception {
         for (int seed = 0; seed < 500; seed++) {
@@ -62,7 +65,7 @@
             Datagram.Read read = Datagram.read(ByteBuffer.wrap(bytes));
             assertEquals(entries, read.entries());
             assertTrue(read.words().size() == words.size() || bytes.length > Datagram.LONGEST - 100,
-                "room left");
+                "reports were left out although the datagram has room");
             for (int i = 0; i < read.words().size(); i++) {
                 Word written = words.get(i), got = read.words().get(i);
                 assertEquals(written.incarnation(), got.incarnation());
@@ -73,8 +76,7 @@
         }
     }
 
-    /** Cut, spoilt and made up ones are refused, also where their checksum is right; nothing else is
-     * thrown. */
+    /** Truncated, corrupted and random datagrams are rejected, even with a valid checksum. */
     @Test
     void whatIsNotWholeIsRefused() throws Exception {
         for (int seed = 0; seed < 3_000; seed++) {
@@ -98,7 +100,7 @@
         }
     }
 
-    /** A later program's sections are passed over, its later version is refused by that name. */
+    /** Unknown sections are skipped; a later format version is rejected as such. */
     @Test
     void aLaterFormatIsToldApart() throws Exception {
         byte[] whole = some(new Random(1), List.of(new Entry(1, MemberState.PRESENT, 5, 2)), List.of());
--- a/fleet/src/test/java/dockrelay/fleet/MembershipTest.java
+++ b/fleet/src/test/java/dockrelay/fleet/MembershipTest.java
@@ -11,12 +11,13 @@
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
 
+/** Runs {@link Membership} through random fault schedules in a simulation. */
 class MembershipTest {
-    /** `-Dfleet.schedule=SEED` plays one of them and tells all that happens. */
+    /** {@code -Dfleet.schedule=SEED} runs a single schedule and prints a trace of it. */
     private static final Long ONE = Long.getLong("fleet.schedule");
     private static final long SCHEDULES = Long.getLong("fleet.schedules", 10_000);
 
-    /** Over all seeds: what must hold holds whatever breaks; the first that fails says how to see it. */
+    /** The invariants hold in all schedules; a failure names the seed with which to reproduce it. */
     @Test
     void allThatMustHoldDoesInTenThousandSchedules() {
         if (ONE != null) {
@@ -36,15 +37,19 @@
         outcomes.forEach(outcome -> detected.addAll(outcome.detected()));
         detected.sort(null);
         System.out.printf("%d schedules, %d without loss, %d false declarations in the others; a death is "
-            + "known after %.2f s (p50), %.2f s (p99); most of a budget given out %.3f%n", outcomes.size(),
+            + "detected after %.2f s (p50), %.2f s (p99); maximum sum of budget shares %.3f%n",
+            outcomes.size(),
             outcomes.stream().filter(Schedule.Outcome::lossless).count(),
             outcomes.stream().mapToInt(Schedule.Outcome::falselyGone).sum(),
             detected.get(detected.size() / 2) / 1e6, detected.get(detected.size() * 99 / 100) / 1e6,
             outcomes.stream().mapToDouble(Schedule.Outcome::mostShare).max().orElse(0));
-        assertEquals(List.of(), broken.stream().limit(20).toList(), broken.size() + " are broken");
+        assertEquals(List.of(), broken.stream().limit(20).toList(), broken.size() + " schedules failed");
     }
 
-    /** Back before anybody missed it, without its folder: it is told what it was, and is heard again. */
+    /**
+     * A member that restarts before it is suspected, and has lost its stored incarnation, learns its former
+     * incarnation from its peers; otherwise they would ignore its view reports as old.
+     */
     @Test
     void oneThatRestartsAtOnceWithALowerIncarnationIsTold() {
         for (int members : new int[] {2, 3, 12, 48}) {
@@ -57,12 +62,12 @@
             world.start("n1", 1);
             world.runUntil(world.now + 8 * VirtualNetwork.SECOND);
             assertNull(world.disagreement(), members + " members");
-            assertTrue(world.incarnations.get("n1") > 5, "it goes by a higher one than it ever had");
+            assertTrue(world.incarnations.get("n1") > 5, "expected an incarnation above the former one");
             assertEquals(0, world.falselyGone);
         }
     }
 
-    /** A check that cannot fail proves nothing: members that are broken in one way each are found out. */
+    /** Guards the checks themselves: the simulation detects each of the faulty variants. */
     @Test
     void eachBrokenMemberIsFoundOut() {
         BrokenMembers.all().forEach((what, maker) -> {
@@ -74,8 +79,8 @@
                     return "seed " + seed + ": " + e.getMessage();
                 }
             }).filter(broken -> broken != null).findFirst().orElse(null);
-            System.out.println("one that " + what + ": " + found);
-            assertNotNull(found, "one that " + what + " passes for a good one");
+            System.out.println("variant that " + what + ": " + found);
+            assertNotNull(found, "variant that " + what + " is not detected by any schedule");
         });
     }
 }
--- a/fleet/src/test/java/dockrelay/fleet/Schedule.java
+++ b/fleet/src/test/java/dockrelay/fleet/Schedule.java
@@ -6,13 +6,16 @@
 import java.util.List;
 import java.util.Random;
 
-/** One seeded play: a fleet starts, faults of many kinds overlap for a while, then it has time to agree. */
+/**
+ * One simulated run from a seed: a group starts, random faults overlap for a while, and then it has time to
+ * converge.
+ */
 final class Schedule {
-    /** Within this after the last fault all views are equal; one that is dead since is gone everywhere. */
+    /** Time after the last fault within which all views have to converge. */
     static final long SETTLED = 22 * SECOND;
     private static final long CALM = 4 * SECOND, FAULTS = 14 * SECOND;
 
-    /** What a play came to. */
+    /** The result of a run. */
     record Outcome(int members, boolean lossless, int falselyGone, List<Long> detected, double mostShare) {
     }
 
@@ -48,12 +51,12 @@
             fault(CALM + (long) (random.nextDouble() * FAULTS));
         }
         last = Math.max(last, CALM);
-        while (world.now < last) { // a fault may bring on others
+        while (world.now < last) { // a fault may schedule further ones
             world.runUntil(last);
         }
-        world.loss = world.repeats = world.spoilt = 0; // replays go on
+        world.loss = world.repeats = world.spoilt = 0; // replayed datagrams still arrive
         String wrong = settle(last + SETTLED);
-        if (wrong == null) { // and so it stays, but for those never heard of, which count as gone by and by
+        if (wrong == null) { // the views stay equal, except that members never heard of become gone over time
             world.runUntil(world.now + (random.nextInt(10) == 0 ? SETTLED : SECOND));
             wrong = settle(world.now + 4 * SECOND);
         }
@@ -62,13 +65,15 @@
                 wrong));
         }
         if (lossless && world.falselyGone > 0) {
-            throw new Simulation.Broken("nothing was lost, and yet " + world.lastFalse);
+            throw new Simulation.Broken("false declaration although no datagram was lost: "
+                + world.lastFalse);
         }
         if (stopsOnly && world.accusedOnWaking != null) {
-            throw new Simulation.Broken("one that had been stopped blamed others: " + world.accusedOnWaking);
+            throw new Simulation.Broken("a member suspected others right after it was paused: "
+                + world.accusedOnWaking);
         }
         if (world.longest > Datagram.LONGEST) {
-            throw new Simulation.Broken("a datagram of " + world.longest + " bytes");
+            throw new Simulation.Broken("datagram too long: " + world.longest + " bytes");
         }
         return new Outcome(n, lossless, world.falselyGone, world.detected, world.mostShare);
     }
@@ -101,7 +106,7 @@
         stopsOnly &= kind == 3 || kind == 11;
         switch (kind) {
             case 0, 1 -> kill(at, any());
-            case 2 -> { // many at once, and back
+            case 2 -> { // most or all members die at once, and most of them restart
                 double part = random.nextBoolean() ? 0.7 : 1;
                 for (int i = 0; i < n; i++) {
                     if (random.nextDouble() < part) {
@@ -109,19 +114,19 @@
                     }
                 }
             }
-            case 3 -> { // stopped: half a second nobody may mistake for a death
+            case 3 -> { // a pause; one of half a second must not be taken for a death
                 long lasts = List.of(500 * MILLI, 3 * SECOND, 9 * SECOND).get(random.nextInt(3));
                 lossless &= lasts < SECOND;
                 stop(at, lasts, any());
             }
-            case 11 -> { // gets its turn now and then only
+            case 11 -> { // a process that runs for short moments only
                 lossless = false;
                 String name = any();
                 for (int i = 0; i < 30; i++) {
                     stop(at + i * 350 * MILLI, 250 * MILLI, name);
                 }
             }
-            case 4 -> { // one way
+            case 4 -> { // one member loses all datagrams in one direction
                 lossless = false;
                 int a = random.nextInt(n);
                 boolean in = random.nextBoolean();
@@ -131,15 +136,15 @@
                     }
                 }
             }
-            case 5 -> { // two that reach all others: helpers tell that both live
+            case 5 -> { // two members cannot reach each other; indirect probes show that both are alive
                 int a = random.nextInt(n), b = random.nextInt(n);
-                lossless &= n > 3 && alone; // with one helper that is there
+                lossless &= n > 3 && alone; // needs at least one helper that is alive
                 cut(at, at + 5 * SECOND, a, b);
                 cut(at, at + 5 * SECOND, b, a);
             }
             case 6 -> split(at, 2);
             case 7 -> split(at, 3);
-            case 8 -> { // lost, late, repeated and spoilt
+            case 8 -> { // loss, delay, duplication and corruption
                 lossless = false;
                 double loss = random.nextDouble() * 0.3;
                 at(at, () -> {
@@ -153,7 +158,7 @@
                     world.jitter = 3 * MILLI;
                 });
             }
-            case 9 -> { // a link that flaps
+            case 9 -> { // a flapping link
                 lossless = false;
                 int a = random.nextInt(n), b = random.nextInt(n);
                 for (int i = 0; i < 10; i++) {
@@ -161,12 +166,12 @@
                     cut(at + i * 600 * MILLI, at + i * 600 * MILLI + 300 * MILLI, b, a);
                 }
             }
-            default -> { // goodbye, and back
+            default -> { // a member leaves and returns
                 String name = any();
                 at(at, () -> {
                     if (lives(name)) {
                         Simulation.Process process = world.processes.get(name);
-                        world.trace(name + " says goodbye");
+                        world.trace(name + " leaves");
                         process.machine.leave(process.local());
                         at(world.now + SECOND, () -> world.kill(name));
                         restart(world.now + 2 * SECOND + random.nextInt((int) (5 * SECOND)), name);
@@ -200,7 +205,10 @@
         }
     }
 
-    /** With its folder, or without one and a clock that was set back: others have to tell it. */
+    /**
+     * Restarts a member with its stored incarnation, or with the lowest one, so that peers have to correct
+     * it.
+     */
     private void restart(long at, String name) {
         boolean folder = random.nextBoolean();
         at(at, () -> {
--- a/fleet/src/test/java/dockrelay/fleet/Simulation.java
+++ b/fleet/src/test/java/dockrelay/fleet/Simulation.java
@@ -8,23 +8,22 @@
 import java.util.Random;
 
 /**
- * Many members on a virtual clock and network, from one seed: what is lost, late, repeated, spoilt or cut,
- * who
- * is stopped, killed or started anew, and clocks that run unlike. What must always hold is checked at every
- * step.
+ * A deterministic simulation of many members on a virtual clock and network, from one seed. Datagrams are
+ * lost, delayed, duplicated, corrupted or blocked, processes are paused, killed and restarted, and their
+ * clocks run at different rates. The invariants are checked periodically.
  */
 final class Simulation extends VirtualNetwork {
     private static final int INBOX = 256;
-    /** How often a process computes what it may go by, and how often the sum of all is looked at. */
+    /** How often a process computes its standing, and how often the invariants are checked. */
     private static final long STANDING = SECOND / 2, LOOK = 50 * MILLI;
 
-    /** Makes a member, so that a broken one can take its place. */
+    /** Creates a member; lets tests substitute a faulty variant. */
     interface Maker {
         Membership make(String self, List<String> names, long incarnation, int life, ProtocolTiming pace, Random random,
             Membership.Callbacks actions, long now);
     }
 
-    /** Something that must hold did not. */
+    /** Thrown if an invariant does not hold. */
     static final class Broken extends RuntimeException {
         private static final long serialVersionUID = 1L;
 
@@ -33,7 +32,7 @@
         }
     }
 
-    /** One process of a name, with a clock of its own. */
+    /** A process of a member, with its own clock. */
     final class Process implements Membership.Callbacks {
         final String name;
         final double rate = 1 + (random.nextDouble() - 0.5) * 0.02;
@@ -49,7 +48,7 @@
 
         Process(String name, long incarnation) {
             this.name = name;
-            this.first = incarnations.getOrDefault(name, 0L) + 1; // what is said of lower ones is of the dead
+            this.first = incarnations.getOrDefault(name, 0L) + 1; // lower ones belong to earlier processes
             this.machine = maker.make(name, names, incarnation, life, ProtocolTiming.DEFAULT,
                 new Random(random.nextLong()),
                 this, local());
@@ -72,7 +71,7 @@
             }));
         }
 
-        /** What a stopped process would do waits until it goes on. */
+        /** Runs an action, or queues it while the process is paused. */
         void run(Runnable action) {
             if (dead) {
                 return;
@@ -108,23 +107,24 @@
 
         @Override
         public void memberChanged(MemberStateChange change) {
-            trace(name + " holds: " + change);
+            trace(name + " sees: " + change);
             Process of = processes.get(change.member());
             boolean lives = of != null && !of.dead && !of.stopped;
-            // That an earlier process of the name is dead is true.
+            // A report about an earlier process of the name is not false.
             if (change.newState() == MemberState.GONE && lives && change.incarnation() >= of.first
                 && now - of.startedAt > 3 * SECOND) {
                 falselyGone++;
-                lastFalse = name + " holds " + change;
-                // A suspicion that crosses the heal may end before it is countered, but that is one now and
-                // then.
+                lastFalse = name + " sees " + change;
+                // A suspicion that is under way when the partition heals may time out before it is refuted,
+                // but only rarely.
                 if (sides != null && sides[index.get(name)] == sides[index.get(change.member())]
                     && ++lostBeside > names.size() / 2) {
-                    throw new Broken("on the same side of the one cut that there is, " + lastFalse);
+                    throw new Broken("false declaration on the same side of the only partition: "
+                        + lastFalse);
                 }
             }
             if (change.newState() == MemberState.SUSPECT && lives && change.by().equals(name) && now - wokeAt < SECOND) {
-                accusedOnWaking = name + " holds " + change;
+                accusedOnWaking = name + " sees " + change;
             }
             if (change.newState() == MemberState.GONE && of != null && of.dead && diedAt.containsKey(change.member())) {
                 detected.add(now - diedAt.get(change.member()));
@@ -139,7 +139,7 @@
         @Override
         public void nameConflict(String whose, String why) {
             clashes++;
-            trace(name + " says: two go by " + whose + ": " + why);
+            trace(name + " reports a name conflict of " + whose + ": " + why);
         }
     }
 
@@ -148,7 +148,7 @@
     final Map<String, Long> incarnations = new HashMap<>(), diedAt = new HashMap<>();
     final List<Long> detected = new ArrayList<>();
     final int[][] cut;
-    int[] sides; // where all that happens is that the network falls apart
+    int[] sides; // the side of each member if the only fault is a partition, else null
     final List<byte[]> recorded = new ArrayList<>();
     private final Map<String, Integer> index = new HashMap<>();
     private final Maker maker;
@@ -186,22 +186,24 @@
     }
 
     void stop(String name) {
-        trace(name + " is stopped");
+        trace(name + " is paused");
         processes.get(name).stopped = true;
     }
 
     void goOn(Process process) {
         process.stopped = false;
         process.wokeAt = now;
-        trace(process.name + " goes on");
+        trace(process.name + " resumes");
         List<Runnable> waiting = new ArrayList<>(process.inbox);
         process.inbox.clear();
-        java.util.Collections.shuffle(waiting,
-            random); // the system says not whether sockets or timers come first
+        // The operating system serves sockets and timers in no guaranteed order.
+        java.util.Collections.shuffle(waiting, random);
         waiting.forEach(process::run);
     }
 
-    /** Blocks one way, or gives it free again; cuts add up. */
+    /**
+     * Blocks one direction ({@code by} is 1) or unblocks it (-1); a direction may be blocked several times.
+     */
     void cut(int from, int to, int by) {
         cut[from][to] += by;
     }
@@ -222,7 +224,7 @@
         }
     }
 
-    /** What must hold at every moment. */
+    /** Checks that budget shares add up to at most 1 and that incarnations never decrease. */
     private void look() {
         double sum = 0;
         looks++;
@@ -235,25 +237,28 @@
                 long is = process.machine.incarnation(name);
                 Long before = process.seen.put(name, is);
                 if (before != null && before > is) {
-                    throw new Broken(process.name + " holds incarnation " + is + " of " + name + " after "
+                    throw new Broken(process.name + " has incarnation " + is + " of " + name + " after "
                         + before);
                 }
             }
         }
         mostShare = Math.max(mostShare, sum);
         if (sum > 1 + 1e-9) {
-            throw new Broken(String.format("at %.3f s the parts of a budget add up to %.4f", now / 1e6, sum));
+            throw new Broken(String.format("at %.3f s the budget shares add up to %.4f", now / 1e6, sum));
         }
         later(LOOK, this::look);
     }
 
-    /** Null where all that live see the same, see each other and nobody else, and know that all agree. */
+    /**
+     * Returns null if the views of all live members are equal and right and the members know that they agree,
+     * else what is wrong.
+     */
     String disagreement() {
         String wrong = differing();
         for (Process process : processes.values()) {
             MembershipSnapshot standing = wrong != null || process.dead ? null
                 : process.machine.snapshot(process.local());
-            // Of many words one may be too old just now.
+            // With many members, a few reports may be stale at any moment.
             if (standing != null && standing.agreeingMembers() < standing.presentMembers() - standing.presentMembers() / 40) {
                 return process.name + " does not know that all agree: " + standing + process.machine
                     .memberStatuses(process.local()).stream().filter(row -> !row.state().away() && (row.reportAge() < 0
@@ -263,7 +268,7 @@
         return wrong;
     }
 
-    /** Null where all that live see the same, and see each other and nobody else. */
+    /** Returns null if the views of all live members are equal and right, else what is wrong. */
     String differing() {
         String digest = null;
         for (Process process : processes.values()) {
@@ -275,12 +280,12 @@
                 boolean lives = of != null && !of.dead;
                 MemberState held = process.machine.state(name);
                 if (lives != (held == MemberState.PRESENT)) {
-                    return process.name + " holds " + name + " " + held + ", which " + (lives ? "lives"
+                    return process.name + " sees " + name + " " + held + ", which " + (lives ? "is alive"
                         : "is dead");
                 }
             }
             if (digest != null && !digest.equals(process.machine.digest())) {
-                return process.name + " has another view";
+                return process.name + " has a different view";
             }
             digest = process.machine.digest();
         }
--- a/fleet/src/test/java/dockrelay/fleet/VirtualNetwork.java
+++ b/fleet/src/test/java/dockrelay/fleet/VirtualNetwork.java
@@ -4,7 +4,10 @@
 import java.util.PriorityQueue;
 import java.util.Random;
 
-/** A virtual clock and what a network does to datagrams, from one seed: lost, late, repeated, spoilt, cut. */
+/**
+ * A virtual clock and network from one seed. Datagrams may be lost, delayed, duplicated, corrupted, replayed
+ * or blocked. Times are in microseconds.
+ */
 public abstract class VirtualNetwork {
     public static final long MILLI = 1_000, SECOND = 1_000_000;
 
@@ -24,22 +27,25 @@
         this.traced = traced;
     }
 
-    /** Whether nothing comes through this way. */
+    /** Whether all datagrams in this direction are dropped. */
     protected abstract boolean blocked(String from, String to);
 
-    /** A datagram is there. */
+    /** Delivers a datagram to its receiver. */
     protected abstract void arrive(String from, String to, byte[] bytes);
 
+    /** Prints a line with the virtual time, if tracing is on. */
     public final void trace(String text) {
         if (traced) {
             System.out.printf("%9.3f %s%n", now / 1e6, text);
         }
     }
 
+    /** Schedules an action after a delay. */
     public final void later(long delay, Runnable action) {
         events.add(new Event(now + delay, order++, action));
     }
 
+    /** Runs all events up to a time, and advances the clock to it. */
     public final void runUntil(long end) {
         while (!events.isEmpty() && events.peek().at <= end) {
             Event event = events.poll();
@@ -49,6 +55,7 @@
         now = end;
     }
 
+    /** Sends a datagram through the network, subject to the configured faults. */
     protected final void pass(String from, String to, byte[] bytes) {
         if (blocked(from, to) || random.nextDouble() < loss) {
             return;
--- a/fleet/src/test/java/dockrelay/fleet/group/BrokenGroups.java
+++ b/fleet/src/test/java/dockrelay/fleet/group/BrokenGroups.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.Random;
 
-/** Machines each of which gets one thing wrong: the simulation has to notice. */
+/** Faulty variants of {@link GroupedMembership}, each with one defect that the simulation has to detect. */
 final class BrokenGroups {
     private static class Altered extends GroupedMembership {
         Altered(String self, GroupAssignment grouping, long incarnation, int life, ProtocolTiming pace, Random random,
@@ -20,7 +20,7 @@
 
     static Map<String, FleetWorld.Maker> all() {
         Map<String, FleetWorld.Maker> all = new LinkedHashMap<>();
-        all.put("believes a speaker for ever", (s, g, i, l, p, r, a, t) ->
+        all.put("queries the same representative forever", (s, g, i, l, p, r, a, t) ->
             new Altered(s, g, i, l, p, r, a, t) {
                 private final Map<Integer, String> believed = new HashMap<>();
 
@@ -34,21 +34,21 @@
                     return believed.computeIfAbsent(-1, of -> chosen);
                 }
             });
-        all.put("goes by a summary whatever its age", (s, g, i, l, p, r, a, t) ->
+        all.put("uses summaries of any age", (s, g, i, l, p, r, a, t) ->
             new Altered(s, g, i, l, p, r, a, t) {
                 @Override
                 boolean fresh(long age) {
                     return true;
                 }
             });
-        all.put("takes what is passed on for new", (s, g, i, l, p, r, a, t) ->
+        all.put("understates the age of relayed summaries", (s, g, i, l, p, r, a, t) ->
             new Altered(s, g, i, l, p, r, a, t) {
                 @Override
                 long aged(long age, long trip) {
                     return 0;
                 }
             });
-        all.put("counts what two speakers say of one group twice", (s, g, i, l, p, r, a, t) ->
+        all.put("adds up the summaries of two representatives of a group", (s, g, i, l, p, r, a, t) ->
             new Altered(s, g, i, l, p, r, a, t) {
                 @Override
                 Summary taken(Summary before, long beforeAge, Summary told) {
@@ -63,7 +63,7 @@
                     return of.counted();
                 }
             });
-        all.put("counts a moved name in both groups", (s, g, i, l, p, r, a, t) ->
+        all.put("counts a moved member in both groups", (s, g, i, l, p, r, a, t) ->
             new Altered(s, g, i, l, p, r, a, t) {
                 @Override
                 boolean sameNames(int told, int here) {
--- a/fleet/src/test/java/dockrelay/fleet/group/FleetProbe.java
+++ b/fleet/src/test/java/dockrelay/fleet/group/FleetProbe.java
@@ -15,9 +15,9 @@
 import java.util.function.Predicate;
 
 /**
- * What a fleet of a size costs and how fast it knows, over the virtual network: 7 uneven zones in 3 regions.
- * Not a test: {@code main} takes the size, and which parts to play: quiet, heap, restarts, death, zone,
- * random, region, loss.
+ * Measures traffic, heap and detection times of a fleet on the virtual network: 7 zones of different sizes
+ * in 3 regions. This is a program, not a test: its arguments are the number of members and the scenarios to
+ * run: quiet, heap, restarts, death, zone, random, region, loss.
  */
 final class FleetProbe {
     private static final double[] WEIGHTS = {0.24, 0.19, 0.16, 0.14, 0.12, 0.09, 0.06};
@@ -63,7 +63,8 @@
         world.startAll(SECOND);
         long before = System.nanoTime();
         world.runUntil(9 * SECOND);
-        say(late(process -> agrees(process, n)).size() + " do not agree 9 s after start; wall s a s",
+        say(late(process -> agrees(process, n)).size()
+            + " members do not agree 9 s after start; wall-clock s per simulated s",
             (System.nanoTime() - before) / 9e9);
     }
 
@@ -78,26 +79,27 @@
                     world.later(i * SECOND, () -> world.kill(name));
                     world.later((i + 5) * SECOND, () -> restart(name));
                 }
-                bytes("a restart a second", 40 * SECOND, () -> { });
+                bytes("one restart per second", 40 * SECOND, () -> { });
             }
             case "death" -> deaths();
-            case "zone" -> lost("a zone", zones.get("zone3"));
+            case "zone" -> lost("one zone", zones.get("zone3"));
             case "random" -> {
                 List<String> seventh = new ArrayList<>(world.processes.keySet());
                 seventh.removeIf(name -> random.nextInt(7) > 0);
-                lost("a random seventh", seventh);
+                lost("a random seventh of all members", seventh);
             }
             case "region" -> region();
             default -> {
                 world.loss = 0.01;
                 int gone = world.falselyGone;
                 bytes("1% loss", 600 * SECOND, () -> { });
-                say("false deaths in ten minutes with 1% loss", world.falselyGone - gone);
+                say("false declarations in ten minutes with 1% loss", world.falselyGone - gone);
                 world.loss = 0;
                 world.runUntil(world.now + 10 * SECOND);
             }
         }
-        say(part + ": wall s", (System.nanoTime() - before) / 1e9 + " for " + (world.now - from) / 1e6);
+        say(part + ": wall-clock s", (System.nanoTime() - before) / 1e9 + " for simulated s "
+            + (world.now - from) / 1e6);
     }
 
     private String any() {
@@ -114,7 +116,7 @@
         return new long[] {process.sentBytes, process.gotBytes, process.sent, process.got};
     }
 
-    /** Bytes a second and member on the mean, and in the worst ten seconds of any. */
+    /** Prints the mean traffic per member, and the highest traffic of any member over ten seconds. */
     private void bytes(String what, long lasts, Runnable first) {
         Map<FleetWorld.Process, List<long[]>> history = new HashMap<>();
         long end = world.now + lasts;
@@ -144,9 +146,9 @@
             }
         }
         double over = members * lasts / 1e6;
-        say(what, String.format("%.2f kB/s out, %.2f in, %.1f datagrams/s out on the mean; at most in 10 s "
-            + "%.2f out, %.2f in", sent / over / 1e3, got / over / 1e3, datagrams / over, worstOut / 1e3,
-            worstIn / 1e3));
+        say(what, String.format("mean %.2f kB/s out, %.2f kB/s in, %.1f datagrams/s out; maximum over 10 s "
+            + "%.2f kB/s out, %.2f kB/s in", sent / over / 1e3, got / over / 1e3, datagrams / over,
+            worstOut / 1e3, worstIn / 1e3));
     }
 
     private List<FleetWorld.Process> late(Predicate<FleetWorld.Process> knows) {
@@ -168,7 +170,7 @@
         return process.machine.snapshot(process.local()).countedMembers();
     }
 
-    /** When each of those that do not know does, in seconds, sorted. */
+    /** Returns after how many seconds the condition became true for each live member, sorted. */
     private double[] until(Predicate<FleetWorld.Process> knows, long most) {
         List<Double> result = new ArrayList<>();
         List<FleetWorld.Process> waiting = late(process -> false);
@@ -189,7 +191,7 @@
     }
 
     private static String quantiles(double[] sorted) {
-        return sorted.length == 0 ? "none" : String.format("p50 %.1f p99 %.1f most %.1f (%d)",
+        return sorted.length == 0 ? "none" : String.format("p50 %.1f p99 %.1f max %.1f (%d members)",
             sorted[sorted.length / 2], sorted[sorted.length * 99 / 100], sorted[sorted.length - 1],
             sorted.length);
     }
@@ -218,8 +220,8 @@
             restart(name);
             world.runUntil(world.now + 10 * SECOND);
         }
-        say("a death is known in its group after", quantiles(joined(own)));
-        say("a death is counted by all after", quantiles(joined(all)));
+        say("a death is known in the member's group after s", quantiles(joined(own)));
+        say("a death is counted by all members after s", quantiles(joined(all)));
     }
 
     private void lost(String what, List<String> names) {
@@ -230,15 +232,15 @@
             long began = world.now;
             watch(names.size(), began, knew);
         });
-        say(what + " of " + names.size() + " lost, counted by all after", quantiles(knew.get(0)));
-        say("false deaths meanwhile", world.falselyGone - before);
+        say(what + ", " + names.size() + " members lost, counted by all after s", quantiles(knew.get(0)));
+        say("false declarations meanwhile", world.falselyGone - before);
         names.forEach(this::restart);
         world.runUntil(world.now + 15 * SECOND);
-        say("all agree again 15 s after their return", late(process -> agrees(process, n)).size()
-            + " do not");
+        say("15 s after the return", late(process -> agrees(process, n)).size()
+            + " members do not agree");
     }
 
-    /** Looks every step from now on, beside the count of bytes. */
+    /** Records when each live member counts the loss, in the background while traffic is measured. */
     private void watch(int lost, long began, List<double[]> into) {
         List<FleetWorld.Process> waiting = late(process -> false);
         List<Double> knew = new ArrayList<>();
@@ -275,17 +277,17 @@
             names.forEach(name -> sides.put(name, side));
         }
         world.sides = sides;
-        bytes("a region cut off", 180 * SECOND, () -> { });
+        bytes("one region partitioned", 180 * SECOND, () -> { });
         world.sides = null;
-        say("a region back after 3 minutes, all agree after", quantiles(until(process -> agrees(process, n),
-            40 * SECOND)));
-        bytes("after a region's return", 12 * SECOND, () -> { });
+        say("after a partition of 3 minutes, all agree after s",
+            quantiles(until(process -> agrees(process, n), 40 * SECOND)));
+        bytes("after the partition", 12 * SECOND, () -> { });
     }
 
     private void heap() {
         System.gc();
         Runtime runtime = Runtime.getRuntime();
-        say("heap kB a member, with the simulation's own", (runtime.totalMemory() - runtime.freeMemory())
+        say("heap kB per member, including the simulation", (runtime.totalMemory() - runtime.freeMemory())
             / 1024.0 / n);
     }
 }
--- a/fleet/src/test/java/dockrelay/fleet/group/FleetSchedule.java
+++ b/fleet/src/test/java/dockrelay/fleet/group/FleetSchedule.java
@@ -9,14 +9,17 @@
 import java.util.Random;
 import java.util.TreeMap;
 
-/** One seeded play of a fleet in groups: it starts, faults overlap for a while, then it has time to agree. */
+/**
+ * One simulated run of a fleet in groups from a seed: the fleet starts, random faults overlap for a while,
+ * and then it has time to converge.
+ */
 final class FleetSchedule {
-    /** Within this after the last fault all count alike. */
+    /** Time after the last fault within which all members have to arrive at the same counts. */
     static final long SETTLED = 26 * SECOND;
     private static final long CALM = 6 * SECOND, FAULTS = 12 * SECOND;
     private static final int KINDS = 19;
 
-    /** What a play came to. */
+    /** The result of a run. */
     record Outcome(int members, int groups, boolean lossless, int falselyGone, int outs,
                    double mostShare, long settled) {
     }
@@ -61,13 +64,13 @@
             fault(CALM + (long) (random.nextDouble() * FAULTS));
         }
         last = Math.max(last, CALM);
-        while (world.now < last) { // a fault may bring on others
+        while (world.now < last) { // a fault may schedule further ones
             world.runUntil(last);
         }
-        world.loss = world.repeats = world.spoilt = 0; // replays go on
+        world.loss = world.repeats = world.spoilt = 0; // replayed datagrams still arrive
         String wrong = settle(last + SETTLED);
         long settled = world.now - last;
-        if (wrong == null) { // and so it stays, but for those never heard of, which count as gone by and by
+        if (wrong == null) { // the views stay equal, except that members never heard of become gone over time
             world.runUntil(world.now + (random.nextInt(10) == 0 ? SETTLED : SECOND));
             wrong = settle(world.now + 5 * SECOND);
         }
@@ -76,7 +79,8 @@
                 wrong));
         }
         if (lossless && world.falselyGone > 0) {
-            throw new FleetWorld.Broken("nothing was lost, and yet " + world.lastFalse);
+            throw new FleetWorld.Broken("false declaration although no datagram was lost: "
+                + world.lastFalse);
         }
         return new Outcome(world.current.memberCount(), world.current.groupCount(), lossless,
             world.falselyGone, world.outs, world.mostShare, settled);
@@ -96,7 +100,7 @@
         world.later(Math.max(0, time - world.now), action);
     }
 
-    // --- whom
+    // --- choice of members
 
     private List<String> all() {
         List<String> result = new ArrayList<>();
@@ -113,7 +117,7 @@
         return world.current.memberNames(random.nextInt(world.current.groupCount()));
     }
 
-    /** One that speaks for its group just then, if there is one. */
+    /** Returns a current representative of a group, or any member if there is none. */
     private String speaker(List<String> group) {
         List<String> speakers = group.stream().filter(name -> lives(name)
             && world.processes.get(name).machine.isRepresentative()).toList();
@@ -125,7 +129,7 @@
         return process != null && process.lives();
     }
 
-    // --- what happens to them
+    // --- faults
 
     private void fault(long at) {
         int kind = random.nextInt(KINDS);
@@ -135,12 +139,12 @@
             case 1 -> at(at, () -> kill(world.now, speaker(anyGroup())));
             case 2 -> at(at, () -> stop(world.now, speaker(anyGroup())));
             case 3 -> at(at, () -> oneWay(speaker(anyGroup())));
-            case 4 -> at(at, () -> part(anyGroup(), 0.7)); // below its quorum
+            case 4 -> at(at, () -> part(anyGroup(), 0.7)); // the group loses its quorum
             case 5 -> at(at, () -> part(anyGroup(), 1));
             case 6 -> {
                 lossless = false;
                 List<String> group = anyGroup();
-                boolean wholly = random.nextBoolean(); // or its halves hear different parts of the others too
+                boolean wholly = random.nextBoolean(); // partitions the fleet, or only one group
                 List<String> halves = wholly ? all() : group;
                 split(at, halves, pick(halves, 0.5));
             }
@@ -159,14 +163,14 @@
             case 14 -> lost(at);
             case 15 -> goodbye(at, any());
             case 16 -> anyGroup().forEach(name -> goodbye(at + random.nextInt((int) SECOND), name));
-            case 17 -> { // restarts at a rate, each before anybody has missed the one before
+            case 17 -> { // a series of restarts, each too quick to be detected as a death
                 for (int i = 0; i < 12; i++) {
                     String name = any();
                     at(at + i * 700 * MILLI, () -> world.kill(name));
                     restart(at + i * 700 * MILLI + 300 * MILLI, name, true);
                 }
             }
-            default -> { // a link that flaps, and one that gets its turn now and then only
+            default -> { // a flapping link, and a process that runs for short moments only
                 lossless = false;
                 String a = any(), b = any(), turns = any();
                 for (int i = 0; i < 10; i++) {
@@ -188,7 +192,7 @@
         at(at, () -> {
             if (lives(name)) {
                 FleetWorld.Process process = world.processes.get(name);
-                world.trace(name + " is stopped");
+                world.trace(name + " is paused");
                 process.stopped = true;
                 at(world.now + lasts, () -> {
                     if (!process.dead) {
@@ -214,7 +218,10 @@
         return of.stream().filter(name -> random.nextDouble() < part).toList();
     }
 
-    /** With its folder, or without one and a clock that was set back: others have to tell it. */
+    /**
+     * Restarts a member with its stored incarnation, or with the lowest one, so that peers have to correct
+     * it.
+     */
     private void restart(long at, String name) {
         restart(at, name, random.nextBoolean());
     }
@@ -232,7 +239,7 @@
         at(at, () -> {
             if (lives(name)) {
                 FleetWorld.Process process = world.processes.get(name);
-                world.trace(name + " says goodbye");
+                world.trace(name + " leaves");
                 process.machine.leave(process.local());
                 at(world.now + SECOND, () -> world.kill(name));
                 if (random.nextInt(4) > 0) {
@@ -250,7 +257,7 @@
         }
     }
 
-    /** From all, or from all outside its group, or towards them. */
+    /** Blocks one direction between a member and all others, or all others outside its group. */
     private void oneWay(String name) {
         lossless = false;
         List<String> group = world.current.memberNames(world.current.groupOf(name));
@@ -263,7 +270,7 @@
         }
     }
 
-    /** Two groups do not reach each other, one way or both: others hear both. */
+    /** Blocks one or both directions between two groups; the other groups still reach both. */
     private void groupsCut(long at) {
         List<String> a = anyGroup(), b = anyGroup();
         long until = at + 3 * SECOND + random.nextInt((int) (9 * SECOND));
@@ -290,7 +297,7 @@
         }
     }
 
-    /** A name more, one fewer, or one that moves to another zone; all hear of it within some seconds. */
+    /** Adds, removes or moves a name; the members receive the new list at different times within seconds. */
     private void change(boolean moves) {
         List<String> froms = zones.keySet().stream().filter(zone -> zones.get(zone).size() > 1).toList();
         if (froms.isEmpty()) {
@@ -306,12 +313,12 @@
         } else if (random.nextBoolean()) {
             name = "new" + random.nextInt(1_000_000);
             zones.get(to).add(name);
-        } else { // taken off only once it runs no more
+        } else { // a name is removed only after its process has ended
             world.kill(name);
             zones.get(from).remove(name);
         }
         GroupAssignment next = GroupAssignment.ofAnySize(zones, size);
-        world.trace("list now " + zones);
+        world.trace("new list " + zones);
         long within = 3 * SECOND;
         world.current = next;
         world.listsDifferUntil = world.now + within + FleetWorld.DELAY;
@@ -325,7 +332,9 @@
         last = Math.max(last, world.now + within);
     }
 
-    /** One goes by another list for ever: it has a name that nobody else has, or one is elsewhere. */
+    /**
+     * Gives one member a different list until the end: with an additional name, or a name in another zone.
+     */
     private void ownList() {
         String name = any();
         if (!lives(name)) {
@@ -344,7 +353,7 @@
         }
         GroupAssignment odd = GroupAssignment.ofAnySize(own, size);
         if (odd.hash() != world.current.hash()) {
-            world.trace(name + " from now on has " + own);
+            world.trace(name + " permanently has the list " + own);
             world.configure(name, odd);
         }
     }
--- a/fleet/src/test/java/dockrelay/fleet/group/FleetWorld.java
+++ b/fleet/src/test/java/dockrelay/fleet/group/FleetWorld.java
@@ -19,21 +19,24 @@
 import java.util.TreeMap;
 import java.util.function.BiConsumer;
 
-/** A fleet in groups on a virtual clock and network, from one seed, and what must hold of it always. */
+/**
+ * A deterministic simulation of a fleet in groups on a virtual clock and network, from one seed. The
+ * invariants are checked periodically.
+ */
 final class FleetWorld extends VirtualNetwork {
     private static final int INBOX = 256;
     private static final long STANDING = SECOND / 2, LOOK = 100 * MILLI;
-    /** What is told of a group is no longer counted, and known to all, within this. */
+    /** Time within which a change in a group is counted, and known to all members. */
     static final long DELAY = 9 * SECOND;
     private static final double CLOCKS = 1.03;
 
-    /** Makes a machine, so that a broken one can take its place. */
+    /** Creates a member; lets tests substitute a faulty variant. */
     interface Maker {
         GroupedMembership make(String self, GroupAssignment grouping, long incarnation, int life, ProtocolTiming pace, Random random,
             GroupedMembership.Callbacks actions, long now);
     }
 
-    /** Something that must hold did not. */
+    /** Thrown if an invariant does not hold. */
     static final class Broken extends RuntimeException {
         private static final long serialVersionUID = 1L;
 
@@ -42,7 +45,7 @@
         }
     }
 
-    /** One process of a name, with a clock of its own. */
+    /** A process of a member, with its own clock. */
     final class Process implements GroupedMembership.Callbacks {
         final String name;
         final double rate = 1 + (random.nextDouble() - 0.5) * 0.02;
@@ -61,7 +64,7 @@
         Process(String name, GroupAssignment grouping, long incarnation) {
             this.name = name;
             this.grouping = grouping;
-            this.first = incarnations.getOrDefault(name, 0L) + 1; // what is said of lower ones is of the dead
+            this.first = incarnations.getOrDefault(name, 0L) + 1; // lower ones belong to earlier processes
             this.machine = maker.make(name, grouping, incarnation, random.nextInt() | 1, ProtocolTiming.DEFAULT,
                 new Random(random.nextLong()), this, local());
             schedule();
@@ -83,7 +86,7 @@
             }));
         }
 
-        /** What a stopped process would do waits until it goes on. */
+        /** Runs an action, or queues it while the process is paused. */
         void run(Runnable action) {
             if (dead) {
                 return;
@@ -118,7 +121,7 @@
             sent++;
             sentBytes += bytes.length;
             if (bytes.length > Writer.LONGEST) {
-                throw new Broken("a datagram of " + bytes.length + " bytes");
+                throw new Broken("datagram too long: " + bytes.length + " bytes");
             }
             if (bytes[0] == Message.MAGIC) {
                 between++;
@@ -136,14 +139,14 @@
 
         @Override
         public void memberChanged(MemberStateChange change) {
-            trace(name + " holds: " + change);
+            trace(name + " sees: " + change);
             Process of = processes.get(change.member());
             boolean lives = of != null && of.lives();
-            // That an earlier process of the name is dead is true.
+            // A report about an earlier process of the name is not false.
             if (change.newState() == MemberState.GONE && lives && change.incarnation() >= of.first
                 && now - of.startedAt > 3 * SECOND) {
                 falselyGone++;
-                lastFalse = name + " holds " + change;
+                lastFalse = name + " sees " + change;
             }
         }
 
@@ -154,7 +157,7 @@
 
         @Override
         public void nameConflict(String whose, String why) {
-            trace(name + " says: two go by " + whose + ": " + why);
+            trace(name + " reports a name conflict of " + whose + ": " + why);
         }
 
         @Override
@@ -165,9 +168,9 @@
 
     final Map<String, Process> processes = new TreeMap<>();
     final Map<String, Long> incarnations = new HashMap<>();
-    /** Who cannot reach whom, counted; of sides by name. */
+    /** The number of blocks per direction, by "sender receiver". */
     final Map<String, Integer> cut = new HashMap<>();
-    /** Null where nothing comes between them. */
+    /** The side of each member in a partition; null if there is none. */
     Map<String, Integer> sides;
     final Maker maker;
     private final boolean watched;
@@ -175,7 +178,7 @@
     private final Map<Integer, List<long[]>> saidOf = new HashMap<>();
     private final Map<Integer, Integer> leastSaid = new HashMap<>();
     GroupAssignment current;
-    /** While it is so, lists differ or have just done. */
+    /** Until this time, members may have different lists or the effects of that. */
     long listsDifferUntil = -1;
     int falselyGone, outs;
     long between;
@@ -186,7 +189,7 @@
         this(seed, grouping, maker, traced, true);
     }
 
-    /** Unwatched where there are too many to look at each of them all the time. */
+    /** {@code watched} enables the checks of the invariants, which are too expensive for large fleets. */
     FleetWorld(long seed, GroupAssignment grouping, Maker maker, boolean traced, boolean watched) {
         super(seed, traced);
         this.current = grouping;
@@ -221,7 +224,7 @@
 
     void goOn(Process process) {
         process.stopped = false;
-        trace(process.name + " goes on");
+        trace(process.name + " resumes");
         List<Runnable> waiting = new ArrayList<>(process.inbox);
         process.inbox.clear();
         Collections.shuffle(waiting, random);
@@ -232,7 +235,7 @@
         Process process = processes.get(name);
         if (process != null && !process.dead && next.groupOf(name) >= 0) {
             process.run(() -> {
-                trace(name + " goes by another list");
+                trace(name + " receives another list");
                 process.grouping = next;
                 process.machine.configure(process.local(), next);
                 process.schedule();
@@ -240,7 +243,9 @@
         }
     }
 
-    /** Blocks one way, or gives it free again; cuts add up. */
+    /**
+     * Blocks one direction ({@code by} is 1) or unblocks it (-1); a direction may be blocked several times.
+     */
     void cut(String from, String to, int by) {
         cut.merge(from + " " + to, by, (a, b) -> a + b == 0 ? null : a + b);
     }
@@ -264,7 +269,7 @@
         }
     }
 
-    // --- what must hold at every moment
+    // --- invariants
 
     private void look() {
         Map<Integer, Double> sums = new HashMap<>();
@@ -281,14 +286,15 @@
         sums.values().forEach(sum -> {
             mostShare = Math.max(mostShare, sum);
             if (sum > 1 + 1e-9) {
-                throw new Broken(String.format("at %.3f s the parts of those with one list add up to %.4f",
-                    now / 1e6, sum));
+                throw new Broken(String.format(
+                    "at %.3f s the budget shares of the members with one list add up to %.4f", now / 1e6,
+                    sum));
             }
         });
         later(LOOK, this::look);
     }
 
-    /** Who is not heard by most, or has not been for a while, may be counted out. */
+    /** Records which members are cut off from most others just now: their groups may be excluded. */
     private void trouble() {
         int live = 0;
         Map<String, Integer> cuts = new HashMap<>();
@@ -306,7 +312,7 @@
         }
     }
 
-    /** What a group's member counts of it as it tells others. */
+    /** Records how many members of its group a member counts at the time of a reply to others. */
     private void said(Process process) {
         int key = process.grouping.key(process.grouping.groupOf(process.name));
         int counted = process.machine.members().snapshot(process.local()).countedMembers();
@@ -326,11 +332,11 @@
         GroupAssignment grouping = process.grouping;
         MembershipSnapshot standing = process.machine.snapshot(local);
         if (standing.countedMembers() > grouping.memberCount() || standing.configuredMembers() != grouping.memberCount()) {
-            throw new Broken(process.name + " counts " + standing + " of " + grouping.memberCount() + " names");
+            throw new Broken(process.name + " has counts " + standing + " of " + grouping.memberCount() + " names");
         }
-        boolean left = process.machine.state(process.name) == MemberState.LEFT; // it no longer counts itself
+        boolean left = process.machine.state(process.name) == MemberState.LEFT; // does not count itself any more
         if (!left && (standing.ownRank() < 0 || standing.ownRank() >= standing.countedMembers())) {
-            throw new Broken(process.name + " is none of those it counts: " + standing);
+            throw new Broken(process.name + " has a rank outside of its counted members: " + standing);
         }
         if (grouping.isSingleGroup()) {
             return;
@@ -349,8 +355,8 @@
             }
         }
         if (Math.max(1, sum) != standing.countedMembers()) {
-            throw new Broken(process.name + " counts " + sum + " by groups, " + standing.countedMembers()
-                + " in all");
+            throw new Broken(process.name + " counts " + sum + " members over its groups, but "
+                + standing.countedMembers() + " in total");
         }
     }
 
@@ -359,20 +365,20 @@
         int key = grouping.key(group), names = grouping.memberNames(group).size();
         long quiet = now - toldAt.getOrDefault(key, -1_000 * SECOND);
         if (row.countedMembers() > names) {
-            throw new Broken(process.name + " counts more of " + row + " than there are names");
+            throw new Broken(process.name + " counts more members in " + row + " than it has names");
         }
         if (row.reportAge() >= 0 && row.reportAge() * CLOCKS + 5 * MILLI < quiet) {
-            throw new Broken(String.format("%s calls what %s said %.3f s old, which said nothing for %.3f s",
+            throw new Broken(String.format("%s has data of %s with age %.3f s; the last reply was %.3f s ago",
                 process.name, row.label(), row.reportAge() / 1e6, quiet / 1e6));
         }
         boolean out = row.countedMembers() == 0;
         if (quiet > ProtocolTiming.DEFAULT.wordStale() * CLOCKS && !out && row.countedMembers() < names) {
-            throw new Broken(String.format("%s counts %d of %s, which said nothing for %.3f s", process.name,
-                row.countedMembers(), row.label(), quiet / 1e6));
+            throw new Broken(String.format("%s counts %d of %s, whose last reply was %.3f s ago",
+                process.name, row.countedMembers(), row.label(), quiet / 1e6));
         }
         boolean differ = now < listsDifferUntil || grouping != current;
         if (!out && !differ && row.countedMembers() < leastSaid.getOrDefault(key, 0)) {
-            throw new Broken(process.name + " counts fewer of " + row + " than it says itself: "
+            throw new Broken(process.name + " counts fewer members of " + row + " than that group itself: "
                 + leastSaid.get(key));
         }
         if (out && now - process.startedAt > DELAY) {
@@ -382,16 +388,19 @@
                 if (of != null && of.lives() && of.grouping.groupOf(name) == group && of.grouping == grouping
                     && now - of.troubledAt > DELAY && now - process.troubledAt > DELAY && !differ
                     && now - of.startedAt > DELAY) {
-                    throw new Broken(process.name + " counts out " + row + ", where " + name
-                        + " lives and is heard by most");
+                    throw new Broken(process.name + " excludes " + row + ", although " + name
+                        + " is alive and reachable by most members");
                 }
             }
         }
     }
 
-    // --- what holds once all is over
+    // --- convergence after the last fault
 
-    /** Null where all that live see the same of their groups and count alike, and know that all agree. */
+    /**
+     * Returns null if the views and counts of all live members are right and the members know whether they
+     * agree, else what is wrong.
+     */
     String disagreement() {
         String wrong = inGroups();
         Set<Integer> numbers = new HashSet<>();
@@ -408,22 +417,22 @@
             if (process.grouping != current) {
                 boolean late = standing.countedMembers() < Math.min(live, standing.configuredMembers() - 1);
                 wrong = late || standing.agreement() == Agreement.ALL ? process.name
-                    + " with a list of its own has " + standing + " of " + live : null;
+                    + " with a different list has " + standing + " of " + live : null;
             } else if (odd) {
-                wrong = standing.countedMembers() < live ? process.name + " counts too few: " + standing + " of "
-                    + live : null;
+                wrong = standing.countedMembers() < live ? process.name + " counts too few members: " + standing
+                    + " of " + live : null;
             } else {
                 wrong = counts(process, standing);
                 if (wrong == null && standing.agreement() != Agreement.MINORITY
                     && !numbers.add(standing.ownRank())) {
-                    wrong = process.name + " has another one's number: " + standing;
+                    wrong = process.name + " has the same rank as another member: " + standing;
                 }
             }
         }
         return wrong;
     }
 
-    /** Whether one that lives goes by a list of its own. */
+    /** Whether a live member has a different list. */
     private boolean odd() {
         return processes.values().stream().anyMatch(process -> !process.dead && process.grouping != current);
     }
@@ -443,7 +452,7 @@
             int names = current.memberNames(group).size();
             int expected = in != null ? in.countedMembers() : standing.agreement() == Agreement.MINORITY ? names : 0;
             if (rows.get(group).countedMembers() != expected) {
-                return process.name + " counts " + rows.get(group) + ", which should be " + expected;
+                return process.name + " counts " + rows.get(group) + ", expected " + expected;
             }
             sum += expected;
             present += in == null ? 0 : in.presentMembers();
@@ -454,8 +463,8 @@
             : all ? Agreement.ALL : Agreement.MAJORITY;
         return standing.agreement() != expected || standing.countedMembers() != Math.max(1, sum)
             || standing.presentMembers() != present
-            ? process.name + " has " + standing + ", which should be " + expected + " " + sum + " " + present
-            + "; of groups themselves: " + saidNow() : null;
+            ? process.name + " has " + standing + ", expected " + expected + " " + sum + " " + present
+            + "; views within the groups: " + saidNow() : null;
     }
 
     private String saidNow() {
@@ -480,7 +489,7 @@
                 boolean lives = of != null && !of.dead;
                 MemberState held = process.machine.state(name);
                 if (lives != (held == MemberState.PRESENT)) {
-                    return process.name + " holds " + name + " " + held + ", which " + (lives ? "lives"
+                    return process.name + " sees " + name + " " + held + ", which " + (lives ? "is alive"
                         : "is dead");
                 }
             }
--- a/fleet/src/test/java/dockrelay/fleet/group/GroupSlopeTest.java
+++ b/fleet/src/test/java/dockrelay/fleet/group/GroupSlopeTest.java
@@ -11,18 +11,26 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-/** What a member sends and holds grows by a few bytes a group of the fleet, by counts. */
+/** The traffic and the number of rows of a member grow only slightly with the number of groups. */
 class GroupSlopeTest {
     private static final int IN_A_GROUP = 32;
     private static final int[] GROUPS = {3, 6, 12};
-    /** Bytes a second for each group more: of a member on the mean, and of the one that sends most. */
+    /**
+     * Maximum growth in bytes per second for each additional group: mean over members, and busiest member.
+     */
     private static final double MEAN = 8, MOST = 120;
-    /** Datagrams likewise: one question and one answer a second to each group, by 32 members, 3 of them. */
+    /**
+     * The same in datagrams per second. Each group is sent one query and one reply per second, by 32
+     * members, of which 3 share the load.
+     */
     private static final double DATAGRAMS = 0.2, MOST_DATAGRAMS = 2;
-    /** A speaker holds its own table and those of the others; on the mean a member has its own and a few. */
+    /** A representative holds its own table and copies of the others'; a member holds its own and a few. */
     private static final int MOST_TABLES = Speakers.LEAST, MEAN_TABLES = 3;
 
-    /** The same with a seventh lost; 91 and 0.93 where all speakers ask for a dead one's part, tell all. */
+    /**
+     * The same with a seventh of the members lost. If all representatives took over a dead one's queries and
+     * sent whole tables to each other, the growth would be 91 and 0.93.
+     */
     private static final int[] LOSSES = {6, 36};
     private static final double MOST_LOST = 80, MOST_DATAGRAMS_LOST = 0.75;
 
@@ -60,7 +68,8 @@
             meanRows += (double) process.machine.rowsHeld() / world.processes.size();
         }
         Cost cost = new Cost(bytes, most, datagrams, mostDatagrams, rows, meanRows);
-        System.out.println(groups * IN_A_GROUP + (one ? " in one group: " : " in groups: ") + cost);
+        System.out.println(groups * IN_A_GROUP + (one ? " members in one group: " : " members in groups: ")
+            + cost);
         return cost;
     }
 
@@ -72,25 +81,25 @@
         return costs;
     }
 
-    /** What is not as it should be, with its figures. */
+    /** Returns the exceeded bounds with the measured values. */
     private static List<String> wrong(List<Cost> costs) {
         List<String> wrong = new ArrayList<>();
         for (int i = 1; i < costs.size(); i++) {
             Cost before = costs.get(i - 1), cost = costs.get(i);
             double more = GROUPS[i] - GROUPS[i - 1];
-            grows(wrong, "bytes on the mean", (cost.mean - before.mean) / more, MEAN);
-            grows(wrong, "most bytes", (cost.most - before.most) / more, MOST);
-            grows(wrong, "datagrams on the mean", (cost.datagrams - before.datagrams) / more, DATAGRAMS);
-            grows(wrong, "most datagrams", (cost.mostDatagrams - before.mostDatagrams) / more,
+            grows(wrong, "mean bytes", (cost.mean - before.mean) / more, MEAN);
+            grows(wrong, "maximum bytes", (cost.most - before.most) / more, MOST);
+            grows(wrong, "mean datagrams", (cost.datagrams - before.datagrams) / more, DATAGRAMS);
+            grows(wrong, "maximum datagrams", (cost.mostDatagrams - before.mostDatagrams) / more,
                 MOST_DATAGRAMS);
         }
         return wrong;
     }
 
     private static void grows(List<String> wrong, String what, double slope, double bound) {
-        System.out.printf("%s: %.2f a second and group more%n", what, slope);
+        System.out.printf("%s: %.2f per second and additional group%n", what, slope);
         if (slope > bound) {
-            wrong.add(what + " grows by " + slope + " a second and group");
+            wrong.add(what + " grows by " + slope + " per second and group");
         }
     }
 
@@ -106,8 +115,9 @@
     }
 
     /**
-     * A seventh of all is lost, drawn evenly, so that every group changes and misses speakers: what most any
-     * member sends in ten seconds, with what it takes to ask for the parts of those who are dead.
+     * Kills a random seventh of all members, so that every group changes and loses representatives. Returns
+     * the highest traffic of any member over ten seconds, which includes taking over the queries of the
+     * dead.
      */
     private static double[] lost(int groups) {
         GroupAssignment grouping = grouping(groups, false);
@@ -126,8 +136,8 @@
             bytes = Math.max(bytes, (process.sentBytes - before.get(process.name)[0]) / 10.0);
             datagrams = Math.max(datagrams, (process.sent - before.get(process.name)[1]) / 10.0);
         }
-        System.out.println(groups + " groups, a seventh lost: most of one " + bytes + " bytes and "
-            + datagrams + " datagrams a second");
+        System.out.println(groups + " groups, a seventh lost: maximum per member " + bytes + " bytes and "
+            + datagrams + " datagrams per second");
         return new double[] {bytes, datagrams};
     }
 
@@ -136,16 +146,16 @@
         List<String> wrong = new ArrayList<>();
         double[] few = lost(LOSSES[0]), many = lost(LOSSES[1]);
         double more = LOSSES[1] - LOSSES[0];
-        grows(wrong, "most bytes with a seventh lost", (many[0] - few[0]) / more, MOST_LOST);
-        grows(wrong, "most datagrams with a seventh lost", (many[1] - few[1]) / more, MOST_DATAGRAMS_LOST);
+        grows(wrong, "maximum bytes with a seventh lost", (many[0] - few[0]) / more, MOST_LOST);
+        grows(wrong, "maximum datagrams with a seventh lost", (many[1] - few[1]) / more, MOST_DATAGRAMS_LOST);
         assertEquals(List.of(), wrong);
     }
 
-    /** The bound tells a fleet in groups from one without. */
+    /** Guards the bounds themselves: a fleet in a single group exceeds them. */
     @Test
     void asOneGroupItWouldGrowByMuchMore() {
         List<String> wrong = wrong(costs(true, 2));
         System.out.println("in one group: " + wrong);
-        assertTrue(wrong.stream().anyMatch(what -> what.startsWith("bytes on the mean")), wrong.toString());
+        assertTrue(wrong.stream().anyMatch(what -> what.startsWith("mean bytes")), wrong.toString());
     }
 }
--- a/fleet/src/test/java/dockrelay/fleet/group/GroupingTest.java
+++ b/fleet/src/test/java/dockrelay/fleet/group/GroupingTest.java
@@ -15,6 +15,7 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
+/** Assignment of names to groups: sizes, stability under changes, and rejection of invalid lists. */
 class GroupingTest {
     private static Map<String, List<String>> zones(Random random, int zones, int least, int most) {
         Map<String, List<String>> result = new TreeMap<>();
@@ -87,7 +88,10 @@
         }
     }
 
-    /** On the mean less than one beside itself; where the number of groups changes, about a group's worth. */
+    /**
+     * Removing a name moves less than one other name on average, or about one group's worth if the number of
+     * groups changes.
+     */
     @Test
     void oneNameMoreOrFewerMovesFewOthers() {
         int moved = 0, most = 0, plays = 0;
@@ -112,9 +116,9 @@
                 assertTrue(here <= 2 * GroupAssignment.DEFAULT_GROUP_SIZE, "seed " + seed + ": " + here);
             }
         }
-        System.out.printf("%d plays: %.3f moved on the mean, %d at the most%n", plays,
+        System.out.printf("%d runs: %.3f names moved on average, %d at most%n", plays,
             (double) moved / plays, most);
-        assertTrue(moved <= plays, moved + " in " + plays);
+        assertTrue(moved <= plays, moved + " names moved; number of runs: " + plays);
         assertTrue(most <= 8, "" + most);
     }
 
--- a/fleet/src/test/java/dockrelay/fleet/group/GroupsMessagesTest.java
+++ b/fleet/src/test/java/dockrelay/fleet/group/GroupsMessagesTest.java
@@ -27,7 +27,7 @@
 import java.util.function.IntUnaryOperator;
 import org.junit.jupiter.api.Test;
 
-/** What groups send each other, what of it is taken, and asking for one by name. */
+/** Encoding, rejection and handling of messages between groups, and lookup of a member by name. */
 class GroupsMessagesTest {
     private static Summary summary(Random random) {
         int[] speakers = random.ints(random.nextInt(4)).toArray();
@@ -46,7 +46,7 @@
             assertEquals(Kind.TELL_GROUP, told.kind);
             assertEquals(List.of(7, 8, seed), List.of(told.sender, told.list, told.sequence));
             assertEquals(summary, told.summary);
-            assertEquals(List.of(new Aged(relayed, 1_235_000)), told.relayed); // never younger than it is
+            assertEquals(List.of(new Aged(relayed, 1_235_000)), told.relayed); // the age is rounded up
             assertEquals(2, told.silent.length);
             List<Told> rows = new ArrayList<>();
             boolean keyed = random.nextBoolean();
@@ -72,7 +72,7 @@
         }
     }
 
-    /** What follows is left out, and read back by who knows how many names a group has. */
+    /** Counts that follow from others are left out and restored with the number of names of the group. */
     @Test
     void countsThatFollowAreLeftOutAndComeBack() throws Unreadable {
         for (int seed = 1; seed <= 500; seed++) {
@@ -99,7 +99,10 @@
         }
     }
 
-    /** Four bytes tell of a group in which all that there are agree; by its key, or to an older one, all. */
+    /**
+     * A group whose present members all agree takes 4 bytes; with a key or for an older receiver it takes
+     * more.
+     */
     @Test
     void aRowInWhichAllFollowsTakesFourBytes() {
         Told settled = new Told(9, 0, false, 0, 0, 41, 0, 7, 41, Agreement.ALL, 41, 3);
@@ -110,7 +113,7 @@
         assertEquals(nothing + 19, length(List.of(keyed), true, index -> 48));
     }
 
-    /** Many groups that hear nothing of the same ones take two sets of bits, by words of about one age. */
+    /** Groups with the same unreachable groups and similar ages share an entry of two bitmaps. */
     @Test
     void groupsThatHearNothingOfTheSameOnesAreToldTogether() throws Unreadable {
         Random random = new Random(5);
@@ -127,14 +130,15 @@
         assertEquals(24, read.size());
         for (SilentTo one : read) {
             SilentTo as = all.get(one.group());
-            assertTrue(Arrays.equals(as.silent(), one.silent()), "of " + one.group());
-            assertTrue(one.age() >= as.age() && one.age() - as.age() < 64, "never younger: " + one);
+            assertTrue(Arrays.equals(as.silent(), one.silent()), "bitmap of group " + one.group());
+            assertTrue(one.age() >= as.age() && one.age() - as.age() < 64,
+                "age understated or too high: " + one);
         }
         assertTrue(new Writer(Kind.TELL_TABLE, 7, 8, 9).silentTo(all).done().remaining()
-            > datagram.remaining() + 30, "by itself each takes more");
+            > datagram.remaining() + 30, "the plain format should take more bytes");
     }
 
-    /** Where each hears nothing of other ones, two sets of bits each would be more. */
+    /** If each group has different unreachable groups, the plain format is used, as it is shorter. */
     @Test
     void groupsThatAreNotAlikeAreToldEachByItself() throws Unreadable {
         List<SilentTo> all = new ArrayList<>();
@@ -174,7 +178,8 @@
         assertEquals(Refusal.NEWER, refusal(resealed(good, 2, Message.VERSION + 1)));
         assertEquals(Refusal.CUT, refusal(resealed(good, 3, 99)));
         assertEquals(Refusal.CUT, refusal(resealed(good, 17, 99)));
-        assertNull(Message.read(ByteBuffer.wrap(resealed(good, 16, 77))).summary, "an unknown section");
+        assertNull(Message.read(ByteBuffer.wrap(resealed(good, 16, 77))).summary,
+            "an unknown section should be skipped");
     }
 
     private static byte[] resealed(byte[] good, int at, int value) {
@@ -196,7 +201,10 @@
         return world;
     }
 
-    /** What comes with a right checksum may still be nonsense: it is taken or not, and nothing breaks. */
+    /**
+     * Random content with a valid checksum is handled or rejected without an error, and does no lasting
+     * harm.
+     */
     @Test
     void nonsenseBreaksNothing() {
         FleetWorld world = world();
@@ -264,7 +272,7 @@
         asks.schedule();
         assertFalse(asks.found.containsKey("c1"));
         world.runUntil(17 * SECOND);
-        assertTrue(asks.found.containsKey("c1"), "nobody answers: that is told too");
+        assertTrue(asks.found.containsKey("c1"), "a lookup without an answer should end without a result");
         assertNull(asks.found.get("c1"));
     }
 
