--- a/fleet/src/test/java/dockrelay/fleet/group/GroupsTest.java
+++ b/fleet/src/test/java/dockrelay/fleet/group/GroupsTest.java
@@ -8,12 +8,13 @@
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
 
+/** Runs {@link GroupedMembership} through random fault schedules in a simulation. */
 class GroupsTest {
-    /** `-Dgroups.schedule=SEED` plays one of them and tells all that happens. */
+    /** {@code -Dgroups.schedule=SEED} runs a single schedule and prints a trace of it. */
     private static final Long ONE = Long.getLong("groups.schedule");
     private static final long SCHEDULES = Long.getLong("groups.schedules", 1_000);
 
-    /** Over all seeds: what must hold holds whatever breaks; the first that fails says how to see it. */
+    /** The invariants hold in all schedules; a failure names the seed with which to reproduce it. */
     @Test
     void allThatMustHoldDoesInAThousandSchedules() {
         if (ONE != null) {
@@ -32,18 +33,18 @@
         }).filter(outcome -> outcome != null).toList();
         long[] settled = outcomes.stream().mapToLong(FleetSchedule.Outcome::settled).sorted().toArray();
         System.out.printf("%d schedules of groups, %d without loss, %d false declarations in the others; "
-            + "%d with a group counted out; all agree after %.2f s (p50), %.2f s (p99); most of a budget "
-            + "given out %.3f%n", outcomes.size(),
+            + "%d with an excluded group; convergence after %.2f s (p50), %.2f s (p99); maximum sum of "
+            + "budget shares %.3f%n", outcomes.size(),
             outcomes.stream().filter(FleetSchedule.Outcome::lossless).count(),
             outcomes.stream().mapToInt(FleetSchedule.Outcome::falselyGone).sum(),
             outcomes.stream().filter(outcome -> outcome.outs() > 0).count(),
             settled.length == 0 ? 0 : settled[settled.length / 2] / 1e6,
             settled.length == 0 ? 0 : settled[settled.length * 99 / 100] / 1e6,
             outcomes.stream().mapToDouble(FleetSchedule.Outcome::mostShare).max().orElse(0));
-        assertEquals(List.of(), broken.stream().limit(20).toList(), broken.size() + " are broken");
+        assertEquals(List.of(), broken.stream().limit(20).toList(), broken.size() + " schedules failed");
     }
 
-    /** A check that cannot fail proves nothing: machines that are broken in one way each are found out. */
+    /** Guards the checks themselves: the simulation detects each of the faulty variants. */
     @Test
     void eachBrokenMachineIsFoundOut() {
         BrokenGroups.all().forEach((what, maker) -> {
@@ -55,8 +56,8 @@
                     return "seed " + seed + ": " + e.getMessage();
                 }
             }).filter(broken -> broken != null).findFirst().orElse(null);
-            System.out.println("one that " + what + ": " + found);
-            assertNotNull(found, "one that " + what + " passes for a good one");
+            System.out.println("variant that " + what + ": " + found);
+            assertNotNull(found, "variant that " + what + " is not detected by any schedule");
         });
     }
 }
--- a/fleet/src/test/java/dockrelay/fleet/group/NewcomerTest.java
+++ b/fleet/src/test/java/dockrelay/fleet/group/NewcomerTest.java
@@ -13,12 +13,15 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** A name more, whose process is there before the others have been told of it. */
+/**
+ * A new member whose process starts before the other members have it on their lists. They do not answer it
+ * yet, and it must not suspect them for that.
+ */
 class NewcomerTest {
     private static final int SIZE = 48;
     private static final long SETTLED = 15 * SECOND, TOLD_WITHIN = 6 * SECOND, AFTER = 10 * SECOND;
 
-    /** Passes all on and notes who is doubted. */
+    /** Forwards all calls and records suspicions. */
     private record Noting(GroupedMembership.Callbacks to, String self, List<String> doubted) implements GroupedMembership.Callbacks {
         @Override
         public void send(String name, ByteBuffer datagram) {
@@ -28,7 +31,7 @@
         @Override
         public void memberChanged(MemberStateChange change) {
             if (change.newState() == MemberState.SUSPECT) {
-                doubted.add(self + " holds " + change);
+                doubted.add(self + " sees " + change);
             }
             to.memberChanged(change);
         }
@@ -53,7 +56,7 @@
         return GroupAssignment.ofAnySize(Map.of("", names), SIZE);
     }
 
-    /** A fleet that has settled by one list, and whom its members came to doubt. */
+    /** Returns a fleet that has converged on one list, and records suspicions. */
     private static FleetWorld settled(long seed, List<String> names, List<String> doubted) {
         FleetWorld world = new FleetWorld(seed, grouping(names), (self, grouping, incarnation, life, pace,
             random, actions, now) -> new GroupedMembership(self, grouping, incarnation, life, pace, random,
@@ -71,7 +74,7 @@
         return names;
     }
 
-    /** Who does not have its name yet does not answer it, and nobody is to think the worse of them. */
+    /** No member is suspected while the new list spreads. */
     @Test
     void nobodyIsDoubtedForNotKnowingItYet() {
         List<String> doubted = new ArrayList<>();
@@ -80,19 +83,22 @@
                 List<String> names = names(count), more = new ArrayList<>(names);
                 more.add("newcomer");
                 FleetWorld world = settled(seed, names, doubted);
-                doubted.clear(); // at the start of all
+                doubted.clear(); // suspicions while the fleet started
                 GroupAssignment next = grouping(more);
                 world.start("newcomer", next, 1);
                 names.forEach(name -> world.later((long) (world.random.nextDouble() * TOLD_WITHIN),
                     () -> world.configure(name, next)));
                 world.runUntil(SETTLED + TOLD_WITHIN + AFTER);
-                assertEquals(List.of(), doubted, "of " + count + ", seed " + seed);
+                assertEquals(List.of(), doubted, "members: " + count + ", seed " + seed);
                 assertEquals(0, world.falselyGone, world.lastFalse);
             }
         }
     }
 
-    /** One that it only heard of, and that nobody else is there to find out about, is gone in time too. */
+    /**
+     * A member known only from gossip becomes gone in the end, even if nobody else is left to detect its
+     * death.
+     */
     @Test
     void whoNeverAnswersItIsGoneToItInTheEnd() {
         List<String> names = names(2), more = new ArrayList<>(names);
@@ -104,12 +110,15 @@
         world.start("newcomer", grouping(more), 1);
         world.runUntil(SETTLED + SECOND);
         GroupedMembership newcomer = world.processes.get("newcomer").machine;
-        assertEquals(MemberState.PRESENT, newcomer.state("m1"), "by what m0 says");
+        assertEquals(MemberState.PRESENT, newcomer.state("m1"), "m1 should be present by the gossip of m0");
         names.forEach(world::kill);
         world.runUntil(SETTLED + AFTER / 2);
-        assertEquals(MemberState.PRESENT, newcomer.state("m1"), "it may not know the newcomer yet");
-        assertNotEquals(MemberState.PRESENT, newcomer.state("m0"), "it answered, and does no more");
-        world.runUntil(SETTLED + 4 * AFTER); // one that hears nobody at all doubts itself and waits long
+        assertEquals(MemberState.PRESENT, newcomer.state("m1"),
+            "m1 should not be suspect yet, as it may not know the newcomer");
+        assertNotEquals(MemberState.PRESENT, newcomer.state("m0"),
+            "m0 should not be present, as it answered before and no longer does");
+        // Without any answers the newcomer has poor local health, and therefore long time-outs.
+        world.runUntil(SETTLED + 4 * AFTER);
         assertEquals(MemberState.GONE, newcomer.state("m0"));
         assertEquals(MemberState.GONE, newcomer.state("m1"));
     }
--- a/fleet/src/test/java/dockrelay/fleet/group/OneGroupTest.java
+++ b/fleet/src/test/java/dockrelay/fleet/group/OneGroupTest.java
@@ -20,9 +20,9 @@
 import java.util.zip.CRC32C;
 import org.junit.jupiter.api.Test;
 
-/** A fleet in one group is its members' machine and nothing else. */
+/** A fleet in a single group behaves exactly as a plain {@link Membership}, byte for byte. */
 class OneGroupTest {
-    /** What both machines can do. */
+    /** The operations that both implementations have in common. */
     private record Machine(Supplier<Long> nextAt, java.util.function.LongConsumer tick,
                            Receiver receive, Function<Long, MembershipSnapshot> standing,
                            java.util.function.LongConsumer leave, BiConsumer<Long, List<String>> configure) {
@@ -56,7 +56,7 @@
             (when, next) -> made.configure(when, grouping(next, size)));
     }
 
-    /** Some members that start, are killed, cut off, lose datagrams, say goodbye and get another list. */
+    /** A run in which members start, die, are cut off, lose datagrams, leave and receive another list. */
     private static final class Play extends VirtualNetwork {
         private final Map<String, Machine> machines = new java.util.TreeMap<>();
         private final Map<String, Long> wakes = new java.util.HashMap<>();
@@ -179,10 +179,10 @@
             assertEquals(alone.sum.getValue(), grouped.sum.getValue(), "seed " + seed);
             datagrams += alone.datagrams;
         }
-        System.out.println(datagrams + " datagrams in one group, the same bytes as without");
+        System.out.println(datagrams + " datagrams, equal with one group and without groups");
     }
 
-    /** The sum tells the two apart where there is something to tell. */
+    /** Guards the comparison itself: with several groups the checksums differ. */
     @Test
     void moreGroupsSendSomethingElse() {
         Play alone = new Play(3, OneGroupTest::members);
--- a/fleet/src/test/java/dockrelay/fleet/group/TableAskerTest.java
+++ b/fleet/src/test/java/dockrelay/fleet/group/TableAskerTest.java
@@ -11,7 +11,7 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-/** What a member goes by while it changes from one speaker to another. */
+/** Table queries while members switch between representatives. */
 class TableAskerTest {
     private static final int SEEDS = 8, MANY = 220;
 
@@ -36,8 +36,9 @@
     }
 
     /**
-     * A lost group stays counted out while a member asks its usual speaker again, which does not answer it:
-     * what the other speaker said holds until then.
+     * A lost group stays excluded while a member queries its usual representative again without an answer:
+     * the data from the other representative has to be kept until then. Without it the group would be
+     * counted in full again.
      */
     @Test
     void whoIsCountedOutStaysSoWhileAnotherSpeakerIsAsked() {
@@ -54,7 +55,7 @@
         members.forEach(process -> assertEquals(16, process.machine.snapshot(process.local()).countedMembers()));
         for (FleetWorld.Process speaker : members.stream().filter(one -> one.machine.isRepresentative()).toList()) {
             List<FleetWorld.Process> others = members.stream().filter(one -> !one.machine.isRepresentative()).toList();
-            assertTrue(others.size() >= 5, "some ask");
+            assertTrue(others.size() >= 5, "expected at least 5 members that are not representatives");
             others.forEach(one -> world.cut(one.name, speaker.name, 1));
             for (long end = world.now + 16 * SECOND; world.now < end;) {
                 world.runUntil(world.now + 10 * MILLI);
@@ -67,7 +68,10 @@
         }
     }
 
-    /** One that has asked for all groups itself, as nobody else spoke, tells a newcomer all of them. */
+    /**
+     * A representative that queried all groups itself, as it was the only one, sends a new representative
+     * the rows of all of them: rows and ages together have to fit into the datagrams.
+     */
     @Test
     void ownPartOfAllGroupsLeavesRoomForItsAges() {
         Map<String, Integer> sizes = new TreeMap<>();
