--- a/fleet/src/main/java/dockrelay/fleet/Datagram.java
+++ b/fleet/src/main/java/dockrelay/fleet/Datagram.java
@@ -8,229 +8,237 @@
 
 /** Encoder and decoder of the datagrams between members of a group; docs/membership.md has the format. */
 final class Datagram {
-    static final int LONGEST = 1400;
-    static final byte MAGIC = (byte) 0xd5;
-    private static final short MAGICS = (short) 0xd552;
+    static final int MAX_DATAGRAM_BYTES = 1400;
+    static final byte FIRST_MAGIC_BYTE = (byte) 0xd5;
+    private static final short MAGIC = (short) 0xd552;
     private static final byte VERSION = 1;
-    private static final byte ENTRIES = 1, WORDS = 2;
-    private static final int CHECKSUM = 4, SECTION = 3;
+    private static final byte UPDATES_SECTION = 1, REPORTS_SECTION = 2;
+    private static final int CHECKSUM_BYTES = 4, SECTION_HEADER_BYTES = 3;
     /** The maximum encoded size of an entry in bytes. */
-    static final int ENTRY = 4 + 1 + 8 + 4;
-    private static final int DICTIONARY = 64;
-    private static final long LONGEST_AGE = 1L << 40;
+    static final int MAX_UPDATE_BYTES = 4 + 1 + 8 + 4;
+    private static final int MAX_DISTINCT_VIEWS = 64;
+    private static final long MAX_AGE_MILLIS = 1L << 40;
 
     /**
      * Kinds by their code on the wire. ASK requests an indirect ping, HEARD reports its success. MISNAMED
      * tells the receiver that its address belongs to another member.
      */
-    enum Kind { PING, ACK, ASK, HEARD, SYNC, MISNAMED }
+    enum Kind { PING, ACK, PING_REQUEST, INDIRECT_ACK, SYNC, NAME_MISMATCH }
 
     /** Why a datagram was rejected. */
-    enum Refusal { CUT, FOREIGN, CHECKSUM, NEWER, STRANGER, MISNAMED }
+    enum RefusalReason { CUT, FOREIGN, CHECKSUM, NEWER, STRANGER, MISNAMED }
 
     /** A gossiped state of a member, with the id of the member that first reported it. */
-    record Entry(int id, MemberState state, long incarnation, int by) {
+    record MemberUpdate(int memberId, MemberState state, long incarnation, int reporterId) {
     }
 
     /**
      * A member's report of its view, with the maximum age in microseconds and the hash of its member list.
      */
-    record Word(int id, long incarnation, long beat, long age, int list, byte[] marks) {
+    record ViewReport(int reporterId, long incarnation, long heartbeat, long age, int listHash,
+        byte[] memberFlags) {
     }
 
     /**
      * The header of each datagram; {@code to} identifies the receiving process, as far as the sender knows
      * it, else it is 0.
      */
-    record Head(Kind kind, int sender, long incarnation, int life, int to, boolean leaving, int view,
-                int sequence, int target) {
+    record Header(Kind kind, int senderId, long incarnation, int senderInstanceId, int receiverInstanceId,
+        boolean leaving, int viewHash, int sequence, int targetId) {
     }
 
     /** A decoded datagram. */
-    record Read(Head head, List<Entry> entries, List<Word> words) {
+    record Decoded(Header header, List<MemberUpdate> updates, List<ViewReport> reports) {
     }
 
     /** Thrown if a datagram cannot be decoded. */
-    static final class Unreadable extends Exception {
+    static final class DecodeException extends Exception {
         private static final long serialVersionUID = 1L;
-        final transient Refusal refusal;
+        final transient RefusalReason reason;
 
-        Unreadable(Refusal refusal) {
-            super(refusal.name(), null, false, false);
-            this.refusal = refusal;
+        DecodeException(RefusalReason reason) {
+            super(reason.name(), null, false, false);
+            this.reason = reason;
         }
     }
 
-    private final ByteBuffer bytes = ByteBuffer.allocate(LONGEST);
+    private final ByteBuffer buffer = ByteBuffer.allocate(MAX_DATAGRAM_BYTES);
 
-    Datagram(Head head) {
-        bytes.putShort(MAGICS).put(VERSION).put((byte) head.kind.ordinal()).putInt(head.sender);
-        number(bytes, head.incarnation);
-        bytes.putInt(head.life).putInt(head.to).put((byte) (head.leaving ? 1
-            : 0)).putInt(head.view).putInt(head.sequence)
-            .putInt(head.target);
+    Datagram(Header header) {
+        buffer.putShort(MAGIC).put(VERSION).put((byte) header.kind.ordinal()).putInt(header.senderId);
+        putVarint(buffer, header.incarnation);
+        buffer.putInt(header.senderInstanceId).putInt(header.receiverInstanceId)
+            .put((byte) (header.leaving ? 1 : 0)).putInt(header.viewHash).putInt(header.sequence)
+            .putInt(header.targetId);
     }
 
-    private int room() {
-        return bytes.remaining() - CHECKSUM - SECTION;
+    private int remainingBytes() {
+        return buffer.remaining() - CHECKSUM_BYTES - SECTION_HEADER_BYTES;
     }
 
     /** Appends entries from an index on as far as they fit; returns the index of the first one left out. */
-    int entries(List<Entry> entries, int from, int most) {
-        int at = from;
-        int start = bytes.position();
-        if (at < entries.size() && room() >= ENTRY) {
-            bytes.put(ENTRIES).putShort((short) 0);
-            while (at < entries.size() && at - from < most && bytes.remaining() - CHECKSUM >= ENTRY) {
-                Entry entry = entries.get(at++);
-                bytes.putInt(entry.id).put((byte) entry.state.ordinal());
-                number(bytes, entry.incarnation);
-                bytes.putInt(entry.by);
+    int appendUpdates(List<MemberUpdate> updates, int fromIndex, int maxCount) {
+        int index = fromIndex;
+        int sectionStart = buffer.position();
+        if (index < updates.size() && remainingBytes() >= MAX_UPDATE_BYTES) {
+            buffer.put(UPDATES_SECTION).putShort((short) 0);
+            while (index < updates.size() && index - fromIndex < maxCount
+                && buffer.remaining() - CHECKSUM_BYTES >= MAX_UPDATE_BYTES) {
+                MemberUpdate update = updates.get(index++);
+                buffer.putInt(update.memberId).put((byte) update.state.ordinal());
+                putVarint(buffer, update.incarnation);
+                buffer.putInt(update.reporterId);
             }
-            bytes.putShort(start + 1, (short) (bytes.position() - start - SECTION));
+            buffer.putShort(sectionStart + 1,
+                (short) (buffer.position() - sectionStart - SECTION_HEADER_BYTES));
         }
-        return at;
+        return index;
     }
 
     /** Appends as many reports as fit. Many report the same view: each distinct view is written once. */
-    void words(List<Word> words) {
-        List<Word> taken = new ArrayList<>(), distinct = new ArrayList<>();
-        List<Integer> which = new ArrayList<>();
-        int room = room() - 1;
-        for (Word word : words) {
-            int same = 0;
-            while (same < distinct.size() && !(distinct.get(same).list == word.list
-                && java.util.Arrays.equals(distinct.get(same).marks, word.marks))) {
-                same++;
+    void appendReports(List<ViewReport> reports) {
+        List<ViewReport> appended = new ArrayList<>(), distinctViews = new ArrayList<>();
+        List<Integer> viewIndexes = new ArrayList<>();
+        int remaining = remainingBytes() - 1;
+        for (ViewReport report : reports) {
+            int viewIndex = 0;
+            while (viewIndex < distinctViews.size()
+                && !(distinctViews.get(viewIndex).listHash == report.listHash
+                && java.util.Arrays.equals(distinctViews.get(viewIndex).memberFlags, report.memberFlags))) {
+                viewIndex++;
             }
-            int cost = 4 + length(word.incarnation) + length(word.beat) + length(millis(word.age)) + 1
-                + (same < distinct.size() ? 0 : 4 + 2 + word.marks.length);
-            if (cost > room || same == DICTIONARY) {
+            int bytesNeeded = 4 + varintBytes(report.incarnation) + varintBytes(report.heartbeat)
+                + varintBytes(ceilToMillis(report.age)) + 1 + (viewIndex < distinctViews.size() ? 0 : 4 + 2
+                + report.memberFlags.length);
+            if (bytesNeeded > remaining || viewIndex == MAX_DISTINCT_VIEWS) {
                 break;
             }
-            room -= cost;
-            if (same == distinct.size()) {
-                distinct.add(word);
+            remaining -= bytesNeeded;
+            if (viewIndex == distinctViews.size()) {
+                distinctViews.add(report);
             }
-            taken.add(word);
-            which.add(same);
+            appended.add(report);
+            viewIndexes.add(viewIndex);
         }
-        if (taken.isEmpty()) {
+        if (appended.isEmpty()) {
             return;
         }
-        int start = bytes.position();
-        bytes.put(WORDS).putShort((short) 0).put((byte) distinct.size());
-        for (Word word : distinct) {
-            bytes.putInt(word.list).putShort((short) word.marks.length).put(word.marks);
+        int sectionStart = buffer.position();
+        buffer.put(REPORTS_SECTION).putShort((short) 0).put((byte) distinctViews.size());
+        for (ViewReport report : distinctViews) {
+            buffer.putInt(report.listHash).putShort((short) report.memberFlags.length)
+                .put(report.memberFlags);
         }
-        for (int i = 0; i < taken.size(); i++) {
-            Word word = taken.get(i);
-            bytes.putInt(word.id);
-            number(bytes, word.incarnation);
-            number(bytes, word.beat);
-            number(bytes, millis(word.age));
-            bytes.put((byte) which.get(i).intValue());
+        for (int i = 0; i < appended.size(); i++) {
+            ViewReport report = appended.get(i);
+            buffer.putInt(report.reporterId);
+            putVarint(buffer, report.incarnation);
+            putVarint(buffer, report.heartbeat);
+            putVarint(buffer, ceilToMillis(report.age));
+            buffer.put((byte) viewIndexes.get(i).intValue());
         }
-        bytes.putShort(start + 1, (short) (bytes.position() - start - SECTION));
+        buffer.putShort(sectionStart + 1, (short) (buffer.position() - sectionStart - SECTION_HEADER_BYTES));
     }
 
-    ByteBuffer done() {
-        bytes.putInt(checksum(bytes.array(), bytes.position()));
-        return bytes.flip();
+    ByteBuffer finish() {
+        buffer.putInt(checksum(buffer.array(), buffer.position()));
+        return buffer.flip();
     }
 
-    private static int checksum(byte[] array, int length) {
+    private static int checksum(byte[] bytes, int length) {
         CRC32C crc = new CRC32C();
-        crc.update(array, 0, length);
+        crc.update(bytes, 0, length);
         return (int) crc.getValue();
     }
 
-    static Read read(ByteBuffer from) throws Unreadable {
-        byte[] array = new byte[from.remaining()];
-        from.get(array);
-        ByteBuffer in = ByteBuffer.wrap(array);
+    static Decoded decode(ByteBuffer datagram) throws DecodeException {
+        byte[] bytes = new byte[datagram.remaining()];
+        datagram.get(bytes);
+        ByteBuffer in = ByteBuffer.wrap(bytes);
         try {
-            if (in.getShort() != MAGICS) {
-                throw new Unreadable(Refusal.FOREIGN);
+            if (in.getShort() != MAGIC) {
+                throw new DecodeException(RefusalReason.FOREIGN);
             }
-            if (array.length < 8 || checksum(array, array.length - CHECKSUM)
-                != ByteBuffer.wrap(array).getInt(array.length - CHECKSUM)) {
-                throw new Unreadable(Refusal.CHECKSUM);
+            if (bytes.length < 8 || checksum(bytes, bytes.length - CHECKSUM_BYTES)
+                != ByteBuffer.wrap(bytes).getInt(bytes.length - CHECKSUM_BYTES)) {
+                throw new DecodeException(RefusalReason.CHECKSUM);
             }
-            in.limit(array.length - CHECKSUM);
+            in.limit(bytes.length - CHECKSUM_BYTES);
             if (in.get() > VERSION) {
-                throw new Unreadable(Refusal.NEWER);
+                throw new DecodeException(RefusalReason.NEWER);
             }
             Kind kind = Kind.values()[in.get()];
             int sender = in.getInt();
-            Head head = new Head(kind, sender, number(in), in.getInt(), in.getInt(), in.get() != 0,
+            Header header = new Header(kind, sender, getVarint(in), in.getInt(), in.getInt(), in.get() != 0,
                 in.getInt(), in.getInt(), in.getInt());
-            List<Entry> entries = new ArrayList<>();
-            List<Word> words = new ArrayList<>();
+            List<MemberUpdate> updates = new ArrayList<>();
+            List<ViewReport> reports = new ArrayList<>();
             while (in.hasRemaining()) {
                 byte tag = in.get();
                 ByteBuffer section = in.slice(in.position() + 2, in.getShort() & 0xffff);
                 in.position(in.position() + section.limit());
-                if (tag == ENTRIES) {
+                if (tag == UPDATES_SECTION) {
                     while (section.hasRemaining()) {
-                        entries.add(new Entry(section.getInt(), MemberState.values()[section.get()],
-                            number(section), section.getInt()));
+                        updates.add(new MemberUpdate(section.getInt(), MemberState.values()[section.get()],
+                            getVarint(section), section.getInt()));
                     }
-                } else if (tag == WORDS) {
-                    words(section, words);
+                } else if (tag == REPORTS_SECTION) {
+                    readReports(section, reports);
                 } // sections of later versions are skipped
             }
-            return new Read(head, entries, words);
+            return new Decoded(header, updates, reports);
         } catch (BufferUnderflowException | IndexOutOfBoundsException | IllegalArgumentException e) {
-            throw new Unreadable(Refusal.CUT);
+            throw new DecodeException(RefusalReason.CUT);
         }
     }
 
-    private static void words(ByteBuffer in, List<Word> words) {
-        int[] lists = new int[in.get()];
-        byte[][] marks = new byte[lists.length][];
-        for (int i = 0; i < lists.length; i++) {
-            lists[i] = in.getInt();
-            int length = in.getShort() & 0xffff;
-            if (length > in.remaining()) {
+    private static void readReports(ByteBuffer section, List<ViewReport> reports) {
+        int[] listHashes = new int[section.get()];
+        byte[][] memberFlags = new byte[listHashes.length][];
+        for (int i = 0; i < listHashes.length; i++) {
+            listHashes[i] = section.getInt();
+            int length = section.getShort() & 0xffff;
+            if (length > section.remaining()) {
                 throw new BufferUnderflowException(); // checked before the allocation
             }
-            marks[i] = new byte[length];
-            in.get(marks[i]);
+            memberFlags[i] = new byte[length];
+            section.get(memberFlags[i]);
         }
-        while (in.hasRemaining()) {
-            int id = in.getInt();
-            long incarnation = number(in), beat = number(in), age = Math.min(number(in), LONGEST_AGE) * 1000;
-            int which = in.get();
-            words.add(new Word(id, incarnation, beat, age, lists[which], marks[which]));
+        while (section.hasRemaining()) {
+            int reporterId = section.getInt();
+            long incarnation = getVarint(section), heartbeat = getVarint(section),
+                age = Math.min(getVarint(section), MAX_AGE_MILLIS) * 1000;
+            int viewIndex = section.get();
+            reports.add(new ViewReport(reporterId, incarnation, heartbeat, age, listHashes[viewIndex],
+                memberFlags[viewIndex]));
         }
     }
 
     /** Rounds up: an age must never be understated. */
-    private static long millis(long age) {
-        return (age + 999) / 1000;
+    private static long ceilToMillis(long micros) {
+        return (micros + 999) / 1000;
     }
 
-    private static int length(long value) {
+    private static int varintBytes(long value) {
         return Math.max(1, (64 - Long.numberOfLeadingZeros(value) + 6) / 7);
     }
 
     /** Writes a variable-length integer: seven bits per byte, low bits first. */
-    private static void number(ByteBuffer out, long value) {
-        long left = value;
-        while (left > 0x7f) {
-            out.put((byte) (left | 0x80));
-            left >>>= 7;
+    private static void putVarint(ByteBuffer buffer, long value) {
+        long remaining = value;
+        while (remaining > 0x7f) {
+            buffer.put((byte) (remaining | 0x80));
+            remaining >>>= 7;
         }
-        out.put((byte) left);
+        buffer.put((byte) remaining);
     }
 
-    private static long number(ByteBuffer in) {
+    private static long getVarint(ByteBuffer buffer) {
         long value = 0;
         for (int shift = 0; shift < 56; shift += 7) {
-            byte next = in.get();
-            value |= (long) (next & 0x7f) << shift;
-            if (next >= 0) {
+            byte nextByte = buffer.get();
+            value |= (long) (nextByte & 0x7f) << shift;
+            if (nextByte >= 0) {
                 return value;
             }
         }
--- a/fleet/src/main/java/dockrelay/fleet/Member.java
+++ b/fleet/src/main/java/dockrelay/fleet/Member.java
@@ -5,23 +5,25 @@
     final int index, id;
     final String name;
     MemberState state = MemberState.JOINING;
-    long incarnation, since, changedAt, answeredAt = Long.MIN_VALUE / 2, syncedAt = Long.MIN_VALUE / 2;
-    long listedAt; // start of the time it has been on the member list without interruption
-    long differsSince = -1, clashAt, askedAt = Long.MIN_VALUE / 2;
-    int life, lastLife, lifeBefore, clashes; // life is 0 while the process of the incarnation is unknown
-    boolean doubled, hearsay;
-    boolean knowsMe; // it has sent a datagram itself, so this member is on its list
-    boolean behind; // it uses a lower incarnation than the one that peers know of its name
-    String by;
+    long incarnation, stateSince, presenceChangedAt, lastAckAt = Long.MIN_VALUE / 2,
+        lastSyncAt = Long.MIN_VALUE / 2;
+    long listedSince; // start of the time it has been on the member list without interruption
+    long viewDiffersSince = -1, lastConflictAt, lastVerifyAt = Long.MIN_VALUE / 2;
+    // life is 0 while the process of the incarnation is unknown
+    int instanceId, lastInstanceId, previousInstanceId, conflicts;
+    boolean duplicateIncarnation, suspectedOnGoneReport;
+    boolean listsThisMember; // it has sent a datagram itself, so this member is on its list
+    boolean incarnationBehind; // it uses a lower incarnation than the one that peers know of its name
+    String reportedBy;
     Suspicion suspicion;
 
-    Member(int index, MemberList roster, long now, String by) {
+    Member(int index, MemberList memberList, long now, String reportedBy) {
         this.index = index;
-        this.id = roster.idAt(index);
-        this.name = roster.nameAt(index);
-        this.since = now;
-        this.listedAt = now;
-        this.changedAt = now;
-        this.by = by;
+        this.id = memberList.idAt(index);
+        this.name = memberList.nameAt(index);
+        this.stateSince = now;
+        this.listedSince = now;
+        this.presenceChangedAt = now;
+        this.reportedBy = reportedBy;
     }
 }
--- a/fleet/src/main/java/dockrelay/fleet/MemberList.java
+++ b/fleet/src/main/java/dockrelay/fleet/MemberList.java
@@ -10,12 +10,12 @@
 
 /** The configured member names of a group, in an order that depends on the names alone. */
 public final class MemberList {
-    private static final int MOST = 1024, LONGEST_NAME = 64;
+    private static final int MAX_MEMBERS = 1024, MAX_NAME_BYTES = 64;
 
     private final List<String> names;
     private final int[] ids;
-    private final Map<Integer, Integer> byId = new HashMap<>();
-    private final Map<String, Integer> byName = new HashMap<>();
+    private final Map<Integer, Integer> indexById = new HashMap<>();
+    private final Map<String, Integer> indexByName = new HashMap<>();
     private final int hash;
 
     /**
@@ -24,31 +24,32 @@
      * @throws IllegalArgumentException if there are too few or too many names, one is empty or too long, or
      *     two have the same id
      */
-    public MemberList(Collection<String> given) {
-        if (given.isEmpty() || given.size() > MOST) {
-            throw new IllegalArgumentException(given.size() + " members; allowed are 1 to " + MOST);
+    public MemberList(Collection<String> configuredNames) {
+        if (configuredNames.isEmpty() || configuredNames.size() > MAX_MEMBERS) {
+            throw new IllegalArgumentException(configuredNames.size() + " members; allowed are 1 to "
+                + MAX_MEMBERS);
         }
-        names = given.stream().sorted(Comparator.comparingInt(String::length)
+        names = configuredNames.stream().sorted(Comparator.comparingInt(String::length)
             .thenComparing(Comparator.naturalOrder())).toList(); // n2 before n10
         ids = new int[names.size()];
-        CRC32C whole = new CRC32C();
+        CRC32C listChecksum = new CRC32C();
         for (int i = 0; i < ids.length; i++) {
-            byte[] text = names.get(i).getBytes(StandardCharsets.UTF_8);
-            if (text.length == 0 || text.length > LONGEST_NAME) {
-                throw new IllegalArgumentException("member name \"" + names.get(i) + "\" has " + text.length
-                    + " bytes; allowed are 1 to " + LONGEST_NAME);
+            byte[] nameBytes = names.get(i).getBytes(StandardCharsets.UTF_8);
+            if (nameBytes.length == 0 || nameBytes.length > MAX_NAME_BYTES) {
+                throw new IllegalArgumentException("member name \"" + names.get(i) + "\" has "
+                    + nameBytes.length + " bytes; allowed are 1 to " + MAX_NAME_BYTES);
             }
             ids[i] = idOf(names.get(i));
-            Integer other = byId.put(ids[i], i);
-            if (other != null) {
-                throw new IllegalArgumentException("member names \"" + names.get(other) + "\" and \""
+            Integer otherIndex = indexById.put(ids[i], i);
+            if (otherIndex != null) {
+                throw new IllegalArgumentException("member names \"" + names.get(otherIndex) + "\" and \""
                     + names.get(i) + "\" cannot be told apart");
             }
-            byName.put(names.get(i), i);
-            whole.update(text);
-            whole.update(0);
+            indexByName.put(names.get(i), i);
+            listChecksum.update(nameBytes);
+            listChecksum.update(0);
         }
-        hash = (int) whole.getValue();
+        hash = (int) listChecksum.getValue();
     }
 
     /** Returns the id of a name on the wire: its CRC-32C. */
@@ -76,12 +77,12 @@
 
     /** Returns the index of the member with this id, or -1. */
     public int indexOf(int id) {
-        return byId.getOrDefault(id, -1);
+        return indexById.getOrDefault(id, -1);
     }
 
     /** Returns the index of the member with this name, or -1. */
     public int indexOf(String name) {
-        return byName.getOrDefault(name, -1);
+        return indexByName.getOrDefault(name, -1);
     }
 
     /** Returns a hash of the names; equal for equal lists. */
--- a/fleet/src/main/java/dockrelay/fleet/MemberState.java
+++ b/fleet/src/main/java/dockrelay/fleet/MemberState.java
@@ -13,7 +13,7 @@
     LEFT;
 
     /** Whether the member does not take part: it is gone or has left. */
-    public boolean away() {
+    public boolean isAbsent() {
         return this == GONE || this == LEFT;
     }
 }
--- a/fleet/src/main/java/dockrelay/fleet/Membership.java
+++ b/fleet/src/main/java/dockrelay/fleet/Membership.java
@@ -1,10 +1,10 @@
 package dockrelay.fleet;
 
-import dockrelay.fleet.Datagram.Entry;
-import dockrelay.fleet.Datagram.Head;
+import dockrelay.fleet.Datagram.MemberUpdate;
+import dockrelay.fleet.Datagram.Header;
 import dockrelay.fleet.Datagram.Kind;
-import dockrelay.fleet.Datagram.Refusal;
-import dockrelay.fleet.Datagram.Word;
+import dockrelay.fleet.Datagram.RefusalReason;
+import dockrelay.fleet.Datagram.ViewReport;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -25,56 +25,60 @@
  * calls {@link #tick} when it is due. Not thread-safe.
  */
 public class Membership {
-    private static final int HELPERS = 3, CONFIRMATIONS = 3, CHECKERS = 5;
-    private static final int HEALTH_WORST = 8, MOST_ENTRIES = 24, MOST_PROBES = 4, MOST_ASKED = 64;
+    private static final int INDIRECT_PROBE_HELPERS = 3, MAX_SUSPICION_CONFIRMATIONS = 3,
+        EXPECTED_SUSPICION_CHECKERS = 5;
+    private static final int MAX_HEALTH_SCORE = 8, MAX_UPDATES_PER_DATAGRAM = 24, MAX_CONCURRENT_PROBES = 4,
+        MAX_PENDING_PINGS = 64;
     /** Protocol periods between pings to absent members, and between full state syncs to the same member. */
-    private static final int CONTACT_PERIODS = 5, SYNC_PERIODS = 5;
+    private static final int ABSENT_PING_PERIODS = 5, MIN_SYNC_PERIODS = 5;
     /**
      * A name conflict is reported once incarnations of another process of the name were seen this many times,
      * each within this many periods of the one before.
      */
-    private static final int CLASHES = 3, CLASH_PERIODS = 50;
-    private static final int GOODBYES = 16;
+    private static final int CONFLICT_THRESHOLD = 3, CONFLICT_WINDOW_PERIODS = 50;
+    private static final int LEAVE_FANOUT = 16;
     /**
      * A restarted process that nobody answers joins after this many periods. Until then it tries to learn
      * from its peers which incarnation its name had.
      */
-    private static final int JOIN_PERIODS = 5;
+    private static final int JOIN_TIMEOUT_PERIODS = 5;
 
     /** What the owner has to do for this state machine. Called on the thread that calls the state machine. */
     public interface Callbacks {
         /** Sends a datagram to a member; delivery is not guaranteed. */
-        void send(String to, ByteBuffer datagram);
+        void send(String receiver, ByteBuffer datagram);
 
         /** Reports that the state or the process of a member changed in this view. */
         void memberChanged(MemberStateChange change);
 
         /** Reports this member's own incarnation; the next start of the process must use a higher one. */
-        void incarnationChanged(long own);
+        void incarnationChanged(long incarnation);
 
         /**
          * Reports that another process uses a name, either this member's own or that of a peer, because of
          * its incarnations or of the address that it answers from.
          */
-        void nameConflict(String name, String why);
+        void nameConflict(String name, String reason);
     }
 
     /** A probe in flight: a direct ping first, then indirect pings through helpers. */
     private static final class Probe {
         final int sequence;
         final Member target;
-        final long heardBefore;
-        final boolean known; // whether the target presumably had this member on its list at the start
-        long askAt, failAt;
-        boolean asked;
-
-        Probe(int sequence, Member target, boolean known, long heardBefore, long askAt, long failAt) {
+        final long receivedBefore;
+        // whether the target presumably had this member on its list at the start
+        final boolean listedByTarget;
+        long indirectAt, timeoutAt;
+        boolean indirectSent;
+
+        Probe(int sequence, Member target, boolean listedByTarget, long receivedBefore, long indirectAt,
+            long timeoutAt) {
             this.sequence = sequence;
             this.target = target;
-            this.known = known;
-            this.heardBefore = heardBefore;
-            this.askAt = askAt;
-            this.failAt = failAt;
+            this.listedByTarget = listedByTarget;
+            this.receivedBefore = receivedBefore;
+            this.indirectAt = indirectAt;
+            this.timeoutAt = timeoutAt;
         }
     }
 
@@ -82,26 +86,27 @@
      * A ping that may still be acknowledged; {@code asker} is set if it was sent on behalf of another
      * member.
      */
-    private record Sent(Member to, long at, Member asker, int askersSequence) {
+    private record PendingPing(Member target, long sentAt, Member requester, int requesterSequence) {
     }
 
     private final String self;
-    private final ProtocolTiming pace;
+    private final ProtocolTiming timing;
     private final Random random;
-    private final Callbacks actions;
-    private final Gossip gossip = new Gossip();
-    private final int life;
-    private final Map<Refusal, Long> refused = new EnumMap<>(Refusal.class);
+    private final Callbacks callbacks;
+    private final GossipQueue gossipQueue = new GossipQueue();
+    private final int instanceId;
+    private final Map<RefusalReason, Long> refusalCounts = new EnumMap<>(RefusalReason.class);
     private final List<Probe> probes = new ArrayList<>();
-    private final LinkedHashMap<Integer, Sent> sent = new LinkedHashMap<>();
-    private MemberList roster;
+    private final LinkedHashMap<Integer, PendingPing> pendingPings = new LinkedHashMap<>();
+    private MemberList memberList;
     private List<Member> members;
-    private Member me;
-    private Outlook outlook;
-    private List<Member> turns = new ArrayList<>();
-    private long periodAt, startedAt, beat, heard, nextAt, lastClash, clashTold = Long.MIN_VALUE / 2;
-    private int sequence, health, periods, clashes, view;
-    private boolean left, syncedThisPeriod, checkedThisPeriod, joined;
+    private Member selfMember;
+    private ViewComparison viewComparison;
+    private List<Member> probeOrder = new ArrayList<>();
+    private long nextPeriodAt, startedAt, heartbeat, receivedDatagrams, nextTickAt, lastConflictAt,
+        lastConflictReportAt = Long.MIN_VALUE / 2;
+    private int lastSequence, healthScore, periodCount, conflicts, viewHash;
+    private boolean hasLeft, syncedThisPeriod, checkedThisPeriod, hasJoined;
 
     /**
      * Starts the protocol at {@code now}. The incarnation has to be higher than any that this name had
@@ -111,117 +116,118 @@
      * @param life a random number other than 0 that tells this process from others of the same name
      * @throws IllegalArgumentException if {@code names} does not contain {@code self} or is not a valid list
      */
-    public Membership(String self, Collection<String> names, long incarnation, int life, ProtocolTiming pace,
-                      Random random, Callbacks actions, long now) {
+    public Membership(String self, Collection<String> names, long incarnation, int instanceId,
+        ProtocolTiming timing, Random random, Callbacks callbacks, long now) {
         this.self = self;
-        this.pace = pace;
+        this.timing = timing;
         this.random = random;
-        this.actions = actions;
-        this.life = life;
+        this.callbacks = callbacks;
+        this.instanceId = instanceId;
         this.startedAt = now;
         // A random offset keeps members that start together from probing in lockstep.
-        this.periodAt = now + (long) (random.nextDouble() * pace.period());
-        this.nextAt = periodAt;
+        this.nextPeriodAt = now + (long) (random.nextDouble() * timing.period());
+        this.nextTickAt = nextPeriodAt;
         this.members = List.of();
-        roster(now, names);
-        me.incarnation = incarnation;
-        me.life = life;
-        actions.incarnationChanged(incarnation);
-        speak(now);
+        applyMemberList(now, names);
+        selfMember.incarnation = incarnation;
+        selfMember.instanceId = instanceId;
+        callbacks.incarnationChanged(incarnation);
+        issueOwnReport(now);
     }
 
     /** Replaces the list of members; the state of members that are on both lists is kept. */
     public void configure(long now, Collection<String> names) {
-        roster(now, names);
-        speak(now);
+        applyMemberList(now, names);
+        issueOwnReport(now);
     }
 
-    private void roster(long now, Collection<String> names) {
-        MemberList next = new MemberList(names);
-        int own = next.indexOf(MemberList.idOf(self));
-        if (own < 0) {
+    private void applyMemberList(long now, Collection<String> names) {
+        MemberList newList = new MemberList(names);
+        int ownIndex = newList.indexOf(MemberList.idOf(self));
+        if (ownIndex < 0) {
             throw new IllegalArgumentException("own name \"" + self + "\" is not in the list of members");
         }
-        List<Member> kept = new ArrayList<>();
-        for (int i = 0; i < next.size(); i++) {
-            int id = next.idAt(i);
-            Member member = new Member(i, next, now, self);
-            for (Member old : members) {
-                if (old.id == id) {
-                    member.state = old.state;
-                    member.incarnation = old.incarnation;
-                    member.since = old.since;
-                    member.changedAt = old.changedAt;
-                    member.life = old.life;
-                    member.lastLife = old.lastLife;
-                    member.by = old.by;
-                    member.suspicion = old.suspicion;
-                    member.knowsMe = old.knowsMe;
-                    member.listedAt = old.listedAt;
+        List<Member> newMembers = new ArrayList<>();
+        for (int i = 0; i < newList.size(); i++) {
+            int id = newList.idAt(i);
+            Member member = new Member(i, newList, now, self);
+            for (Member oldMember : members) {
+                if (oldMember.id == id) {
+                    member.state = oldMember.state;
+                    member.incarnation = oldMember.incarnation;
+                    member.stateSince = oldMember.stateSince;
+                    member.presenceChangedAt = oldMember.presenceChangedAt;
+                    member.instanceId = oldMember.instanceId;
+                    member.lastInstanceId = oldMember.lastInstanceId;
+                    member.reportedBy = oldMember.reportedBy;
+                    member.suspicion = oldMember.suspicion;
+                    member.listsThisMember = oldMember.listsThisMember;
+                    member.listedSince = oldMember.listedSince;
                 }
             }
-            kept.add(member);
+            newMembers.add(member);
         }
-        for (Member old : members) {
-            if (next.indexOf(old.id) < 0) {
-                gossip.forget(old.id);
+        for (Member oldMember : members) {
+            if (newList.indexOf(oldMember.id) < 0) {
+                gossipQueue.removeMember(oldMember.id);
             }
         }
-        roster = next;
-        members = kept;
-        me = members.get(own);
-        view = hashed();
-        outlook = new Outlook(roster, members, me, pace);
+        memberList = newList;
+        members = newMembers;
+        selfMember = members.get(ownIndex);
+        viewHash = computeViewHash();
+        viewComparison = new ViewComparison(memberList, members, selfMember, timing);
         probes.clear();
-        sent.clear();
-        turns = new ArrayList<>();
+        pendingPings.clear();
+        probeOrder = new ArrayList<>();
     }
 
     // --- timers
 
     /** Returns the time at which {@link #tick} is due next, in microseconds. */
     public long nextTickAt() {
-        return nextAt;
+        return nextTickAt;
     }
 
     /** Runs everything that is due: probe time-outs, suspicion time-outs and the protocol period. */
     public void tick(long now) {
-        stall(now);
-        for (Iterator<Probe> each = probes.iterator(); each.hasNext();) {
-            Probe probe = each.next();
-            if (now >= probe.failAt) {
-                each.remove();
-                failed(now, probe);
-            } else if (now >= probe.askAt && !probe.asked) {
-                probe.asked = true;
-                askHelpers(now, probe);
+        extendDeadlinesAfterStall(now);
+        for (Iterator<Probe> iterator = probes.iterator(); iterator.hasNext();) {
+            Probe probe = iterator.next();
+            if (now >= probe.timeoutAt) {
+                iterator.remove();
+                probeTimedOut(now, probe);
+            } else if (now >= probe.indirectAt && !probe.indirectSent) {
+                probe.indirectSent = true;
+                sendIndirectPings(now, probe);
             }
         }
         for (Member member : members) {
-            if (member.suspicion != null && now >= member.suspicion.until(1 + health)) {
-                if (now - member.answeredAt < 2 * pace.period()) {
+            if (member.suspicion != null && now >= member.suspicion.timeoutAt(1 + healthScore)) {
+                if (now - member.lastAckAt < 2 * timing.period()) {
                     // It answers probes, so it will refute the suspicion once the gossip has reached it.
-                    member.suspicion.delay(pace.period());
-                    gossip.add(new Entry(member.id, MemberState.SUSPECT, member.incarnation, me.id));
+                    member.suspicion.extend(timing.period());
+                    gossipQueue.add(new MemberUpdate(member.id, MemberState.SUSPECT, member.incarnation,
+                        selfMember.id));
                 } else {
-                    set(now, member, MemberState.GONE, member.incarnation, me.id);
+                    setState(now, member, MemberState.GONE, member.incarnation, selfMember.id);
                 }
-            } else if (member.state == MemberState.JOINING && member != me && joined
-                && now - Math.max(member.since, startedAt) >= pace.joining()) {
-                set(now, member, MemberState.GONE, member.incarnation, me.id);
+            } else if (member.state == MemberState.JOINING && member != selfMember && hasJoined
+                && now - Math.max(member.stateSince, startedAt) >= timing.joiningTimeout()) {
+                setState(now, member, MemberState.GONE, member.incarnation, selfMember.id);
             }
         }
-        if (now >= periodAt) {
-            period(now);
+        if (now >= nextPeriodAt) {
+            runPeriod(now);
         }
-        nextAt = periodAt;
+        nextTickAt = nextPeriodAt;
         for (Probe probe : probes) {
-            nextAt = Math.min(nextAt, probe.asked ? probe.failAt : probe.askAt);
+            nextTickAt = Math.min(nextTickAt, probe.indirectSent ? probe.timeoutAt : probe.indirectAt);
         }
         for (Member member : members) {
             if (member.suspicion != null) {
-                nextAt = Math.min(nextAt, Math.max(now + pace.period() / 20, member.suspicion.until(1
-                    + health)));
+                nextTickAt = Math.min(nextTickAt, Math.max(now + timing.period() / 20,
+                    member.suspicion.timeoutAt(1 + healthScore)));
             }
         }
     }
@@ -230,82 +236,83 @@
      * Extends the deadlines of probes and suspicions by the time in which this process did not run: peers
      * must not be blamed for answers that it could not receive.
      */
-    void stall(long now) {
-        long late = now - nextAt;
-        if (late < pace.period() / 2) {
+    void extendDeadlinesAfterStall(long now) {
+        long stallTime = now - nextTickAt;
+        if (stallTime < timing.period() / 2) {
             return;
         }
-        health = Math.min(HEALTH_WORST, health + 1);
+        healthScore = Math.min(MAX_HEALTH_SCORE, healthScore + 1);
         for (Probe probe : probes) {
-            probe.askAt += late;
-            probe.failAt += late;
+            probe.indirectAt += stallTime;
+            probe.timeoutAt += stallTime;
         }
         for (Member member : members) {
             if (member.suspicion != null) {
-                member.suspicion.delay(late);
+                member.suspicion.extend(stallTime);
             }
         }
-        periodAt = Math.max(periodAt, now);
-        nextAt = now;
+        nextPeriodAt = Math.max(nextPeriodAt, now);
+        nextTickAt = now;
     }
 
-    private void period(long now) {
-        periodAt = Math.max(periodAt + pace.period(), now + pace.period() / 2);
-        periods++;
-        beat++;
+    private void runPeriod(long now) {
+        nextPeriodAt = Math.max(nextPeriodAt + timing.period(), now + timing.period() / 2);
+        periodCount++;
+        heartbeat++;
         syncedThisPeriod = false;
         checkedThisPeriod = false;
-        if (!joined && (members.size() == 1 || now - startedAt >= JOIN_PERIODS * pace.period())) {
-            joined(now);
+        if (!hasJoined && (members.size() == 1
+            || now - startedAt >= JOIN_TIMEOUT_PERIODS * timing.period())) {
+            markJoined(now);
         }
-        speak(now);
-        outlook.disagree(now);
-        if (left) {
+        issueOwnReport(now);
+        viewComparison.updateDisagreements(now);
+        if (hasLeft) {
             return;
         }
-        if (periods % (1 + health) == 0) { // a member in poor local health probes less often
-            Member target = periods / (1 + health) % 2 == 0 ? successor() : byTurns();
-            if (target != null && probes.size() < MOST_PROBES) {
-                probe(now, target);
+        if (periodCount % (1 + healthScore) == 0) { // a member in poor local health probes less often
+            Member target = periodCount / (1 + healthScore) % 2 == 0 ? nextInRing() : nextInRandomOrder();
+            if (target != null && probes.size() < MAX_CONCURRENT_PROBES) {
+                startProbe(now, target);
             }
         }
-        if (!joined || periods % CONTACT_PERIODS == 0) {
-            List<Member> away = members.stream().filter(member -> member != me
+        if (!hasJoined || periodCount % ABSENT_PING_PERIODS == 0) {
+            List<Member> absentMembers = members.stream().filter(member -> member != selfMember
                 && member.state != MemberState.PRESENT
                 && member.state != MemberState.SUSPECT).toList();
-            if (!away.isEmpty()) {
-                reachOut(now, away.get(random.nextInt(away.size())));
+            if (!absentMembers.isEmpty()) {
+                pingAbsent(now, absentMembers.get(random.nextInt(absentMembers.size())));
             }
         }
     }
 
     /** Pings an absent member: it may have restarted, or a network partition may have healed. */
-    void reachOut(long now, Member away) {
-        ping(now, away, null, 0);
+    void pingAbsent(long now, Member member) {
+        sendPing(now, member, null, 0);
     }
 
-    private void joined(long now) {
-        joined = true;
-        if (me.state == MemberState.JOINING) {
-            set(now, me, MemberState.PRESENT, me.incarnation, me.id);
+    private void markJoined(long now) {
+        hasJoined = true;
+        if (selfMember.state == MemberState.JOINING) {
+            setState(now, selfMember, MemberState.PRESENT, selfMember.incarnation, selfMember.id);
         }
     }
 
     /** Issues a new version of this member's own view report. */
-    private void speak(long now) {
-        outlook.speak(now, beat, this::steady);
+    private void issueOwnReport(long now) {
+        viewComparison.issueOwnReport(now, heartbeat, this::isStable);
     }
 
-    boolean steady(long unchanged) {
-        return unchanged >= pace.steady();
+    boolean isStable(long unchangedFor) {
+        return unchangedFor >= timing.stableAfter();
     }
 
     // --- probes
 
     /** Returns the next member on the list, as a ring, that is present or suspect; null if there is none. */
-    private Member successor() {
+    private Member nextInRing() {
         for (int i = 1; i < members.size(); i++) {
-            Member member = members.get((me.index + i) % members.size());
+            Member member = members.get((selfMember.index + i) % members.size());
             if (member.state == MemberState.PRESENT || member.state == MemberState.SUSPECT) {
                 return member;
             }
@@ -313,82 +320,86 @@
         return null;
     }
 
-    private Member byTurns() {
-        for (int tries = members.size(); tries >= 0; tries--) {
-            if (turns.isEmpty()) {
-                turns = new ArrayList<>(members);
-                Collections.shuffle(turns, random);
+    private Member nextInRandomOrder() {
+        for (int remainingTries = members.size(); remainingTries >= 0; remainingTries--) {
+            if (probeOrder.isEmpty()) {
+                probeOrder = new ArrayList<>(members);
+                Collections.shuffle(probeOrder, random);
             }
-            Member member = turns.remove(turns.size() - 1);
-            if (member != me && (member.state == MemberState.PRESENT || member.state == MemberState.SUSPECT)) {
+            Member member = probeOrder.remove(probeOrder.size() - 1);
+            if (member != selfMember && (member.state == MemberState.PRESENT
+                || member.state == MemberState.SUSPECT)) {
                 return member;
             }
         }
         return null;
     }
 
-    private void probe(long now, Member target) {
-        int stretch = 1 + health;
-        int number = ping(now, target, null, 0);
+    private void startProbe(long now, Member target) {
+        int multiplier = 1 + healthScore;
+        int sequence = sendPing(now, target, null, 0);
         // A new list does not reach all members at once: a target that has not sent anything yet may not have
         // this member on its list, and then does not answer.
-        boolean known = target.knowsMe || now - target.listedAt >= pace.joining();
-        probes.add(new Probe(number, target, known, heard, now + stretch * pace.direct(),
-            now + stretch * pace.period()));
+        boolean listedByTarget = target.listsThisMember
+            || now - target.listedSince >= timing.joiningTimeout();
+        probes.add(new Probe(sequence, target, listedByTarget, receivedDatagrams, now
+            + multiplier * timing.directPingTimeout(), now + multiplier * timing.period()));
     }
 
-    private int ping(long now, Member to, Member asker, int askersSequence) {
-        int number = ++sequence;
-        sent.put(number, new Sent(to, now, asker, askersSequence));
-        if (sent.size() > MOST_ASKED) {
-            Iterator<Integer> oldest = sent.keySet().iterator();
+    private int sendPing(long now, Member target, Member requester, int requesterSequence) {
+        int sequence = ++lastSequence;
+        pendingPings.put(sequence, new PendingPing(target, now, requester, requesterSequence));
+        if (pendingPings.size() > MAX_PENDING_PINGS) {
+            Iterator<Integer> oldest = pendingPings.keySet().iterator();
             oldest.next();
             oldest.remove();
         }
-        tell(now, Kind.PING, to, number, 0);
-        return number;
+        sendDatagram(now, Kind.PING, target, sequence, 0);
+        return sequence;
     }
 
-    private void askHelpers(long now, Probe probe) {
-        List<Member> able = new ArrayList<>(members.stream().filter(member -> member != me
+    private void sendIndirectPings(long now, Probe probe) {
+        List<Member> candidates = new ArrayList<>(members.stream().filter(member -> member != selfMember
             && member != probe.target && member.state == MemberState.PRESENT).toList());
-        Collections.shuffle(able, random);
-        for (Member helper : able.subList(0, Math.min(HELPERS, able.size()))) {
-            tell(now, Kind.ASK, helper, probe.sequence, probe.target.id);
+        Collections.shuffle(candidates, random);
+        for (Member helper : candidates.subList(0, Math.min(INDIRECT_PROBE_HELPERS, candidates.size()))) {
+            sendDatagram(now, Kind.PING_REQUEST, helper, probe.sequence, probe.target.id);
         }
     }
 
-    private void failed(long now, Probe probe) {
-        if (heard == probe.heardBefore) {
+    private void probeTimedOut(long now, Probe probe) {
+        if (receivedDatagrams == probe.receivedBefore) {
             // Nothing was received from any peer during the probe: the fault may be on this side.
-            health = Math.min(HEALTH_WORST, health + 1);
+            healthScore = Math.min(MAX_HEALTH_SCORE, healthScore + 1);
         }
         Member target = probe.target;
-        if (probe.known && (target.state == MemberState.PRESENT || target.state == MemberState.SUSPECT)) {
-            suspect(now, target, target.incarnation, me.id);
+        if (probe.listedByTarget && (target.state == MemberState.PRESENT
+            || target.state == MemberState.SUSPECT)) {
+            suspect(now, target, target.incarnation, selfMember.id);
         }
     }
 
-    private void suspect(long now, Member member, long incarnation, int by) {
+    private void suspect(long now, Member member, long incarnation, int accuserId) {
         if (member.suspicion == null || member.state != MemberState.SUSPECT) {
-            int present = count();
-            int confirmations = Math.max(0, Math.min(CONFIRMATIONS, present - 3));
-            set(now, member, MemberState.SUSPECT, incarnation, by);
-            member.suspicion = new Suspicion(now, by, confirmations, pace.suspicionLeast(present),
-                pace.suspicionMost(present));
+            int presentMembers = countPresent();
+            int confirmations = Math.max(0, Math.min(MAX_SUSPICION_CONFIRMATIONS, presentMembers - 3));
+            setState(now, member, MemberState.SUSPECT, incarnation, accuserId);
+            member.suspicion = new Suspicion(now, accuserId, confirmations,
+                timing.minSuspicionTime(presentMembers), timing.maxSuspicionTime(presentMembers));
             // A few of the members that learn of a suspicion through gossip check it with a probe of their
             // own.
-            if (by != me.id && !left && !checkedThisPeriod && probes.size() < MOST_PROBES
-                && random.nextInt(Math.max(1, present - 2)) < CHECKERS) {
+            if (accuserId != selfMember.id && !hasLeft && !checkedThisPeriod
+                && probes.size() < MAX_CONCURRENT_PROBES && random.nextInt(Math.max(1, presentMembers - 2))
+                < EXPECTED_SUSPICION_CHECKERS) {
                 checkedThisPeriod = true;
-                probe(now, member);
+                startProbe(now, member);
             }
-        } else if (member.suspicion.confirm(by)) {
-            gossip.add(new Entry(member.id, MemberState.SUSPECT, incarnation, by));
+        } else if (member.suspicion.addAccuser(accuserId)) {
+            gossipQueue.add(new MemberUpdate(member.id, MemberState.SUSPECT, incarnation, accuserId));
         }
     }
 
-    private int count() {
+    private int countPresent() {
         return (int) members.stream().filter(member -> member.state == MemberState.PRESENT
             || member.state == MemberState.SUSPECT).count();
     }
@@ -402,75 +413,76 @@
      * @param from the member name that the sender's address has on this side; null if it has none
      */
     public void receive(long now, String from, ByteBuffer datagram) {
-        stall(now);
-        Datagram.Read read;
+        extendDeadlinesAfterStall(now);
+        Datagram.Decoded decoded;
         try {
-            read = Datagram.read(datagram);
-        } catch (Datagram.Unreadable e) {
-            refused.merge(e.refusal, 1L, Long::sum);
+            decoded = Datagram.decode(datagram);
+        } catch (Datagram.DecodeException e) {
+            refusalCounts.merge(e.reason, 1L, Long::sum);
             return;
         }
-        Member sender = from == null || roster.indexOf(from) < 0 ? null : members.get(roster.indexOf(from));
-        if (sender == null || sender == me) {
-            refused.merge(Refusal.STRANGER, 1L, Long::sum);
+        Member sender = from == null || memberList.indexOf(from) < 0 ? null
+            : members.get(memberList.indexOf(from));
+        if (sender == null || sender == selfMember) {
+            refusalCounts.merge(RefusalReason.STRANGER, 1L, Long::sum);
             return;
         }
-        Head head = read.head();
-        if (head.kind() == Kind.MISNAMED) {
-            clash(now, "member " + sender.name + " has this address listed as that of "
-                + roster.nameOrId(head.target()));
+        Header header = decoded.header();
+        if (header.kind() == Kind.NAME_MISMATCH) {
+            reportNameConflict(now, "member " + sender.name + " has this address listed as that of "
+                + memberList.nameOrId(header.targetId()));
             return;
         }
-        if (head.sender() != sender.id) {
-            refused.merge(Refusal.MISNAMED, 1L, Long::sum);
-            tell(now, Kind.MISNAMED, sender, 0, sender.id);
-            actions.nameConflict(roster.nameOrId(head.sender()), "the process at " + sender.name
+        if (header.senderId() != sender.id) {
+            refusalCounts.merge(RefusalReason.MISNAMED, 1L, Long::sum);
+            sendDatagram(now, Kind.NAME_MISMATCH, sender, 0, sender.id);
+            callbacks.nameConflict(memberList.nameOrId(header.senderId()), "the process at " + sender.name
                 + "'s address uses this name");
             return;
         }
-        heard++;
-        sender.knowsMe = true;
-        Sent question = head.kind() == Kind.ACK ? sent.remove(head.sequence()) : null;
-        boolean fresh = question != null && question.to == sender;
+        receivedDatagrams++;
+        sender.listsThisMember = true;
+        PendingPing ping = header.kind() == Kind.ACK ? pendingPings.remove(header.sequence()) : null;
+        boolean answersPing = ping != null && ping.target == sender;
         // Guards against delayed datagrams that were sent to an earlier process of this name.
-        boolean mine = head.to() == life;
-        sender.behind = head.incarnation() < sender.incarnation;
-        if (head.incarnation() >= sender.incarnation && (mine || fresh)) {
-            introduce(now, sender, head, fresh);
-        } else if (!mine && (sender.state == MemberState.JOINING || sender.state.away())) {
-            verify(now, sender);
-        }
-        if (mine) {
-            for (Entry entry : read.entries()) {
-                merge(now, entry);
+        boolean forThisInstance = header.receiverInstanceId() == instanceId;
+        sender.incarnationBehind = header.incarnation() < sender.incarnation;
+        if (header.incarnation() >= sender.incarnation && (forThisInstance || answersPing)) {
+            applySenderState(now, sender, header, answersPing);
+        } else if (!forThisInstance && (sender.state == MemberState.JOINING || sender.state.isAbsent())) {
+            verifyPresence(now, sender);
+        }
+        if (forThisInstance) {
+            for (MemberUpdate update : decoded.updates()) {
+                applyUpdate(now, update);
             }
         }
-        switch (head.kind()) {
-            case PING -> answer(now, sender, head);
+        switch (header.kind()) {
+            case PING -> sendAck(now, sender, header);
             case ACK -> {
-                if (fresh) {
-                    answered(now, sender, question, head, read.words());
+                if (answersPing) {
+                    handleAck(now, sender, ping, header, decoded.reports());
                 }
             }
-            case ASK -> {
-                Member target = member(head.target());
-                if (target != null && target != me && !left) {
-                    ping(now, target, sender, head.sequence());
+            case PING_REQUEST -> {
+                Member target = memberById(header.targetId());
+                if (target != null && target != selfMember && !hasLeft) {
+                    sendPing(now, target, sender, header.sequence());
                 }
             }
-            case HEARD -> probes.removeIf(probe -> {
-                if (probe.sequence != head.sequence() || probe.target.id != head.target()) {
+            case INDIRECT_ACK -> probes.removeIf(probe -> {
+                if (probe.sequence != header.sequence() || probe.target.id != header.targetId()) {
                     return false;
                 }
-                probe.target.answeredAt = now;
-                health = Math.max(0, health - 1);
+                probe.target.lastAckAt = now;
+                healthScore = Math.max(0, healthScore - 1);
                 return true;
             });
             default -> { }
         }
-        if (head.view() != view && !syncedThisPeriod
-            && now - sender.syncedAt >= SYNC_PERIODS * pace.period()) {
-            sync(now, sender);
+        if (header.viewHash() != viewHash && !syncedThisPeriod
+            && now - sender.lastSyncAt >= MIN_SYNC_PERIODS * timing.period()) {
+            sendFullState(now, sender);
         }
     }
 
@@ -479,23 +491,24 @@
      * acknowledged, so that the sender sees this member alive. Of the gossip only what concerns this member
      * itself is applied.
      */
-    public void answerForeign(long now, String from, ByteBuffer datagram) {
-        stall(now);
+    public void receiveFromUnlisted(long now, String from, ByteBuffer datagram) {
+        extendDeadlinesAfterStall(now);
         try {
-            Datagram.Read read = Datagram.read(datagram);
-            Head head = read.head();
-            if (head.sender() != MemberList.idOf(from)) {
-                refused.merge(Refusal.MISNAMED, 1L, Long::sum);
-            } else if (head.kind() == Kind.PING) {
-                if (head.to() == life) {
-                    read.entries().stream().filter(entry -> entry.id() == me.id)
-                        .forEach(entry -> counter(now, entry));
+            Datagram.Decoded decoded = Datagram.decode(datagram);
+            Header header = decoded.header();
+            if (header.senderId() != MemberList.idOf(from)) {
+                refusalCounts.merge(RefusalReason.MISNAMED, 1L, Long::sum);
+            } else if (header.kind() == Kind.PING) {
+                if (header.receiverInstanceId() == instanceId) {
+                    decoded.updates().stream().filter(update -> update.memberId() == selfMember.id)
+                        .forEach(update -> refute(now, update));
                 }
-                actions.send(from, new Datagram(new Head(Kind.ACK, me.id, me.incarnation, life, head.life(),
-                    left, view, head.sequence(), 0)).done());
+                callbacks.send(from, new Datagram(new Header(Kind.ACK, selfMember.id, selfMember.incarnation,
+                    instanceId, header.senderInstanceId(), hasLeft, viewHash, header.sequence(), 0))
+                    .finish());
             }
-        } catch (Datagram.Unreadable e) {
-            refused.merge(e.refusal, 1L, Long::sum);
+        } catch (Datagram.DecodeException e) {
+            refusalCounts.merge(e.reason, 1L, Long::sum);
         }
     }
 
@@ -503,262 +516,274 @@
      * Applies what a member says of itself. A member that is not present yet becomes present only by
      * acknowledging a ping of this member.
      */
-    private void introduce(long now, Member sender, Head head, boolean fresh) {
-        boolean newer = head.incarnation() > sender.incarnation;
-        boolean another = sender.lastLife != 0 && sender.lastLife != head.life();
-        if (head.leaving()) {
-            if (sender.state != MemberState.LEFT && !another) {
-                set(now, sender, MemberState.LEFT, head.incarnation(), sender.id);
+    private void applySenderState(long now, Member sender, Header header, boolean answersPing) {
+        boolean newerIncarnation = header.incarnation() > sender.incarnation;
+        boolean otherInstance = sender.lastInstanceId != 0
+            && sender.lastInstanceId != header.senderInstanceId();
+        if (header.leaving()) {
+            if (sender.state != MemberState.LEFT && !otherInstance) {
+                setState(now, sender, MemberState.LEFT, header.incarnation(), sender.id);
             }
             return;
         }
-        if (!fresh && (sender.state == MemberState.JOINING || sender.state.away())) {
-            verify(now, sender);
+        if (!answersPing && (sender.state == MemberState.JOINING || sender.state.isAbsent())) {
+            verifyPresence(now, sender);
             return;
         }
         // Two processes have the same incarnation: the one that started later has to take a higher one.
-        sender.doubled = another && !newer && sender.life != 0;
-        boolean anew = another && !sender.doubled;
-        if (anew) {
-            if (head.life() == sender.lifeBefore) {
+        sender.duplicateIncarnation = otherInstance && !newerIncarnation && sender.instanceId != 0;
+        boolean restarted = otherInstance && !sender.duplicateIncarnation;
+        if (restarted) {
+            if (header.senderInstanceId() == sender.previousInstanceId) {
                 // Detects two running processes of one name, which keep replacing each other.
-                sender.clashes = now - sender.clashAt > CLASH_PERIODS * pace.period() ? 1 : sender.clashes
-                    + 1;
-                sender.clashAt = now;
-                if (sender.clashes == CLASHES) {
-                    actions.nameConflict(sender.name, "two processes answer at its address");
+                sender.conflicts = now - sender.lastConflictAt > CONFLICT_WINDOW_PERIODS * timing.period() ? 1
+                    : sender.conflicts + 1;
+                sender.lastConflictAt = now;
+                if (sender.conflicts == CONFLICT_THRESHOLD) {
+                    callbacks.nameConflict(sender.name, "two processes answer at its address");
                 }
             }
-            sender.lifeBefore = sender.lastLife;
+            sender.previousInstanceId = sender.lastInstanceId;
         }
-        if (!sender.doubled) {
-            sender.life = head.life();
-            sender.lastLife = head.life();
+        if (!sender.duplicateIncarnation) {
+            sender.instanceId = header.senderInstanceId();
+            sender.lastInstanceId = header.senderInstanceId();
         }
-        if (newer || anew || sender.state == MemberState.JOINING) {
-            set(now, sender, MemberState.PRESENT, head.incarnation(), sender.id, anew);
+        if (newerIncarnation || restarted || sender.state == MemberState.JOINING) {
+            setState(now, sender, MemberState.PRESENT, header.incarnation(), sender.id, restarted);
         }
     }
 
     /** Pings a member that sent something although it is not present, at most once per period. */
-    private void verify(long now, Member sender) {
-        if (now - sender.askedAt >= pace.period() && !left) {
-            sender.askedAt = now;
-            ping(now, sender, null, 0);
-        }
-    }
-
-    private void answer(long now, Member sender, Head head) {
-        Datagram datagram = new Datagram(new Head(Kind.ACK, me.id, me.incarnation, life, head.life(), left,
-            view,
-            head.sequence(), 0));
-        gossip(datagram, sender);
-        datagram.words(outlook.toTell(now));
-        actions.send(sender.name, datagram.done());
-    }
-
-    private void answered(long now, Member sender, Sent question, Head head, List<Word> told) {
-        sender.answeredAt = now;
-        long trip = now - question.at;
-        for (Word word : told) {
-            if (word.id() != me.id) {
-                outlook.hear(now, new Word(word.id(), word.incarnation(), word.beat(), aged(word.age(), trip),
-                    word.list(), word.marks()));
+    private void verifyPresence(long now, Member sender) {
+        if (now - sender.lastVerifyAt >= timing.period() && !hasLeft) {
+            sender.lastVerifyAt = now;
+            sendPing(now, sender, null, 0);
+        }
+    }
+
+    private void sendAck(long now, Member sender, Header header) {
+        Datagram datagram = new Datagram(new Header(Kind.ACK, selfMember.id, selfMember.incarnation,
+            instanceId, header.senderInstanceId(), hasLeft, viewHash, header.sequence(), 0));
+        addGossip(datagram, sender);
+        datagram.appendReports(viewComparison.reportsToSend(now));
+        callbacks.send(sender.name, datagram.finish());
+    }
+
+    private void handleAck(long now, Member sender, PendingPing ping, Header header,
+        List<ViewReport> reports) {
+        sender.lastAckAt = now;
+        long roundTrip = now - ping.sentAt;
+        for (ViewReport report : reports) {
+            if (report.reporterId() != selfMember.id) {
+                viewComparison.receiveReport(now, new ViewReport(report.reporterId(), report.incarnation(),
+                    report.heartbeat(), ageAfterRoundTrip(report.age(), roundTrip), report.listHash(),
+                    report.memberFlags()));
             }
         }
-        if (question.asker != null) {
-            tell(now, Kind.HEARD, question.asker, question.askersSequence, sender.id);
+        if (ping.requester != null) {
+            sendDatagram(now, Kind.INDIRECT_ACK, ping.requester, ping.requesterSequence, sender.id);
         }
-        if (probes.removeIf(probe -> probe.sequence == head.sequence())) {
-            health = Math.max(0, health - 1);
+        if (probes.removeIf(probe -> probe.sequence == header.sequence())) {
+            healthScore = Math.max(0, healthScore - 1);
         }
-        if (!joined) {
-            joined(now);
+        if (!hasJoined) {
+            markJoined(now);
         }
     }
 
     /** Adds the whole round trip to a reported age: the answer may have been composed right at its start. */
-    long aged(long age, long trip) {
-        return age + trip;
+    long ageAfterRoundTrip(long age, long roundTrip) {
+        return age + roundTrip;
     }
 
-    private void tell(long now, Kind kind, Member to, int number, int target) {
-        Datagram datagram = begin(kind, to, number, target);
-        if (kind != Kind.MISNAMED) {
-            gossip(datagram, to);
+    private void sendDatagram(long now, Kind kind, Member receiver, int sequence, int targetId) {
+        Datagram datagram = newDatagram(kind, receiver, sequence, targetId);
+        if (kind != Kind.NAME_MISMATCH) {
+            addGossip(datagram, receiver);
         }
-        actions.send(to.name, datagram.done());
+        callbacks.send(receiver.name, datagram.finish());
     }
 
-    private Datagram begin(Kind kind, Member to, int number, int target) {
-        return new Datagram(new Head(kind, me.id, me.incarnation, life, to.lastLife, left, view, number,
-            target));
+    private Datagram newDatagram(Kind kind, Member receiver, int sequence, int targetId) {
+        return new Datagram(new Header(kind, selfMember.id, selfMember.incarnation, instanceId,
+            receiver.lastInstanceId, hasLeft, viewHash, sequence, targetId));
     }
 
     /** Adds gossip; whatever the receiver may have to refute about itself comes first. */
-    private void gossip(Datagram datagram, Member to) {
-        List<Entry> entries = new ArrayList<>();
-        if (to.doubled || to.hearsay) {
-            entries.add(new Entry(to.id, MemberState.SUSPECT, to.incarnation, me.id));
-        } else if (to.state == MemberState.SUSPECT || to.state.away()) {
-            entries.add(entry(to));
-        } else if (to.behind) {
+    private void addGossip(Datagram datagram, Member receiver) {
+        List<MemberUpdate> updates = new ArrayList<>();
+        if (receiver.duplicateIncarnation || receiver.suspectedOnGoneReport) {
+            updates.add(new MemberUpdate(receiver.id, MemberState.SUSPECT, receiver.incarnation,
+                selfMember.id));
+        } else if (receiver.state == MemberState.SUSPECT || receiver.state.isAbsent()) {
+            updates.add(toUpdate(receiver));
+        } else if (receiver.incarnationBehind) {
             // It restarted before anybody suspected it, and lost its stored incarnation. Until it learns the
             // higher one, peers take its view reports for old ones.
-            entries.add(new Entry(to.id, MemberState.PRESENT, to.incarnation, me.id));
+            updates.add(new MemberUpdate(receiver.id, MemberState.PRESENT, receiver.incarnation,
+                selfMember.id));
         }
-        entries.addAll(gossip.next(MOST_ENTRIES - entries.size(), members.size()));
-        datagram.entries(entries, 0, MOST_ENTRIES);
+        updates.addAll(gossipQueue.nextUpdates(MAX_UPDATES_PER_DATAGRAM - updates.size(), members.size()));
+        datagram.appendUpdates(updates, 0, MAX_UPDATES_PER_DATAGRAM);
     }
 
-    private Entry entry(Member member) {
-        return new Entry(member.id, member.hearsay ? MemberState.PRESENT : member.state, member.incarnation,
-            MemberList.idOf(member.by));
+    private MemberUpdate toUpdate(Member member) {
+        return new MemberUpdate(member.id, member.suspectedOnGoneReport ? MemberState.PRESENT : member.state,
+            member.incarnation, MemberList.idOf(member.reportedBy));
     }
 
     /** Sends the full view, split over as many datagrams as it needs. */
-    private void sync(long now, Member to) {
-        to.syncedAt = now;
+    private void sendFullState(long now, Member receiver) {
+        receiver.lastSyncAt = now;
         syncedThisPeriod = true;
-        List<Entry> all = members.stream().filter(member -> member != me && member.state != MemberState.JOINING)
-            .map(this::entry).toList();
-        for (int from = 0; from < all.size();) {
-            Datagram datagram = begin(Kind.SYNC, to, 0, 0);
-            from = datagram.entries(all, from, all.size());
-            actions.send(to.name, datagram.done());
+        List<MemberUpdate> updates = members.stream().filter(member -> member != selfMember
+            && member.state != MemberState.JOINING).map(this::toUpdate).toList();
+        for (int index = 0; index < updates.size();) {
+            Datagram datagram = newDatagram(Kind.SYNC, receiver, 0, 0);
+            index = datagram.appendUpdates(updates, index, updates.size());
+            callbacks.send(receiver.name, datagram.finish());
         }
     }
 
     // --- view of the peers
 
-    private Member member(int id) {
-        int index = roster.indexOf(id);
+    private Member memberById(int id) {
+        int index = memberList.indexOf(id);
         return index < 0 ? null : members.get(index);
     }
 
-    private void merge(long now, Entry entry) {
-        Member member = member(entry.id());
+    private void applyUpdate(long now, MemberUpdate update) {
+        Member member = memberById(update.memberId());
         if (member == null) {
             return; // not on this member's list
         }
-        if (member == me) {
-            counter(now, entry);
+        if (member == selfMember) {
+            refute(now, update);
             return;
         }
-        MemberState said = entry.state();
-        if (entry.incarnation() < member.incarnation || said == MemberState.JOINING) {
+        MemberState reportedState = update.state();
+        if (update.incarnation() < member.incarnation || reportedState == MemberState.JOINING) {
             return;
         }
-        boolean newer = entry.incarnation() > member.incarnation;
-        if (newer) {
-            member.life = 0; // only the member itself can tell whether it is a new process
+        boolean newerIncarnation = update.incarnation() > member.incarnation;
+        if (newerIncarnation) {
+            member.instanceId = 0; // only the member itself can tell whether it is a new process
         }
-        if (!newer && said.ordinal() < member.state.ordinal()) {
+        if (!newerIncarnation && reportedState.ordinal() < member.state.ordinal()) {
             return;
         }
-        if (said == MemberState.SUSPECT && (newer || member.state != MemberState.GONE && member.state != MemberState.LEFT)) {
-            member.hearsay = false;
-            suspect(now, member, entry.incarnation(), entry.by());
-        } else if (doubts(entry, member.state)) {
+        if (reportedState == MemberState.SUSPECT && (newerIncarnation || member.state != MemberState.GONE
+            && member.state != MemberState.LEFT)) {
+            member.suspectedOnGoneReport = false;
+            suspect(now, member, update.incarnation(), update.reporterId());
+        } else if (requiresSuspicion(update, member.state)) {
             // After a partition each side holds the other side's members gone. That is not passed on, and the
             // member gets the time to refute it.
-            suspect(now, member, entry.incarnation(), entry.by());
-            member.hearsay = true;
-            gossip.forget(member.id);
-        } else if (said == MemberState.GONE && member.state == MemberState.SUSPECT
-            && (member.hearsay || member.suspicion.young(now))) {
+            suspect(now, member, update.incarnation(), update.reporterId());
+            member.suspectedOnGoneReport = true;
+            gossipQueue.removeMember(member.id);
+        } else if (reportedState == MemberState.GONE && member.state == MemberState.SUSPECT
+            && (member.suspectedOnGoneReport || member.suspicion.isRecent(now))) {
             return; // as above: the member has had no time to refute it
-        } else if (newer || said != member.state) {
-            set(now, member, said, entry.incarnation(), entry.by());
+        } else if (newerIncarnation || reportedState != member.state) {
+            setState(now, member, reportedState, update.incarnation(), update.reporterId());
         }
     }
 
     /** Whether a peer's report that a member is gone only raises a suspicion, as this view has it present. */
-    boolean doubts(Entry entry, MemberState held) {
-        return entry.state() == MemberState.GONE && held == MemberState.PRESENT;
+    boolean requiresSuspicion(MemberUpdate update, MemberState currentState) {
+        return update.state() == MemberState.GONE && currentState == MemberState.PRESENT;
     }
 
     /** Refutes what peers wrongly hold of this member, by taking a higher incarnation. */
-    void counter(long now, Entry entry) {
-        boolean wrong = entry.state() != MemberState.PRESENT && entry.state() != MemberState.JOINING && !left;
-        if (entry.incarnation() > me.incarnation || wrong && entry.incarnation() == me.incarnation) {
-            if (entry.incarnation() > me.incarnation && joined && now - startedAt > pace.joining()) {
-                clashes = now - lastClash > CLASH_PERIODS * pace.period() ? 1 : clashes + 1;
-                lastClash = now;
-                if (clashes >= CLASHES) {
-                    clash(now, "another process raises the incarnation of this name");
+    void refute(long now, MemberUpdate update) {
+        boolean isWrong = update.state() != MemberState.PRESENT && update.state() != MemberState.JOINING
+            && !hasLeft;
+        if (update.incarnation() > selfMember.incarnation || isWrong
+            && update.incarnation() == selfMember.incarnation) {
+            if (update.incarnation() > selfMember.incarnation && hasJoined
+                && now - startedAt > timing.joiningTimeout()) {
+                conflicts = now - lastConflictAt > CONFLICT_WINDOW_PERIODS * timing.period() ? 1 : conflicts
+                    + 1;
+                lastConflictAt = now;
+                if (conflicts >= CONFLICT_THRESHOLD) {
+                    reportNameConflict(now, "another process raises the incarnation of this name");
                 }
             }
-            if (wrong && entry.state() == MemberState.SUSPECT) {
-                health = Math.min(HEALTH_WORST, health + 1);
+            if (isWrong && update.state() == MemberState.SUSPECT) {
+                healthScore = Math.min(MAX_HEALTH_SCORE, healthScore + 1);
             }
-            me.incarnation = entry.incarnation() + 1;
-            actions.incarnationChanged(me.incarnation);
-            gossip.add(entry(me));
-            speak(now);
+            selfMember.incarnation = update.incarnation() + 1;
+            callbacks.incarnationChanged(selfMember.incarnation);
+            gossipQueue.add(toUpdate(selfMember));
+            issueOwnReport(now);
         }
     }
 
-    private void clash(long now, String why) {
-        if (now - clashTold >= CLASH_PERIODS * pace.period()) {
-            clashTold = now;
-            actions.nameConflict(self, why);
+    private void reportNameConflict(long now, String reason) {
+        if (now - lastConflictReportAt >= CONFLICT_WINDOW_PERIODS * timing.period()) {
+            lastConflictReportAt = now;
+            callbacks.nameConflict(self, reason);
         }
     }
 
-    private void set(long now, Member member, MemberState state, long incarnation, int by) {
-        set(now, member, state, incarnation, by, false);
+    private void setState(long now, Member member, MemberState state, long incarnation, int reporterId) {
+        setState(now, member, state, incarnation, reporterId, false);
     }
 
-    private void set(long now, Member member, MemberState state, long incarnation, int by, boolean anew) {
-        MemberState before = member.state;
-        boolean was = before.away();
+    private void setState(long now, Member member, MemberState state, long incarnation, int reporterId,
+        boolean restarted) {
+        MemberState previousState = member.state;
+        boolean wasAbsent = previousState.isAbsent();
         member.state = state;
-        view = hashed();
+        viewHash = computeViewHash();
         member.incarnation = incarnation;
-        member.by = roster.nameOrId(by);
+        member.reportedBy = memberList.nameOrId(reporterId);
         if (state != MemberState.SUSPECT) {
             member.suspicion = null;
-            member.hearsay = false;
+            member.suspectedOnGoneReport = false;
         }
-        if (was != state.away() || before == MemberState.JOINING) {
-            member.changedAt = now;
+        if (wasAbsent != state.isAbsent() || previousState == MemberState.JOINING) {
+            member.presenceChangedAt = now;
         }
-        if (before != state) {
-            member.since = now;
+        if (previousState != state) {
+            member.stateSince = now;
         }
-        gossip.add(new Entry(member.id, state, incarnation, by));
-        if (before != state || anew) {
-            actions.memberChanged(new MemberStateChange(member.name, before, state, member.by, incarnation, anew));
+        gossipQueue.add(new MemberUpdate(member.id, state, incarnation, reporterId));
+        if (previousState != state || restarted) {
+            callbacks.memberChanged(new MemberStateChange(member.name, previousState, state,
+                member.reportedBy, incarnation, restarted));
         }
-        if (was != state.away()) {
-            speak(now); // the own report must not lag behind the view that decisions are based on
+        if (wasAbsent != state.isAbsent()) {
+            issueOwnReport(now); // the own report must not lag behind the view that decisions are based on
         }
     }
 
     /** Leaves the fleet: announces it to a few members, which spread it by gossip. */
     public void leave(long now) {
-        if (left) {
+        if (hasLeft) {
             return;
         }
-        left = true;
+        hasLeft = true;
         probes.clear();
-        set(now, me, MemberState.LEFT, me.incarnation, me.id);
-        List<Member> others = new ArrayList<>(members.stream().filter(member -> member != me
-            && !member.state.away()).toList());
+        setState(now, selfMember, MemberState.LEFT, selfMember.incarnation, selfMember.id);
+        List<Member> others = new ArrayList<>(members.stream().filter(member -> member != selfMember
+            && !member.state.isAbsent()).toList());
         Collections.shuffle(others, random);
-        for (Member other : others.subList(0, Math.min(GOODBYES, others.size()))) {
-            ping(now, other, null, 0);
+        for (Member other : others.subList(0, Math.min(LEAVE_FANOUT, others.size()))) {
+            sendPing(now, other, null, 0);
         }
     }
 
     // --- results
 
     /** Returns a hash of the list and the members' states, with suspect members taken as present. */
-    private int hashed() {
-        int hash = roster.hash();
+    private int computeViewHash() {
+        int hash = memberList.hash();
         for (Member member : members) {
-            hash = hash * 31 + (member.state == MemberState.SUSPECT ? MemberState.PRESENT : member.state).ordinal();
+            hash = hash * 31 + (member.state == MemberState.SUSPECT ? MemberState.PRESENT : member.state)
+                .ordinal();
         }
         return hash;
     }
@@ -768,49 +793,49 @@
      * safe.
      */
     public MembershipSnapshot snapshot(long now) {
-        return outlook.standing(now, left);
+        return viewComparison.snapshot(now, hasLeft);
     }
 
     /** Returns the status of all members, in the order of the list, for operators. */
     public List<MemberStatus> memberStatuses(long now) {
-        return outlook.rows(now);
+        return viewComparison.memberStatuses(now);
     }
 
     /** Returns a hash of the view, in hexadecimal; equal if two members have the same view. */
     public String digest() {
-        return String.format("%08x", view);
+        return String.format("%08x", viewHash);
     }
 
     /** Returns the hash that {@link #digest} prints. */
-    public int view() {
-        return view;
+    public int viewHash() {
+        return viewHash;
     }
 
     /** Returns the state of a member that is on the list. */
-    public MemberState state(String name) {
-        return members.get(roster.indexOf(name)).state;
+    public MemberState stateOf(String name) {
+        return members.get(memberList.indexOf(name)).state;
     }
 
-    long incarnation(String name) {
-        return members.get(roster.indexOf(name)).incarnation;
+    long incarnationOf(String name) {
+        return members.get(memberList.indexOf(name)).incarnation;
     }
 
     /** Returns the local health score of Lifeguard: 0 is healthy, 8 the worst. */
-    public int health() {
-        return health;
+    public int healthScore() {
+        return healthScore;
     }
 
     /** Returns the number of rejected datagrams by reason since the last call, and resets the counts. */
-    public Map<String, Long> refused() {
+    public Map<String, Long> takeRefusalCounts() {
         Map<String, Long> result = new TreeMap<>();
-        refused.forEach((reason, count) -> result.put(reason.name().toLowerCase(Locale.ROOT),
+        refusalCounts.forEach((reason, count) -> result.put(reason.name().toLowerCase(Locale.ROOT),
             count));
-        refused.clear();
+        refusalCounts.clear();
         return result;
     }
 
     /** Whether a datagram with this first byte belongs to this protocol; other protocols share the socket. */
-    public static boolean ours(byte first) {
-        return first == Datagram.MAGIC;
+    public static boolean isMembershipDatagram(byte firstByte) {
+        return firstByte == Datagram.FIRST_MAGIC_BYTE;
     }
 }
--- a/fleet/src/main/java/dockrelay/fleet/ProtocolTiming.java
+++ b/fleet/src/main/java/dockrelay/fleet/ProtocolTiming.java
@@ -11,26 +11,26 @@
     }
 
     /** A direct ping without an acknowledgement for this long is followed by indirect pings. */
-    long direct() {
+    long directPingTimeout() {
         return period * 2 / 5;
     }
 
     /** Returns the minimum duration of a suspicion in a group of this many members. */
-    long suspicionLeast(int members) {
-        return Math.round(2.2 * period * Math.max(1, Math.log10(members)));
+    long minSuspicionTime(int memberCount) {
+        return Math.round(2.2 * period * Math.max(1, Math.log10(memberCount)));
     }
 
-    long suspicionMost(int members) {
-        return 3 * suspicionLeast(members);
+    long maxSuspicionTime(int memberCount) {
+        return 3 * minSuspicionTime(memberCount);
     }
 
     /** A member that was never heard of counts as gone after this time. */
-    long joining() {
+    long joiningTimeout() {
         return 50 * period;
     }
 
     /** A member's view report is ignored once it is older than this. */
-    public long wordStale() {
+    public long reportExpiry() {
         return 20 * period;
     }
 
@@ -38,7 +38,7 @@
      * A member's state counts as stable once it has not changed for this long, which is well over the maximum
      * age of a view report.
      */
-    public long steady() {
+    public long stableAfter() {
         return 30 * period;
     }
 
@@ -46,7 +46,7 @@
      * A standing may be used for this long after it was computed. The remaining fifth of the time between
      * report expiry and stability allows for clocks that run at different rates.
      */
-    public long standingStale() {
-        return (steady() - wordStale()) * 4 / 5;
+    public long snapshotExpiry() {
+        return (stableAfter() - reportExpiry()) * 4 / 5;
     }
 }
--- a/fleet/src/main/java/dockrelay/fleet/Suspicion.java
+++ b/fleet/src/main/java/dockrelay/fleet/Suspicion.java
@@ -9,37 +9,38 @@
  */
 final class Suspicion {
     private final Set<Integer> accusers = new HashSet<>();
-    private final long least, most;
-    private final int wanted;
-    private long began;
+    private final long minDuration, maxDuration;
+    private final int maxConfirmations;
+    private long startedAt;
 
-    Suspicion(long now, int accuser, int wanted, long least, long most) {
-        this.began = now;
-        this.wanted = wanted;
-        this.least = least;
-        this.most = most;
+    Suspicion(long now, int accuser, int maxConfirmations, long minDuration, long maxDuration) {
+        this.startedAt = now;
+        this.maxConfirmations = maxConfirmations;
+        this.minDuration = minDuration;
+        this.maxDuration = maxDuration;
         accusers.add(accuser);
     }
 
     /** Records an accuser; returns whether it is a new one that still shortens the time-out. */
-    boolean confirm(int accuser) {
-        return accusers.size() <= wanted && accusers.add(accuser);
+    boolean addAccuser(int accuser) {
+        return accusers.size() <= maxConfirmations && accusers.add(accuser);
     }
 
     /** Returns when the suspicion times out; {@code stretch} multiplies the duration (local health). */
-    long until(int stretch) {
-        double share = wanted == 0 ? 0.75 : Math.log(Math.min(accusers.size(), wanted + 1)) / Math.log(wanted
-            + 1.0);
-        return began + stretch * Math.max(least, Math.round(most - (most - least) * share));
+    long timeoutAt(int multiplier) {
+        double progress = maxConfirmations == 0 ? 0.75
+            : Math.log(Math.min(accusers.size(), maxConfirmations + 1)) / Math.log(maxConfirmations + 1.0);
+        return startedAt + multiplier * Math.max(minDuration,
+            Math.round(maxDuration - (maxDuration - minDuration) * progress));
     }
 
     /** Whether it is so recent that the suspect has hardly had the time to refute it. */
-    boolean young(long now) {
-        return now - began < least;
+    boolean isRecent(long now) {
+        return now - startedAt < minDuration;
     }
 
     /** Extends the suspicion by a time in which no refutation could have arrived. */
-    void delay(long by) {
-        began += by;
+    void extend(long duration) {
+        startedAt += duration;
     }
 }
--- a/fleet/src/main/java/dockrelay/fleet/group/GroupStatus.java
+++ b/fleet/src/main/java/dockrelay/fleet/group/GroupStatus.java
@@ -7,6 +7,7 @@
  * microseconds (negative if there is none), whether it is recent enough to count, whether the group has the
  * same list, and the first of its representatives (null if not known).
  */
-public record GroupStatus(String label, int configuredMembers, int presentMembers, int leftMembers, int goneMembers, int countedMembers,
-                       Agreement agreement, long reportAge, boolean fresh, boolean sameMemberList, String representative) {
+public record GroupStatus(String label, int configuredMembers, int presentMembers, int leftMembers,
+    int goneMembers, int countedMembers, Agreement agreement, long reportAge, boolean fresh,
+    boolean sameMemberList, String representative) {
 }
--- a/fleet/src/main/java/dockrelay/fleet/group/GroupedMembership.java
+++ b/fleet/src/main/java/dockrelay/fleet/group/GroupedMembership.java
@@ -24,105 +24,107 @@
         /**
          * Reports the result of {@link #find}; {@code row} is null if nobody who may know the name answered.
          */
-        void memberLookupCompleted(String name, MemberStatus row);
+        void memberLookupCompleted(String name, MemberStatus status);
     }
 
     /** Forwards to the owner's callbacks; a change in the own group may also change its representatives. */
-    private final class Passed implements Membership.Callbacks {
+    private final class ForwardingCallbacks implements Membership.Callbacks {
         @Override
-        public void send(String to, ByteBuffer datagram) {
-            actions.send(to, datagram);
+        public void send(String receiver, ByteBuffer datagram) {
+            callbacks.send(receiver, datagram);
         }
 
         @Override
         public void memberChanged(MemberStateChange change) {
-            if (between != null) {
-                between.speakers.changed();
+            if (interGroupProtocol != null) {
+                interGroupProtocol.representatives.invalidate();
             }
-            actions.memberChanged(change);
+            callbacks.memberChanged(change);
         }
 
         @Override
         public void incarnationChanged(long incarnation) {
-            actions.incarnationChanged(incarnation);
+            callbacks.incarnationChanged(incarnation);
         }
 
         @Override
-        public void nameConflict(String name, String why) {
-            actions.nameConflict(name, why);
+        public void nameConflict(String name, String reason) {
+            callbacks.nameConflict(name, reason);
         }
     }
 
-    private final Membership own;
+    private final Membership ownMembership;
     private final String self;
-    private final ProtocolTiming pace;
+    private final ProtocolTiming timing;
     private final Random random;
-    private final Callbacks actions;
-    private GroupAssignment grouping;
-    private Between between; // null if all members are in one group
+    private final Callbacks callbacks;
+    private GroupAssignment assignment;
+    private InterGroupProtocol interGroupProtocol; // null if all members are in one group
 
     /**
      * Starts the protocol at {@code now}; see {@link Membership} for the parameters.
      *
      * @throws IllegalArgumentException if {@code grouping} does not contain {@code self}
      */
-    public GroupedMembership(String self, GroupAssignment grouping, long incarnation, int life, ProtocolTiming pace, Random random,
-                  Callbacks actions, long now) {
+    public GroupedMembership(String self, GroupAssignment assignment, long incarnation, int life,
+        ProtocolTiming timing, Random random, Callbacks callbacks, long now) {
         this.self = self;
-        this.grouping = grouping;
-        this.pace = pace;
+        this.assignment = assignment;
+        this.timing = timing;
         this.random = random;
-        this.actions = actions;
-        this.own = new Membership(self, names(grouping), incarnation, life, pace, random, new Passed(), now);
-        if (!grouping.isSingleGroup()) {
-            between = between(now);
+        this.callbacks = callbacks;
+        this.ownMembership = new Membership(self, ownGroupNames(assignment), incarnation, life, timing,
+            random, new ForwardingCallbacks(), now);
+        if (!assignment.isSingleGroup()) {
+            interGroupProtocol = newInterGroupProtocol(now);
         }
     }
 
-    private List<String> names(GroupAssignment of) {
-        int group = of.groupOf(self);
+    private List<String> ownGroupNames(GroupAssignment assignment) {
+        int group = assignment.groupOf(self);
         if (group < 0) {
             throw new IllegalArgumentException("own name \"" + self + "\" is not in the list of members");
         }
-        return of.memberNames(group);
+        return assignment.memberNames(group);
     }
 
-    private Between between(long now) {
-        return new Between(this, self, grouping, own, pace, random, actions, now);
+    private InterGroupProtocol newInterGroupProtocol(long now) {
+        return new InterGroupProtocol(this, self, assignment, ownMembership, timing, random, callbacks, now);
     }
 
     /** Replaces the list of members; the state of members and groups that are on both lists is kept. */
-    public void configure(long now, GroupAssignment next) {
-        List<String> names = names(next), namesBefore = names(grouping);
-        Between before = between;
-        if (next.isSingleGroup() && grouping.isSingleGroup() || !names.equals(namesBefore)) {
-            own.configure(now, names);
+    public void configure(long now, GroupAssignment newAssignment) {
+        List<String> newNames = ownGroupNames(newAssignment), oldNames = ownGroupNames(assignment);
+        InterGroupProtocol oldProtocol = interGroupProtocol;
+        if (newAssignment.isSingleGroup() && assignment.isSingleGroup() || !newNames.equals(oldNames)) {
+            ownMembership.configure(now, newNames);
         }
-        grouping = next;
-        between = next.isSingleGroup() ? null : between(now);
-        if (between != null && before != null) {
-            between.table.keep(before.table);
+        assignment = newAssignment;
+        interGroupProtocol = newAssignment.isSingleGroup() ? null : newInterGroupProtocol(now);
+        if (interGroupProtocol != null && oldProtocol != null) {
+            interGroupProtocol.table.copyFrom(oldProtocol.table);
         }
-        if (before != null) {
-            before.end();
+        if (oldProtocol != null) {
+            oldProtocol.close();
         }
     }
 
     /** Returns the time at which {@link #tick} is due next, in microseconds. */
     public long nextTickAt() {
-        return between == null ? own.nextTickAt() : Math.min(own.nextTickAt(), between.nextAt());
+        return interGroupProtocol == null ? ownMembership.nextTickAt() : Math.min(ownMembership.nextTickAt(),
+            interGroupProtocol.nextTickAt());
     }
 
     /** Runs everything that is due in the own group and between groups. */
     public void tick(long now) {
-        if (between == null) {
-            own.tick(now);
+        if (interGroupProtocol == null) {
+            ownMembership.tick(now);
             return;
         }
-        if (now >= own.nextTickAt()) {
-            own.tick(now);
+        if (now >= ownMembership.nextTickAt()) {
+            ownMembership.tick(now);
         }
-        between.tick(now);
+        interGroupProtocol.tick(now);
     }
 
     /**
@@ -131,135 +133,139 @@
      * @param from the member name that the sender's address has on this side; null if it has none
      */
     public void receive(long now, String from, ByteBuffer datagram) {
-        if (between == null) {
-            own.receive(now, from, datagram);
-        } else if (datagram.hasRemaining() && datagram.get(datagram.position()) == Message.MAGIC) {
-            between.receive(now, from, datagram);
-        } else if (from != null && grouping.groupOf(from) >= 0 && grouping.groupOf(from) != between.own) {
-            own.answerForeign(now, from, datagram);
+        if (interGroupProtocol == null) {
+            ownMembership.receive(now, from, datagram);
+        } else if (datagram.hasRemaining()
+            && datagram.get(datagram.position()) == GroupMessage.FIRST_MAGIC_BYTE) {
+            interGroupProtocol.receive(now, from, datagram);
+        } else if (from != null && assignment.groupOf(from) >= 0
+            && assignment.groupOf(from) != interGroupProtocol.ownGroup) {
+            ownMembership.receiveFromUnlisted(now, from, datagram);
         } else {
-            own.receive(now, from, datagram);
+            ownMembership.receive(now, from, datagram);
         }
     }
 
     /** Leaves the fleet: announces it to members of the own group. */
     public void leave(long now) {
-        own.leave(now);
+        ownMembership.leave(now);
     }
 
     /** Returns the counts, agreement and budget share at {@code now}, over the whole fleet. */
     public MembershipSnapshot snapshot(long now) {
-        return between == null ? own.snapshot(now) : between.standing(now);
+        return interGroupProtocol == null ? ownMembership.snapshot(now) : interGroupProtocol.snapshot(now);
     }
 
     /** Returns the status of the members of the own group, in the order of the list, for operators. */
     public List<MemberStatus> memberStatuses(long now) {
-        return own.memberStatuses(now);
+        return ownMembership.memberStatuses(now);
     }
 
     /** Returns the status of all groups in order, for operators. */
     public List<GroupStatus> groupStatuses(long now) {
-        if (between != null) {
-            return between.rows(now);
+        if (interGroupProtocol != null) {
+            return interGroupProtocol.groupStatuses(now);
         }
-        MembershipSnapshot here = own.snapshot(now);
-        int left = 0, gone = 0;
-        for (String name : grouping.memberNames(0)) {
-            left += own.state(name) == MemberState.LEFT ? 1 : 0;
-            gone += own.state(name) == MemberState.GONE ? 1 : 0;
+        MembershipSnapshot snapshot = ownMembership.snapshot(now);
+        int leftMembers = 0, goneMembers = 0;
+        for (String name : assignment.memberNames(0)) {
+            leftMembers += ownMembership.stateOf(name) == MemberState.LEFT ? 1 : 0;
+            goneMembers += ownMembership.stateOf(name) == MemberState.GONE ? 1 : 0;
         }
-        return List.of(new GroupStatus(grouping.label(0), here.configuredMembers(), here.presentMembers(), left, gone,
-            here.countedMembers(), here.agreement(), 0, true, true, self));
+        return List.of(new GroupStatus(assignment.label(0), snapshot.configuredMembers(),
+            snapshot.presentMembers(), leftMembers, goneMembers, snapshot.countedMembers(),
+            snapshot.agreement(), 0, true, true, self));
     }
 
     /** Whether this member is a representative of its group; false if there is only one group. */
     public boolean isRepresentative() {
-        return between != null && between.speaker();
+        return interGroupProtocol != null && interGroupProtocol.isRepresentative();
     }
 
     /** Returns a hash of the view of the own group, in hexadecimal. */
     public String digest() {
-        return own.digest();
+        return ownMembership.digest();
     }
 
     /** Returns the local health score of Lifeguard: 0 is healthy, 8 the worst. */
     public int healthScore() {
-        return own.health();
+        return ownMembership.healthScore();
     }
 
     /** Returns the number of rejected datagrams by reason since the last call, and resets the counts. */
     public Map<String, Long> takeRefusalCounts() {
-        Map<String, Long> result = new TreeMap<>(own.refused());
-        if (between != null) {
-            between.refused(result);
+        Map<String, Long> result = new TreeMap<>(ownMembership.takeRefusalCounts());
+        if (interGroupProtocol != null) {
+            interGroupProtocol.takeRefusalCounts(result);
         }
         return result;
     }
 
     /** Looks up a member by name; the result is passed to {@link Callbacks#found}. */
     public void findMember(long now, String name) {
-        if (between != null) {
-            between.find(now, name);
+        if (interGroupProtocol != null) {
+            interGroupProtocol.findMember(now, name);
         } else {
-            actions.memberLookupCompleted(name, own.memberStatuses(now).stream().filter(row -> row.name().equals(name)).findFirst()
-                .orElse(null));
+            callbacks.memberLookupCompleted(name, ownMembership.memberStatuses(now).stream()
+                .filter(status -> status.name().equals(name)).findFirst().orElse(null));
         }
     }
 
     /** Whether a datagram with this first byte belongs to this protocol; other protocols share the socket. */
-    public static boolean isMembershipDatagram(byte first) {
-        return Membership.ours(first) || first == Message.MAGIC;
+    public static boolean isMembershipDatagram(byte firstByte) {
+        return Membership.isMembershipDatagram(firstByte) || firstByte == GroupMessage.FIRST_MAGIC_BYTE;
     }
 
     // --- rules that tests override with faulty ones
 
     /** Adds the whole round trip to a reported age: the answer may have been composed right at its start. */
-    long aged(long age, long trip) {
-        return age + trip;
+    long ageAfterRoundTrip(long age, long roundTrip) {
+        return age + roundTrip;
     }
 
     /** Whether a summary of this age is recent enough to count. */
-    boolean fresh(long age) {
-        return age <= pace.wordStale();
+    boolean isFresh(long age) {
+        return age <= timing.reportExpiry();
     }
 
     /** A group has one row, whoever reports it: a newer summary replaces the one before. */
-    Summary taken(Summary before, long beforeAge, Summary told) {
-        return told;
+    GroupSummary mergeSummary(GroupSummary stored, long storedAge, GroupSummary received) {
+        return received;
     }
 
     /** Returns the number of members that a group counts, limited to the number of its names. */
-    int counted(Summary of, int names) {
-        return Math.min(names, of.counted());
+    int countedMembers(GroupSummary summary, int nameCount) {
+        return Math.min(nameCount, summary.countedMembers());
     }
 
     /** Whether a group has the same names in a received summary as on this member's list. */
-    boolean sameNames(int told, int here) {
-        return told == here;
+    boolean hasSameNames(int receivedHash, int ownHash) {
+        return receivedHash == ownHash;
     }
 
     /** Returns the member of another group to query for that group. */
-    String isRepresentative(int group, String chosen) {
-        return chosen;
+    String groupQueryTarget(int group, String selected) {
+        return selected;
     }
 
     /** Returns the member of the own group to query for the table of all groups. */
-    String source(String chosen) {
-        return chosen;
+    String tableQueryTarget(String selected) {
+        return selected;
     }
 
-    MemberState state(String name) {
-        return own.state(name);
+    MemberState stateOf(String name) {
+        return ownMembership.stateOf(name);
     }
 
-    Membership members() {
-        return own;
+    Membership ownMembership() {
+        return ownMembership;
     }
 
     /**
      * Returns the number of group rows held, in this member's table and its copies of other members' tables.
      */
-    int rowsHeld() {
-        return between == null ? 0 : grouping.groupCount() - 1 + between.tables.held();
+    int heldRows() {
+        return interGroupProtocol == null ? 0 : assignment.groupCount() - 1
+            + interGroupProtocol.tableClient.heldRows();
     }
 }
--- a/fleet/src/main/java/dockrelay/fleet/group/Speakers.java
+++ b/fleet/src/main/java/dockrelay/fleet/group/Representatives.java
@@ -12,49 +12,51 @@
  * same for all members and independent of zones and numbering. They follow from the member's own view
  * without an election; members with different views have different representatives until the views converge.
  */
-final class Speakers {
+final class Representatives {
     /**
      * Minimum and maximum number of representatives, and the number of groups per representative. More of
      * them share the queries to other groups and the answers to members, but all of them query each other.
      * So their number grows with the number of groups.
      */
-    static final int LEAST = 5, MOST = 12, PART = 16;
-    private static final long ORDER = 0x5eaceL;
+    static final int MIN_COUNT = 5, MAX_COUNT = 12, GROUPS_PER_REPRESENTATIVE = 16;
+    private static final long ORDER_SEED = 0x5eaceL;
 
     private final List<String> order;
-    private final Membership members;
+    private final Membership membership;
     private final String self;
-    private final int most;
-    private List<String> now;
+    private final int count;
+    private List<String> current;
 
-    Speakers(Membership members, String self, List<String> names, int groups) {
-        this.most = most(groups);
-        this.members = members;
+    Representatives(Membership membership, String self, List<String> names, int groupCount) {
+        this.count = countFor(groupCount);
+        this.membership = membership;
         this.self = self;
         this.order = new ArrayList<>(names);
-        this.order.sort(Comparator.comparingLong((String name) -> GroupAssignment.mixed(MemberList.idOf(name) ^ ORDER))
+        this.order.sort(Comparator.comparingLong((String name) ->
+            GroupAssignment.mix(MemberList.idOf(name) ^ ORDER_SEED))
             .thenComparing(Comparator.naturalOrder()));
     }
 
     /** Returns the number of representatives per group in a fleet of this many groups. */
-    static int most(int groups) {
-        return Math.max(LEAST, Math.min(MOST, (groups + PART - 1) / PART));
+    static int countFor(int groupCount) {
+        return Math.max(MIN_COUNT,
+            Math.min(MAX_COUNT, (groupCount + GROUPS_PER_REPRESENTATIVE - 1) / GROUPS_PER_REPRESENTATIVE));
     }
 
     /** Discards the computed representatives after a change of the view. */
-    void changed() {
-        now = null;
+    void invalidate() {
+        current = null;
     }
 
     List<String> names() {
-        if (now == null) {
-            now = order.stream().filter(name -> members.state(name) == MemberState.PRESENT).limit(most)
-                .toList();
+        if (current == null) {
+            current = order.stream().filter(name -> membership.stateOf(name) == MemberState.PRESENT)
+                .limit(count).toList();
         }
-        return now;
+        return current;
     }
 
-    boolean mine() {
+    boolean containsSelf() {
         return names().contains(self);
     }
 
@@ -66,12 +68,12 @@
      * Returns this member's rank among the representatives for a group: 0 if the group is assigned to it, by
      * the highest hash (rendezvous hashing), 1 if it is the next one.
      */
-    int rank(int key) {
-        long mine = drawn(self, key);
-        return (int) names().stream().filter(name -> drawn(name, key) > mine).count();
+    int ownRank(int groupKey) {
+        long ownHash = hashFor(self, groupKey);
+        return (int) names().stream().filter(name -> hashFor(name, groupKey) > ownHash).count();
     }
 
-    private static long drawn(String name, int key) {
-        return GroupAssignment.mixed((long) MemberList.idOf(name) << 32 ^ key & 0xffffffffL);
+    private static long hashFor(String name, int groupKey) {
+        return GroupAssignment.mix((long) MemberList.idOf(name) << 32 ^ groupKey & 0xffffffffL);
     }
 }
--- a/fleet/src/main/java/dockrelay/fleet/wire/WireFormat.java
+++ b/fleet/src/main/java/dockrelay/fleet/wire/WireFormat.java
@@ -6,22 +6,22 @@
 
 /** Variable-length integers and checksums of datagrams. */
 public final class WireFormat {
-    private static final int CHECKSUM = 4, LONGEST_SHIFT = 63;
+    private static final int CHECKSUM_BYTES = 4, MAX_SHIFT_BITS = 63;
 
     private WireFormat() {
     }
 
     /** Writes a non-negative number, seven bits per byte, low bits first. */
-    public static void putVarint(ByteBuffer out, long value) {
+    public static void putVarint(ByteBuffer buffer, long value) {
         if (value < 0) {
             throw new IllegalArgumentException("number must not be negative: " + value);
         }
-        long left = value;
-        while (left > 0x7f) {
-            out.put((byte) (left | 0x80));
-            left >>>= 7;
+        long remaining = value;
+        while (remaining > 0x7f) {
+            buffer.put((byte) (remaining | 0x80));
+            remaining >>>= 7;
         }
-        out.put((byte) left);
+        buffer.put((byte) remaining);
     }
 
     /**
@@ -29,12 +29,12 @@
      *
      * @throws BufferUnderflowException if the buffer ends before the number does, or the number is too long
      */
-    public static long getVarint(ByteBuffer in) {
+    public static long getVarint(ByteBuffer buffer) {
         long value = 0;
-        for (int shift = 0; shift < LONGEST_SHIFT; shift += 7) {
-            byte next = in.get();
-            value |= (long) (next & 0x7f) << shift;
-            if (next >= 0) {
+        for (int shift = 0; shift < MAX_SHIFT_BITS; shift += 7) {
+            byte nextByte = buffer.get();
+            value |= (long) (nextByte & 0x7f) << shift;
+            if (nextByte >= 0) {
                 return value;
             }
         }
@@ -42,16 +42,16 @@
     }
 
     /** Appends the checksum of the bytes written so far, and flips the buffer. */
-    public static ByteBuffer appendChecksum(ByteBuffer written) {
-        written.putInt(checksum(written.array(), written.position()));
-        return written.flip();
+    public static ByteBuffer appendChecksum(ByteBuffer buffer) {
+        buffer.putInt(checksum(buffer.array(), buffer.position()));
+        return buffer.flip();
     }
 
     /** Returns the content without its checksum, or null if the checksum does not match. */
-    public static ByteBuffer verifyChecksum(ByteBuffer from) {
-        byte[] bytes = new byte[from.remaining()];
-        from.get(bytes);
-        int length = bytes.length - CHECKSUM;
+    public static ByteBuffer verifyChecksum(ByteBuffer datagram) {
+        byte[] bytes = new byte[datagram.remaining()];
+        datagram.get(bytes);
+        int length = bytes.length - CHECKSUM_BYTES;
         if (length < 0 || checksum(bytes, length) != ByteBuffer.wrap(bytes).getInt(length)) {
             return null;
         }
--- a/fleet/src/test/java/dockrelay/fleet/DatagramTest.java
+++ b/fleet/src/test/java/dockrelay/fleet/DatagramTest.java
@@ -5,12 +5,12 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dockrelay.fleet.Datagram.Entry;
-import dockrelay.fleet.Datagram.Head;
+import dockrelay.fleet.Datagram.MemberUpdate;
+import dockrelay.fleet.Datagram.Header;
 import dockrelay.fleet.Datagram.Kind;
-import dockrelay.fleet.Datagram.Refusal;
-import dockrelay.fleet.Datagram.Unreadable;
-import dockrelay.fleet.Datagram.Word;
+import dockrelay.fleet.Datagram.RefusalReason;
+import dockrelay.fleet.Datagram.DecodeException;
+import dockrelay.fleet.Datagram.ViewReport;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -21,19 +21,20 @@
 
 /** Encoding and decoding of datagrams between members. */
 class DatagramTest {
-    private static byte[] some(Random random, List<Entry> entries, List<Word> words) {
-        Datagram datagram = new Datagram(new Head(Kind.values()[random.nextInt(6)], random.nextInt(),
+    private static byte[] randomDatagram(Random random, List<MemberUpdate> updates,
+        List<ViewReport> reports) {
+        Datagram datagram = new Datagram(new Header(Kind.values()[random.nextInt(6)], random.nextInt(),
             random.nextLong() >>> 8, random.nextInt(), random.nextInt(), random.nextBoolean(),
                 random.nextInt(),
             random.nextInt(), random.nextInt()));
-        int from = datagram.entries(entries, 0, entries.size());
-        assertEquals(entries.size(), from);
-        datagram.words(words);
-        ByteBuffer bytes = datagram.done();
-        return Arrays.copyOf(bytes.array(), bytes.remaining());
+        int next = datagram.appendUpdates(updates, 0, updates.size());
+        assertEquals(updates.size(), next);
+        datagram.appendReports(reports);
+        ByteBuffer encoded = datagram.finish();
+        return Arrays.copyOf(encoded.array(), encoded.remaining());
     }
 
-    private static byte[] sealed(byte[] bytes) {
+    private static byte[] withChecksum(byte[] bytes) {
         CRC32C crc = new CRC32C();
         crc.update(bytes, 0, bytes.length - 4);
         ByteBuffer.wrap(bytes).putInt(bytes.length - 4, (int) crc.getValue());
@@ -45,71 +46,72 @@
      * rounded up.
      */
     @Test
-    void whatIsWrittenIsReadAndNeverTooLong() throws Exception {
+    void encodedDatagramsDecodeAndStayWithinMaximumSize() throws Exception {
         for (int seed = 0; seed < 500; seed++) {
             Random random = new Random(seed);
-            List<Entry> entries = new ArrayList<>();
+            List<MemberUpdate> updates = new ArrayList<>();
             for (int i = random.nextInt(24); i > 0; i--) {
-                entries.add(new Entry(random.nextInt(), MemberState.values()[random.nextInt(5)],
+                updates.add(new MemberUpdate(random.nextInt(), MemberState.values()[random.nextInt(5)],
                     random.nextLong() >>> 8 + random.nextInt(56), random.nextInt()));
             }
-            List<Word> words = new ArrayList<>();
+            List<ViewReport> reports = new ArrayList<>();
             for (int i = random.nextInt(300); i > 0; i--) {
-                byte[] marks = new byte[25];
-                Arrays.fill(marks, (byte) random.nextInt(1 + seed % 100));
-                words.add(new Word(random.nextInt(), random.nextLong() >>> 8 + random.nextInt(56),
-                    random.nextInt(1 << 20), random.nextInt(4_000_000), 7, marks));
+                byte[] memberFlags = new byte[25];
+                Arrays.fill(memberFlags, (byte) random.nextInt(1 + seed % 100));
+                reports.add(new ViewReport(random.nextInt(), random.nextLong() >>> 8 + random.nextInt(56),
+                    random.nextInt(1 << 20), random.nextInt(4_000_000), 7, memberFlags));
             }
-            byte[] bytes = some(random, entries, words);
-            assertTrue(bytes.length <= Datagram.LONGEST);
-            Datagram.Read read = Datagram.read(ByteBuffer.wrap(bytes));
-            assertEquals(entries, read.entries());
-            assertTrue(read.words().size() == words.size() || bytes.length > Datagram.LONGEST - 100,
+            byte[] bytes = randomDatagram(random, updates, reports);
+            assertTrue(bytes.length <= Datagram.MAX_DATAGRAM_BYTES);
+            Datagram.Decoded decoded = Datagram.decode(ByteBuffer.wrap(bytes));
+            assertEquals(updates, decoded.updates());
+            assertTrue(decoded.reports().size() == reports.size()
+                || bytes.length > Datagram.MAX_DATAGRAM_BYTES - 100,
                 "reports were left out although the datagram has room");
-            for (int i = 0; i < read.words().size(); i++) {
-                Word written = words.get(i), got = read.words().get(i);
-                assertEquals(written.incarnation(), got.incarnation());
-                assertEquals(written.beat(), got.beat());
-                assertArrayEquals(written.marks(), got.marks());
-                assertTrue(got.age() >= written.age() && got.age() < written.age() + 1000);
+            for (int i = 0; i < decoded.reports().size(); i++) {
+                ViewReport sent = reports.get(i), received = decoded.reports().get(i);
+                assertEquals(sent.incarnation(), received.incarnation());
+                assertEquals(sent.heartbeat(), received.heartbeat());
+                assertArrayEquals(sent.memberFlags(), received.memberFlags());
+                assertTrue(received.age() >= sent.age() && received.age() < sent.age() + 1000);
             }
         }
     }
 
     /** Truncated, corrupted and random datagrams are rejected, even with a valid checksum. */
     @Test
-    void whatIsNotWholeIsRefused() throws Exception {
+    void malformedDatagramsAreRefused() throws Exception {
         for (int seed = 0; seed < 3_000; seed++) {
             Random random = new Random(seed);
-            byte[] whole = some(random, List.of(new Entry(1, MemberState.PRESENT, 5, 2)), List.of(new Word(1, 2,
-                3, 4, 5,
-                new byte[] {1, 2})));
-            byte[] cut = Arrays.copyOf(whole, random.nextInt(whole.length));
-            assertThrows(Unreadable.class, () -> Datagram.read(ByteBuffer.wrap(cut)));
-            byte[] spoilt = whole.clone();
-            spoilt[random.nextInt(spoilt.length)] ^= (byte) (1 + random.nextInt(255));
-            assertThrows(Unreadable.class, () -> Datagram.read(ByteBuffer.wrap(spoilt)));
-            byte[] made = new byte[8 + random.nextInt(200)];
-            random.nextBytes(made);
-            System.arraycopy(whole, 0, made, 0, 3 + random.nextInt(5));
+            byte[] valid = randomDatagram(random, List.of(new MemberUpdate(1, MemberState.PRESENT, 5, 2)),
+                List.of(new ViewReport(1, 2, 3, 4, 5, new byte[] {1, 2})));
+            byte[] truncated = Arrays.copyOf(valid, random.nextInt(valid.length));
+            assertThrows(DecodeException.class, () -> Datagram.decode(ByteBuffer.wrap(truncated)));
+            byte[] corrupted = valid.clone();
+            corrupted[random.nextInt(corrupted.length)] ^= (byte) (1 + random.nextInt(255));
+            assertThrows(DecodeException.class, () -> Datagram.decode(ByteBuffer.wrap(corrupted)));
+            byte[] arbitrary = new byte[8 + random.nextInt(200)];
+            random.nextBytes(arbitrary);
+            System.arraycopy(valid, 0, arbitrary, 0, 3 + random.nextInt(5));
             try {
-                Datagram.read(ByteBuffer.wrap(sealed(made)));
-            } catch (Unreadable e) {
-                assertEquals(Refusal.CUT, e.refusal);
+                Datagram.decode(ByteBuffer.wrap(withChecksum(arbitrary)));
+            } catch (DecodeException e) {
+                assertEquals(RefusalReason.CUT, e.reason);
             }
         }
     }
 
     /** Unknown sections are skipped; a later format version is rejected as such. */
     @Test
-    void aLaterFormatIsToldApart() throws Exception {
-        byte[] whole = some(new Random(1), List.of(new Entry(1, MemberState.PRESENT, 5, 2)), List.of());
-        byte[] longer = Arrays.copyOf(whole, whole.length + 8);
-        System.arraycopy(new byte[] {77, 0, 5, 1, 2, 3, 4, 5}, 0, longer, whole.length - 4, 8);
-        assertEquals(1, Datagram.read(ByteBuffer.wrap(sealed(longer))).entries().size());
-        byte[] newer = whole.clone();
-        newer[2] = 2;
-        assertEquals(Refusal.NEWER, assertThrows(Unreadable.class,
-            () -> Datagram.read(ByteBuffer.wrap(sealed(newer)))).refusal);
+    void unknownSectionsAreSkippedAndNewerVersionsRefused() throws Exception {
+        byte[] valid = randomDatagram(new Random(1), List.of(new MemberUpdate(1, MemberState.PRESENT, 5, 2)),
+            List.of());
+        byte[] withUnknownSection = Arrays.copyOf(valid, valid.length + 8);
+        System.arraycopy(new byte[] {77, 0, 5, 1, 2, 3, 4, 5}, 0, withUnknownSection, valid.length - 4, 8);
+        assertEquals(1, Datagram.decode(ByteBuffer.wrap(withChecksum(withUnknownSection))).updates().size());
+        byte[] newerVersion = valid.clone();
+        newerVersion[2] = 2;
+        assertEquals(RefusalReason.NEWER, assertThrows(DecodeException.class,
+            () -> Datagram.decode(ByteBuffer.wrap(withChecksum(newerVersion)))).reason);
     }
 }
--- /dev/null
+++ b/fleet/src/test/java/dockrelay/fleet/FaultyMemberships.java
@@ -0,0 +1,82 @@
+package dockrelay.fleet;
+
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Random;
+
+/** Faulty variants of {@link Membership}, each with one defect that the simulation has to detect. */
+final class FaultyMemberships {
+    private static class Variant extends Membership {
+        Variant(String self, List<String> names, long incarnation, int instanceId, ProtocolTiming timing,
+            Random random, Callbacks callbacks, long now) {
+            super(self, names, incarnation, instanceId, timing, random, callbacks, now);
+        }
+    }
+
+    private FaultyMemberships() {
+    }
+
+    static Map<String, MembershipSimulation.Factory> variants() {
+        Map<String, MembershipSimulation.Factory> variants = new LinkedHashMap<>();
+        variants.put("never refutes a suspicion of itself", (self, names, incarnation, instanceId, timing,
+            random, callbacks, startTime) -> new Variant(self, names, incarnation, instanceId, timing, random,
+            callbacks, startTime) {
+                @Override
+                void refute(long now, Datagram.MemberUpdate entry) {
+                }
+            });
+        variants.put("does not raise its incarnation above a forgotten one",
+            (self, names, incarnation, instanceId, timing, random, callbacks, startTime) -> new Variant(self,
+            names, 1, instanceId, timing, random, callbacks, startTime) {
+                @Override
+                void refute(long now, Datagram.MemberUpdate entry) {
+                    if (entry.incarnation() <= 1) {
+                        super.refute(now, entry);
+                    }
+                }
+            });
+        variants.put("does not extend time-outs after a pause", (self, names, incarnation, instanceId, timing,
+            random, callbacks, startTime) -> new Variant(self, names, incarnation, instanceId, timing, random,
+            callbacks, startTime) {
+                @Override
+                void extendDeadlinesAfterStall(long now) {
+                }
+            });
+        variants.put("reports a state as stable right after a change", (self, names, incarnation, instanceId,
+            timing, random, callbacks, startTime) -> new Variant(self, names, incarnation, instanceId, timing,
+            random, callbacks, startTime) {
+                @Override
+                boolean isStable(long unchanged) {
+                    return true;
+                }
+            });
+        variants.put("understates the age of view reports", (self, names, incarnation, instanceId, timing,
+            random, callbacks, startTime) -> new Variant(self, names, incarnation, instanceId, timing, random,
+            callbacks, startTime) {
+                @Override
+                long ageAfterRoundTrip(long age, long trip) {
+                    return 0;
+                }
+            });
+        variants.put("never pings members that are gone or have left", (self, names, incarnation, instanceId,
+            timing, random, callbacks, startTime) -> new Variant(self, names, incarnation, instanceId, timing,
+            random, callbacks, startTime) {
+                @Override
+                void pingAbsent(long now, Member away) {
+                    if (away.state == MemberState.JOINING) {
+                        super.pingAbsent(now, away);
+                    }
+                }
+            });
+        variants.put("accepts a gone report without suspicion", (self, names, incarnation, instanceId, timing,
+            random, callbacks, startTime) -> new Variant(self, names, incarnation, instanceId, timing, random,
+            callbacks, startTime) {
+                @Override
+                boolean requiresSuspicion(Datagram.MemberUpdate entry, MemberState held) {
+                    return false;
+                }
+            });
+        return variants;
+    }
+}
--- a/fleet/src/test/java/dockrelay/fleet/MembershipTest.java
+++ b/fleet/src/test/java/dockrelay/fleet/MembershipTest.java
@@ -14,36 +14,37 @@
 /** Runs {@link Membership} through random fault schedules in a simulation. */
 class MembershipTest {
     /** {@code -Dfleet.schedule=SEED} runs a single schedule and prints a trace of it. */
-    private static final Long ONE = Long.getLong("fleet.schedule");
-    private static final long SCHEDULES = Long.getLong("fleet.schedules", 10_000);
+    private static final Long SINGLE_SEED = Long.getLong("fleet.schedule");
+    private static final long SCHEDULE_COUNT = Long.getLong("fleet.schedules", 10_000);
 
     /** The invariants hold in all schedules; a failure names the seed with which to reproduce it. */
     @Test
-    void allThatMustHoldDoesInTenThousandSchedules() {
-        if (ONE != null) {
-            System.out.println(Schedule.play(ONE, Membership::new, true));
+    void invariantsHoldInRandomFaultSchedules() {
+        if (SINGLE_SEED != null) {
+            System.out.println(FaultSchedule.run(SINGLE_SEED, Membership::new, true));
             return;
         }
-        ConcurrentLinkedQueue<String> broken = new ConcurrentLinkedQueue<>();
-        List<Schedule.Outcome> outcomes = LongStream.rangeClosed(1, SCHEDULES).parallel().mapToObj(seed -> {
+        ConcurrentLinkedQueue<String> failures = new ConcurrentLinkedQueue<>();
+        List<FaultSchedule.Outcome> outcomes = LongStream.rangeClosed(1, SCHEDULE_COUNT).parallel()
+            .mapToObj(seed -> {
             try {
-                return Schedule.play(seed, Membership::new, false);
+                return FaultSchedule.run(seed, Membership::new, false);
             } catch (RuntimeException e) {
-                broken.add("-Dfleet.schedule=" + seed + ": " + e.getMessage());
+                failures.add("-Dfleet.schedule=" + seed + ": " + e.getMessage());
                 return null;
             }
         }).filter(outcome -> outcome != null).toList();
-        List<Long> detected = new ArrayList<>();
-        outcomes.forEach(outcome -> detected.addAll(outcome.detected()));
-        detected.sort(null);
+        List<Long> detectionTimes = new ArrayList<>();
+        outcomes.forEach(outcome -> detectionTimes.addAll(outcome.detectionTimes()));
+        detectionTimes.sort(null);
         System.out.printf("%d schedules, %d without loss, %d false declarations in the others; a death is "
             + "detected after %.2f s (p50), %.2f s (p99); maximum sum of budget shares %.3f%n",
-            outcomes.size(),
-            outcomes.stream().filter(Schedule.Outcome::lossless).count(),
-            outcomes.stream().mapToInt(Schedule.Outcome::falselyGone).sum(),
-            detected.get(detected.size() / 2) / 1e6, detected.get(detected.size() * 99 / 100) / 1e6,
-            outcomes.stream().mapToDouble(Schedule.Outcome::mostShare).max().orElse(0));
-        assertEquals(List.of(), broken.stream().limit(20).toList(), broken.size() + " schedules failed");
+            outcomes.size(), outcomes.stream().filter(FaultSchedule.Outcome::lossless).count(),
+            outcomes.stream().mapToInt(FaultSchedule.Outcome::falseDeclarations).sum(),
+            detectionTimes.get(detectionTimes.size() / 2) / 1e6,
+            detectionTimes.get(detectionTimes.size() * 99 / 100) / 1e6, outcomes.stream()
+            .mapToDouble(FaultSchedule.Outcome::maxShareSum).max().orElse(0));
+        assertEquals(List.of(), failures.stream().limit(20).toList(), failures.size() + " schedules failed");
     }
 
     /**
@@ -51,36 +52,37 @@
      * incarnation from its peers; otherwise they would ignore its view reports as old.
      */
     @Test
-    void oneThatRestartsAtOnceWithALowerIncarnationIsTold() {
-        for (int members : new int[] {2, 3, 12, 48}) {
-            Simulation world = new Simulation(members, members, Membership::new, false);
-            world.names.forEach(name -> world.start(name, 5));
-            world.runUntil(10 * VirtualNetwork.SECOND);
-            assertNull(world.disagreement());
-            world.kill("n1");
-            world.runUntil(world.now + 100 * VirtualNetwork.MILLI);
-            world.start("n1", 1);
-            world.runUntil(world.now + 8 * VirtualNetwork.SECOND);
-            assertNull(world.disagreement(), members + " members");
-            assertTrue(world.incarnations.get("n1") > 5, "expected an incarnation above the former one");
-            assertEquals(0, world.falselyGone);
+    void quickRestartWithLowerIncarnationIsCorrectedByPeers() {
+        for (int memberCount : new int[] {2, 3, 12, 48}) {
+            MembershipSimulation simulation = new MembershipSimulation(memberCount, memberCount,
+                Membership::new, false);
+            simulation.names.forEach(name -> simulation.start(name, 5));
+            simulation.runUntil(10 * VirtualNetwork.SECOND);
+            assertNull(simulation.disagreement());
+            simulation.kill("n1");
+            simulation.runUntil(simulation.now + 100 * VirtualNetwork.MILLISECOND);
+            simulation.start("n1", 1);
+            simulation.runUntil(simulation.now + 8 * VirtualNetwork.SECOND);
+            assertNull(simulation.disagreement(), memberCount + " members");
+            assertTrue(simulation.incarnations.get("n1") > 5, "expected an incarnation above the former one");
+            assertEquals(0, simulation.falseDeclarations);
         }
     }
 
     /** Guards the checks themselves: the simulation detects each of the faulty variants. */
     @Test
-    void eachBrokenMemberIsFoundOut() {
-        BrokenMembers.all().forEach((what, maker) -> {
-            String found = LongStream.rangeClosed(1, 1_000).mapToObj(seed -> {
+    void simulationDetectsEachFaultyVariant() {
+        FaultyMemberships.variants().forEach((defect, factory) -> {
+            String violation = LongStream.rangeClosed(1, 1_000).mapToObj(seed -> {
                 try {
-                    Schedule.play(seed, maker, false);
+                    FaultSchedule.run(seed, factory, false);
                     return null;
-                } catch (Simulation.Broken e) {
+                } catch (MembershipSimulation.InvariantViolation e) {
                     return "seed " + seed + ": " + e.getMessage();
                 }
-            }).filter(broken -> broken != null).findFirst().orElse(null);
-            System.out.println("variant that " + what + ": " + found);
-            assertNotNull(found, "variant that " + what + " is not detected by any schedule");
+            }).filter(message -> message != null).findFirst().orElse(null);
+            System.out.println("variant that " + defect + ": " + violation);
+            assertNotNull(violation, "variant that " + defect + " is not detected by any schedule");
         });
     }
 }
