--- a/fleet/src/main/java/dockrelay/fleet/Datagram.java
+++ b/fleet/src/main/java/dockrelay/fleet/Datagram.java
@@ -14,18 +14,22 @@
     private static final byte VERSION = 1;
     private static final byte UPDATES_SECTION = 1, REPORTS_SECTION = 2;
     private static final int CHECKSUM_BYTES = 4, SECTION_HEADER_BYTES = 3;
-    /** The maximum encoded size of an entry in bytes. */
+    /** The maximum encoded size of a member update. */
     static final int MAX_UPDATE_BYTES = 4 + 1 + 8 + 4;
     private static final int MAX_DISTINCT_VIEWS = 64;
     private static final long MAX_AGE_MILLIS = 1L << 40;
 
     /**
-     * Kinds by their code on the wire. ASK requests an indirect ping, HEARD reports its success. MISNAMED
-     * tells the receiver that its address belongs to another member.
+     * Kinds by their code on the wire. PING_REQUEST asks for an indirect ping, INDIRECT_ACK reports its
+     * success, and SYNC carries the full state. NAME_MISMATCH tells the receiver that its address belongs to
+     * another member.
      */
     enum Kind { PING, ACK, PING_REQUEST, INDIRECT_ACK, SYNC, NAME_MISMATCH }
 
-    /** Why a datagram was rejected. */
+    /**
+     * Why a datagram was refused: truncated or malformed, another protocol, wrong checksum, later version,
+     * unknown sender, or a sender id that does not match the address.
+     */
     enum RefusalReason { CUT, FOREIGN, CHECKSUM, NEWER, STRANGER, MISNAMED }
 
     /** A gossiped state of a member, with the id of the member that first reported it. */
@@ -40,8 +44,8 @@
     }
 
     /**
-     * The header of each datagram; {@code to} identifies the receiving process, as far as the sender knows
-     * it, else it is 0.
+     * The header of each datagram. Instance ids identify processes; that of the receiver is 0 if the sender
+     * does not know it.
      */
     record Header(Kind kind, int senderId, long incarnation, int senderInstanceId, int receiverInstanceId,
         boolean leaving, int viewHash, int sequence, int targetId) {
@@ -76,7 +80,7 @@
         return buffer.remaining() - CHECKSUM_BYTES - SECTION_HEADER_BYTES;
     }
 
-    /** Appends entries from an index on as far as they fit; returns the index of the first one left out. */
+    /** Appends updates from an index on as far as they fit; returns the index of the first one left out. */
     int appendUpdates(List<MemberUpdate> updates, int fromIndex, int maxCount) {
         int index = fromIndex;
         int sectionStart = buffer.position();
@@ -97,9 +101,9 @@
 
     /** Appends as many reports as fit. Many report the same view: each distinct view is written once. */
     void appendReports(List<ViewReport> reports) {
-        List<ViewReport> appended = new ArrayList<>(), distinctViews = new ArrayList<>();
+        List<ViewReport> appendedReports = new ArrayList<>(), distinctViews = new ArrayList<>();
         List<Integer> viewIndexes = new ArrayList<>();
-        int remaining = remainingBytes() - 1;
+        int bytesLeft = remainingBytes() - 1;
         for (ViewReport report : reports) {
             int viewIndex = 0;
             while (viewIndex < distinctViews.size()
@@ -110,17 +114,17 @@
             int bytesNeeded = 4 + varintBytes(report.incarnation) + varintBytes(report.heartbeat)
                 + varintBytes(ceilToMillis(report.age)) + 1 + (viewIndex < distinctViews.size() ? 0 : 4 + 2
                 + report.memberFlags.length);
-            if (bytesNeeded > remaining || viewIndex == MAX_DISTINCT_VIEWS) {
+            if (bytesNeeded > bytesLeft || viewIndex == MAX_DISTINCT_VIEWS) {
                 break;
             }
-            remaining -= bytesNeeded;
+            bytesLeft -= bytesNeeded;
             if (viewIndex == distinctViews.size()) {
                 distinctViews.add(report);
             }
-            appended.add(report);
+            appendedReports.add(report);
             viewIndexes.add(viewIndex);
         }
-        if (appended.isEmpty()) {
+        if (appendedReports.isEmpty()) {
             return;
         }
         int sectionStart = buffer.position();
@@ -129,8 +133,8 @@
             buffer.putInt(report.listHash).putShort((short) report.memberFlags.length)
                 .put(report.memberFlags);
         }
-        for (int i = 0; i < appended.size(); i++) {
-            ViewReport report = appended.get(i);
+        for (int i = 0; i < appendedReports.size(); i++) {
+            ViewReport report = appendedReports.get(i);
             buffer.putInt(report.reporterId);
             putVarint(buffer, report.incarnation);
             putVarint(buffer, report.heartbeat);
@@ -140,6 +144,7 @@
         buffer.putShort(sectionStart + 1, (short) (buffer.position() - sectionStart - SECTION_HEADER_BYTES));
     }
 
+    /** Appends the checksum and returns the datagram, ready to be sent. */
     ByteBuffer finish() {
         buffer.putInt(checksum(buffer.array(), buffer.position()));
         return buffer.flip();
@@ -151,6 +156,11 @@
         return (int) crc.getValue();
     }
 
+    /**
+     * Decodes a datagram.
+     *
+     * @throws DecodeException if it is malformed, or of another protocol or a later version
+     */
     static Decoded decode(ByteBuffer datagram) throws DecodeException {
         byte[] bytes = new byte[datagram.remaining()];
         datagram.get(bytes);
@@ -168,8 +178,8 @@
                 throw new DecodeException(RefusalReason.NEWER);
             }
             Kind kind = Kind.values()[in.get()];
-            int sender = in.getInt();
-            Header header = new Header(kind, sender, getVarint(in), in.getInt(), in.getInt(), in.get() != 0,
+            int senderId = in.getInt();
+            Header header = new Header(kind, senderId, getVarint(in), in.getInt(), in.getInt(), in.get() != 0,
                 in.getInt(), in.getInt(), in.getInt());
             List<MemberUpdate> updates = new ArrayList<>();
             List<ViewReport> reports = new ArrayList<>();
@@ -225,12 +235,12 @@
 
     /** Writes a variable-length integer: seven bits per byte, low bits first. */
     private static void putVarint(ByteBuffer buffer, long value) {
-        long remaining = value;
-        while (remaining > 0x7f) {
-            buffer.put((byte) (remaining | 0x80));
-            remaining >>>= 7;
+        long remainingBits = value;
+        while (remainingBits > 0x7f) {
+            buffer.put((byte) (remainingBits | 0x80));
+            remainingBits >>>= 7;
         }
-        buffer.put((byte) remaining);
+        buffer.put((byte) remainingBits);
     }
 
     private static long getVarint(ByteBuffer buffer) {
--- a/fleet/src/main/java/dockrelay/fleet/GossipQueue.java
+++ b/fleet/src/main/java/dockrelay/fleet/GossipQueue.java
@@ -9,6 +9,7 @@
 final class GossipQueue {
     private static final int RETRANSMIT_MULTIPLIER = 3;
 
+    /** An update with the number of datagrams that it was sent in. */
     private static final class QueuedUpdate {
         final MemberUpdate update;
         int transmissions;
@@ -25,15 +26,16 @@
      * incarnation by different accusers are kept side by side.
      */
     void add(MemberUpdate update) {
-        queue.removeIf(queued -> queued.update.memberId() == update.memberId()
-            && !(update.state() == MemberState.SUSPECT && queued.update.state() == MemberState.SUSPECT
-            && queued.update.incarnation() == update.incarnation()
-            && queued.update.reporterId() != update.reporterId()));
+        queue.removeIf(queuedUpdate -> queuedUpdate.update.memberId() == update.memberId()
+            && !(update.state() == MemberState.SUSPECT && queuedUpdate.update.state() == MemberState.SUSPECT
+            && queuedUpdate.update.incarnation() == update.incarnation()
+            && queuedUpdate.update.reporterId() != update.reporterId()));
         queue.add(new QueuedUpdate(update));
     }
 
+    /** Drops all queued updates of a member. */
     void removeMember(int memberId) {
-        queue.removeIf(queued -> queued.update.memberId() == memberId);
+        queue.removeIf(queuedUpdate -> queuedUpdate.update.memberId() == memberId);
     }
 
     /**
@@ -45,13 +47,13 @@
             return List.of();
         }
         int maxTransmissions = RETRANSMIT_MULTIPLIER * (32 - Integer.numberOfLeadingZeros(memberCount));
-        queue.sort(Comparator.comparingInt(queued -> queued.transmissions));
+        queue.sort(Comparator.comparingInt(queuedUpdate -> queuedUpdate.transmissions));
         List<MemberUpdate> result = new ArrayList<>();
-        for (QueuedUpdate queued : queue.subList(0, Math.min(maxCount, queue.size()))) {
-            queued.transmissions++;
-            result.add(queued.update);
+        for (QueuedUpdate queuedUpdate : queue.subList(0, Math.min(maxCount, queue.size()))) {
+            queuedUpdate.transmissions++;
+            result.add(queuedUpdate.update);
         }
-        queue.removeIf(queued -> queued.transmissions >= maxTransmissions);
+        queue.removeIf(queuedUpdate -> queuedUpdate.transmissions >= maxTransmissions);
         return result;
     }
 }
--- a/fleet/src/main/java/dockrelay/fleet/Member.java
+++ b/fleet/src/main/java/dockrelay/fleet/Member.java
@@ -9,8 +9,10 @@
         lastSyncAt = Long.MIN_VALUE / 2;
     long listedSince; // start of the time it has been on the member list without interruption
     long viewDiffersSince = -1, lastConflictAt, lastVerifyAt = Long.MIN_VALUE / 2;
-    // life is 0 while the process of the incarnation is unknown
+    // instanceId is 0 while the process that uses the incarnation is unknown.
     int instanceId, lastInstanceId, previousInstanceId, conflicts;
+    // Whether another process of the name uses the same incarnation, and whether the suspicion comes only
+    // from a peer's report that it is gone.
     boolean duplicateIncarnation, suspectedOnGoneReport;
     boolean listsThisMember; // it has sent a datagram itself, so this member is on its list
     boolean incarnationBehind; // it uses a lower incarnation than the one that peers know of its name
--- a/fleet/src/main/java/dockrelay/fleet/MemberList.java
+++ b/fleet/src/main/java/dockrelay/fleet/MemberList.java
@@ -67,10 +67,12 @@
         return names;
     }
 
+    /** Returns the name of the member with this index. */
     public String nameAt(int index) {
         return names.get(index);
     }
 
+    /** Returns the id of the member with this index. */
     public int idAt(int index) {
         return ids[index];
     }
--- a/fleet/src/main/java/dockrelay/fleet/MemberStateChange.java
+++ b/fleet/src/main/java/dockrelay/fleet/MemberStateChange.java
@@ -9,9 +9,8 @@
     String reportedBy, long incarnation, boolean restarted) {
     @Override
     public String toString() {
-        return member + " is " + newState.name().toLowerCase(Locale.ROOT) + (restarted
-            ? ", started anew"
-            : "") + ", was " + previousState.name().toLowerCase(Locale.ROOT) + ", by " + reportedBy
-            + ", incarnation " + incarnation;
+        return member + " is " + newState.name().toLowerCase(Locale.ROOT)
+            + (restarted ? ", started anew" : "") + ", was " + previousState.name().toLowerCase(Locale.ROOT)
+            + ", by " + reportedBy + ", incarnation " + incarnation;
     }
 }
--- a/fleet/src/main/java/dockrelay/fleet/Membership.java
+++ b/fleet/src/main/java/dockrelay/fleet/Membership.java
@@ -1,8 +1,8 @@
 package dockrelay.fleet;
 
-import dockrelay.fleet.Datagram.MemberUpdate;
 import dockrelay.fleet.Datagram.Header;
 import dockrelay.fleet.Datagram.Kind;
+import dockrelay.fleet.Datagram.MemberUpdate;
 import dockrelay.fleet.Datagram.RefusalReason;
 import dockrelay.fleet.Datagram.ViewReport;
 import java.nio.ByteBuffer;
@@ -66,8 +66,7 @@
         final int sequence;
         final Member target;
         final long receivedBefore;
-        // whether the target presumably had this member on its list at the start
-        final boolean listedByTarget;
+        final boolean listedByTarget; // the target presumably had this member on its list
         long indirectAt, timeoutAt;
         boolean indirectSent;
 
@@ -83,8 +82,8 @@
     }
 
     /**
-     * A ping that may still be acknowledged; {@code asker} is set if it was sent on behalf of another
-     * member.
+     * A ping that may still be acknowledged; {@code requester} is the member on whose behalf it was sent, or
+     * null.
      */
     private record PendingPing(Member target, long sentAt, Member requester, int requesterSequence) {
     }
@@ -113,7 +112,7 @@
      * before, as far as the caller knows: if peers remember a higher one, this member raises its own above
      * it.
      *
-     * @param life a random number other than 0 that tells this process from others of the same name
+     * @param instanceId a random number other than 0 that tells this process from others of the same name
      * @throws IllegalArgumentException if {@code names} does not contain {@code self} or is not a valid list
      */
     public Membership(String self, Collection<String> names, long incarnation, int instanceId,
@@ -303,6 +302,7 @@
         viewComparison.issueOwnReport(now, heartbeat, this::isStable);
     }
 
+    /** Whether a state that has not changed for this many microseconds counts as stable. */
     boolean isStable(long unchangedFor) {
         return unchangedFor >= timing.stableAfter();
     }
@@ -320,6 +320,7 @@
         return null;
     }
 
+    /** Returns the next present or suspect member in a random order that covers all of them; else null. */
     private Member nextInRandomOrder() {
         for (int remainingTries = members.size(); remainingTries >= 0; remainingTries--) {
             if (probeOrder.isEmpty()) {
@@ -342,10 +343,15 @@
         // this member on its list, and then does not answer.
         boolean listedByTarget = target.listsThisMember
             || now - target.listedSince >= timing.joiningTimeout();
-        probes.add(new Probe(sequence, target, listedByTarget, receivedDatagrams, now
-            + multiplier * timing.directPingTimeout(), now + multiplier * timing.period()));
+        probes.add(new Probe(sequence, target, listedByTarget, receivedDatagrams,
+            now + multiplier * timing.directPingTimeout(), now + multiplier * timing.period()));
     }
 
+    /**
+     * Sends a ping and returns its sequence number.
+     *
+     * @param requester the member that asked for the ping, with its sequence number; null if there is none
+     */
     private int sendPing(long now, Member target, Member requester, int requesterSequence) {
         int sequence = ++lastSequence;
         pendingPings.put(sequence, new PendingPing(target, now, requester, requesterSequence));
@@ -379,6 +385,7 @@
         }
     }
 
+    /** Starts a suspicion of a member, or adds an accuser to it. */
     private void suspect(long now, Member member, long incarnation, int accuserId) {
         if (member.suspicion == null || member.state != MemberState.SUSPECT) {
             int presentMembers = countPresent();
@@ -386,11 +393,10 @@
             setState(now, member, MemberState.SUSPECT, incarnation, accuserId);
             member.suspicion = new Suspicion(now, accuserId, confirmations,
                 timing.minSuspicionTime(presentMembers), timing.maxSuspicionTime(presentMembers));
-            // A few of the members that learn of a suspicion through gossip check it with a probe of their
-            // own.
+            // A few of the members that learn of a suspicion by gossip check it with a probe of their own.
             if (accuserId != selfMember.id && !hasLeft && !checkedThisPeriod
-                && probes.size() < MAX_CONCURRENT_PROBES && random.nextInt(Math.max(1, presentMembers - 2))
-                < EXPECTED_SUSPICION_CHECKERS) {
+                && probes.size() < MAX_CONCURRENT_PROBES
+                && random.nextInt(Math.max(1, presentMembers - 2)) < EXPECTED_SUSPICION_CHECKERS) {
                 checkedThisPeriod = true;
                 startProbe(now, member);
             }
@@ -408,7 +414,7 @@
 
     /**
      * Handles a datagram from a peer. A datagram that is malformed or comes from an unknown sender is
-     * counted in {@link #refused} and otherwise ignored.
+     * counted for {@link #takeRefusalCounts} and otherwise ignored.
      *
      * @param from the member name that the sender's address has on this side; null if it has none
      */
@@ -487,9 +493,9 @@
     }
 
     /**
-     * Handles a datagram from a sender that is not on this list but has this member on its own. A ping is
-     * acknowledged, so that the sender sees this member alive. Of the gossip only what concerns this member
-     * itself is applied.
+     * Handles a datagram from a sender that is not on this member's list but has this member on its own
+     * list. A ping is acknowledged, so that the sender sees this member alive. Of the gossip only what
+     * concerns this member itself is applied.
      */
     public void receiveFromUnlisted(long now, String from, ByteBuffer datagram) {
         extendDeadlinesAfterStall(now);
@@ -513,7 +519,7 @@
     }
 
     /**
-     * Applies what a member says of itself. A member that is not present yet becomes present only by
+     * Applies what a member reports about itself. A member that is not present yet becomes present only by
      * acknowledging a ping of this member.
      */
     private void applySenderState(long now, Member sender, Header header, boolean answersPing) {
@@ -648,6 +654,7 @@
 
     // --- view of the peers
 
+    /** Returns the member with this id, or null if it is not on the list. */
     private Member memberById(int id) {
         int index = memberList.indexOf(id);
         return index < 0 ? null : members.get(index);
@@ -691,21 +698,21 @@
         }
     }
 
-    /** Whether a peer's report that a member is gone only raises a suspicion, as this view has it present. */
+    /** Whether an update that declares a member gone only starts a suspicion, as this view has it present. */
     boolean requiresSuspicion(MemberUpdate update, MemberState currentState) {
         return update.state() == MemberState.GONE && currentState == MemberState.PRESENT;
     }
 
-    /** Refutes what peers wrongly hold of this member, by taking a higher incarnation. */
+    /** Refutes a wrong report of this member's state by taking a higher incarnation. */
     void refute(long now, MemberUpdate update) {
         boolean isWrong = update.state() != MemberState.PRESENT && update.state() != MemberState.JOINING
             && !hasLeft;
-        if (update.incarnation() > selfMember.incarnation || isWrong
-            && update.incarnation() == selfMember.incarnation) {
+        if (update.incarnation() > selfMember.incarnation
+            || isWrong && update.incarnation() == selfMember.incarnation) {
             if (update.incarnation() > selfMember.incarnation && hasJoined
                 && now - startedAt > timing.joiningTimeout()) {
-                conflicts = now - lastConflictAt > CONFLICT_WINDOW_PERIODS * timing.period() ? 1 : conflicts
-                    + 1;
+                conflicts = now - lastConflictAt > CONFLICT_WINDOW_PERIODS * timing.period() ? 1
+                    : conflicts + 1;
                 lastConflictAt = now;
                 if (conflicts >= CONFLICT_THRESHOLD) {
                     reportNameConflict(now, "another process raises the incarnation of this name");
@@ -825,7 +832,7 @@
         return healthScore;
     }
 
-    /** Returns the number of rejected datagrams by reason since the last call, and resets the counts. */
+    /** Returns the number of refused datagrams by reason since the last call, and resets the counts. */
     public Map<String, Long> takeRefusalCounts() {
         Map<String, Long> result = new TreeMap<>();
         refusalCounts.forEach((reason, count) -> result.put(reason.name().toLowerCase(Locale.ROOT),
--- a/fleet/src/main/java/dockrelay/fleet/ProtocolTiming.java
+++ b/fleet/src/main/java/dockrelay/fleet/ProtocolTiming.java
@@ -20,6 +20,7 @@
         return Math.round(2.2 * period * Math.max(1, Math.log10(memberCount)));
     }
 
+    /** Returns the duration of a suspicion without confirmations in a group of this many members. */
     long maxSuspicionTime(int memberCount) {
         return 3 * minSuspicionTime(memberCount);
     }
@@ -43,7 +44,7 @@
     }
 
     /**
-     * A standing may be used for this long after it was computed. The remaining fifth of the time between
+     * A snapshot may be used for this long after it was computed. The remaining fifth of the time between
      * report expiry and stability allows for clocks that run at different rates.
      */
     public long snapshotExpiry() {
--- a/fleet/src/main/java/dockrelay/fleet/Suspicion.java
+++ b/fleet/src/main/java/dockrelay/fleet/Suspicion.java
@@ -26,7 +26,7 @@
         return accusers.size() <= maxConfirmations && accusers.add(accuser);
     }
 
-    /** Returns when the suspicion times out; {@code stretch} multiplies the duration (local health). */
+    /** Returns when the suspicion times out; {@code multiplier} is from the local health. */
     long timeoutAt(int multiplier) {
         double progress = maxConfirmations == 0 ? 0.75
             : Math.log(Math.min(accusers.size(), maxConfirmations + 1)) / Math.log(maxConfirmations + 1.0);
--- a/fleet/src/main/java/dockrelay/fleet/ViewComparison.java
+++ b/fleet/src/main/java/dockrelay/fleet/ViewComparison.java
@@ -25,8 +25,8 @@
     }
 
     /**
-     * Issues a new version of the own report. {@code steady} decides whether a state that has not changed for
-     * that many microseconds counts as stable.
+     * Issues a new version of the own report. {@code isStable} decides whether a state that has not changed
+     * for that many microseconds counts as stable.
      */
     void issueOwnReport(long now, long heartbeat, LongPredicate isStable) {
         ownFlags = new byte[ViewReports.flagBytes(members.size())];
@@ -39,10 +39,12 @@
             memberList.hash(), ownFlags));
     }
 
+    /** Stores a report, its own or that of a peer. */
     void receiveReport(long now, ViewReport report) {
         reports.store(now, report);
     }
 
+    /** Returns the reports to relay to a peer, newest first. */
     List<ViewReport> reportsToSend(long now) {
         return reports.reportsToSend(now);
     }
@@ -108,8 +110,9 @@
                 absentReports += flags >= 0 && (flags & ViewReports.ABSENT) != 0 ? 1 : 0;
                 stableAbsentReports += flags == ViewReports.ABSENT + ViewReports.STABLE ? 1 : 0;
             }
-            boolean excluded = other.state == MemberState.LEFT || hasMajority
-                && other.state == MemberState.GONE && 2 * absentReports > configuredMembers - leftMembers;
+            boolean excluded = other.state == MemberState.LEFT
+                || hasMajority && other.state == MemberState.GONE
+                && 2 * absentReports > configuredMembers - leftMembers;
             countedMembers += excluded ? 0 : 1;
             ownRank += !excluded && other.index < selfMember.index ? 1 : 0;
             blockedMembers += other.state.isAbsent() && stableAbsentReports >= configuredMembers - quorum + 1
@@ -128,7 +131,7 @@
     List<MemberStatus> memberStatuses(long now) {
         return members.stream().map(member -> new MemberStatus(member.name, member.state,
             now - member.stateSince, member.reportedBy, member.incarnation, reports.ageOf(now, member.index),
-            reports.hasSameList(now, member.index), differingMembers(now, member), member.viewDiffersSince < 0
-            ? -1 : now - member.viewDiffersSince)).toList();
+            reports.hasSameList(now, member.index), differingMembers(now, member),
+            member.viewDiffersSince < 0 ? -1 : now - member.viewDiffersSince)).toList();
     }
 }
--- a/fleet/src/main/java/dockrelay/fleet/ViewReports.java
+++ b/fleet/src/main/java/dockrelay/fleet/ViewReports.java
@@ -14,6 +14,7 @@
     static final int ABSENT = 2, STABLE = 1;
     private static final int ABSENT_MASK = 0xaa;
 
+    /** A report with the time of its receipt. */
     private static final class StoredReport {
         final ViewReport report;
         final long receivedAt;
@@ -44,11 +45,12 @@
         if (reporter < 0 || report.age() > expiry) {
             return;
         }
-        StoredReport stored = reports[reporter];
-        long versionDifference = stored == null ? 1 : report.incarnation() != stored.report.incarnation()
-            ? report.incarnation() - stored.report.incarnation()
-            : report.heartbeat() - stored.report.heartbeat();
-        if (versionDifference > 0 || versionDifference == 0 && report.age() < stored.age(now)) {
+        StoredReport storedReport = reports[reporter];
+        long versionDifference = storedReport == null ? 1
+            : report.incarnation() != storedReport.report.incarnation()
+            ? report.incarnation() - storedReport.report.incarnation()
+            : report.heartbeat() - storedReport.report.heartbeat();
+        if (versionDifference > 0 || versionDifference == 0 && report.age() < storedReport.age(now)) {
             reports[reporter] = new StoredReport(report, now);
         }
     }
@@ -56,11 +58,11 @@
     /** Returns the reports that are not stale, newest first, as not all may fit into a datagram. */
     List<ViewReport> reportsToSend(long now) {
         List<ViewReport> result = new ArrayList<>(reports.length);
-        for (StoredReport stored : reports) {
-            if (stored != null && stored.age(now) <= expiry) {
-                ViewReport report = stored.report;
+        for (StoredReport storedReport : reports) {
+            if (storedReport != null && storedReport.age(now) <= expiry) {
+                ViewReport report = storedReport.report;
                 result.add(new ViewReport(report.reporterId(), report.incarnation(), report.heartbeat(),
-                    stored.age(now), report.listHash(), report.memberFlags()));
+                    storedReport.age(now), report.listHash(), report.memberFlags()));
             }
         }
         result.sort(Comparator.comparingLong(ViewReport::age));
@@ -102,6 +104,7 @@
         return false;
     }
 
+    /** Returns the number of bytes that hold the flags of this many members. */
     static int flagBytes(int memberCount) {
         return (memberCount + 3) / 4;
     }
--- a/fleet/src/main/java/dockrelay/fleet/group/FleetTotals.java
+++ b/fleet/src/main/java/dockrelay/fleet/group/FleetTotals.java
@@ -23,10 +23,11 @@
      */
     boolean isExcluded(long now, int group) {
         return group != protocol.ownGroup
-            && protocol.table.unheardTime(now, group) > protocol.timing.unreachableAge()
+            && protocol.table.timeSinceContact(now, group) > protocol.timing.unreachableAge()
             && isUnreachableToMajority(now, group);
     }
 
+    /** Whether a majority of the fleet reports a group unreachable, by this member or its representative. */
     boolean isUnreachableToMajority(long now, int group) {
         return protocol.unreachableGroups.isUnreachableToMajority(now, group)
             || protocol.tableClient.isReportedUnreachable(now, group);
@@ -58,12 +59,13 @@
         return total;
     }
 
+    /** Extends a snapshot of the own group to the whole fleet. */
     MembershipSnapshot snapshot(long now, MembershipSnapshot ownGroupSnapshot) {
-        int groups = protocol.assignment.groupCount(), totalMembers = protocol.assignment.memberCount();
+        int groupCount = protocol.assignment.groupCount(), totalMembers = protocol.assignment.memberCount();
         int countedMembers = 0, ownRank = 0, presentMembers = 0, agreeingMembers = 0;
         long oldestReportAge = 0;
         boolean allAgree = ownGroupSnapshot.agreement() == Agreement.ALL;
-        for (int group = 0; group < groups; group++) {
+        for (int group = 0; group < groupCount; group++) {
             if (group == protocol.ownGroup) {
                 ownRank = countedMembers + ownGroupSnapshot.ownRank();
                 countedMembers += ownGroupSnapshot.countedMembers();
@@ -77,8 +79,8 @@
             }
             oldestReportAge = Math.max(oldestReportAge, protocol.table.dataAge(now, group));
             GroupSummary summary = protocol.table.summary(group);
-            boolean summaryIsFresh = isFresh(now, group), sameList = summaryIsFresh
-                && summary.listHash() == protocol.assignment.hash();
+            boolean summaryIsFresh = isFresh(now, group),
+                sameList = summaryIsFresh && summary.listHash() == protocol.assignment.hash();
             presentMembers += summaryIsFresh && hasSameNames(group) ? summary.presentMembers() : 0;
             agreeingMembers += sameList ? summary.agreeingMembers() : 0;
             allAgree &= sameList && hasSameNames(group) && summary.agreement() == Agreement.ALL;
@@ -91,11 +93,12 @@
             agreement, agreeingMembers, presentMembers, totalMembers, oldestReportAge);
     }
 
+    /** Returns the status of another group, from its latest summary. */
     GroupStatus groupStatus(long now, int group) {
         GroupSummary summary = protocol.table.summary(group);
         int nameCount = protocol.assignment.memberNames(group).size();
-        boolean summaryIsFresh = isFresh(now, group), sameList = summary == null
-            || summary.listHash() == protocol.assignment.hash();
+        boolean summaryIsFresh = isFresh(now, group),
+            sameList = summary == null || summary.listHash() == protocol.assignment.hash();
         if (summary == null) {
             return new GroupStatus(protocol.assignment.label(group), nameCount, 0, 0, 0,
                 countedMembers(now, group), Agreement.MINORITY, -1, false, true, null);
@@ -104,17 +107,18 @@
             .indexOf(summary.firstRepresentative());
         return new GroupStatus(protocol.assignment.label(group), nameCount, summary.presentMembers(),
             summary.leftMembers(), summary.goneMembers(), countedMembers(now, group), summary.agreement(),
-            protocol.table.summaryAge(now, group), summaryIsFresh, sameList, representativeIndex < 0 ? null
-            : protocol.assignment.memberNames(group).get(representativeIndex));
+            protocol.table.summaryAge(now, group), summaryIsFresh, sameList,
+            representativeIndex < 0 ? null : protocol.assignment.memberNames(group).get(representativeIndex));
     }
 
+    /** Returns the status of the own group, from this member's own summary of it. */
     GroupStatus ownGroupStatus(long now, GroupSummary summary) {
         int representativeIndex = protocol.assignment.memberList(protocol.ownGroup)
             .indexOf(summary.firstRepresentative());
         return new GroupStatus(protocol.assignment.label(protocol.ownGroup),
             protocol.assignment.memberNames(protocol.ownGroup).size(), summary.presentMembers(),
             summary.leftMembers(), summary.goneMembers(), summary.countedMembers(), summary.agreement(), 0,
-            true, true, representativeIndex < 0 ? null : protocol.assignment.memberNames(protocol.ownGroup)
-            .get(representativeIndex));
+            true, true, representativeIndex < 0 ? null
+                : protocol.assignment.memberNames(protocol.ownGroup).get(representativeIndex));
     }
 }
--- a/fleet/src/main/java/dockrelay/fleet/group/GroupAssignment.java
+++ b/fleet/src/main/java/dockrelay/fleet/group/GroupAssignment.java
@@ -40,7 +40,7 @@
     private final int hash;
 
     private GroupAssignment(Map<String, ? extends Collection<String>> zones, int size, int minSize,
-                     int maxSize) {
+        int maxSize) {
         validate(zones);
         CRC32C listChecksum = new CRC32C();
         for (Map.Entry<String, ? extends Collection<String>> zone : new TreeMap<>(zones).entrySet()) {
@@ -55,11 +55,11 @@
                 }
                 labels.add(label);
                 checkDistinctIds(groups.get(i));
-                MemberList roster = new MemberList(groups.get(i));
-                memberLists.add(roster);
+                MemberList memberList = new MemberList(groups.get(i));
+                memberLists.add(memberList);
                 listChecksum.update(label.getBytes(StandardCharsets.UTF_8));
                 listChecksum.update(0);
-                for (String name : roster.names()) {
+                for (String name : memberList.names()) {
                     groupByName.put(name, labels.size() - 1);
                     listChecksum.update(name.getBytes(StandardCharsets.UTF_8));
                     listChecksum.update(0);
@@ -134,9 +134,9 @@
      * lists of 5,700 names, one in 260 would contain two names with the same id.
      */
     private static void checkDistinctIds(List<String> names) {
-        Map<Integer, String> byId = new HashMap<>();
+        Map<Integer, String> nameById = new HashMap<>();
         for (String name : names) {
-            String otherName = byId.put(MemberList.idOf(name), name);
+            String otherName = nameById.put(MemberList.idOf(name), name);
             if (otherName != null) {
                 throw new GroupException(Code.ALIKE, "name", "\"" + name + "\"", "it cannot be told from \""
                     + otherName + "\" in the same group; rename one of them");
@@ -145,11 +145,11 @@
     }
 
     private static List<List<String>> splitZone(String zone, TreeSet<String> names, int size, int minSize,
-                                            int maxSize) {
+        int maxSize) {
         int nameCount = names.size();
         int groupCount = nameCount <= Math.min(1.5 * size, maxSize) ? 1
             : (int) Math.max(Math.round((double) nameCount / size),
-            Math.ceil(nameCount / (MAX_MEAN_TO_MAX_SIZE * maxSize)));
+                Math.ceil(nameCount / (MAX_MEAN_TO_MAX_SIZE * maxSize)));
         int maxGroupSize = groupCount == 1 ? nameCount
             : (int) Math.min(maxSize, Math.ceil(MAX_SIZE_TO_MEAN * nameCount / groupCount));
         List<List<String>> result = new ArrayList<>();
--- a/fleet/src/main/java/dockrelay/fleet/group/GroupException.java
+++ b/fleet/src/main/java/dockrelay/fleet/group/GroupException.java
@@ -1,10 +1,13 @@
 package dockrelay.fleet.group;
 
-/** Thrown if a configuration of groups is invalid: says which key, its value, and what is allowed. */
+/** Thrown if a configuration of groups is invalid; names the setting, its value and the allowed values. */
 public final class GroupException extends IllegalArgumentException {
     private static final long serialVersionUID = 1L;
 
-    /** Error codes, described for operators in docs/on-call.md. */
+    /**
+     * Error codes, described for operators in docs/on-call.md. TWICE is a name that occurs twice; ALIKE are
+     * two names or zones with the same id on the wire.
+     */
     public enum Code { SIZE, ZONE, EMPTY, NAME, TWICE, ALIKE, TOO_MANY }
 
     private final Code code;
--- a/fleet/src/main/java/dockrelay/fleet/group/GroupMessage.java
+++ b/fleet/src/main/java/dockrelay/fleet/group/GroupMessage.java
@@ -1,8 +1,8 @@
 package dockrelay.fleet.group;
 
+import dockrelay.fleet.MemberState;
 import dockrelay.fleet.MemberStatus;
 import dockrelay.fleet.MembershipSnapshot.Agreement;
-import dockrelay.fleet.MemberState;
 import dockrelay.fleet.wire.WireFormat;
 import java.nio.BufferUnderflowException;
 import java.nio.ByteBuffer;
@@ -31,11 +31,12 @@
     /** Stands for a count that was left out. */
     static final int OMITTED_COUNT = -1;
     /**
-     * Flags of a table query: the asker wants to know which groups are unreachable to whom; it can read the
-     * compact formats; it queries all representatives, and wants from each only what that one queried itself.
+     * Flags of a table query: the requester wants to know which groups are unreachable to whom; it can read
+     * the compact formats; it queries all representatives, and wants from each only what that one queried
+     * itself.
      */
     static final int WANTS_UNREACHABLE_FLAG = 1, READS_COMPACT_FLAG = 2, OWN_PART_FLAG = 4;
-    /** Ages in units of {@link GroupTiming#unit}; the highest values are special. */
+    /** Ages in units of {@link GroupTiming#ageUnit}; the highest values are special. */
     static final int MAX_AGE_UNITS = 252, AGE_UNKNOWN = 253, AGE_TOO_OLD = 254, AGE_EXCLUDED = 255;
 
     private static final long MAX_AGE_MILLIS = 1L << 40;
@@ -44,7 +45,7 @@
     /** Queries and replies about a group itself, the table of all groups, and a single member. */
     enum Kind { GROUP_QUERY, GROUP_REPLY, TABLE_QUERY, TABLE_REPLY, MEMBER_QUERY, MEMBER_REPLY }
 
-    /** Why a datagram was rejected; the names are the same as those within a group. */
+    /** Why a datagram was refused; the same reasons as within a group. */
     enum RefusalReason { CUT, FOREIGN, CHECKSUM, NEWER, STRANGER, MISNAMED }
 
     /** Thrown if a datagram cannot be decoded. */
@@ -83,14 +84,14 @@
 
     /**
      * The set of groups that are unreachable to a group, as a bitmap, and the maximum age of that report in
-     * units of {@link GroupTiming#unit}. Groups are in the order of the sender's list.
+     * units of {@link GroupTiming#ageUnit}. Groups are in the order of the sender's list.
      */
     record UnreachableSet(int group, byte[] unreachable, int ageUnits) {
     }
 
     Kind kind;
     int senderId, listHash, sequence;
-    final List<Integer> relayRequests = new ArrayList<>();
+    final List<Integer> relayRequests = new ArrayList<>(); // keys of groups that the requester cannot reach
     GroupSummary summary;
     byte[] unreachable;
     final List<RelayedSummary> relayedSummaries = new ArrayList<>();
@@ -106,6 +107,11 @@
     private GroupMessage() {
     }
 
+    /**
+     * Decodes a datagram.
+     *
+     * @throws DecodeException if it is malformed, or of another protocol or a later version
+     */
     static GroupMessage decode(ByteBuffer datagram) throws DecodeException {
         if (datagram.remaining() < 2 || datagram.get(datagram.position()) != FIRST_MAGIC_BYTE
             || datagram.get(datagram.position() + 1) != SECOND_MAGIC_BYTE) {
@@ -226,8 +232,8 @@
         int countedMembers = (omitted & PRESENT_COUNTED_FLAG) != 0 ? OMITTED_COUNT : readCount(section);
         int agreeingMembers = (omitted & PRESENT_AGREE_FLAG) != 0 ? OMITTED_COUNT : readCount(section);
         return new TableRow(index, key, otherList, listHash, namesHash, presentMembers, leftMembers,
-            goneMembers, countedMembers, Agreement.values()[flags & AGREEMENT_MASK], agreeingMembers, keyed
-            || otherList ? section.getInt() : readCount(section));
+            goneMembers, countedMembers, Agreement.values()[flags & AGREEMENT_MASK], agreeingMembers,
+            keyed || otherList ? section.getInt() : readCount(section));
     }
 
     private void readUnreachableSets(ByteBuffer section) {
@@ -238,19 +244,19 @@
         }
         while (section.hasRemaining()) {
             int group = readCount(section);
-            int age = section.get() & 0xff;
-            unreachableSets.add(new UnreachableSet(group, distinctSets[section.get() & 0xff], age));
+            int ageUnits = section.get() & 0xff;
+            unreachableSets.add(new UnreachableSet(group, distinctSets[section.get() & 0xff], ageUnits));
         }
     }
 
     private void readSharedUnreachableSets(ByteBuffer section) {
         int length = readCount(section);
         while (section.hasRemaining()) {
-            int age = section.get() & 0xff;
+            int ageUnits = section.get() & 0xff;
             byte[] unreachable = readBytes(section, length);
-            BitSet groups = BitSet.valueOf(readBytes(section, length));
-            groups.stream().forEach(group -> unreachableSets.add(new UnreachableSet(group, unreachable,
-                age)));
+            BitSet reporters = BitSet.valueOf(readBytes(section, length));
+            reporters.stream().forEach(group -> unreachableSets.add(new UnreachableSet(group, unreachable,
+                ageUnits)));
         }
     }
 
@@ -259,17 +265,17 @@
         MemberState state = MemberState.values()[section.get()];
         long stateAge = Math.min(WireFormat.getVarint(section), MAX_AGE_MILLIS) * 1000;
         String reportedBy = readText(section);
-        long incarnation = WireFormat.getVarint(section), reportAge = Math.min(WireFormat.getVarint(section),
-            MAX_AGE_MILLIS) - 1;
+        long incarnation = WireFormat.getVarint(section),
+            reportAge = Math.min(WireFormat.getVarint(section), MAX_AGE_MILLIS) - 1;
         boolean sameMemberList = section.get() != 0;
         long disagreementAge = Math.min(WireFormat.getVarint(section), MAX_AGE_MILLIS) - 1;
         List<String> differingMembers = new ArrayList<>();
         while (section.hasRemaining()) {
             differingMembers.add(readText(section));
         }
-        return new MemberStatus(name, state, stateAge, reportedBy, incarnation, reportAge < 0 ? -1
-            : reportAge * 1000, sameMemberList, differingMembers, disagreementAge < 0 ? -1
-            : disagreementAge * 1000);
+        return new MemberStatus(name, state, stateAge, reportedBy, incarnation,
+            reportAge < 0 ? -1 : reportAge * 1000, sameMemberList, differingMembers,
+            disagreementAge < 0 ? -1 : disagreementAge * 1000);
     }
 
     private static int readCount(ByteBuffer section) {
--- a/fleet/src/main/java/dockrelay/fleet/group/GroupPoller.java
+++ b/fleet/src/main/java/dockrelay/fleet/group/GroupPoller.java
@@ -1,7 +1,7 @@
 package dockrelay.fleet.group;
 
-import dockrelay.fleet.group.GroupMessage.RelayedSummary;
 import dockrelay.fleet.group.GroupMessage.Kind;
+import dockrelay.fleet.group.GroupMessage.RelayedSummary;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
@@ -23,7 +23,7 @@
     private boolean wasRepresentative;
     private List<String> rankedRepresentatives; // the representatives for which the ranks were computed
     private final int[] ranks;
-    // failures; queries since the last answer; first name tried
+    // Per group: queries without a reply, queries since the last reply, index of the first name tried.
     private final int[] failedQueries, queriesSinceReply, firstNameIndex;
 
     GroupPoller(InterGroupProtocol protocol) {
@@ -39,14 +39,15 @@
     /** Sends the queries that are due; returns the time of the next one. */
     long tick(long now) {
         long nextDueAt = Long.MAX_VALUE;
-        boolean representative = protocol.isRepresentative(), idle = !representative && !wasRepresentative;
-        wasRepresentative = representative;
+        boolean isRepresentative = protocol.isRepresentative(), idle = !isRepresentative
+            && !wasRepresentative;
+        wasRepresentative = isRepresentative;
         if (idle) {
             return nextDueAt;
         }
         updateRanks();
         for (int group = 0; group < nextQueryAt.length; group++) {
-            if (!representative || group == protocol.ownGroup || !isAssigned(now, group)) {
+            if (!isRepresentative || group == protocol.ownGroup || !isAssigned(now, group)) {
                 nextQueryAt[group] = Long.MAX_VALUE;
                 continue;
             }
@@ -75,6 +76,7 @@
         }
     }
 
+    /** Whether this representative has to query a group: it is assigned to it, or the data is too old. */
     private boolean isAssigned(long now, int group) {
         long dataAge = protocol.table.dataAge(now, group);
         if (dataAge > protocol.timing.unreachableAge()) {
@@ -83,7 +85,10 @@
         return ranks[group] == 0 || ranks[group] == 1 && dataAge > protocol.timing.overdueAge();
     }
 
-    /** Whether so many queries to a group failed that the loss of one of its members cannot be the cause. */
+    /**
+     * Whether so many queries failed since a group's last reply that a single dead member cannot be the
+     * cause.
+     */
     boolean isUnresponsive(int group) {
         return failedQueries[group] >= MAX_FAILED_QUERIES;
     }
@@ -96,8 +101,8 @@
         boolean overdue = failedQueries[group] > 0
             && protocol.table.dataAge(now, group) > protocol.timing.overdueAge();
         List<Integer> relayRequests = relayRequests(now);
-        for (int i = overdue && failedQueries[group] < MAX_FAILED_QUERIES ? PARALLEL_QUERIES
-            : 1; i > 0; i--) {
+        for (int i = overdue && failedQueries[group] < MAX_FAILED_QUERIES ? PARALLEL_QUERIES : 1; i > 0;
+            i--) {
             String target = nextTarget(group);
             PendingQuery query = protocol.pendingQueries.add(now, Kind.GROUP_QUERY, target, group, null);
             protocol.send(target, protocol.newMessage(Kind.GROUP_QUERY, query.sequence)
@@ -116,9 +121,9 @@
         }
         // The representatives of a minority do not know the majority: other members have to be tried as well.
         if (queryNumber < representativeCount && !(summary.isMinority() && protocol.random.nextBoolean())) {
-            // spreads the load over them
-            int representativeId = summary.representatives()[(protocol.ownGroup
-                + queryNumber) % representativeCount];
+            // Groups start with different representatives, which spreads the load over them.
+            int representativeId
+                = summary.representatives()[(protocol.ownGroup + queryNumber) % representativeCount];
             int nameIndex = protocol.assignment.memberList(group).indexOf(representativeId);
             if (nameIndex >= 0) {
                 return protocol.membership.groupQueryTarget(group, names.get(nameIndex));
@@ -162,12 +167,14 @@
                 }
             }
             protocol.send(from, protocol.newMessage(Kind.GROUP_REPLY, query.sequence)
-                .summary(protocol.ownSummary(now)).unreachable(query.listHash == protocol.assignment.hash()
-                ? protocol.unreachableGroups.unreachableBitmap(now) : null)
+                .summary(protocol.ownSummary(now))
+                .unreachable(query.listHash == protocol.assignment.hash()
+                    ? protocol.unreachableGroups.unreachableBitmap(now) : null)
                 .relayedSummaries(relayedSummaries));
         }
     }
 
+    /** Stores the summaries and the unreachable groups of a reply. */
     void handleReply(long now, PendingQuery query, GroupMessage reply) {
         if (reply.summary == null) {
             return;
@@ -178,12 +185,12 @@
         protocol.storeSummary(now, reply.summary, protocol.membership.ageAfterRoundTrip(0, roundTrip), true);
         int group = protocol.assignment.groupWithKey(reply.summary.key());
         if (group >= 0 && reply.listHash == protocol.assignment.hash()) {
-            protocol.table.storeUnreachable(now, group, reply.unreachable == null ? new byte[0]
-                : reply.unreachable, roundTrip);
+            protocol.table.storeUnreachable(now, group,
+                reply.unreachable == null ? new byte[0] : reply.unreachable, roundTrip);
         }
-        for (RelayedSummary relayed : reply.relayedSummaries) {
-            protocol.storeSummary(now, relayed.summary(), protocol.membership.ageAfterRoundTrip(relayed.age(),
-                roundTrip), true);
+        for (RelayedSummary relayedSummary : reply.relayedSummaries) {
+            protocol.storeSummary(now, relayedSummary.summary(),
+                protocol.membership.ageAfterRoundTrip(relayedSummary.age(), roundTrip), true);
         }
     }
 }
--- a/fleet/src/main/java/dockrelay/fleet/group/GroupSummary.java
+++ b/fleet/src/main/java/dockrelay/fleet/group/GroupSummary.java
@@ -35,6 +35,7 @@
         return representatives.length == 0 ? 0 : representatives[0];
     }
 
+    /** Whether the reporting member had the same view as only a minority of its group. */
     boolean isMinority() {
         return agreement == Agreement.MINORITY;
     }
--- a/fleet/src/main/java/dockrelay/fleet/group/GroupTable.java
+++ b/fleet/src/main/java/dockrelay/fleet/group/GroupTable.java
@@ -11,9 +11,9 @@
     /** The row of a group. */
     static final class Row {
         GroupSummary summary; // null if the group was never heard of
-        long earliestOrigin;     // the earliest time at which the summary may have been made
+        long earliestOrigin; // the earliest time at which the summary may have been made
         long version, changedAt;
-        byte[] unreachable;   // bitmap of the groups that are unreachable to this group; null if unknown
+        byte[] unreachable; // bitmap of the groups that are unreachable to this group; null if unknown
         long unreachableAt;
         boolean firstHand; // received from another group, not from a member of the own group
     }
@@ -47,24 +47,26 @@
     }
 
     /** Stores a newer summary. A summary by a minority replaces a majority's summary only after a while. */
-    void store(long now, GroupSummary received, long age, boolean firstHand) {
-        int group = assignment.groupWithKey(received.key());
+    void store(long now, GroupSummary receivedSummary, long age, boolean firstHand) {
+        int group = assignment.groupWithKey(receivedSummary.key());
         if (group < 0 || age > timing.summaryExpiry()) {
             return;
         }
         Row row = rows[group];
         long earliestOrigin = now - age;
-        if (row.summary != null && (earliestOrigin <= row.earliestOrigin || received.isMinority()
-            && !row.summary.isMinority() && now - row.earliestOrigin < timing.majorityRetention())) {
+        if (row.summary != null && (earliestOrigin <= row.earliestOrigin
+            || receivedSummary.isMinority() && !row.summary.isMinority()
+            && now - row.earliestOrigin < timing.majorityRetention())) {
             return;
         }
-        GroupSummary stored = received.withRepresentativesOf(row.summary);
-        if (received.differsOnlyInAgreeing(row.summary) && now - row.changedAt < timing.unsettledTime()) {
+        GroupSummary storedSummary = receivedSummary.withRepresentativesOf(row.summary);
+        if (receivedSummary.differsOnlyInAgreeing(row.summary)
+            && now - row.changedAt < timing.unsettledTime()) {
             // During a change the number of members that agree differs with each summary: only the final
             // number is passed on.
-            stored = stored.withAgreeingMembers(row.summary.agreeingMembers());
+            storedSummary = storedSummary.withAgreeingMembers(row.summary.agreeingMembers());
         }
-        boolean sameContent = stored.hasSameContent(row.summary);
+        boolean sameContent = storedSummary.hasSameContent(row.summary);
         // A row that was not first-hand has not been sent to those that query only first-hand rows.
         if (!sameContent || firstHand && !row.firstHand) {
             row.version = ++version;
@@ -73,7 +75,7 @@
             row.changedAt = now;
         }
         row.firstHand = firstHand;
-        row.summary = stored;
+        row.summary = storedSummary;
         row.earliestOrigin = earliestOrigin;
     }
 
@@ -109,12 +111,12 @@
     }
 
     /**
-     * Returns how long nothing has been heard of a group. A group that was never heard of gets additional
-     * time from the start of this table.
+     * Returns the time since the latest summary of a group may have been made. A group without any summary
+     * gets a grace time from the start of this table.
      */
-    long unheardTime(long now, int group) {
-        return rows[group].summary == null ? Math.max(0, now - startedAt - timing.initialGraceTime()) : now
-            - rows[group].earliestOrigin;
+    long timeSinceContact(long now, int group) {
+        return rows[group].summary == null ? Math.max(0, now - startedAt - timing.initialGraceTime())
+            : now - rows[group].earliestOrigin;
     }
 
     /** Returns the time since the latest summary of a group, or since the start of this table. */
@@ -129,6 +131,7 @@
             : row.unreachable;
     }
 
+    /** Returns the maximum age of the bitmap of unreachable groups in microseconds. */
     long unreachableAge(long now, int group) {
         return now - rows[group].unreachableAt;
     }
@@ -138,6 +141,7 @@
         return rows[group].version;
     }
 
+    /** Returns the version number of the last change of any row. */
     long version() {
         return version;
     }
--- a/fleet/src/main/java/dockrelay/fleet/group/GroupedMembership.java
+++ b/fleet/src/main/java/dockrelay/fleet/group/GroupedMembership.java
@@ -1,11 +1,11 @@
 package dockrelay.fleet.group;
 
+import dockrelay.fleet.MemberState;
 import dockrelay.fleet.MemberStateChange;
-import dockrelay.fleet.Membership;
-import dockrelay.fleet.ProtocolTiming;
 import dockrelay.fleet.MemberStatus;
+import dockrelay.fleet.Membership;
 import dockrelay.fleet.MembershipSnapshot;
-import dockrelay.fleet.MemberState;
+import dockrelay.fleet.ProtocolTiming;
 import java.nio.ByteBuffer;
 import java.util.List;
 import java.util.Map;
@@ -22,7 +22,8 @@
     /** What the owner has to do for this state machine. Called on the thread that calls the state machine. */
     public interface Callbacks extends Membership.Callbacks {
         /**
-         * Reports the result of {@link #find}; {@code row} is null if nobody who may know the name answered.
+         * Reports the result of {@link #findMember}; {@code status} is null if nobody who may know the name
+         * answered.
          */
         void memberLookupCompleted(String name, MemberStatus status);
     }
@@ -64,16 +65,16 @@
     /**
      * Starts the protocol at {@code now}; see {@link Membership} for the parameters.
      *
-     * @throws IllegalArgumentException if {@code grouping} does not contain {@code self}
+     * @throws IllegalArgumentException if {@code assignment} does not contain {@code self}
      */
-    public GroupedMembership(String self, GroupAssignment assignment, long incarnation, int life,
+    public GroupedMembership(String self, GroupAssignment assignment, long incarnation, int instanceId,
         ProtocolTiming timing, Random random, Callbacks callbacks, long now) {
         this.self = self;
         this.assignment = assignment;
         this.timing = timing;
         this.random = random;
         this.callbacks = callbacks;
-        this.ownMembership = new Membership(self, ownGroupNames(assignment), incarnation, life, timing,
+        this.ownMembership = new Membership(self, ownGroupNames(assignment), incarnation, instanceId, timing,
             random, new ForwardingCallbacks(), now);
         if (!assignment.isSingleGroup()) {
             interGroupProtocol = newInterGroupProtocol(now);
@@ -111,8 +112,8 @@
 
     /** Returns the time at which {@link #tick} is due next, in microseconds. */
     public long nextTickAt() {
-        return interGroupProtocol == null ? ownMembership.nextTickAt() : Math.min(ownMembership.nextTickAt(),
-            interGroupProtocol.nextTickAt());
+        return interGroupProtocol == null ? ownMembership.nextTickAt()
+            : Math.min(ownMembership.nextTickAt(), interGroupProtocol.nextTickAt());
     }
 
     /** Runs everything that is due in the own group and between groups. */
@@ -192,7 +193,7 @@
         return ownMembership.healthScore();
     }
 
-    /** Returns the number of rejected datagrams by reason since the last call, and resets the counts. */
+    /** Returns the number of refused datagrams by reason since the last call, and resets the counts. */
     public Map<String, Long> takeRefusalCounts() {
         Map<String, Long> result = new TreeMap<>(ownMembership.takeRefusalCounts());
         if (interGroupProtocol != null) {
@@ -201,7 +202,7 @@
         return result;
     }
 
-    /** Looks up a member by name; the result is passed to {@link Callbacks#found}. */
+    /** Looks up a member by name; the result is passed to {@link Callbacks#memberLookupCompleted}. */
     public void findMember(long now, String name) {
         if (interGroupProtocol != null) {
             interGroupProtocol.findMember(now, name);
@@ -243,12 +244,12 @@
         return receivedHash == ownHash;
     }
 
-    /** Returns the member of another group to query for that group. */
+    /** Returns the member of another group to query for that group: the selected one. */
     String groupQueryTarget(int group, String selected) {
         return selected;
     }
 
-    /** Returns the member of the own group to query for the table of all groups. */
+    /** Returns the member of the own group to query for the table of all groups: the selected one. */
     String tableQueryTarget(String selected) {
         return selected;
     }
@@ -265,7 +266,7 @@
      * Returns the number of group rows held, in this member's table and its copies of other members' tables.
      */
     int heldRows() {
-        return interGroupProtocol == null ? 0 : assignment.groupCount() - 1
-            + interGroupProtocol.tableClient.heldRows();
+        return interGroupProtocol == null ? 0
+            : assignment.groupCount() - 1 + interGroupProtocol.tableClient.heldRows();
     }
 }
--- a/fleet/src/main/java/dockrelay/fleet/group/InterGroupProtocol.java
+++ b/fleet/src/main/java/dockrelay/fleet/group/InterGroupProtocol.java
@@ -1,11 +1,11 @@
 package dockrelay.fleet.group;
 
-import dockrelay.fleet.Membership;
-import dockrelay.fleet.ProtocolTiming;
 import dockrelay.fleet.MemberList;
+import dockrelay.fleet.MemberState;
 import dockrelay.fleet.MemberStatus;
+import dockrelay.fleet.Membership;
 import dockrelay.fleet.MembershipSnapshot;
-import dockrelay.fleet.MemberState;
+import dockrelay.fleet.ProtocolTiming;
 import dockrelay.fleet.group.GroupMessage.Kind;
 import dockrelay.fleet.group.GroupMessage.RefusalReason;
 import java.nio.ByteBuffer;
@@ -74,20 +74,20 @@
 
     void tick(long now) {
         extendTimeoutsAfterStall(now);
-        for (PendingQuery timedOut = pendingQueries.nextTimedOut(now); timedOut != null; timedOut =
-            pendingQueries.nextTimedOut(now)) {
-            switch (timedOut.kind) {
-                case GROUP_QUERY -> groupPoller.queryTimedOut(now, timedOut);
+        for (PendingQuery timedOutQuery = pendingQueries.nextTimedOut(now); timedOutQuery != null;
+            timedOutQuery = pendingQueries.nextTimedOut(now)) {
+            switch (timedOutQuery.kind) {
+                case GROUP_QUERY -> groupPoller.queryTimedOut(now, timedOutQuery);
                 case TABLE_QUERY -> tableClient.queryTimedOut(now);
-                default -> memberLookup.queryTimedOut(now, timedOut);
+                default -> memberLookup.queryTimedOut(now, timedOutQuery);
             }
         }
         sendDueQueries(now);
     }
 
     private void sendDueQueries(long now) {
-        boolean representative = isRepresentative();
-        unreachableGroups.setRepresentative(now, representative);
+        boolean isRepresentative = isRepresentative();
+        unreachableGroups.setRepresentative(now, isRepresentative);
         long nextDueAt = Math.min(tableClient.tick(now), groupPoller.tick(now));
         nextTickAt = Math.min(nextDueAt, pendingQueries.nextTimeoutAt());
     }
@@ -106,6 +106,7 @@
 
     // --- datagrams
 
+    /** Starts a message from this member. */
     MessageWriter newMessage(Kind kind, int sequence) {
         return new MessageWriter(kind, selfId, assignment.hash(), sequence);
     }
@@ -114,6 +115,7 @@
         callbacks.send(receiver, message.finish());
     }
 
+    /** Handles a datagram of this protocol; {@code from} is null if the sender's address has no name. */
     void receive(long now, String from, ByteBuffer datagram) {
         extendTimeoutsAfterStall(now);
         GroupMessage message;
@@ -159,6 +161,7 @@
         }
     }
 
+    /** Stores a summary of another group with its maximum age in microseconds. */
     void storeSummary(long now, GroupSummary summary, long age, boolean firstHand) {
         int group = assignment.groupWithKey(summary.key());
         if (group >= 0 && group != ownGroup) {
@@ -192,6 +195,7 @@
             .filter(name -> ownMembership.stateOf(name) == state).count();
     }
 
+    /** Returns this member's summary of its own group. */
     GroupSummary ownSummary(long now) {
         MembershipSnapshot snapshot = ownMembership.snapshot(now);
         return new GroupSummary(assignment.keyOf(ownGroup), assignment.hash(), assignment.hash(ownGroup),
@@ -229,10 +233,10 @@
         callbacks.memberLookupCompleted(name, status);
     }
 
-    /** Adds the number of rejected datagrams by reason since the last call, and resets the counts. */
+    /** Adds the number of refused datagrams by reason since the last call, and resets the counts. */
     void takeRefusalCounts(Map<String, Long> counts) {
-        refusalCounts.forEach((reason, count) -> counts.merge(reason.name()
-            .toLowerCase(java.util.Locale.ROOT), count, Long::sum));
+        refusalCounts.forEach((reason, count) ->
+            counts.merge(reason.name().toLowerCase(java.util.Locale.ROOT), count, Long::sum));
         refusalCounts.clear();
     }
 }
--- a/fleet/src/main/java/dockrelay/fleet/group/MemberLookup.java
+++ b/fleet/src/main/java/dockrelay/fleet/group/MemberLookup.java
@@ -29,6 +29,7 @@
         this.protocol = protocol;
     }
 
+    /** Starts a lookup; the oldest one ends without a result if there are too many. */
     void start(long now, String name) {
         int group = protocol.assignment.groupOf(name);
         if (group < 0 || group == protocol.ownGroup) {
@@ -58,20 +59,24 @@
         }
         List<String> names = protocol.assignment.memberNames(lookup.group);
         GroupSummary summary = protocol.table.summary(lookup.group);
-        int index = summary == null || lookup.attempts > summary.representatives().length ? -1
+        int nameIndex = summary == null || lookup.attempts > summary.representatives().length ? -1
             : protocol.assignment.memberList(lookup.group)
             .indexOf(summary.representatives()[lookup.attempts - 1]);
-        String target = names.get(index >= 0 ? index : protocol.random.nextInt(names.size()));
+        String target = names.get(nameIndex >= 0 ? nameIndex : protocol.random.nextInt(names.size()));
         PendingQuery query = protocol.pendingQueries.add(now, Kind.MEMBER_QUERY, target, lookup.group,
             lookup);
         protocol.send(target, protocol.newMessage(Kind.MEMBER_QUERY, query.sequence).memberName(lookup.name));
     }
 
+    /** Queries another member of the group after a time-out. */
     void queryTimedOut(long now, PendingQuery query) {
         sendQuery(now, query.lookup);
     }
 
-    /** Answers without a status if the name is not in this group: on the asker's list it may be elsewhere. */
+    /**
+     * Answers a query, without a status if the name is not in this group: on the requester's list it may be
+     * in another one.
+     */
     void answerQuery(long now, String from, GroupMessage query) {
         if (query.memberName != null && protocol.hasJoined()) {
             MessageWriter reply = protocol.newMessage(Kind.MEMBER_REPLY, query.sequence);
@@ -82,6 +87,7 @@
         }
     }
 
+    /** Ends the lookup if the reply has a status of the member, else queries another member. */
     void handleReply(long now, PendingQuery query, GroupMessage reply) {
         if (reply.memberStatus != null && reply.memberStatus.name().equals(query.lookup.name)) {
             finish(query.lookup, reply.memberStatus);
--- a/fleet/src/main/java/dockrelay/fleet/group/MessageWriter.java
+++ b/fleet/src/main/java/dockrelay/fleet/group/MessageWriter.java
@@ -22,8 +22,8 @@
      */
     private static final int AGE_RANGE_UNITS = 64, MAX_SET_ENTRY_BYTES = 5;
     /** The maximum encoded size of a table row and of a summary in bytes. */
-    private static final int MAX_ROW_BYTES = 3 + 1 + 12 + 5 * 3 + 4, MAX_SUMMARY_BYTES = 17 + 5 * 3 + 4 + 1
-        + 4 * Representatives.MAX_COUNT;
+    private static final int MAX_ROW_BYTES = 3 + 1 + 12 + 5 * 3 + 4,
+        MAX_SUMMARY_BYTES = 17 + 5 * 3 + 4 + 1 + 4 * Representatives.MAX_COUNT;
 
     private final ByteBuffer buffer = ByteBuffer.allocate(MAX_MESSAGE_BYTES);
     private int sectionStart = -1;
@@ -53,6 +53,7 @@
         sectionStart = -1;
     }
 
+    /** Writes the keys of groups of which the receiver shall relay its summaries. */
     MessageWriter relayRequests(List<Integer> keys) {
         beginSection(GroupMessage.RELAY_REQUESTS_SECTION);
         keys.forEach(buffer::putInt);
@@ -67,6 +68,7 @@
         return this;
     }
 
+    /** Writes the bitmap of the groups that are unreachable to the sender's group, if it fits. */
     MessageWriter unreachable(byte[] bitmap) {
         if (bitmap != null && bitmap.length <= remainingBytes()) {
             beginSection(GroupMessage.UNREACHABLE_SECTION);
@@ -76,19 +78,21 @@
         return this;
     }
 
+    /** Writes as many summaries of other groups as fit. */
     MessageWriter relayedSummaries(List<GroupMessage.RelayedSummary> summaries) {
         beginSection(GroupMessage.RELAYED_SECTION);
-        for (GroupMessage.RelayedSummary relayed : summaries) {
+        for (GroupMessage.RelayedSummary relayedSummary : summaries) {
             if (remainingBytes() < MAX_SUMMARY_BYTES + 6) {
                 break;
             }
-            WireFormat.putVarint(buffer, ceilToMillis(relayed.age()));
-            putSummary(relayed.summary());
+            WireFormat.putVarint(buffer, ceilToMillis(relayedSummary.age()));
+            putSummary(relayedSummary.summary());
         }
         endSection();
         return this;
     }
 
+    /** Writes which version of the table the requester has, and the flags of its query. */
     MessageWriter since(int epoch, long version, boolean wantsUnreachable, boolean ownPart) {
         beginSection(GroupMessage.SINCE_SECTION);
         buffer.putInt(epoch);
@@ -99,6 +103,7 @@
         return this;
     }
 
+    /** Writes up to which version of the table a reply goes, and whether there is more. */
     MessageWriter upTo(int epoch, long version, boolean hasMore) {
         beginSection(GroupMessage.UP_TO_SECTION);
         buffer.putInt(epoch);
@@ -108,6 +113,7 @@
         return this;
     }
 
+    /** Writes the encoded age of the data of each group. */
     MessageWriter ages(byte[] ages) {
         beginSection(GroupMessage.AGES_SECTION);
         buffer.put(ages);
@@ -115,16 +121,16 @@
         return this;
     }
 
-    /** Writes the number of groups, then each known age with its distance from the group before. */
+    /** Writes the number of groups, then each known age with the distance from the group before. */
     MessageWriter ownAges(byte[] ages) {
         beginSection(GroupMessage.OWN_AGES_SECTION);
         WireFormat.putVarint(buffer, ages.length);
-        int previous = -1;
+        int previousGroup = -1;
         for (int group = 0; group < ages.length; group++) {
             if ((ages[group] & 0xff) != GroupMessage.AGE_UNKNOWN) {
-                WireFormat.putVarint(buffer, group - previous - 1);
+                WireFormat.putVarint(buffer, group - previousGroup - 1);
                 buffer.put(ages[group]);
-                previous = group;
+                previousGroup = group;
             }
         }
         endSection();
@@ -132,9 +138,9 @@
     }
 
     /**
-     * Writes rows in order and returns how many fit, with {@code kept} bytes left for other sections. Counts
-     * that follow from others are left out if {@code names} gives the number of names of each group; it is
-     * null for a receiver that cannot read such rows.
+     * Writes rows in order and returns how many fit, with {@code reservedBytes} left for other sections.
+     * Counts that follow from others are left out if {@code nameCounts} gives the number of names per group;
+     * it is null for a receiver that cannot read such rows.
      */
     int rows(List<GroupMessage.TableRow> rows, boolean keyed, int reservedBytes,
         IntUnaryOperator nameCounts) {
@@ -155,9 +161,9 @@
     private static int omittedFlags(GroupMessage.TableRow row, int nameCount) {
         return (row.leftMembers() == 0 ? GroupMessage.NONE_LEFT_FLAG : 0)
             + (row.presentMembers() == nameCount - row.leftMembers() - row.goneMembers()
-            ? GroupMessage.REST_PRESENT_FLAG : 0) + (row.countedMembers() == row.presentMembers()
-            ? GroupMessage.PRESENT_COUNTED_FLAG : 0) + (row.agreeingMembers() == row.presentMembers()
-            ? GroupMessage.PRESENT_AGREE_FLAG : 0);
+                ? GroupMessage.REST_PRESENT_FLAG : 0)
+            + (row.countedMembers() == row.presentMembers() ? GroupMessage.PRESENT_COUNTED_FLAG : 0)
+            + (row.agreeingMembers() == row.presentMembers() ? GroupMessage.PRESENT_AGREE_FLAG : 0);
     }
 
     private void putRow(GroupMessage.TableRow row, boolean keyed, int omitted) {
@@ -193,7 +199,8 @@
 
     /**
      * Writes bitmaps of unreachable groups in the compact format: groups with the same bitmap and similar
-     * ages share one entry with the highest age. If few are equal, uses the format of {@link #silentTo}.
+     * ages share one entry with the highest age. If few are equal, uses the format of {@link
+     * #unreachableSets}.
      */
     MessageWriter sharedUnreachableSets(List<GroupMessage.UnreachableSet> sets) {
         Map<String, List<GroupMessage.UnreachableSet>> setsByContent = new LinkedHashMap<>();
@@ -231,37 +238,37 @@
             return this;
         }
         List<byte[]> distinctBitmaps = new ArrayList<>();
-        List<GroupMessage.UnreachableSet> written = new ArrayList<>();
+        List<GroupMessage.UnreachableSet> writtenSets = new ArrayList<>();
         List<Integer> bitmapIndexes = new ArrayList<>();
-        int length = sets.get(0).unreachable().length, remaining = remainingBytes() - 4;
+        int length = sets.get(0).unreachable().length, bytesLeft = remainingBytes() - 4;
         for (GroupMessage.UnreachableSet set : sets) {
             int bitmapIndex = 0;
-            while (bitmapIndex < distinctBitmaps.size() && !Arrays.equals(distinctBitmaps.get(bitmapIndex),
-                set.unreachable())) {
+            while (bitmapIndex < distinctBitmaps.size()
+                && !Arrays.equals(distinctBitmaps.get(bitmapIndex), set.unreachable())) {
                 bitmapIndex++;
             }
             int bytesNeeded = MAX_SET_ENTRY_BYTES + (bitmapIndex == distinctBitmaps.size() ? length : 0);
-            if (bytesNeeded > remaining || bitmapIndex == MAX_DISTINCT_SETS || set.unreachable()
-                .length != length) {
+            if (bytesNeeded > bytesLeft || bitmapIndex == MAX_DISTINCT_SETS
+                || set.unreachable().length != length) {
                 continue;
             }
-            remaining -= bytesNeeded;
+            bytesLeft -= bytesNeeded;
             if (bitmapIndex == distinctBitmaps.size()) {
                 distinctBitmaps.add(set.unreachable());
             }
-            written.add(set);
+            writtenSets.add(set);
             bitmapIndexes.add(bitmapIndex);
         }
-        if (written.isEmpty()) {
+        if (writtenSets.isEmpty()) {
             return this;
         }
         beginSection(GroupMessage.UNREACHABLE_SETS_SECTION);
         WireFormat.putVarint(buffer, length);
         buffer.put((byte) distinctBitmaps.size());
         distinctBitmaps.forEach(buffer::put);
-        for (int i = 0; i < written.size(); i++) {
-            WireFormat.putVarint(buffer, written.get(i).group());
-            buffer.put((byte) written.get(i).ageUnits()).put((byte) (int) bitmapIndexes.get(i));
+        for (int i = 0; i < writtenSets.size(); i++) {
+            WireFormat.putVarint(buffer, writtenSets.get(i).group());
+            buffer.put((byte) writtenSets.get(i).ageUnits()).put((byte) (int) bitmapIndexes.get(i));
         }
         endSection();
         return this;
@@ -298,8 +305,8 @@
         WireFormat.putVarint(buffer, summary.countedMembers());
         WireFormat.putVarint(buffer, summary.agreeingMembers());
         buffer.putInt(summary.reporterId()).put((byte) summary.representatives().length);
-        for (int speaker : summary.representatives()) {
-            buffer.putInt(speaker);
+        for (int representativeId : summary.representatives()) {
+            buffer.putInt(representativeId);
         }
     }
 
@@ -313,6 +320,7 @@
         return (micros + 999) / 1000;
     }
 
+    /** Appends the checksum and returns the datagram, ready to be sent. */
     ByteBuffer finish() {
         return WireFormat.appendChecksum(buffer);
     }
--- a/fleet/src/main/java/dockrelay/fleet/group/PendingQueries.java
+++ b/fleet/src/main/java/dockrelay/fleet/group/PendingQueries.java
@@ -22,9 +22,10 @@
         this.lastSequence = random.nextInt();
     }
 
+    /** Creates and records a query with a new sequence number. */
     PendingQuery add(long now, GroupMessage.Kind kind, String target, int group, MemberLookup.Lookup lookup) {
-        PendingQuery query = new PendingQuery(++lastSequence, kind, target, group, lookup, now, now
-            + timing.queryTimeout());
+        PendingQuery query = new PendingQuery(++lastSequence, kind, target, group, lookup, now,
+            now + timing.queryTimeout());
         bySequence.put(query.sequence, query);
         awaitingTimeout.add(query);
         awaitingExpiry.add(query);
@@ -47,8 +48,8 @@
         while (!awaitingExpiry.isEmpty() && now - awaitingExpiry.peek().sentAt >= timing.queryExpiry()) {
             bySequence.remove(awaitingExpiry.poll().sequence);
         }
-        while (!awaitingTimeout.isEmpty() && (awaitingTimeout.peek().answered || awaitingTimeout.peek()
-            .timeoutAt <= now)) {
+        while (!awaitingTimeout.isEmpty()
+            && (awaitingTimeout.peek().answered || awaitingTimeout.peek().timeoutAt <= now)) {
             PendingQuery query = awaitingTimeout.poll();
             if (!query.answered) {
                 return query;
@@ -57,6 +58,7 @@
         return null;
     }
 
+    /** Returns when the next query times out, or {@code Long.MAX_VALUE}. */
     long nextTimeoutAt() {
         while (!awaitingTimeout.isEmpty() && awaitingTimeout.peek().answered) {
             awaitingTimeout.poll();
--- a/fleet/src/main/java/dockrelay/fleet/group/RemoteTable.java
+++ b/fleet/src/main/java/dockrelay/fleet/group/RemoteTable.java
@@ -3,7 +3,7 @@
 /** A copy of the table of another member of the own group, in the order of that member's list. */
 final class RemoteTable {
     final String name;
-    int epoch, listHash, queryCount; // times: how often it was queried
+    int epoch, listHash, queryCount;
     boolean partial; // up to the version, only rows that the other member queried itself were received
     long version, queriedAt = Long.MIN_VALUE / 2;
     GroupSummary[] rows = {};
--- a/fleet/src/main/java/dockrelay/fleet/group/Representatives.java
+++ b/fleet/src/main/java/dockrelay/fleet/group/Representatives.java
@@ -1,8 +1,8 @@
 package dockrelay.fleet.group;
 
-import dockrelay.fleet.Membership;
 import dockrelay.fleet.MemberList;
 import dockrelay.fleet.MemberState;
+import dockrelay.fleet.Membership;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
@@ -48,6 +48,7 @@
         current = null;
     }
 
+    /** Returns the names of the current representatives in order. */
     List<String> names() {
         if (current == null) {
             current = order.stream().filter(name -> membership.stateOf(name) == MemberState.PRESENT)
@@ -60,6 +61,7 @@
         return names().contains(self);
     }
 
+    /** Returns the ids of the current representatives in order. */
     int[] ids() {
         return names().stream().mapToInt(MemberList::idOf).toArray();
     }
--- a/fleet/src/main/java/dockrelay/fleet/group/TableClient.java
+++ b/fleet/src/main/java/dockrelay/fleet/group/TableClient.java
@@ -2,8 +2,8 @@
 
 import dockrelay.fleet.MemberState;
 import dockrelay.fleet.group.GroupMessage.Kind;
-import dockrelay.fleet.group.GroupMessage.UnreachableSet;
 import dockrelay.fleet.group.GroupMessage.TableRow;
+import dockrelay.fleet.group.GroupMessage.UnreachableSet;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -20,7 +20,7 @@
     private final int usualIndex; // selects the usual representative; spreads the members evenly over them
     private long nextRoundAt, returnAt;
     private int indexOffset, failedQueries;
-    // the last ones; data of the latter is kept until the former answers
+    // The data of the member that answered last is kept until the member that was queried last answers.
     private String lastQueried, lastAnswered;
 
     TableClient(InterGroupProtocol protocol, long now) {
@@ -35,8 +35,8 @@
         if (!protocol.isRepresentative()) {
             nextQueryAt.clear();
             if (now >= nextRoundAt) {
-                nextRoundAt = now + (long) (protocol.timing.tableQueryInterval() * (0.95
-                    + 0.1 * protocol.random.nextDouble()));
+                nextRoundAt = now + (long) (protocol.timing.tableQueryInterval()
+                    * (0.95 + 0.1 * protocol.random.nextDouble()));
                 failedQueries = 0;
                 if (lacksRecentData(now)) {
                     switchRepresentative(now);
@@ -59,8 +59,8 @@
                 long dueAt = nextQueryAt.computeIfAbsent(representative, name -> now
                     + (long) (protocol.random.nextDouble() * protocol.timing.queryTimeout()));
                 if (now >= dueAt) {
-                    dueAt = now + (long) (protocol.timing.shortQueryInterval() * (0.95
-                        + 0.1 * protocol.random.nextDouble()));
+                    dueAt = now + (long) (protocol.timing.shortQueryInterval()
+                        * (0.95 + 0.1 * protocol.random.nextDouble()));
                     nextQueryAt.put(representative, dueAt);
                     sendQuery(now, representative, true);
                 }
@@ -97,8 +97,8 @@
     private void sendQuery(long now) {
         List<String> representatives = protocol.representatives.names();
         if (!representatives.isEmpty() && failedQueries < representatives.size()) {
-            sendQuery(now, protocol.membership.tableQueryTarget(representatives.get(Math.floorMod(usualIndex
-                + indexOffset, representatives.size()))), false);
+            sendQuery(now, protocol.membership.tableQueryTarget(
+                representatives.get(Math.floorMod(usualIndex + indexOffset, representatives.size()))), false);
             return;
         }
         List<String> candidates = protocol.assignment.memberNames(protocol.ownGroup).stream()
@@ -118,11 +118,11 @@
         lastQueried = target;
         RemoteTable remoteTable = remoteTables.get(target);
         PendingQuery query = protocol.pendingQueries.add(now, Kind.TABLE_QUERY, target, -1, null);
-        // Only representatives need the bitmaps of unreachable groups, and not more often than groups send
+        // Only representatives need the bitmaps of unreachable groups, and no more often than groups send
         // them.
         boolean wantsUnreachable = protocol.isRepresentative()
             && (remoteTable == null || remoteTable.queryCount++ % 2 == 0);
-        // rows of others were left out so far
+        // So far the rows that the target had not queried itself were left out.
         boolean fromStart = remoteTable == null || remoteTable.partial && !ownPart;
         protocol.send(target, protocol.newMessage(Kind.TABLE_QUERY, query.sequence)
             .since(fromStart ? 0 : remoteTable.epoch, fromStart ? 0 : remoteTable.version, wantsUnreachable,
@@ -138,6 +138,7 @@
         }
     }
 
+    /** Stores the rows and ages of a reply, and queries the rest if there is more. */
     void handleReply(long now, PendingQuery query, GroupMessage reply) {
         boolean sameList = reply.listHash == protocol.assignment.hash();
         if (reply.ages == null || sameList && reply.ages.length != protocol.assignment.groupCount()) {
@@ -183,25 +184,26 @@
         }
     }
 
-    private GroupSummary toSummary(TableRow received, int listHash, boolean sameList) {
-        boolean ownList = received.key() == 0 && !received.otherList();
-        int group = received.key() != 0 ? protocol.assignment.groupWithKey(received.key()) : sameList
-            ? received.index() : -1;
-        TableRow row = ownList ? received.withAllCounts(protocol.assignment.memberNames(group).size())
-            : received;
+    /** Converts a received table row to a summary; {@code listHash} is that of the sender's list. */
+    private GroupSummary toSummary(TableRow receivedRow, int listHash, boolean sameList) {
+        boolean usesOwnList = receivedRow.key() == 0 && !receivedRow.otherList();
+        int group = receivedRow.key() != 0 ? protocol.assignment.groupWithKey(receivedRow.key())
+            : sameList ? receivedRow.index() : -1;
+        TableRow row = usesOwnList ? receivedRow.withAllCounts(protocol.assignment.memberNames(group).size())
+            : receivedRow;
         int key = row.key() != 0 ? row.key() : protocol.assignment.keyOf(group);
         int[] representatives = {};
-        if (!ownList && row.representative() != 0) {
+        if (!usesOwnList && row.representative() != 0) {
             representatives = new int[] {row.representative()};
-        } else if (ownList && row.representative() > 0
+        } else if (usesOwnList && row.representative() > 0
             && row.representative() <= protocol.assignment.memberNames(group).size()) {
             representatives = new int[] {protocol.assignment.memberList(group)
                 .idAt(row.representative() - 1)};
         }
-        return new GroupSummary(key, row.otherList() ? row.listHash() : listHash, ownList
-            ? protocol.assignment.hash(group) : row.namesHash(), 0, row.presentMembers(), row.leftMembers(),
-            row.goneMembers(), row.countedMembers(), row.agreement(), row.agreeingMembers(), representatives,
-            representatives.length == 0 ? 0 : representatives[0]);
+        return new GroupSummary(key, row.otherList() ? row.listHash() : listHash,
+            usesOwnList ? protocol.assignment.hash(group) : row.namesHash(), 0, row.presentMembers(),
+            row.leftMembers(), row.goneMembers(), row.countedMembers(), row.agreement(),
+            row.agreeingMembers(), representatives, representatives.length == 0 ? 0 : representatives[0]);
     }
 
     /** Returns the number of rows in all copies of other members' tables. */
--- a/fleet/src/main/java/dockrelay/fleet/group/TableResponder.java
+++ b/fleet/src/main/java/dockrelay/fleet/group/TableResponder.java
@@ -1,8 +1,8 @@
 package dockrelay.fleet.group;
 
 import dockrelay.fleet.group.GroupMessage.Kind;
-import dockrelay.fleet.group.GroupMessage.UnreachableSet;
 import dockrelay.fleet.group.GroupMessage.TableRow;
+import dockrelay.fleet.group.GroupMessage.UnreachableSet;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
@@ -20,6 +20,7 @@
         this.epoch = epoch;
     }
 
+    /** Sends the rows that changed since the version that the sender has, as many as fit, and all ages. */
     void answerQuery(long now, String sender, GroupMessage query) {
         boolean keyed = query.listHash != protocol.assignment.hash();
         long sinceVersion = query.epoch == epoch ? query.version : 0;
@@ -34,12 +35,12 @@
         }
         changedGroups.sort(Comparator.comparingLong(table::version));
         List<TableRow> rows = new ArrayList<>();
-        if (keyed) { // on the asker's list the two members may be in different groups
+        if (keyed) { // on the requester's list the two members may be in different groups
             rows.add(toRow(protocol.ownGroup, protocol.ownSummary(now), true));
         }
         changedGroups.forEach(group -> rows.add(toRow(group, table.summary(group), keyed)));
         MessageWriter reply = protocol.newMessage(Kind.TABLE_REPLY, query.sequence);
-        // distance to the group and its age, or the age alone
+        // Either the distance to the group and its age, or the age alone.
         int ageBytes = groupCount * (query.ownPart ? 2 : 1);
         int writtenRows = reply.rows(rows, keyed, ageBytes + 24, query.readsCompact
             ? group -> protocol.assignment.memberNames(group).size() : null);
@@ -83,6 +84,7 @@
         return !query.ownPart || group == protocol.ownGroup || protocol.table.isFirstHand(group);
     }
 
+    /** Returns the age byte of a group: its age in units, or one of the special values. */
     private int encodedAge(long now, int group, boolean keyed, long upToVersion) {
         if (group == protocol.ownGroup) {
             return keyed ? 0 : GroupMessage.AGE_UNKNOWN;
--- a/fleet/src/main/java/dockrelay/fleet/group/UnreachableGroups.java
+++ b/fleet/src/main/java/dockrelay/fleet/group/UnreachableGroups.java
@@ -25,6 +25,7 @@
         computedAt = Long.MIN_VALUE / 2;
     }
 
+    /** Records whether this member is a representative; the observation starts when it becomes one. */
     void setRepresentative(long now, boolean isRepresentative) {
         if (isRepresentative && !representative) {
             observingSince = now;
@@ -35,7 +36,7 @@
     /** Whether a group has been unreachable to this representative for long enough. */
     boolean isUnreachable(long now, int group) {
         return representative && group != protocol.ownGroup && protocol.groupPoller.isUnresponsive(group)
-            && Math.min(protocol.table.unheardTime(now, group), now - observingSince)
+            && Math.min(protocol.table.timeSinceContact(now, group), now - observingSince)
             > protocol.timing.unreachableAge();
     }
 
@@ -46,7 +47,7 @@
      */
     boolean isUndecided(long now, int group) {
         return group != protocol.ownGroup
-            && protocol.table.unheardTime(now, group) > protocol.timing.unreachableAge()
+            && protocol.table.timeSinceContact(now, group) > protocol.timing.unreachableAge()
             && !isUnreachable(now, group);
     }
 
@@ -84,8 +85,8 @@
             int reportingMembers = ownPresentMembers;
             for (int reportingGroup = 0; reportingGroup < groupCount; reportingGroup++) {
                 byte[] bitmap = reportingGroup == protocol.ownGroup
-                    || !protocol.totals.isFresh(now, reportingGroup) ? null
-                    : protocol.table.unreachable(now, reportingGroup);
+                    || !protocol.totals.isFresh(now, reportingGroup)
+                    ? null : protocol.table.unreachable(now, reportingGroup);
                 if (bitmap != null && group / 8 < bitmap.length
                     && (bitmap[group / 8] >> group % 8 & 1) != 0) {
                     reportingMembers += protocol.table.summary(reportingGroup).presentMembers();
--- a/fleet/src/main/java/dockrelay/fleet/wire/WireFormat.java
+++ b/fleet/src/main/java/dockrelay/fleet/wire/WireFormat.java
@@ -16,12 +16,12 @@
         if (value < 0) {
             throw new IllegalArgumentException("number must not be negative: " + value);
         }
-        long remaining = value;
-        while (remaining > 0x7f) {
-            buffer.put((byte) (remaining | 0x80));
-            remaining >>>= 7;
+        long remainingBits = value;
+        while (remainingBits > 0x7f) {
+            buffer.put((byte) (remainingBits | 0x80));
+            remainingBits >>>= 7;
         }
-        buffer.put((byte) remaining);
+        buffer.put((byte) remainingBits);
     }
 
     /**
