--- a/fleet/src/main/java/dockrelay/fleet/MemberStateChange.java
+++ b/fleet/src/main/java/dockrelay/fleet/MemberStateChange.java
@@ -2,14 +2,15 @@
 
 import java.util.Locale;
 
-/** What has become of a member in somebody's view, and by whose word. */
-public record MemberStateChange(String member, MemberState previousState, MemberState newState, String by, long incarnation,
-    boolean restarted) {
+/**
+ * A change of a member's state or process in one member's view: its old and new state, and by whose report.
+ */
+public record MemberStateChange(String member, MemberState previousState, MemberState newState,
+    String reportedBy, long incarnation, boolean restarted) {
     @Override
     public String toString() {
-        return member + " is " + newState.name().toLowerCase(Locale.ROOT) + (restarted
-            ? ", started anew"
-            : "") + ", was " + previousState.name().toLowerCase(Locale.ROOT) + ", by " + by
-            + ", incarnation " + incarnation;
+        return member + " is " + newState.name().toLowerCase(Locale.ROOT)
+            + (restarted ? ", started anew" : "") + ", was " + previousState.name().toLowerCase(Locale.ROOT)
+            + ", by " + reportedBy + ", incarnation " + incarnation;
     }
 }
--- a/fleet/src/main/java/dockrelay/fleet/group/GroupedMembership.java
+++ b/fleet/src/main/java/dockrelay/fleet/group/GroupedMembership.java
@@ -1,11 +1,11 @@
 package dockrelay.fleet.group;
 
+import dockrelay.fleet.MemberState;
 import dockrelay.fleet.MemberStateChange;
-import dockrelay.fleet.Membership;
-import dockrelay.fleet.ProtocolTiming;
 import dockrelay.fleet.MemberStatus;
+import dockrelay.fleet.Membership;
 import dockrelay.fleet.MembershipSnapshot;
-import dockrelay.fleet.MemberState;
+import dockrelay.fleet.ProtocolTiming;
 import java.nio.ByteBuffer;
 import java.util.List;
 import java.util.Map;
@@ -13,238 +13,260 @@
 import java.util.TreeMap;
 
 /**
- * One member's view of a fleet in groups: every member of its own group, and of the others what they say of
- * themselves. All times are microseconds of elapsed time, handed in. A fleet in one group is a
- * {@link Membership} and nothing else. docs/membership.md has what is asked of whom.
+ * One member's view of a fleet that is divided into groups: each member of its own group, and a summary of
+ * each other group. A fleet in one group behaves exactly as a {@link Membership}. Like that one, this is a
+ * state machine without I/O: the owner passes in the elapsed time in microseconds. Not thread-safe.
+ * docs/membership.md describes the queries between groups.
  */
 public class GroupedMembership {
-    /** What the machine has done. */
+    /** What the owner has to do for this state machine. Called on the thread that calls the state machine. */
     public interface Callbacks extends Membership.Callbacks {
-        /** What became of a question for a name: null where nobody who may know has answered. */
-        void memberLookupCompleted(String name, MemberStatus row);
+        /**
+         * Reports the result of {@link #findMember}; {@code status} is null if nobody who may know the name
+         * answered.
+         */
+        void memberLookupCompleted(String name, MemberStatus status);
     }
 
-    /** Members' doings go on to whoever owns this machine; some decide who speaks for the group. */
-    private final class Passed implements Membership.Callbacks {
+    /** Forwards to the owner's callbacks; a change in the own group may also change its representatives. */
+    private final class ForwardingCallbacks implements Membership.Callbacks {
         @Override
-        public void send(String to, ByteBuffer datagram) {
-            actions.send(to, datagram);
+        public void send(String receiver, ByteBuffer datagram) {
+            callbacks.send(receiver, datagram);
         }
 
         @Override
         public void memberChanged(MemberStateChange change) {
-            if (between != null) {
-                between.speakers.changed();
+            if (interGroupProtocol != null) {
+                interGroupProtocol.representatives.invalidate();
             }
-            actions.memberChanged(change);
+            callbacks.memberChanged(change);
         }
 
         @Override
         public void incarnationChanged(long incarnation) {
-            actions.incarnationChanged(incarnation);
+            callbacks.incarnationChanged(incarnation);
         }
 
         @Override
-        public void nameConflict(String name, String why) {
-            actions.nameConflict(name, why);
+        public void nameConflict(String name, String reason) {
+            callbacks.nameConflict(name, reason);
         }
     }
 
-    private final Membership own;
+    private final Membership ownMembership;
     private final String self;
-    private final ProtocolTiming pace;
+    private final ProtocolTiming timing;
     private final Random random;
-    private final Callbacks actions;
-    private GroupAssignment grouping;
-    private Between between; // null where all are in one group
-
-    public GroupedMembership(String self, GroupAssignment grouping, long incarnation, int life, ProtocolTiming pace, Random random,
-                  Callbacks actions, long now) {
+    private final Callbacks callbacks;
+    private GroupAssignment assignment;
+    private InterGroupProtocol interGroupProtocol; // null if all members are in one group
+
+    /**
+     * Starts the protocol at {@code now}; see {@link Membership} for the parameters.
+     *
+     * @throws IllegalArgumentException if {@code assignment} does not contain {@code self}
+     */
+    public GroupedMembership(String self, GroupAssignment assignment, long incarnation, int instanceId,
+        ProtocolTiming timing, Random random, Callbacks callbacks, long now) {
         this.self = self;
-        this.grouping = grouping;
-        this.pace = pace;
+        this.assignment = assignment;
+        this.timing = timing;
         this.random = random;
-        this.actions = actions;
-        this.own = new Membership(self, names(grouping), incarnation, life, pace, random, new Passed(), now);
-        if (!grouping.isSingleGroup()) {
-            between = between(now);
+        this.callbacks = callbacks;
+        this.ownMembership = new Membership(self, ownGroupNames(assignment), incarnation, instanceId, timing,
+            random, new ForwardingCallbacks(), now);
+        if (!assignment.isSingleGroup()) {
+            interGroupProtocol = newInterGroupProtocol(now);
         }
     }
 
-    private List<String> names(GroupAssignment of) {
-        int group = of.groupOf(self);
+    private List<String> ownGroupNames(GroupAssignment assignment) {
+        int group = assignment.groupOf(self);
         if (group < 0) {
-            throw new IllegalArgumentException("the own name \"" + self + "\" is not among the members");
+            throw new IllegalArgumentException("own name \"" + self + "\" is not in the list of members");
         }
-        return of.memberNames(group);
+        return assignment.memberNames(group);
     }
 
-    private Between between(long now) {
-        return new Between(this, self, grouping, own, pace, random, actions, now);
+    private InterGroupProtocol newInterGroupProtocol(long now) {
+        return new InterGroupProtocol(this, self, assignment, ownMembership, timing, random, callbacks, now);
     }
 
-    /** Goes by another list; what is known of members and groups on both is kept. */
-    public void configure(long now, GroupAssignment next) {
-        List<String> names = names(next), namesBefore = names(grouping);
-        Between before = between;
-        if (next.isSingleGroup() && grouping.isSingleGroup() || !names.equals(namesBefore)) {
-            own.configure(now, names);
+    /** Replaces the list of members; the state of members and groups that are on both lists is kept. */
+    public void configure(long now, GroupAssignment newAssignment) {
+        List<String> newNames = ownGroupNames(newAssignment), oldNames = ownGroupNames(assignment);
+        InterGroupProtocol oldProtocol = interGroupProtocol;
+        if (newAssignment.isSingleGroup() && assignment.isSingleGroup() || !newNames.equals(oldNames)) {
+            ownMembership.configure(now, newNames);
         }
-        grouping = next;
-        between = next.isSingleGroup() ? null : between(now);
-        if (between != null && before != null) {
-            between.table.keep(before.table);
+        assignment = newAssignment;
+        interGroupProtocol = newAssignment.isSingleGroup() ? null : newInterGroupProtocol(now);
+        if (interGroupProtocol != null && oldProtocol != null) {
+            interGroupProtocol.table.copyFrom(oldProtocol.table);
         }
-        if (before != null) {
-            before.end();
+        if (oldProtocol != null) {
+            oldProtocol.close();
         }
     }
 
-    /** When the next tick is due. */
+    /** Returns the time at which {@link #tick} is due next, in microseconds. */
     public long nextTickAt() {
-        return between == null ? own.nextTickAt() : Math.min(own.nextTickAt(), between.nextAt());
+        return interGroupProtocol == null ? ownMembership.nextTickAt()
+            : Math.min(ownMembership.nextTickAt(), interGroupProtocol.nextTickAt());
     }
 
-    /** Does all that is due. */
+    /** Runs everything that is due in the own group and between groups. */
     public void tick(long now) {
-        if (between == null) {
-            own.tick(now);
+        if (interGroupProtocol == null) {
+            ownMembership.tick(now);
             return;
         }
-        if (now >= own.nextTickAt()) {
-            own.tick(now);
+        if (now >= ownMembership.nextTickAt()) {
+            ownMembership.tick(now);
         }
-        between.tick(now);
+        interGroupProtocol.tick(now);
     }
 
-    /** What a peer sent, by the name that its address has here; null where it has none. */
+    /**
+     * Handles a datagram from a peer, within the group or between groups.
+     *
+     * @param from the member name that the sender's address has on this side; null if it has none
+     */
     public void receive(long now, String from, ByteBuffer datagram) {
-        if (between == null) {
-            own.receive(now, from, datagram);
-        } else if (datagram.hasRemaining() && datagram.get(datagram.position()) == Message.MAGIC) {
-            between.receive(now, from, datagram);
-        } else if (from != null && grouping.groupOf(from) >= 0 && grouping.groupOf(from) != between.own) {
-            own.answerForeign(now, from, datagram);
+        if (interGroupProtocol == null) {
+            ownMembership.receive(now, from, datagram);
+        } else if (datagram.hasRemaining()
+            && datagram.get(datagram.position()) == GroupMessage.FIRST_MAGIC_BYTE) {
+            interGroupProtocol.receive(now, from, datagram);
+        } else if (from != null && assignment.groupOf(from) >= 0
+            && assignment.groupOf(from) != interGroupProtocol.ownGroup) {
+            ownMembership.receiveFromUnlisted(now, from, datagram);
         } else {
-            own.receive(now, from, datagram);
+            ownMembership.receive(now, from, datagram);
         }
     }
 
-    /** Says goodbye. */
+    /** Leaves the fleet: announces it to members of the own group. */
     public void leave(long now) {
-        own.leave(now);
+        ownMembership.leave(now);
     }
 
-    /** What this member may go by now, of the whole fleet. */
+    /** Returns the counts, agreement and budget share at {@code now}, over the whole fleet. */
     public MembershipSnapshot snapshot(long now) {
-        return between == null ? own.snapshot(now) : between.standing(now);
+        return interGroupProtocol == null ? ownMembership.snapshot(now) : interGroupProtocol.snapshot(now);
     }
 
-    /** The members of the own group in order, as an operator is told of them. */
+    /** Returns the status of the members of the own group, in the order of the list, for operators. */
     public List<MemberStatus> memberStatuses(long now) {
-        return own.memberStatuses(now);
+        return ownMembership.memberStatuses(now);
     }
 
-    /** All groups in order, as an operator is told of them. */
+    /** Returns the status of all groups in order, for operators. */
     public List<GroupStatus> groupStatuses(long now) {
-        if (between != null) {
-            return between.rows(now);
+        if (interGroupProtocol != null) {
+            return interGroupProtocol.groupStatuses(now);
         }
-        MembershipSnapshot here = own.snapshot(now);
-        int left = 0, gone = 0;
-        for (String name : grouping.memberNames(0)) {
-            left += own.state(name) == MemberState.LEFT ? 1 : 0;
-            gone += own.state(name) == MemberState.GONE ? 1 : 0;
+        MembershipSnapshot snapshot = ownMembership.snapshot(now);
+        int leftMembers = 0, goneMembers = 0;
+        for (String name : assignment.memberNames(0)) {
+            leftMembers += ownMembership.stateOf(name) == MemberState.LEFT ? 1 : 0;
+            goneMembers += ownMembership.stateOf(name) == MemberState.GONE ? 1 : 0;
         }
-        return List.of(new GroupStatus(grouping.label(0), here.configuredMembers(), here.presentMembers(), left, gone,
-            here.countedMembers(), here.agreement(), 0, true, true, self));
+        return List.of(new GroupStatus(assignment.label(0), snapshot.configuredMembers(),
+            snapshot.presentMembers(), leftMembers, goneMembers, snapshot.countedMembers(),
+            snapshot.agreement(), 0, true, true, self));
     }
 
-    /** Whether this member speaks for its group; in one group there is nobody to speak to. */
+    /** Whether this member is a representative of its group; false if there is only one group. */
     public boolean isRepresentative() {
-        return between != null && between.speaker();
+        return interGroupProtocol != null && interGroupProtocol.isRepresentative();
     }
 
-    /** Equal where two members of a group see the same ones of it. */
+    /** Returns a hash of the view of the own group, in hexadecimal. */
     public String digest() {
-        return own.digest();
+        return ownMembership.digest();
     }
 
-    /** How far this member doubts itself, 0 to 8. */
+    /** Returns the local health score of Lifeguard: 0 is healthy, 8 the worst. */
     public int healthScore() {
-        return own.health();
+        return ownMembership.healthScore();
     }
 
-    /** Datagrams that were not taken, by reason, since the last call. */
+    /** Returns the number of refused datagrams by reason since the last call, and resets the counts. */
     public Map<String, Long> takeRefusalCounts() {
-        Map<String, Long> result = new TreeMap<>(own.refused());
-        if (between != null) {
-            between.refused(result);
+        Map<String, Long> result = new TreeMap<>(ownMembership.takeRefusalCounts());
+        if (interGroupProtocol != null) {
+            interGroupProtocol.takeRefusalCounts(result);
         }
         return result;
     }
 
-    /** Asks for a member by name; it is told by {@link Callbacks#found}. */
+    /** Looks up a member by name; the result is passed to {@link Callbacks#memberLookupCompleted}. */
     public void findMember(long now, String name) {
-        if (between != null) {
-            between.find(now, name);
+        if (interGroupProtocol != null) {
+            interGroupProtocol.findMember(now, name);
         } else {
-            actions.memberLookupCompleted(name, own.memberStatuses(now).stream().filter(row -> row.name().equals(name)).findFirst()
-                .orElse(null));
+            callbacks.memberLookupCompleted(name, ownMembership.memberStatuses(now).stream()
+                .filter(status -> status.name().equals(name)).findFirst().orElse(null));
         }
     }
 
-    /** Whether these bytes are meant for this machine rather than somebody else on the same socket. */
-    public static boolean isMembershipDatagram(byte first) {
-        return Membership.ours(first) || first == Message.MAGIC;
+    /** Whether a datagram with this first byte belongs to this protocol; other protocols share the socket. */
+    public static boolean isMembershipDatagram(byte firstByte) {
+        return Membership.isMembershipDatagram(firstByte) || firstByte == GroupMessage.FIRST_MAGIC_BYTE;
     }
 
-    // --- what broken ones in tests get wrong
+    // --- rules that tests override with faulty ones
 
-    /** What is told in an answer was so no later than at the question. */
-    long aged(long age, long trip) {
-        return age + trip;
+    /** Adds the whole round trip to a reported age: the answer may have been composed right at its start. */
+    long ageAfterRoundTrip(long age, long roundTrip) {
+        return age + roundTrip;
     }
 
-    /** Whether a summary of this age still counts. */
-    boolean fresh(long age) {
-        return age <= pace.wordStale();
+    /** Whether a summary of this age is recent enough to count. */
+    boolean isFresh(long age) {
+        return age <= timing.reportExpiry();
     }
 
-    /** A group has one row, whoever tells it: the later word takes the place of the one before. */
-    Summary taken(Summary before, long beforeAge, Summary told) {
-        return told;
+    /** A group has one row, whoever reports it: a newer summary replaces the one before. */
+    GroupSummary mergeSummary(GroupSummary stored, long storedAge, GroupSummary received) {
+        return received;
     }
 
-    /** How many a group says count as there; it cannot have more than it has names. */
-    int counted(Summary of, int names) {
-        return Math.min(names, of.counted());
+    /** Returns the number of members that a group counts, limited to the number of its names. */
+    int countedMembers(GroupSummary summary, int nameCount) {
+        return Math.min(nameCount, summary.countedMembers());
     }
 
-    /** Whether a group told of has the names that it has here. */
-    boolean sameNames(int told, int here) {
-        return told == here;
+    /** Whether a group has the same names in a received summary as on this member's list. */
+    boolean hasSameNames(int receivedHash, int ownHash) {
+        return receivedHash == ownHash;
     }
 
-    /** Who is asked for another group, and for all groups within the own one. */
-    String isRepresentative(int group, String chosen) {
-        return chosen;
+    /** Returns the member of another group to query for that group: the selected one. */
+    String groupQueryTarget(int group, String selected) {
+        return selected;
     }
 
-    String source(String chosen) {
-        return chosen;
+    /** Returns the member of the own group to query for the table of all groups: the selected one. */
+    String tableQueryTarget(String selected) {
+        return selected;
     }
 
-    MemberState state(String name) {
-        return own.state(name);
+    MemberState stateOf(String name) {
+        return ownMembership.stateOf(name);
     }
 
-    Membership members() {
-        return own;
+    Membership ownMembership() {
+        return ownMembership;
     }
 
-    /** How many rows of groups this member holds, its own table and those of its speakers. */
-    int rowsHeld() {
-        return between == null ? 0 : grouping.groupCount() - 1 + between.tables.held();
+    /**
+     * Returns the number of group rows held, in this member's table and its copies of other members' tables.
+     */
+    int heldRows() {
+        return interGroupProtocol == null ? 0
+            : assignment.groupCount() - 1 + interGroupProtocol.tableClient.heldRows();
     }
 }
