--- a/control/src/main/java/dockrelay/control/Consoles.java
+++ b/control/src/main/java/dockrelay/control/Consoles.java
@@ -19,18 +19,19 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
 
-/** Speaks to the consoles of many proxies at once: a line to each, and each one's answer or why there is
- * none. */
+/**
+ * Sends a command line to the consoles of many proxies in parallel and collects the answers or errors.
+ */
 final class Consoles {
     private static final int AT_ONCE = 32;
 
-    /** What came of one call. Without an answer the lines are empty, and the trouble says why. */
+    /** The result of one call: the lines of the answer, or no lines and an error message. */
     record Answer(String console, List<String> lines, String trouble) {
         boolean yes() {
             return !lines.isEmpty() && lines.get(0).startsWith("200");
         }
 
-        /** The first line after its code, or why there is none. */
+        /** The first line without its status code, or the error message. */
         String text() {
             return trouble != null ? trouble : lines.get(0).replaceFirst("^\\d+ ?", "");
         }
@@ -39,7 +40,12 @@
     private Consoles() {
     }
 
-    /** Addresses as they are given, and those in the file: one a line, blank ones and # comments left out. */
+    /**
+     * Returns the given addresses and those in the file without duplicates. The file has one HOST:PORT per
+     * line; blank lines and # comments are ignored.
+     *
+     * @throws IllegalArgumentException if an address is malformed, the file is unreadable, or none is given
+     */
     static List<String> named(List<String> given, Path file) {
         List<String> all = new ArrayList<>(given);
         if (file != null) {
@@ -53,7 +59,7 @@
                     }
                 }
             } catch (NoSuchFileException e) {
-                throw new IllegalArgumentException(file + ": there is no such file");
+                throw new IllegalArgumentException(file + ": no such file");
             } catch (IOException e) {
                 throw new IllegalArgumentException(file + ": cannot be read: " + e.getMessage());
             }
@@ -75,7 +81,7 @@
         }
     }
 
-    /** Calls all of them at once, and returns the answers in their order. */
+    /** Calls all consoles in parallel, and returns the answers in the order of the consoles. */
     static Map<String, Answer> call(List<String> consoles, String line,
         int millis) throws InterruptedException {
         ExecutorService threads = Executors.newFixedThreadPool(Math.min(AT_ONCE, consoles.size()));
--- a/control/src/main/java/dockrelay/control/Groups.java
+++ b/control/src/main/java/dockrelay/control/Groups.java
@@ -10,13 +10,13 @@
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Parameters;
 
-/** What proxies hold of each group of the fleet, and where they differ. */
+/** Compares what proxies report about each group of the fleet. */
 @Command(name = "groups", mixinStandardHelpOptions = true, description =
     "Asks proxies what they hold of each group of the fleet, and says where they differ.",
     exitCodeListHeading = "Exit codes:%n", exitCodeList = {"0:all answered, and all hear of all groups alike",
         "1:some did not answer, or hold a group stale or otherwise", "2:misuse"})
 final class Groups implements Callable<Integer> {
-    /** What two proxies that see alike say alike of a group; its age is each one's own. */
+    /** The fields of a group that agree if two proxies have the same view; the age differs by proxy. */
     private static final List<String> ALIKE = List.of("state", "of", "present", "left", "gone", "counted",
         "agreement", "other-list");
 
--- a/control/src/main/java/dockrelay/control/Main.java
+++ b/control/src/main/java/dockrelay/control/Main.java
@@ -3,7 +3,10 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 
-/** Operators' commands. Exit codes: 0 done, 1 fell short, 2 misuse. */
+/**
+ * The operators' command-line program. Exit codes: 0 success, 1 incomplete or disagreement, 2 usage
+ * error.
+ */
 @Command(name = "ctl", mixinStandardHelpOptions = true, version = "ctl 0.1.0",
     subcommands = {Ping.class, Members.class, Groups.class, Member.class, Mark.Detach.class,
         Mark.Attach.class},
--- a/control/src/main/java/dockrelay/control/Mark.java
+++ b/control/src/main/java/dockrelay/control/Mark.java
@@ -8,7 +8,7 @@
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Parameters;
 
-/** Takes a backend out of use at proxies, or puts it back. */
+/** Detaches a backend from proxies, or attaches it again. */
 abstract class Mark implements Callable<Integer> {
     @Parameters(index = "0", paramLabel = "BACKEND", description = "its id in discovery's list")
     String backend;
@@ -23,7 +23,7 @@
         this.word = word;
     }
 
-    /** Each proxy is to send it nothing new. */
+    /** Makes proxies send no new requests to a backend. */
     @Command(name = "detach", mixinStandardHelpOptions = true,
         description = "Takes a backend out: it gets nothing new from these proxies.")
     static final class Detach extends Mark {
@@ -32,7 +32,7 @@
         }
     }
 
-    /** It counts as started just now. */
+    /** Attaches a backend again, which counts as newly started from then on. */
     @Command(name = "attach", mixinStandardHelpOptions = true,
         description = "Puts a backend back that was taken out.")
     static final class Attach extends Mark {
@@ -49,7 +49,7 @@
         return tell(targets.call(consoles, word + " " + backend), targets.json);
     }
 
-    /** Prints what each said; 0 where all said yes. */
+    /** Prints the answers; returns the exit code, 0 if all consoles accepted the command. */
     static int tell(Map<String, Consoles.Answer> answers, boolean json) {
         Table table = new Table("CONSOLE", "ANSWER");
         Map<String, Object> values = new LinkedHashMap<>();
--- a/control/src/main/java/dockrelay/control/Member.java
+++ b/control/src/main/java/dockrelay/control/Member.java
@@ -7,7 +7,7 @@
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Parameters;
 
-/** What proxies learn of one member, wherever in the fleet it is. */
+/** Queries the state of one member of any group, by name. */
 @Command(name = "member", mixinStandardHelpOptions = true, description =
     "Asks proxies for one member by name; those of another group have that group asked.")
 final class Member implements Callable<Integer> {
--- a/control/src/main/java/dockrelay/control/Members.java
+++ b/control/src/main/java/dockrelay/control/Members.java
@@ -12,7 +12,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Who sees whom, and who differs. */
+/** Compares the member lists of proxies. */
 @Command(name = "members", mixinStandardHelpOptions = true, description =
     "Asks proxies whom of each other they see, and says where they differ.",
     exitCodeListHeading = "Exit codes:%n", exitCodeList = {"0:all answered, and all agree",
@@ -36,7 +36,7 @@
         views.forEach((console, view) -> view.rows().forEach((member, row) -> states
             .computeIfAbsent(member, m -> new TreeMap<>()).computeIfAbsent(row.get("state"),
                 s -> new ArrayList<>()).add(console)));
-        // Each group's digest is its own; of the whole all have to say the same.
+        // Digests are compared within each group, the counts of the whole fleet across all proxies.
         boolean agreed = troubles.isEmpty() && views.values().stream().collect(Collectors.groupingBy(
             view -> view.figures().getOrDefault("group", ""), Collectors.mapping(view -> view.figures()
             .get("digest"), Collectors.toSet()))).values().stream().allMatch(digests -> digests.size() == 1)
--- a/control/src/main/java/dockrelay/control/Ping.java
+++ b/control/src/main/java/dockrelay/control/Ping.java
@@ -6,7 +6,7 @@
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Parameters;
 
-/** Whether proxies serve. */
+/** Asks proxies whether they serve. */
 @Command(name = "ping", mixinStandardHelpOptions = true, description = "Asks proxies whether they serve.")
 final class Ping implements Callable<Integer> {
     @Parameters(paramLabel = "HOST:PORT", arity = "0..*", description = "consoles")
--- a/control/src/main/java/dockrelay/control/Table.java
+++ b/control/src/main/java/dockrelay/control/Table.java
@@ -6,7 +6,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Rows under headings, as wide as they have to be. */
+/** A text table with headings, whose columns are as wide as their widest cell. */
 final class Table {
     private static final ObjectMapper JSON = new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT);
 
--- a/control/src/main/java/dockrelay/control/Targets.java
+++ b/control/src/main/java/dockrelay/control/Targets.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import picocli.CommandLine.Option;
 
-/** Whom a command speaks to, and how it tells what came of it. */
+/** The options that all commands share: consoles, timeout and output format. */
 final class Targets {
     @Option(names = "--file", paramLabel = "FILE", description = "consoles, one HOST:PORT a line")
     Path file;
--- a/control/src/main/java/dockrelay/control/Views.java
+++ b/control/src/main/java/dockrelay/control/Views.java
@@ -4,9 +4,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** What many proxies answered to a question for rows: figures of a first line, then a named row a line. */
+/** The parsed answers of many proxies to a command that returns rows, and the errors of the others. */
 record Views(Map<String, View> all, Map<String, String> troubles) {
-    /** One proxy's answer; a row's second word is its state. */
+    /** One proxy's answer: the fields of the summary line, and the fields of each row by its name. */
     record View(Map<String, String> figures, Map<String, Map<String, String>> rows) {
     }
 
@@ -23,7 +23,10 @@
         return new Views(all, troubles);
     }
 
-    /** {@code name state key=value ...}, a line a row, after a first line of figures. */
+    /**
+     * Parses a summary line of {@code key=value} fields, then a row {@code name state key=value ...}
+     * per line.
+     */
     private static View view(List<String> lines) {
         Map<String, Map<String, String>> rows = new LinkedHashMap<>();
         for (String line : lines.subList(1, lines.size())) {
@@ -51,7 +54,7 @@
         return result;
     }
 
-    /** As machines read it, where the rows are of this. */
+    /** The value printed by {@code --json}; {@code rows} is the key of the rows. */
     Map<String, Object> json(boolean agreed, String rows) {
         Map<String, Object> proxies = new LinkedHashMap<>();
         all.forEach((console, view) -> {
--- a/control/src/test/java/dockrelay/control/ControlTest.java
+++ b/control/src/test/java/dockrelay/control/ControlTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import picocli.CommandLine;
 
-/** The commands against consoles that answer from a script. */
+/** Runs the commands against fake consoles with fixed answers. */
 class ControlTest {
     private static final String HEAD = "200 present=2 of=2 agreement=%s agreeing=2 digest=%s counted=2 "
         + "share=0.5 health=0 suspicions=0 clashes=0\n";
@@ -41,7 +41,10 @@
         }
     }
 
-    /** Answers each line with this; null says nothing and leaves the caller waiting. */
+    /**
+     * Starts a console that answers each line with this text, or never answers if it is null. Returns
+     * its address.
+     */
     private String console(String answer) throws IOException {
         ServerSocket server = new ServerSocket(0, 10, InetAddress.getLoopbackAddress());
         consoles.add(server);
@@ -100,7 +103,7 @@
         assertEquals(false, json.get("agreed").asBoolean());
     }
 
-    /** Each group's digest is its own; what they say of the whole has to be the same. */
+    /** Digests have to agree within a group only, the counts of the whole fleet across all groups. */
     @Test
     void membersOfSeveralGroupsAgreeWhereEachGroupDoes() throws Exception {
         String head = HEAD.trim() + " age=0.8s groups=2 group=%s speaker=yes\n";
--- a/fleet/src/main/java/dockrelay/fleet/budget/Agreed.java
+++ b/fleet/src/main/java/dockrelay/fleet/budget/Agreed.java
@@ -3,7 +3,11 @@
 import java.util.Arrays;
 import java.util.Set;
 
-/** The names whose votes count, as agreed by a quorum of the names before: a fact, not a configuration. */
+/**
+ * The set of members whose votes count, in the version that a quorum of the previous set agreed on.
+ * It is replicated state of the protocol and not read from the configuration. Versions are ordered by
+ * term, then by number.
+ */
 record Agreed(long term, long number, int[] ids) {
     Agreed {
         Arrays.sort(ids);
@@ -13,7 +17,11 @@
         return other == null || term > other.term || term == other.term && number > other.number;
     }
 
-    /** More than half, or just half with the first one: any two quorums have somebody in common. */
+    /**
+     * Whether the granted votes are a quorum of the voters that are not excluded: more than half of
+     * them, or exactly half including the voter with the lowest id. Any two quorums have a voter in
+     * common.
+     */
     boolean quorum(Set<Integer> said, Set<Integer> but) {
         int of = 0, count = 0;
         boolean first = false;
--- a/fleet/src/main/java/dockrelay/fleet/budget/Authority.java
+++ b/fleet/src/main/java/dockrelay/fleet/budget/Authority.java
@@ -11,19 +11,25 @@
 import java.util.Set;
 
 /**
- * Whether this process is the keeper: it canvasses where there is none, goes on while a quorum renews its
- * promise, and changes the agreed list by a quorum of the old one and one of the new one.
+ * Leader election for the coordinator of the budgets. Starts an election while no coordinator is
+ * known, stays coordinator as long as a quorum renews its votes, and changes the voter set by joint
+ * consensus: a change needs a quorum of the old set and one of the new set. Times are in microseconds
+ * of the caller's clock.
  */
 class Authority {
     private static final int ROUNDS = 8;
     /**
-     * Those who have no vote hear of the keeper so many rounds apart: one that forgot all is told in time.
+     * Members without a vote get every n-th renewal only. A member that lost its state in a restart
+     * learns of the coordinator from it before it could start an election.
      */
     private static final int TOLD_ROUNDS = 3;
-    /** A stranger that was heard is held to run for so long. */
+    /**
+     * How long a datagram from an unlisted sender blocks elections without a known voter set, in vote
+     * durations.
+     */
     private static final int STRANGER_PROMISES = 5;
 
-    /** Sends to a name on the list. */
+    /** Sends a message to a configured member, by the id of its name. */
     interface Sender {
         void send(int to, Message message);
     }
@@ -66,9 +72,9 @@
     }
 
     /**
-     * By the operators' word no process of these names runs: once nobody can count on their promises any
-     * more,
-     * the lists are read without them. Any quorum of those that run is then a quorum of what is left.
+     * Takes the members that operators have declared retired, of which no process runs any more. Once
+     * the votes that they may have granted have expired, quorums are counted without them, so that the
+     * remaining voters suffice.
      */
     void retired(long now, Set<Integer> ids) {
         if (!ids.equals(retired)) {
@@ -81,7 +87,7 @@
         return now >= retiredFrom ? retired : Set.of();
     }
 
-    /** Whether it is the keeper at this moment. */
+    /** Whether this process is the coordinator at this moment. */
     boolean holds(long now) {
         return keeps && now < until;
     }
@@ -90,7 +96,10 @@
         return term;
     }
 
-    /** Whom a canvass has not heard yes from, for an operator; null where it needs nobody. */
+    /**
+     * The members whose votes were missing in the last failed election, comma-separated, for the
+     * console; null after a successful one.
+     */
     String waitsFor() {
         return waitsFor;
     }
@@ -99,7 +108,7 @@
         return agreed == null ? 0 : agreed.ids().length;
     }
 
-    /** A keeper is there: no need to canvass for a while. */
+    /** Postpones the next election because a coordinator is active. */
     void quiet(long now) {
         quietFrom = now + pace.promise() + spread() / 2;
     }
@@ -146,12 +155,12 @@
         number++;
         term = voter.term() + 1;
         Set<Integer> all = everybody();
-        for (int id : all) { // itself too: only who has the address that all know has the name's vote
+        for (int id : all) { // to itself too: the vote belongs to the process that has the configured address
             sender.send(id, message(Kind.CANVASS, id, term, null, null));
         }
     }
 
-    /** All names that may have a vote, as far as is known here. */
+    /** All members that may have a vote, as far as this process knows. */
     private Set<Integer> everybody() {
         Set<Integer> all = new HashSet<>();
         for (int i = 0; i < roster.size(); i++) {
@@ -180,12 +189,15 @@
         quietFrom = now + pace.period() / 2 + spread();
     }
 
-    /** So that a fleet of any size tries as often in all, and seldom two at a time. */
+    /**
+     * A random delay that grows with the number of members: fleets of any size start about as many
+     * elections in total, and rarely two at the same time.
+     */
     private long spread() {
         return (long) (random.nextDouble() * Math.max(3, roster.size() / 2) * pace.canvass());
     }
 
-    /** An answer to a canvass or a renewal. */
+    /** Takes the answer to a vote request or to a renewal. */
     void vote(long now, int from, Message vote) {
         voter.heardOf(vote.yes() ? 0 : vote.term());
         if (canvasses && vote.number() == number && vote.term() <= term) {
@@ -198,7 +210,7 @@
                 }
             }
             if (!vote.yes()) {
-                canvassEnds = Math.min(canvassEnds, now + pace.canvass() / 8); // somebody else may do better
+                canvassEnds = Math.min(canvassEnds, now + pace.canvass() / 8); // another may win
             }
             if (elected(now)) {
                 begin(now);
@@ -214,19 +226,25 @@
             return true;
         }
         if (agreed == null && now - strangerAt < STRANGER_PROMISES * pace.promise()) {
-            return false; // nobody here remembers, and somebody is there who is not on the list
+            return false; // no known voter set, and a running process is missing from the list
         }
         Set<Integer> all = everybody();
         all.removeAll(without(now));
-        return yes.containsAll(all); // nobody is left who could know better
+        return yes.containsAll(all); // every member answered: no voter set can be known to anyone else
     }
 
-    /** One that is not on the list speaks to this process: the list does not name all that run. */
+    /**
+     * Notes a datagram from an unlisted sender: the configured list does not name all running
+     * processes.
+     */
     void stranger(long now) {
         strangerAt = now;
     }
 
-    /** Those whose vote counts: they know of any list that they have helped to agree on. */
+    /**
+     * The members that voted for this process and reported a voter set. Their votes count for a known
+     * voter set, because they know every set that they helped to agree on.
+     */
     Set<Integer> remembering() {
         return remembering;
     }
@@ -272,7 +290,10 @@
         }
     }
 
-    /** The list that the votes should go by: who is there, and who may only be away for a moment. */
+    /**
+     * The voter set to change to: the present members, and voters that may be absent for a moment
+     * only; null if the set stays as it is.
+     */
     private Agreed change(Set<Integer> present, Set<Integer> departed) {
         List<Integer> wanted = new ArrayList<>();
         for (int id : agreed.ids()) {
@@ -304,12 +325,18 @@
         }
     }
 
-    /** Of the agreed list and, while it changes, of the next one as well. */
+    /**
+     * Whether the votes are a quorum of the committed voter set and, during a change, of the pending
+     * one as well.
+     */
     boolean enough(Set<Integer> said, Agreed list, Agreed change, Set<Integer> but) {
         return list.quorum(said, but) && (change == null || change.quorum(said, but));
     }
 
-    /** Frees the votes, so that the next keeper need not wait. */
+    /**
+     * Gives up the coordinator role and releases the votes, so that the next coordinator need not wait
+     * for their expiry.
+     */
     void resign(long now) {
         if (keeps) {
             stepDown(now);
@@ -322,7 +349,10 @@
         }
     }
 
-    /** The life that a name's process is heard with: a vote has to be asked of that one. */
+    /**
+     * Notes the instance id that a member's process uses, since a vote request has to name it. During
+     * an election a member that turns out to have another instance is asked again.
+     */
     void heard(int id, int ofLife) {
         Integer before = lives.put(id, ofLife);
         if (canvasses && (before == null || before != ofLife) && !yes.contains(id)) {
@@ -330,7 +360,7 @@
         }
     }
 
-    /** The keeper has given its place up. */
+    /** Brings the next election forward because the coordinator has resigned. */
     void hurry(long now) {
         quietFrom = Math.min(quietFrom, now + spread() / 2);
     }
--- a/fleet/src/main/java/dockrelay/fleet/budget/Budget.java
+++ b/fleet/src/main/java/dockrelay/fleet/budget/Budget.java
@@ -3,22 +3,25 @@
 import dockrelay.fleet.MemberList;
 
 /**
- * What all processes of the fleet together may spend: at most {@code burst} and {@code rate} times t
- * seconds in
- * any t seconds. Both are in millionths of one, so that parts add up without rounding.
+ * A token bucket shared by the whole fleet: in any t seconds all processes together may spend at most
+ * {@code burst + rate * t} tokens. Both are in millionths of a token (rate: per second), so that the
+ * shares of the processes add up without rounding errors.
  */
 public record Budget(String name, long rate, long burst) {
     public static final long MICROTOKENS_PER_TOKEN = 1_000_000;
-    /** 100,000 a second, and as many at once. */
+    /** 100,000 tokens a second, and as large a burst. */
     public static final long MOST = 100_000 * MICROTOKENS_PER_TOKEN;
-    /** Tokens are lent one by one where a burst is small; with fewer than two one would lie idle. */
+    /**
+     * Small bursts are leased token by token; with fewer than two tokens one of them would always be
+     * idle.
+     */
     public static final long LEAST_BURST = 2 * MICROTOKENS_PER_TOKEN;
     private static final int LONGEST_NAME = 64;
 
     public Budget {
         if (name.isEmpty() || name.length() > LONGEST_NAME) {
             throw new BudgetException(BudgetException.Code.NAME, "budget name \"" + name + "\" has "
-                + name.length() + " characters", "give it 1 to " + LONGEST_NAME);
+                + name.length() + " characters", "allowed are 1 to " + LONGEST_NAME);
         }
         if (rate <= 0 || rate > MOST) {
             throw new BudgetException(BudgetException.Code.RATE, "budget " + name + ": rate of "
@@ -30,13 +33,13 @@
         }
     }
 
-    /** So many a second; where no burst is named, one second's worth. */
+    /** A budget of so many tokens a second, with a burst of one second's tokens. */
     public static Budget perSecond(String name, double rate) {
         long micros = Math.round(rate * MICROTOKENS_PER_TOKEN);
         return new Budget(name, micros, Math.max(LEAST_BURST, micros));
     }
 
-    /** How it is called on the wire. */
+    /** The id that stands for the name on the wire. */
     int id() {
         return MemberList.idOf(name);
     }
--- a/fleet/src/main/java/dockrelay/fleet/budget/BudgetException.java
+++ b/fleet/src/main/java/dockrelay/fleet/budget/BudgetException.java
@@ -1,10 +1,10 @@
 package dockrelay.fleet.budget;
 
-/** Something about a budget cannot be: what is wrong and where, and what an operator can do. */
+/** An invalid budget in the configuration. The message names the error, its place and the remedy. */
 public final class BudgetException extends IllegalArgumentException {
     private static final long serialVersionUID = 1L;
 
-    /** What an operator finds in docs/on-call.md. */
+    /** The error codes that docs/on-call.md explains. */
     public enum Code { NAME, RATE, BURST, TWICE, TOO_MANY, MEMBERS }
 
     private final Code code;
--- a/fleet/src/main/java/dockrelay/fleet/budget/BudgetNode.java
+++ b/fleet/src/main/java/dockrelay/fleet/budget/BudgetNode.java
@@ -13,23 +13,27 @@
 import java.util.TreeMap;
 
 /**
- * One process's share in the budgets of the whole fleet (docs/budgets.md). All times are microseconds of
- * elapsed
- * time, handed in; nothing here waits, sends or reads a clock.
+ * One process's side of the protocol that shares token-bucket budgets among the whole fleet
+ * (docs/budgets.md): it takes part in the election of the coordinator, holds leased shares and, while
+ * it is the coordinator, grants them. A pure state machine: times are microseconds of a monotonic clock
+ * that the caller passes in, and all output goes through {@link Callbacks}. Not thread-safe.
  */
 public class BudgetNode {
     private static final int MOST_BUDGETS = Message.MOST_LINES, ASKED_AGAIN_PERIODS = 3;
     private static final long NEVER = 3_600_000_000L;
 
-    /** What the machine has done. */
+    /** The output of the state machine. */
     public interface Callbacks {
-        /** Sends this to a member; it may be lost. */
+        /** Sends a datagram to a member; it may be lost. */
         void send(String to, ByteBuffer datagram);
 
-        /** What may be spent until then; whoever spends answers with the number, by {@link BudgetNode#used}. */
+        /**
+         * Sets the shares that may be spent until the given time. The spender confirms the update by
+         * passing its number to {@link BudgetNode#used}.
+         */
         void applyShares(long telling, List<LeasedShare> parts, long until);
 
-        /** Something that an operator may want to know. */
+        /** Reports an event for the log. */
         void logEvent(String text);
     }
 
@@ -43,7 +47,7 @@
     private final Map<String, Long> refused = new TreeMap<>();
     private Collection<Budget> budgets;
     private MemberList roster;
-    private Ledger ledger; // while it is the keeper
+    private Ledger ledger; // null unless this process is the coordinator
     private Set<Integer> present = new HashSet<>(), departed = new HashSet<>();
     private long askAt, nextAt, keeperHeardAt = Long.MIN_VALUE / 2, keeperTerm;
     private int keeper;
@@ -66,7 +70,7 @@
         this.nextAt = askAt;
     }
 
-    // Parts of it, so that tests can put broken ones in their place.
+    // Factory methods, overridden by tests that inject faulty components.
 
     Voter voter(int id, int ofLife, BudgetTiming at, long now) {
         return new Voter(id, ofLife, at, now);
@@ -85,7 +89,7 @@
         return new Ledger(of, term, at, now);
     }
 
-    /** A list of more would never be agreed on: it does not fit what the members send each other. */
+    /** Rejects lists that do not fit into a datagram: no coordinator could ever be elected with them. */
     private static MemberList roster(Collection<String> names) {
         if (names.size() > Message.MOST_NAMES) {
             throw new BudgetException(BudgetException.Code.MEMBERS, names.size()
@@ -99,17 +103,20 @@
         for (Budget budget : budgets) {
             if (!ids.add(budget.id())) {
                 throw new BudgetException(BudgetException.Code.TWICE, "budget " + budget.name()
-                    + " cannot be told from another one", "give one of them another name");
+                    + " has the same id as another budget", "rename one of them");
             }
         }
         if (ids.size() > MOST_BUDGETS) {
             throw new BudgetException(BudgetException.Code.TOO_MANY, ids.size() + " budgets",
-                "allowed are " + MOST_BUDGETS);
+                "allowed are at most " + MOST_BUDGETS);
         }
         return List.copyOf(budgets);
     }
 
-    /** Goes by other names and budgets; the names that vote are agreed by all, not configured. */
+    /**
+     * Applies a new list of members and budgets. The voter set is not configured; the members agree on
+     * it.
+     */
     public void configure(long now, Collection<String> names, Collection<Budget> next) {
         Collection<Budget> usable = checked(next);
         roster = roster(names);
@@ -125,14 +132,20 @@
         }
     }
 
-    /** By the operators' word no process of these names runs any more, nor will one. */
+    /**
+     * Sets the members that operators have declared retired: no process runs under these names or will
+     * again.
+     */
     public void retired(long now, Collection<String> names) {
         Set<Integer> gone = ids(names);
         gone.remove(self);
         authority.retired(now, gone);
     }
 
-    /** Whom membership holds present, and whom it holds away for good: hints, nothing that must be true. */
+    /**
+     * Passes on which members the membership protocol considers present and which departed for good.
+     * These are hints; the budgets stay within their bounds even if they are wrong.
+     */
     public void updatePresence(Collection<String> here, Collection<String> away) {
         present = ids(here);
         departed = ids(away);
@@ -144,7 +157,7 @@
         return result;
     }
 
-    // --- time
+    // --- timers
 
     public long nextTickAt() {
         return nextAt;
@@ -156,7 +169,7 @@
             return;
         }
         if (holder.lapse(now)) {
-            actions.logEvent("the lease is over: nothing may be spent until a keeper is heard");
+            actions.logEvent("the lease has expired: nothing may be spent until a coordinator grants a new one");
             actions.applyShares(holder.telling(), holder.parts(null), now);
         }
         authority.tick(now, present, departed);
@@ -175,7 +188,7 @@
             keeper = self;
             keeperTerm = authority.term();
             keeperHeardAt = now;
-            for (int i = 0; i < 2; i++) { // the first one may only tell it to follow this keeper
+            for (int i = 0; i < 2; i++) { // the first request may only move the holder to the new term
                 Message grant = ledger.ask(now, holder.ask(now));
                 if (grant != null) {
                     granted(now, grant);
@@ -183,8 +196,8 @@
             }
             String apart = ledger.apart();
             if (apart != null) {
-                actions.logEvent("B-CLOCK: the clock of #" + apart + " s runs unlike this one's: it gets nothing"
-                    + " more until both run alike");
+                actions.logEvent("B-CLOCK: the clock of member #" + apart + " s against this one: the member"
+                    + " gets no grants until both clocks agree again");
             }
             return;
         }
@@ -216,7 +229,10 @@
         }
     }
 
-    /** What a peer sent, by the name that its address has here; null where it has none. */
+    /**
+     * Handles a datagram from a peer. The name is the one configured for the sender's address, null
+     * if the address is unknown. Datagrams that cannot be used are dropped and counted by reason.
+     */
     public void receive(long now, String from, ByteBuffer datagram) {
         Message message;
         try {
@@ -269,7 +285,7 @@
         }
     }
 
-    /** Has a ledger while it is the keeper, a new one each term. */
+    /** Starts a new ledger for each term as coordinator, and drops it when the term ends. */
     private void follow(long now) {
         boolean keeps = authority.holds(now);
         if (keeps && (ledger == null || ledger.term() != authority.term())) {
@@ -280,7 +296,7 @@
                 + " that vote");
         } else if (!keeps && ledger != null) {
             ledger = null;
-            actions.logEvent("not the keeper any more");
+            actions.logEvent("no longer the coordinator");
         }
     }
 
@@ -317,12 +333,18 @@
         }
     }
 
-    /** What whoever spends has made of the parts, up to this telling: what he had before is gone. */
+    /**
+     * Takes the spender's report. It confirms all share updates up to the given number: tokens of
+     * earlier shares that exceed the confirmed ones are no longer available to the spender.
+     */
     public void reportUsage(long upTo, Collection<ShareUsage> uses) {
         holder.used(upTo, uses);
     }
 
-    /** Gives everything back, and the keeper's place. Whoever spends has to have been told before. */
+    /**
+     * Returns all shares and resigns as coordinator. The spender must have stopped spending before this
+     * call.
+     */
     public void leave(long now) {
         Message goodbye = holder.leave();
         if (authority.holds(now)) {
@@ -335,19 +357,19 @@
         left = true;
     }
 
-    // --- what it comes to
+    // --- status
 
-    /** Whether this process is the keeper. */
+    /** Whether this process is the coordinator. */
     public boolean isCoordinator(long now) {
         return authority.holds(now);
     }
 
-    /** The keeper as far as known here; null where there is none. */
+    /** The name of the coordinator that this process knows of; null if there is none. */
     public String keeper(long now) {
         return now - keeperHeardAt < pace.promise() ? roster.nameOrId(keeper) : null;
     }
 
-    /** Names that a canvass here waits for; null where it waits for nobody. */
+    /** The members whose votes the last failed election lacked, comma-separated; null if none failed. */
     public String waitsFor() {
         return authority.waitsFor();
     }
@@ -356,14 +378,17 @@
         return holder.rows(now);
     }
 
-    /** Datagrams that were not taken, by reason, since the last call. */
+    /** Counts of rejected datagrams by reason since the last call. */
     public Map<String, Long> refused() {
         Map<String, Long> result = new TreeMap<>(refused);
         refused.clear();
         return result;
     }
 
-    /** Whether these bytes are meant for this machine rather than somebody else on the same socket. */
+    /**
+     * Whether a datagram with this first byte belongs to the budget protocol; other protocols share the
+     * socket.
+     */
     public static boolean ours(byte first) {
         return first == Message.MAGIC;
     }
--- a/fleet/src/main/java/dockrelay/fleet/budget/BudgetRow.java
+++ b/fleet/src/main/java/dockrelay/fleet/budget/BudgetRow.java
@@ -1,9 +1,9 @@
 package dockrelay.fleet.budget;
 
 /**
- * A budget as an operator is told of it: the whole, the part of this process, what it wants and has spent,
- * for how
- * long the part is lent still (0: it has nothing) and how long ago the keeper said so. Times in microseconds.
+ * The status of one budget at this process, for the console: the whole budget, the leased share (in
+ * millionths of a token), the demand, the requests that wait for a token, the tokens spent so far, the
+ * remaining lease time (0 without a lease) and the time since the last grant, both in microseconds.
  */
 public record BudgetRow(Budget whole, long rate, long burst, double wanted, int waiting, long spent, long
     lease,
--- a/fleet/src/main/java/dockrelay/fleet/budget/Division.java
+++ b/fleet/src/main/java/dockrelay/fleet/budget/Division.java
@@ -1,16 +1,22 @@
 package dockrelay.fleet.budget;
 
-/** Divides a rate by need: everybody up to a common level (max-min fair), and what is left evenly. */
+/**
+ * Divides a rate by max-min fairness: demands are met up to a common level, and any surplus is divided
+ * evenly.
+ */
 final class Division {
-    /** Needs are met with so much to spare: they are known some tenths of a second late. */
+    /** Headroom on top of the reported demand, which is some tenths of a second old. */
     private static final double SPARE = 1.15;
-    /** ... and so much of an even share is left to one that wants nothing, so that its first need is met. */
+    /**
+     * Fraction of an even share that a process without demand keeps, so that its first requests find
+     * tokens.
+     */
     private static final double IDLE = 0.02;
 
     private Division() {
     }
 
-    /** The parts of the whole, in the order of the needs; never more than the whole in all. */
+    /** Returns the shares in the order of the demands. Their sum never exceeds the total. */
     static long[] of(long whole, double[] needs) {
         int n = needs.length;
         long[] parts = new long[n];
@@ -34,7 +40,7 @@
         return parts;
     }
 
-    /** The level up to which all wants can be met. */
+    /** The common level up to which all demands can be met. */
     private static double level(double whole, double[] wanted) {
         double[] sorted = wanted.clone();
         java.util.Arrays.sort(sorted);
--- a/fleet/src/main/java/dockrelay/fleet/budget/Holder.java
+++ b/fleet/src/main/java/dockrelay/fleet/budget/Holder.java
@@ -11,25 +11,28 @@
 import java.util.Map;
 
 /**
- * What this process has been lent: it has it while a keeper says so, counted from the moment at which it
- * asked,
- * and says that it has less only once whoever spends has been told and has answered.
+ * The shares that this process has leased. A lease counts from the moment at which the request was
+ * sent. A reduced share is reported to the coordinator only after the spender has confirmed it, so the
+ * coordinator never assumes less than may still be spent.
  */
 class Holder {
     private static final int MOST_ASKED = 32;
-    /** Needs are seen as counts of tenths of a second: a rise is believed sooner than a fall. */
+    /**
+     * Smoothing factors of the demand, which is sampled every 100 ms: a rise is followed faster than a
+     * fall.
+     */
     private static final double RISES = 0.3, FALLS = 0.12;
     private static final Line NONE = new Line(0, 0, 0, 0, 0);
 
-    /** One budget. */
+    /** The state of one budget. */
     private static final class Held {
         final Budget budget;
-        long rate, burst; // the most that whoever spends may go by now
-        long toRate, toBurst; // what he was told last
+        long rate, burst; // upper bound of what the spender may use at present
+        long toRate, toBurst; // the last share passed to the spender
         double wanted;
         int waiting;
         long spent, tokens;
-        boolean retired; // not named any more: gone once whoever spends has been told
+        boolean retired; // removed from the configuration: dropped once the spender has confirmed
 
         Held(Budget budget) {
             this.budget = budget;
@@ -54,7 +57,10 @@
         configure(budgets);
     }
 
-    /** What is not named any more is given back once whoever spends has been told; returns whether any is. */
+    /**
+     * Applies a new list of budgets. Shares of removed budgets are returned once the spender has
+     * confirmed. Returns whether any budget was removed.
+     */
     boolean configure(Collection<Budget> budgets) {
         Map<Integer, Held> before = new LinkedHashMap<>(all);
         all.clear();
@@ -83,7 +89,7 @@
         return term;
     }
 
-    /** Counts what whoever spends has been told: he names the last one when he answers. */
+    /** The number of the last share update passed to the spender, which names it in its reports. */
     long telling() {
         return telling;
     }
@@ -96,7 +102,7 @@
         return grantedAt;
     }
 
-    /** Whether a lease has just ended: nothing may be spent any more. */
+    /** Drops all shares if the lease has expired since the last call; returns whether it did. */
     boolean lapse(long now) {
         if (leaseEnd == Long.MIN_VALUE || now < leaseEnd) {
             return false;
@@ -115,7 +121,7 @@
         return true;
     }
 
-    /** What was made of the parts by one who has been told of them up to here: what he had before is gone. */
+    /** Takes the spender's report, which confirms all share updates up to the given number. */
     void used(long upTo, Collection<ShareUsage> uses) {
         for (ShareUsage use : uses) {
             Held held = all.get(MemberList.idOf(use.budget()));
@@ -134,7 +140,7 @@
             confirmed = version;
             all.values().forEach(held -> {
                 held.rate = held.toRate;
-                // A token that is spent is of no use without a rate: the room for it goes back at once.
+                // Without a rate a spent token is not refilled: its part of the burst is returned at once.
                 held.burst = held.toRate > 0 ? held.toBurst : Math.min(held.toBurst, whole(held.tokens));
             });
         }
@@ -144,7 +150,7 @@
         return (tokens + Budget.MICROTOKENS_PER_TOKEN - 1) / Budget.MICROTOKENS_PER_TOKEN * Budget.MICROTOKENS_PER_TOKEN;
     }
 
-    /** What is told to one that may be the keeper. */
+    /** Creates the lease request, which reports the shares held and the demand. */
     Message ask(long now) {
         asked.put(++number, now);
         asked.keySet().removeIf(old -> old <= number - MOST_ASKED);
@@ -155,14 +161,17 @@
             lapsed, 0, null, null, lines);
     }
 
-    /** A keeper's answer; returns whether there is something to go by anew. */
+    /**
+     * Takes a coordinator's grant; returns whether it was accepted and the shares or their expiry
+     * changed.
+     */
     boolean granted(long now, Message grant) {
         Long sentAt = asked.get(grant.number());
         if (grant.to() != life || grant.term() < term || sentAt == null || grant.number() <= lapsedBefore) {
             return false;
         }
         if (grant.term() > term) {
-            // From now on a keeper before has no say here: what is told to this one is true.
+            // Grants of earlier coordinators are ignored from here on, so the report stays true.
             term = grant.term();
             version = 0;
             confirmed = 0;
@@ -195,13 +204,17 @@
     }
 
     /**
-     * Counted from the moment of asking: however late the answer, whoever lent knows it to be over by then.
+     * The end of a lease, counted from the moment of the request: however late the grant arrives, the
+     * coordinator considers the lease expired no earlier than this.
      */
     long leaseEnd(long now, long sentAt) {
         return sentAt + pace.leaseRelied();
     }
 
-    /** What there is to go by; what a grant adds is added once, so it is given with the first word of it. */
+    /**
+     * The shares for the spender. The extra tokens of a grant must be added exactly once, so they are
+     * included only when the grant is passed on for the first time; null otherwise.
+     */
     List<LeasedShare> parts(Message grant) {
         List<LeasedShare> parts = new ArrayList<>();
         all.forEach((id, held) -> {
@@ -214,14 +227,14 @@
         return parts;
     }
 
-    /** Everything is given back. */
+    /** Drops all shares and creates the message that returns them. */
     Message leave() {
         leaseEnd = 0;
         lapse(0);
         return Message.plain(Kind.LEAVE, self, life, 0, term, ++number);
     }
 
-    /** One line a budget, as an operator is told of it. */
+    /** The status of each configured budget, for the console. */
     List<BudgetRow> rows(long now) {
         return all.values().stream().filter(held -> !held.retired).map(held -> new BudgetRow(held.budget,
             held.rate, held.burst, held.wanted,
--- a/fleet/src/main/java/dockrelay/fleet/budget/LeasedShare.java
+++ b/fleet/src/main/java/dockrelay/fleet/budget/LeasedShare.java
@@ -1,8 +1,9 @@
 package dockrelay.fleet.budget;
 
 /**
- * What this process may spend of a budget: a bucket of {@code burst} that earns {@code rate}, in millionths;
- * {@code add} goes into it once. Who has heard of a telling before takes nothing from it but its end.
+ * The leased share of a budget: a token bucket with the given burst and refill rate per second, and
+ * tokens to add to it once, all in millionths of a token. From an update that the spender has applied
+ * before, only the expiry is used.
  */
 public record LeasedShare(String budget, long rate, long burst, long addedTokens) {
 }
--- a/fleet/src/main/java/dockrelay/fleet/budget/Ledger.java
+++ b/fleet/src/main/java/dockrelay/fleet/budget/Ledger.java
@@ -11,33 +11,40 @@
 import java.util.Map;
 
 /**
- * What the keeper has lent, to which process, for how long. What a process has may only be less than what
- * stands here; what it is told to have less of stands here in full until it says that it has less.
+ * The coordinator's record of the leases: which process holds which share, and for how long. A
+ * process never holds more than is recorded here; a reduced share stays recorded in full until its
+ * holder has confirmed the reduction.
  */
 class Ledger {
-    /** Parts change by more than this share of themselves, or not at all. */
+    /** Smaller relative changes of a share are not passed on. */
     private static final double NOTABLE = 0.05;
-    /** Needs are divided anew this often at the most. */
+    /** Minimum interval between two divisions by demand. */
     private static final long DIVIDED_EVERY = 80_000;
-    /** One that has not asked for so many periods does not wait for a token any more. */
+    /** A process that has sent no request for so many periods no longer waits for a token. */
     private static final int WAITING_PERIODS = 4;
-    /** Clocks may differ by three hundredths: so much less is given out, as each earns by its own. */
+    /**
+     * Part of the rate that is leased: clocks may run 3 % apart, and each holder refills its bucket by
+     * its own.
+     */
     private static final double EARNED = 0.97;
-    /** Clocks are compared over this time; they may differ by three hundredths, and by what the way takes. */
+    /**
+     * Interval over which clocks are compared. They may drift by 3 %, plus the variation of the network
+     * delay.
+     */
     private static final long COMPARED = 10_000_000;
     private static final int STRIKES = 2;
     private static final double APART = 0.03, WAY = 100_000;
 
-    /** What one process has of one budget. */
+    /** One process's lease of one budget. */
     static final class Lent {
-        long rate, burst; // what it may have at the most
-        long toRate, toBurst, add; // what it was told last
+        long rate, burst; // upper bound of what the process holds
+        long toRate, toBurst, add; // the share granted last
         double wanted;
         long waiting, servedAt = Long.MIN_VALUE;
         long desired;
     }
 
-    /** One process. */
+    /** A process that holds leases. */
     private static final class Borrower {
         final int name;
         final Map<Integer, Lent> lent = new HashMap<>();
@@ -50,13 +57,16 @@
         }
     }
 
-    /** One budget: the whole, what is lent of it, and what others may have of it that have not told. */
+    /**
+     * One budget: the whole, the sum of its leases, and what processes may hold that have not reported
+     * yet.
+     */
     static final class Account {
         final Budget whole;
-        final long rate, unlockAt; // until then others may have what was lent before this account was opened
+        final long rate, unlockAt; // until then leases of earlier terms may still be in use
         long unknownRate, unknownBurst, lentRate, lentBurst, filledAt;
         double tokens;
-        boolean shortOf; // somebody has far too little: all others make room, however small their part of it
+        boolean shortOf; // a process lacks most of its share: reductions apply to all others, however small
 
         Account(Budget whole, long now, long unlockAt) {
             this.whole = whole;
@@ -96,7 +106,9 @@
         configure(now, budgets);
     }
 
-    /** Other budgets, or another whole: what is lent stands until it is taken back. */
+    /**
+     * Applies new or changed budgets. Existing leases stay recorded until they are returned or expire.
+     */
     final void configure(long now, Collection<Budget> budgets) {
         Map<Integer, Account> before = new HashMap<>(accounts);
         accounts.clear();
@@ -112,7 +124,7 @@
             }
             accounts.put(budget.id(), account);
         }
-        // One that is named again later starts as one that others may have all of.
+        // A budget that is added again later starts as unknown: others may still hold all of it.
         borrowers.values().forEach(borrower -> borrower.lent.keySet().removeAll(before.keySet()));
         dividedAt = Long.MIN_VALUE;
     }
@@ -121,7 +133,10 @@
         return term;
     }
 
-    /** A process whose clock runs unlike this one's, told of once; else null. */
+    /**
+     * Describes a process whose clock drifts from this one's, once per detection; null if there is
+     * none.
+     */
     String apart() {
         String which = apart;
         apart = null;
@@ -132,7 +147,10 @@
         return (long) name << 32 | life & 0xffffffffL;
     }
 
-    /** What comes back: leases that are over, and, once all before are, what nobody told of. */
+    /**
+     * Releases expired leases and, once all leases of earlier terms have expired, the unreported
+     * shares.
+     */
     private void sweep(long now) {
         for (Iterator<Borrower> each = borrowers.values().iterator(); each.hasNext();) {
             Borrower borrower = each.next();
@@ -162,7 +180,7 @@
         dividedAt = Long.MIN_VALUE;
     }
 
-    /** The process has nothing any more. */
+    /** Removes a process that has returned all its leases. */
     void left(int name, int life) {
         Borrower borrower = borrowers.remove(key(name, life));
         if (borrower != null) {
@@ -171,9 +189,9 @@
     }
 
     /**
-     * Answers one that tells what it has and wants; null where it gets no answer. One that does not follow
-     * this
-     * keeper yet is told to: what it has cannot be raised by a keeper before then, so what it tells is true.
+     * Answers a lease request, which reports what the sender holds and wants; null if it gets no
+     * answer. A sender that is not in this term yet gets an empty grant that moves it there. From then
+     * on no earlier coordinator can raise its share, so what its next request reports is reliable.
      */
     Message ask(long now, Message ask) {
         sweep(now);
@@ -187,14 +205,14 @@
             borrowers.put(key(ask.sender(), ask.life()), borrower);
             dividedAt = Long.MIN_VALUE;
         } else if (old(ask.number(), borrower.lastAsk)) {
-            return null; // an old one, or the same again
+            return null; // reordered or duplicate
         }
         borrower.lastAsk = ask.number();
         borrower.askedAt = now;
         boolean lapsed = ask.yes() || ask.version() > borrower.version || first && ask.version() > 0;
         boolean acknowledged = !first && !lapsed && ask.version() == borrower.version;
         if (acknowledged) {
-            compare(now, borrower, ask.clock()); // a first word may be an old one
+            compare(now, borrower, ask.clock()); // a first request may be a delayed one
         }
         Map<Integer, Line> told = new HashMap<>();
         ask.lines().forEach(line -> told.put(line.budget(), line));
@@ -210,7 +228,7 @@
                 account.unknownRate = Math.max(0, account.unknownRate - line.rate());
                 account.unknownBurst = Math.max(0, account.unknownBurst - line.burst());
             } else if (acknowledged) {
-                // A process that had acknowledged all may have given something back beside.
+                // A holder that has confirmed all grants may have returned part of its share on its own.
                 lend(account, lent, Math.min(lent.toRate, line.rate()), Math.min(lent.toBurst, line.burst()));
             }
         }
@@ -234,7 +252,7 @@
             lines);
     }
 
-    /** From here on so much is lent and nothing else under way. */
+    /** Records a lease of this size, with no other grant in flight. */
     private static void lend(Account account, Lent lent, long rate, long burst) {
         account.set(lent, rate, burst);
         lent.toRate = rate;
@@ -243,9 +261,9 @@
     }
 
     /**
-     * Guards against leases by a clock that runs slow. What is late makes both clocks seem apart for a
-     * moment, so
-     * the least difference of a while is compared with that of the while before, twice in a row.
+     * Detects a clock that runs slow, whose leases would last too long. A delayed message makes
+     * clocks seem apart for a moment; therefore the smallest difference of an interval is compared with
+     * that of the interval before, and a process is distrusted only after two deviations in a row.
      */
     private void compare(long now, Borrower borrower, long itsClock) {
         borrower.least = Math.min(borrower.least, now - itsClock);
@@ -258,7 +276,7 @@
             borrower.strikes = far ? borrower.strikes + 1 : 0;
             borrower.untrusted = borrower.strikes >= STRIKES;
             if (borrower.untrusted) {
-                apart = String.format(java.util.Locale.ROOT, "%08x by %.2f s in %.2f", borrower.name,
+                apart = String.format(java.util.Locale.ROOT, "%08x drifted by %.2f s in %.2f", borrower.name,
                     went / 1e6, (now - borrower.comparedAt) / 1e6);
             }
             borrower.comparedAt = now;
@@ -267,7 +285,7 @@
         }
     }
 
-    /** What each should have, by the needs of all. */
+    /** Computes the target share of each process from all demands. */
     private void desire(long now) {
         if (dividedAt != Long.MIN_VALUE && now - dividedAt < DIVIDED_EVERY) {
             return;
@@ -288,7 +306,10 @@
         }
     }
 
-    /** Whether everybody can have a whole token of his own, and some to spare. */
+    /**
+     * Whether the burst suffices for two tokens per process; otherwise single tokens are leased in
+     * turn.
+     */
     private boolean byRate(Account account) {
         return account.whole.burst() >= 2 * Budget.MICROTOKENS_PER_TOKEN * borrowers.size();
     }
@@ -324,18 +345,21 @@
         borrower.version += changed ? 1 : 0;
     }
 
-    /** A whole token for everybody, and the rest by the rates. */
+    /** The burst of a process: one token, plus a part of the remainder in proportion to its rate. */
     long burst(Account account, long rate) {
         double spare = account.whole.burst() - (double) Budget.MICROTOKENS_PER_TOKEN * borrowers.size();
         return Budget.MICROTOKENS_PER_TOKEN + (long) (spare * (rate / (double) account.rate));
     }
 
-    /** Whether a word has been overtaken by a later one. */
+    /** Whether a request is a duplicate or was overtaken by a later one. */
     boolean old(long number, long last) {
         return number <= last;
     }
 
-    /** Told to have so much, a process has what it had as well until it says otherwise. */
+    /**
+     * Records a grant. Until the process confirms it, the process may use the larger of the old and the
+     * new share.
+     */
     void told(Account account, Lent lent, long rate, long burst) {
         account.set(lent, Math.max(lent.rate, rate), Math.max(lent.burst, burst));
     }
@@ -344,7 +368,10 @@
         return account.freeBurst();
     }
 
-    /** As much as is wanted and free; less is always to be had. */
+    /**
+     * The new amount of a lease: a reduction always applies, an increase only as far as tokens are
+     * free.
+     */
     private static long grown(long lent, long wanted, long free) {
         return wanted <= lent ? wanted : lent + Math.min(wanted - lent, Math.max(0, free));
     }
@@ -353,7 +380,9 @@
         return to != from && (to == 0 || from == 0 || Math.abs(to - from) > NOTABLE * Math.max(to, from));
     }
 
-    /** Whether a token there is goes to this one: those wait in the order in which they were served. */
+    /**
+     * Whether a free token goes to this process: the least recently served waiting process comes first.
+     */
     private boolean isNext(long now, Account account, Lent lent) {
         long tokens = (long) Math.min(account.tokens, account.freeBurst() + lent.burst) / Budget.MICROTOKENS_PER_TOKEN;
         if (lent.waiting == 0 || lent.burst >= Budget.MICROTOKENS_PER_TOKEN || tokens < 1) {
--- a/fleet/src/main/java/dockrelay/fleet/budget/Message.java
+++ b/fleet/src/main/java/dockrelay/fleet/budget/Message.java
@@ -7,8 +7,9 @@
 import java.util.List;
 
 /**
- * What processes send each other of budgets, as bytes: magic, schema, kind, sender, its life, the life it is
- * meant for, term, number, then what the kind has, then a checksum. docs/budgets.md has the format.
+ * A message of the budget protocol. On the wire: magic, schema, kind, sender, the sender's instance
+ * id, the instance id of the addressee, term, number, the fields of the kind, and a checksum.
+ * docs/budgets.md describes the format.
  */
 record Message(Kind kind, int sender, int life, int to, long term, long number, long version, long clock,
                boolean yes, int keeper, Agreed agreed, Agreed next, List<Line> lines) {
@@ -16,14 +17,20 @@
     static final int LONGEST = 1400, MOST_LINES = 32, MOST_NAMES = 128;
     private static final byte SECOND = 0x62, SCHEMA = 1;
 
-    /** ASK tells what is held and wanted; GRANT lends; the others are about who may. */
+    /**
+     * The first two request and grant leases, the others serve the election; the order is the wire
+     * format.
+     */
     enum Kind { ASK, GRANT, REDIRECT, CANVASS, RENEW, VOTE, RESIGN, LEAVE }
 
-    /** Of one budget: {@code extra} is what waits in an ASK, and what is added in a GRANT. */
+    /**
+     * The figures of one budget. {@code extra} is the number of waiting requests in a lease request,
+     * and the tokens to add once in a grant.
+     */
     record Line(int budget, long rate, long burst, long wanted, long extra) {
     }
 
-    /** It could not be read. */
+    /** A datagram that could not be decoded; the message is the reason under which it is counted. */
     static final class Unreadable extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -78,7 +85,10 @@
         return new Agreed(term, number, ids);
     }
 
-    /** So that nobody makes this process take more of the heap than a datagram is worth. */
+    /**
+     * Reads a count and rejects large ones, so that a forged datagram cannot make this process allocate
+     * much memory.
+     */
     private static int bounded(ByteBuffer in, int most) throws Unreadable {
         long count = WireFormat.getVarint(in);
         if (count > most) {
--- a/fleet/src/main/java/dockrelay/fleet/budget/ShareUsage.java
+++ b/fleet/src/main/java/dockrelay/fleet/budget/ShareUsage.java
@@ -1,7 +1,8 @@
 package dockrelay.fleet.budget;
 
 /**
- * What was made of a part: how many a second are wanted, how many wait for one, and what is in the bucket.
+ * What a spender reports of its share: the demand per second and the tokens left in the bucket, both
+ * in millionths of a token, the requests that wait for a token, and the tokens spent so far.
  */
 public record ShareUsage(String budget, double wanted, int waiting, long tokens, long spent) {
 }
--- a/fleet/src/main/java/dockrelay/fleet/budget/Voter.java
+++ b/fleet/src/main/java/dockrelay/fleet/budget/Voter.java
@@ -3,8 +3,9 @@
 import dockrelay.fleet.budget.Message.Kind;
 
 /**
- * One name's vote: promised to one at a time, for a while, and never so soon after a start that the process
- * before may have promised it to somebody else. It remembers the agreed list that a keeper told it of.
+ * The vote of one member. It is granted to one candidate at a time and for a limited time, and not
+ * until any vote that the previous process of this name may have granted has expired. Remembers the
+ * voter sets that a coordinator announced.
  */
 class Voter {
     private final int self, life;
@@ -22,7 +23,7 @@
         this.votesFrom = votesFrom(now);
     }
 
-    /** The highest term that it knows of. */
+    /** The highest term that this process knows of. */
     long term() {
         return term;
     }
@@ -39,22 +40,28 @@
         return next;
     }
 
-    /** From when on it votes: nobody can count on the process before any more. */
+    /** The time from which on this process votes: votes of the previous process have expired by then. */
     long votesFrom(long startedAt) {
         return startedAt + pace.promiseOver();
     }
 
-    /** The same name is not enough: a process before or beside may count on the promise still. */
+    /**
+     * Whether the vote was granted to this instance. The same name is not enough: an earlier or
+     * concurrent process of that name may still rely on the vote.
+     */
     boolean same(int ofLife) {
         return toLife == ofLife;
     }
 
-    /** Whether it is free to be promised: nobody else counts on it. */
+    /** Whether the vote can be granted: no other process relies on it. */
     boolean free(long now) {
         return now >= votesFrom && !(promised && now < until);
     }
 
-    /** A start of a canvass or a keeper's renewal; what it answers tells what it remembered before. */
+    /**
+     * Answers a vote request or a renewal. The answer carries the voter sets remembered before this
+     * message.
+     */
     Message asked(long now, Message of) {
         boolean canvass = of.kind() == Kind.CANVASS;
         boolean mine = promised && now < until && to == of.sender() && same(of.life());
@@ -77,7 +84,7 @@
             hadNext, java.util.List.of());
     }
 
-    /** Who asked for it needs it no longer. */
+    /** Releases the vote if it was granted to the process that resigns; returns whether it was. */
     boolean resigned(int by, int byLife, long ofTerm) {
         boolean freed = promised && to == by && toLife == byLife && ofTerm >= promisedTerm;
         promised &= !freed;
--- a/fleet/src/test/java/dockrelay/fleet/budget/BrokenBudgets.java
+++ b/fleet/src/test/java/dockrelay/fleet/budget/BrokenBudgets.java
@@ -5,9 +5,9 @@
 import java.util.Random;
 import java.util.Set;
 
-/** Budgets that are broken in one way each: the schedules have to find each out. */
+/** Faulty versions of the budget protocol, each with one bug that the random schedules have to detect. */
 enum BrokenBudgets implements BudgetWorld.Maker {
-    /** What is asked back counts as free before its holder has less. */
+    /** A reduced share counts as free before its holder has confirmed the reduction. */
     GIVER_DOES_NOT_WAIT(0) {
         @Override
         Ledger ledger(Collection<Budget> of, long term, BudgetTiming at, long now) {
@@ -19,21 +19,21 @@
             };
         }
     },
-    /** A part is had until a keeper says otherwise. */
+    /** Leases do not expire. */
     LEASE_WITHOUT_END(0) {
         @Override
         long leaseEnd(long now, long sentAt, BudgetTiming at) {
             return now + 1000 * at.lease();
         }
     },
-    /** A lease counts from when its word arrives. */
+    /** A lease counts from the arrival of the grant instead of the sending of the request. */
     LEASE_FROM_ARRIVAL(8900) {
         @Override
         long leaseEnd(long now, long sentAt, BudgetTiming at) {
             return now + at.lease();
         }
     },
-    /** What is saved up is not divided: each has the whole burst. */
+    /** The burst is not divided: each process has all of it. */
     BURST_NOT_COUNTED(0) {
         @Override
         Ledger ledger(Collection<Budget> of, long term, BudgetTiming at, long now) {
@@ -50,14 +50,14 @@
             };
         }
     },
-    /** A new keeper takes what nobody has told of yet for free. */
+    /** A new coordinator treats shares that have not been reported to it yet as free. */
     UNKNOWN_IS_FREE(0) {
         @Override
         Ledger ledger(Collection<Budget> of, long term, BudgetTiming at, long now) {
             return new Ledger(of, term, at, now - at.leaseOver());
         }
     },
-    /** A new list is agreed on by the new one alone. */
+    /** A change of the voter set needs a quorum of the new set only. */
     NEW_LIST_ALONE(700) {
         @Override
         Authority authority(int id, int life, BudgetTiming at, Voter of, MemberList names, Random by,
@@ -70,7 +70,7 @@
             };
         }
     },
-    /** Any half of the list is a quorum. */
+    /** Any half of the voter set is a quorum, so that two disjoint quorums exist. */
     HALF_IS_ENOUGH(0) {
         @Override
         Authority authority(int id, int life, BudgetTiming at, Voter of, MemberList names, Random by,
@@ -84,7 +84,7 @@
         }
     };
 
-    /** It is known to be found out soon after this one. */
+    /** The first seed to try; the bug is known to show up soon after it. */
     final long from;
 
     BrokenBudgets(long from) {
--- a/fleet/src/test/java/dockrelay/fleet/budget/BudgetSchedule.java
+++ b/fleet/src/test/java/dockrelay/fleet/budget/BudgetSchedule.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/** What happens to a fleet, drawn from a seed: and what must have come of it at the end. */
+/** A random schedule of faults in a simulated fleet, generated from a seed, and the checks at its end. */
 final class BudgetSchedule {
     private static final long SECOND = BudgetWorld.SECOND, MILLI = BudgetWorld.MILLI;
     private static final long START = 12 * SECOND, FAULTS = 45 * SECOND, CALM = 60 * SECOND;
@@ -17,7 +17,7 @@
     final BudgetWorld world;
     private final Set<String> names = new TreeSet<>();
     private final int n;
-    private final boolean hot; // much more is wanted than there is
+    private final boolean hot; // demand far exceeds the budget
 
     BudgetSchedule(long seed, BudgetWorld.Maker maker, boolean traced) {
         random = new Random(seed * 31 + 7);
@@ -40,7 +40,7 @@
         return alive.isEmpty() ? null : alive.get(random.nextInt(alive.size()));
     }
 
-    /** Plays it all; throws what must not be. */
+    /** Runs the schedule; throws {@link Broken} if an invariant is violated. */
     void play() {
         boolean together = random.nextBoolean();
         for (String name : names) {
@@ -54,7 +54,7 @@
             at(START + (long) (random.nextDouble() * FAULTS), this::fault);
         }
         world.runUntil(START + FAULTS + 15 * SECOND);
-        world.trace("calm");
+        world.trace("end of faults");
         world.cut.clear();
         world.loss = 0;
         world.replays = 0;
@@ -67,7 +67,7 @@
                 world.configure(process, names);
             }
         }
-        for (Process process : world.all) { // whoever else still runs ends: the list does not name him
+        for (Process process : world.all) { // processes that are not on the final list end
             if (world.processes.get(process.name) != process || !names.contains(process.name)) {
                 world.kill(process);
             }
@@ -79,7 +79,7 @@
             process.run(() -> process.machine.retired(process.local(), gone));
         }
         world.runUntil(world.now + CALM);
-        long most = 0; // parts on the way from one to another are nobody's
+        long most = 0; // shares that move between processes belong to neither for a moment
         for (int i = 0; i < 30; i++) {
             world.runUntil(world.now + 100 * MILLI);
             most = Math.max(most, world.lent());
@@ -87,10 +87,10 @@
         long keepers = world.processes.values().stream().filter(one -> !one.dead
             && one.machine.isCoordinator(one.local())).count();
         if (keepers != 1) {
-            throw new Broken(keepers + " keepers in the end, " + waiting());
+            throw new Broken(keepers + " coordinators at the end, " + waiting());
         }
         if (world.budget.name().equals("many") && most < 0.9 * world.budget.rate()) {
-            throw new Broken(most / (double) world.budget.rate() + " of the whole is lent in the end, "
+            throw new Broken(most / (double) world.budget.rate() + " of the rate is leased at the end, "
                 + world.processes.values().stream().filter(one -> !one.dead).map(one -> one.name + " " +
                     one.partRate
                 + " of " + one.machine.rows(one.local())).toList());
@@ -114,7 +114,7 @@
         }
         switch (random.nextInt(12)) {
             case 0, 1 -> killed(process);
-            case 2 -> { // many at once
+            case 2 -> { // several processes die at once
                 int count = 1 + random.nextInt(n);
                 for (int i = 0; i < count; i++) {
                     Process one = any();
@@ -123,7 +123,7 @@
                     }
                 }
             }
-            case 3, 4 -> { // stopped, with all that it has in mind
+            case 3, 4 -> { // suspended with its state, and resumed later
                 process.stopped = true;
                 at(world.now + (long) (random.nextDouble() * random.nextInt(4) * 4 * SECOND),
                     () -> world.goOn(process));
@@ -179,7 +179,7 @@
         at(world.now + SECOND + random.nextInt(most * (int) SECOND), () -> world.cut.remove(way));
     }
 
-    /** A list that grows or shrinks, told to each at a time of its own, in any order, to some never. */
+    /** Changes the member list. Each process learns of it at a random time, some never. */
     private void resize() {
         Set<String> to = new TreeSet<>();
         int size = 1 + random.nextInt(2 * n);
@@ -210,11 +210,14 @@
         }
     }
 
-    /** Two lives of one name: the one before may be stopped, killed or slow with its goodbye. */
+    /**
+     * Replaces a process by another of the same name; the old one may be suspended, killed or slow to
+     * leave.
+     */
     private void upgrade(Process process) {
         int how = random.nextInt(4);
         if (how == 0) {
-            process.deaf = true; // it lost its address and said nothing, and spends on
+            process.deaf = true; // it lost its address without leaving, and keeps spending
         } else if (how == 1) {
             process.stopped = true;
             process.deaf = true;
@@ -224,7 +227,7 @@
         }
         at(world.now + random.nextInt((int) SECOND), () -> demand(world.start(process.name, process.names)));
         at(world.now + (how == 2 ? 100 * MILLI : 9 * SECOND), () -> {
-            process.dead = true; // its name lives on
+            process.dead = true; // the name belongs to the new process
         });
     }
 }
--- a/fleet/src/test/java/dockrelay/fleet/budget/BudgetWorld.java
+++ b/fleet/src/test/java/dockrelay/fleet/budget/BudgetWorld.java
@@ -14,24 +14,23 @@
 import java.util.TreeSet;
 
 /**
- * Processes that spend one budget, on a virtual clock and network, from one seed. Each has a clock of its
- * own, up to
- * three hundredths apart, and a spender that is told late. What must always hold is checked at every token
- * spent.
+ * Simulates processes that spend from one budget, with virtual time and network, deterministically from
+ * a seed. Each process has its own clock, up to 3 % apart from the others, and a spender that learns of
+ * share updates with a delay. The invariants are checked at every token spent.
  */
 final class BudgetWorld {
     static final long MILLI = 1_000, SECOND = 1_000_000;
     private static final int INBOX = 256;
     private static final double APART = 0.03;
 
-    /** Makes a process's machine, so that a broken one can take its place. */
+    /** Creates the protocol instance of a process, so that tests can inject a faulty one. */
     interface Maker {
         BudgetNode make(String self, Collection<String> names, Collection<Budget> budgets, int life, Random
             random,
                      BudgetNode.Callbacks actions, long now);
     }
 
-    /** Something that must hold did not. */
+    /** An invariant was violated. */
     static final class Broken extends RuntimeException {
         private static final long serialVersionUID = 1L;
 
@@ -43,7 +42,7 @@
     private record Event(long at, long order, Runnable action) {
     }
 
-    /** One process of a name. */
+    /** A simulated process. Several may have run under one name. */
     final class Process implements BudgetNode.Callbacks {
         final String name;
         final double rate = 1 + (random.nextDouble() - 0.5) * APART * 0.98;
@@ -82,7 +81,7 @@
             }));
         }
 
-        /** What a stopped process would do waits until it goes on. */
+        /** Runs an action; if the process is suspended, queues it until the process resumes. */
         void run(Runnable action) {
             if (dead) {
                 return;
@@ -112,7 +111,10 @@
             return true;
         }
 
-        /** Requests come by chance; one that finds no token waits where tokens are few, else it goes. */
+        /**
+         * Creates requests at random intervals. Without a token a request waits if the burst is small,
+         * else it is dropped.
+         */
         private void want() {
             if (dead) {
                 return;
@@ -145,7 +147,7 @@
             return budget.burst() < 2 * Budget.MICROTOKENS_PER_TOKEN * processes.size();
         }
 
-        /** Tells the machine what it has made of the parts; both are threads of their own. */
+        /** Reports the usage to the protocol instance with a random delay, as between two threads. */
         private void report() {
             if (dead) {
                 return;
@@ -165,12 +167,12 @@
         @Override
         public void applyShares(long telling, List<LeasedShare> parts, long end) {
             long delay = random.nextInt((int) (random.nextInt(50) == 0 ? SECOND / 2 : 3 * MILLI));
-            handedAt = Math.max(handedAt, now + delay); // from thread to thread, in order
+            handedAt = Math.max(handedAt, now + delay); // between threads, in order
             later(handedAt - now, () -> run(() -> {
                 fill();
                 filledAt = Math.max(filledAt, local());
                 until = telling < told ? until : end;
-                // What was heard of before only lasts longer.
+                // An update that was applied before only extends the expiry.
                 for (LeasedShare part : telling > told ? parts : List.<LeasedShare>of()) {
                     partRate = part.rate();
                     partBurst = part.burst();
@@ -199,7 +201,7 @@
 
     final Random random;
     final Budget budget;
-    final Map<String, Process> processes = new LinkedHashMap<>(); // whoever has the name's address
+    final Map<String, Process> processes = new LinkedHashMap<>(); // current process by name
     final List<Process> all = new ArrayList<>();
     final Set<String> cut = new HashSet<>();
     final Map<String, Long> diedAt = new HashMap<>();
@@ -240,19 +242,23 @@
         now = end;
     }
 
-    /** So that whatever the interval, no more is spent than the whole allows: a bucket that starts full. */
+    /**
+     * Counts a token spent by any process against a token bucket of the whole budget that starts full.
+     * It detects any interval in which more is spent than the budget allows.
+     */
     private void spentByAll() {
         level = Math.min(budget.burst(), level + budget.rate() * ((now - levelAt) / 1e6));
         levelAt = now;
         level -= Budget.MICROTOKENS_PER_TOKEN;
         spentOfAll++;
         if (level < -1e-3) {
-            throw new Broken(String.format("at %.3f s more was spent than the whole allows: %.2f tokens",
-                now / 1e6, -level / Budget.MICROTOKENS_PER_TOKEN));
+            throw new Broken(String.format(
+                "at %.3f s more tokens were spent than the budget allows: %.2f too many", now / 1e6,
+                -level / Budget.MICROTOKENS_PER_TOKEN));
         }
     }
 
-    /** What all may go by at this moment is within the whole, whether they spend it or not. */
+    /** Checks that the shares of all processes are within the budget, whether they are spent or not. */
     private void addUp() {
         long rate = 0, burst = 0;
         for (Process process : all) {
@@ -263,7 +269,7 @@
         }
         if (rate > budget.rate() || burst > budget.burst()) {
             throw new
-                Broken(String.format("at %.3f s the parts add up to %.3f of the rate and %.3f of the burst",
+                Broken(String.format("at %.3f s the shares add up to %.3f of the rate and %.3f of the burst",
                 now / 1e6, rate / (double) budget.rate(), burst / (double) budget.burst()));
         }
     }
@@ -272,7 +278,7 @@
         trace(name + " starts with " + names);
         Process before = processes.get(name);
         if (before != null && !before.dead && !before.deaf) {
-            kill(before); // it has the address, and nobody else can have it
+            kill(before); // it occupies the address
         }
         Process process = new Process(name, names);
         processes.put(name, process);
@@ -298,24 +304,26 @@
 
     void configure(Process process, Collection<String> names) {
         process.run(() -> {
-            trace(process.name + " is told of " + names);
+            trace(process.name + " applies the list " + names);
             process.names = new TreeSet<>(names);
             process.machine.configure(process.local(), names, List.of(budget));
         });
     }
 
-    /** The process before gives all back and the address free; the next one takes it. */
+    /** Returns all shares of a process and releases its address for the next one. */
     void leave(Process process) {
         process.run(() -> {
             trace(process.name + " leaves");
             process.until = 0;
-            process.told = Long.MAX_VALUE; // whatever is on its way between the threads comes too late
+            process.told = Long.MAX_VALUE; // updates still queued between the threads are ignored
             process.machine.leave(process.local());
             process.deaf = true;
         });
     }
 
-    /** A rough word of who is there: late, and now and then wrong, as it may be. */
+    /**
+     * Passes on which processes are present: late and sometimes wrong, as the protocol has to tolerate.
+     */
     private void presence() {
         for (Process process : all) {
             Set<String> here = new TreeSet<>(), away = new TreeSet<>();
@@ -359,7 +367,7 @@
         });
     }
 
-    /** What all that live may spend a second, in millionths. */
+    /** The sum of the rates of all live shares, in millionths of a token per second. */
     long lent() {
         return all.stream().filter(process -> !process.dead && process.local() < process.until)
             .mapToLong(process -> process.partRate).sum();
--- a/fleet/src/test/java/dockrelay/fleet/budget/BudgetsTest.java
+++ b/fleet/src/test/java/dockrelay/fleet/budget/BudgetsTest.java
@@ -23,7 +23,10 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Thousands of schedules; {@code -Dbudget.schedule=SEED} plays one with a trace. */
+/**
+ * Random fault schedules of the budget protocol. {@code -Dbudget.schedule=SEED} runs a single one with
+ * a trace, {@code -Dbudget.schedules=N} sets their number.
+ */
 class BudgetsTest {
     private static final BudgetWorld.Maker SOUND = (self, names, budgets, life, random, actions, now) ->
         new BudgetNode(self, names, budgets, life, BudgetTiming.DEFAULT, random, actions, now);
@@ -31,21 +34,21 @@
     private static final BudgetNode.Callbacks NOBODY = new BudgetNode.Callbacks() {
         @Override
         public void send(String to, ByteBuffer datagram) {
-            // nobody is there
+            // no network
         }
 
         @Override
         public void applyShares(long telling, List<LeasedShare> parts, long until) {
-            // nothing is spent
+            // no spender
         }
 
         @Override
         public void logEvent(String text) {
-            // nobody listens
+            // no log
         }
     };
 
-    private static final Pattern BEYOND = Pattern.compile("spent than the whole|parts add up to");
+    private static final Pattern BEYOND = Pattern.compile("spent than the budget|shares add up to");
 
     static String played(long seed, BudgetWorld.Maker maker, boolean traced) {
         try {
@@ -56,7 +59,7 @@
         }
     }
 
-    /** A list of 129 does not fit what they send each other: no keeper would ever be agreed on. */
+    /** A list of 129 members does not fit into a datagram: no coordinator could ever be elected. */
     @Test
     void moreMembersThanAListHoldsAreRefusedByTheirNumber() {
         List<String> most = IntStream.range(0, 128).mapToObj(i -> "n" + i).toList();
@@ -83,14 +86,17 @@
         List<String> broken = LongStream.range(0, count).parallel().mapToObj(seed -> played(seed, SOUND,
             false))
             .filter(text -> text != null).toList();
-        System.out.printf("%d schedules in %.1f s, %d broken%n", count, (System.nanoTime() - start) / 1e9,
+        System.out.printf("%d schedules in %.1f s, %d with violations%n", count,
+            (System.nanoTime() - start) / 1e9,
             broken.size());
         if (!broken.isEmpty()) {
             fail(String.join("\n", broken.subList(0, Math.min(5, broken.size()))));
         }
     }
 
-    /** A fault that no schedule finds is a fault that could be there. */
+    /**
+     * Checks that the schedules are able to detect bugs: each injected bug has to violate an invariant.
+     */
     @ParameterizedTest
     @EnumSource(BrokenBudgets.class)
     void aBrokenOneIsFoundOut(BrokenBudgets broken) {
@@ -100,11 +106,14 @@
                 .filter(seed -> BEYOND.matcher(String.valueOf(played(seed, broken, false))).find())
                 .min().orElse(-1);
         }
-        System.out.println(broken + ": found out at seed " + found);
-        assertTrue(found >= 0, broken + " is not found out");
+        System.out.println(broken + ": detected at seed " + found);
+        assertTrue(found >= 0, broken + " is not detected");
     }
 
-    /** A demand that moves about is followed: with few tokens as well as with many. */
+    /**
+     * Shares follow a demand that shifts between members, with small budgets as well as with large
+     * ones.
+     */
     @ParameterizedTest
     @CsvSource({"3,60,60", "12,120,120", "48,480,480", "12,3,3", "48,3,3"})
     void whatCanBeUsedIsUsed(int members, int rate, int burst) {
@@ -117,7 +126,7 @@
         long spent = 0;
         int shifts = 10;
         for (int i = 0; i < shifts; i++) {
-            for (Process process : world.all) { // a third of them want all of it, twice over
+            for (Process process : world.all) { // a third of the members together demand twice the budget
                 process.demand = world.random.nextInt(3) == 0 ? 6.0 * rate / members : 0;
             }
             world.all.get(i % members).demand = 6.0 * rate / members + rate * 1.2;
@@ -128,16 +137,16 @@
         }
         double used = spent / (8.0 * shifts * rate);
         long wait = world.all.stream().mapToLong(process -> process.longestWait).max().orElse(0);
-        System.out.printf("%d members, %d a second: %.3f used 2 s after a shift,"
+        System.out.printf("%d members, %d a second: %.3f of the rate used from 2 s after a shift,"
             + " %.0f datagrams and %.1f kB a second each, longest wait %.1f s%n", members, rate, used,
                 world.datagrams * 1e6 / world.now / members,
             world.sentBytes * 1e3 / world.now / members, wait / 1e6);
-        assertTrue(used >= 0.9, used + " is used");
+        assertTrue(used >= 0.9, used + " of the rate is used");
     }
 
     /**
-     * Who comes has a part soon, who says goodbye leaves his at once, and a dead one's is back after a
-     * lease.
+     * A new member soon gets a share, the share of a leaving member is redistributed at once, and that
+     * of a dead member after its lease has expired.
      */
     @ParameterizedTest
     @ValueSource(ints = {3, 12, 48})
@@ -164,27 +173,31 @@
         long anew = until(world, () -> world.all.stream().anyMatch(one -> !one.dead && !one.deaf
             && one.machine.isCoordinator(one.local())));
         long whole = until(world, () -> world.lent() > 0.9 * budget.rate());
-        System.out.printf("%d members: parts of a quarter that dies are back after %.1f s, a newcomer has one"
-            + " after %.1f s, a goodbye's is divided after %.1f s; a keeper's death: the next after %.1f s,"
-            + " all divided %.1f s later%n", members, back / 1e6, came / 1e6, gone / 1e6, anew / 1e6,
+        System.out.printf("%d members: shares of a quarter that dies are back after %.1f s, a new member has"
+            + " one after %.1f s, that of a leaving one is divided after %.1f s; the coordinator dies: next"
+            + " after %.1f s, all divided %.1f s later%n", members,
+            back / 1e6, came / 1e6, gone / 1e6, anew / 1e6,
             whole / 1e6);
-        assertTrue(came <= 2 * BudgetWorld.SECOND && gone <= BudgetWorld.SECOND, came + " and " + gone);
-        assertTrue(back <= 7 * BudgetWorld.SECOND && anew + whole <= 11 * BudgetWorld.SECOND, back + ", " +
-            whole);
+        assertTrue(came <= 2 * BudgetWorld.SECOND && gone <= BudgetWorld.SECOND, came
+            + " us until a new member has a share; us until a leaving member's share is divided: " + gone);
+        assertTrue(back <= 7 * BudgetWorld.SECOND && anew + whole <= 11 * BudgetWorld.SECOND, back
+            + " us until the shares of dead members are back; us until all is divided by a new coordinator: "
+            + whole);
     }
 
-    /** A keeper that is told to forget a budget and to have it again lends nothing that is still lent. */
+    /** Shares of a budget that is removed and added again are not leased twice. */
     @Test
     void aBudgetThatIsNamedAgainIsNotLentTwice() {
         Budget budget = Budget.perSecond("again", 100);
         long now = BudgetTiming.DEFAULT.leaseOver() + 1;
         Ledger ledger = new Ledger(List.of(budget), 1, BudgetTiming.DEFAULT, 0);
-        assertTrue(ledger.ask(now, first(1, budget)).lines().get(0).rate() > 0, "all is free");
+        assertTrue(ledger.ask(now, first(1, budget)).lines().get(0).rate() > 0, "the whole budget is free");
         ledger.configure(now + 1, List.of());
         ledger.configure(now + 2, List.of(budget));
-        assertTrue(ledger.ask(now + 3, first(2, budget)).lines().get(0).rate() == 0, "it is lent still");
+        assertTrue(ledger.ask(now + 3, first(2, budget)).lines().get(0).rate() == 0,
+            "the budget is still leased");
         assertTrue(ledger.ask(now + 3 + BudgetTiming.DEFAULT.leaseOver(), first(3, budget)).lines().get(0).rate()
-            > 0, "it is over");
+            > 0, "the earlier lease has expired");
     }
 
     private static Message first(int name, Budget budget) {
--- a/proxy/src/main/java/dockrelay/proxy/BudgetConfigReader.java
+++ b/proxy/src/main/java/dockrelay/proxy/BudgetConfigReader.java
@@ -9,21 +9,29 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The budgets of the whole fleet that a configuration names, and a group's parts of them. */
+/**
+ * Reads the shared budgets of the configuration, and computes the part of each that a group of peers
+ * gets.
+ */
 final class BudgetConfigReader {
-    /** Copies, hedges and retries of all proxies together. */
+    /** The budget of redundant attempts, hedges and retries of all proxies together. */
     private static final Set<String> NAMES = Set.of("extra");
 
     private BudgetConfigReader() {
     }
 
-    /** Those that are named, and each tenant's share. Groups are null where no peers are named. */
+    /**
+     * Returns the configured budgets and one for each tenant's quota. The groups are null if no peers are
+     * named.
+     *
+     * @throws BudgetException if a budget is unknown, invalid or too small for the groups
+     */
     static List<Budget> read(Map<?, ?> named, Settings settings, PeerGroups groups) {
         List<Budget> result = new ArrayList<>();
         named.forEach((name, value) -> {
             if (!NAMES.contains(name) || !(value instanceof Map<?, ?>)) {
                 throw new BudgetException(BudgetException.Code.NAME, "budgets." + name + " = " + value
-                    + " is not known", "allowed are " + NAMES
+                    + " is not a known budget", "allowed are " + NAMES
                     + ", each {\"per_second\": NUMBER, \"burst\": NUMBER}");
             }
             Map<?, ?> of = (Map<?, ?>) value;
@@ -39,7 +47,7 @@
             if (tenant.quotaPerSecond() > 0) {
                 Budget budget = Budget.perSecond("tenant/" + tenant.name(), tenant.quotaPerSecond());
                 if (groups == null || divisible(budget, groups)) {
-                    result.add(budget); // the module divides the others' by what it is told of the fleet
+                    result.add(budget); // the balancer divides smaller quotas itself
                 }
             }
         }
@@ -49,12 +57,16 @@
     private static BudgetException tooSmall(Budget budget, PeerGroups groups) {
         int names = groups.grouping().memberCount(), smallest = groups.smallest();
         return new BudgetException(BudgetException.Code.BURST, "budget " + budget.name() + ": burst of "
-            + budget.burst() / (double) Budget.MICROTOKENS_PER_TOKEN + " is too little for " + groups.grouping().groupCount()
-            + " groups of " + names + " peers, the smallest of " + smallest, "allowed there is at least "
-            + (long) Math.ceil((double) Budget.LEAST_BURST / Budget.MICROTOKENS_PER_TOKEN * names / smallest));
+            + budget.burst() / (double) Budget.MICROTOKENS_PER_TOKEN + " is too small for " + groups.grouping().groupCount()
+            + " groups with a total of " + names + " peers, the smallest with " + smallest,
+            "the minimum here is "
+                + (long) Math.ceil((double) Budget.LEAST_BURST / Budget.MICROTOKENS_PER_TOKEN * names / smallest));
     }
 
-    /** Whether each group's part is a budget still; so all who have the same list see it alike. */
+    /**
+     * Whether the part of the smallest group is still a valid budget. The result is the same at all
+     * processes with the same list of peers.
+     */
     private static boolean divisible(Budget budget, PeerGroups groups) {
         return part(budget.burst(), groups.smallest(), groups) >= Budget.LEAST_BURST
             && part(budget.rate(), groups.smallest(), groups) > 0;
@@ -64,7 +76,10 @@
         return whole * names / groups.grouping().memberCount();
     }
 
-    /** Those of a group of so many names: in all groups together never more than the whole. */
+    /**
+     * The budgets of a group with so many names. The parts of all groups never add up to more than the
+     * whole.
+     */
     static List<Budget> groupShares(List<Budget> budgets, int names, PeerGroups groups) {
         return budgets.stream().map(whole -> new Budget(whole.name(), part(whole.rate(), names, groups),
             part(whole.burst(), names, groups))).toList();
--- a/proxy/src/main/java/dockrelay/proxy/BudgetService.java
+++ b/proxy/src/main/java/dockrelay/proxy/BudgetService.java
@@ -22,12 +22,15 @@
 import java.util.function.BiConsumer;
 
 /**
- * Plays the budgets' machine for real, on the members' thread; the module spends on its own. In a fleet of
- * several groups each group divides its own part, by the number of its names: nothing is lent between groups.
+ * Runs the budget protocol on the membership thread, while the balancer spends the shares on the event
+ * loop of the request table. In a fleet of several groups each group divides a part of the budget in
+ * proportion to its number of members; shares are not leased between groups.
  */
 final class BudgetService implements BudgetNode.Callbacks {
     private static final long REPORT_MILLIS = 100;
-    /** One that is held gone for so long has no vote any more, so that the others' go on sufficing. */
+    /**
+     * A member that is gone for longer loses its vote, so that the remaining voters can form a quorum.
+     */
     private static final long GONE_MICROS = 10_000_000;
 
     private final EventLoop loop;
@@ -36,7 +39,7 @@
     private final BudgetNode machine;
     private final Map<String, Long> askedBefore = new HashMap<>();
     private volatile boolean left;
-    private long reportedAt, lastTold; // the table's thread has them
+    private long reportedAt, lastTold; // confined to the event loop of the request table
 
     BudgetService(EventLoop loop, RequestTable table, Config config, int life, Random random,
                  BiConsumer<String, ByteBuffer> sender) {
@@ -53,7 +56,10 @@
             TimeUnit.MILLISECONDS);
     }
 
-    /** Nothing is to be spent before a part is there. */
+    /**
+     * Sets all shares to zero, so that nothing is spent before the first lease. Runs on the table's
+     * event loop.
+     */
     static void applyZeroShares(RequestTable table, Config config) {
         table.budgets(0, 0, config.budgets().stream().map(budget -> new BudgetShare(budget.name(), 0, 0, 0))
             .toList());
@@ -120,7 +126,7 @@
         return amount / (double) Budget.MICROTOKENS_PER_TOKEN;
     }
 
-    /** On the table's thread: what the module has made of what it was told up to here. */
+    /** Reports the balancer's usage of the shares. Runs on the table's event loop. */
     private void report() {
         if (left) {
             return;
@@ -138,13 +144,13 @@
         loop.execute(() -> machine.reportUsage(upTo, uses));
     }
 
-    /** On the table's thread: from here on nothing is spent, whatever is still on its way. */
+    /** Revokes all shares for good, including updates still queued. Runs on the table's event loop. */
     void stopSpending() {
         left = true;
         table.budgets(Long.MAX_VALUE, 0, List.of());
     }
 
-    /** On the members' thread, once nothing is spent any more. */
+    /** Returns the shares after spending has stopped. Runs on the membership thread. */
     void leave() {
         machine.leave(now());
     }
@@ -161,7 +167,7 @@
         Log.write("budgets", text);
     }
 
-    /** What the console answers: a line for all, then one a budget. */
+    /** The console's answer to BUDGETS: a summary line, then a line per budget. */
     String describe() {
         long now = now();
         String keeper = machine.keeper(now);
--- a/proxy/src/main/java/dockrelay/proxy/Console.java
+++ b/proxy/src/main/java/dockrelay/proxy/Console.java
@@ -32,15 +32,22 @@
 import java.util.function.Supplier;
 
 /**
- * The operators' address: one line to a connection, answered by a line that begins with 200 or 400. It has a
- * thread of its own, so that it answers in time however busy the event loop is.
+ * The operators' console: a TCP listener that takes one command line per connection and answers with
+ * lines that begin with 200 or 400. It has its own thread and so answers in time even while the event
+ * loop is busy.
  */
 final class Console {
     private static final int LONGEST_LINE = 256;
-    /** One more caller ends the one that has been there longest: those in the way hold nobody up. */
+    /**
+     * Beyond this number the oldest connection is closed, so that idle callers cannot block the
+     * console.
+     */
     private static final int MOST_CALLERS = 12;
     private static final long CALL_MILLIS = 2_000;
-    /** A caller waits 1 s; a change that the loop has not taken up by now is kept, and comes next there. */
+    /**
+     * How long an answer waits for a change to take effect. A caller waits 1 s; a change that the event
+     * loop has not applied by then is stored already and is applied next.
+     */
     private static final long IN_FORCE_MILLIS = 700;
 
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1,
@@ -49,13 +56,16 @@
     private final OperatorOverrides operators;
     private final BooleanSupplier serving;
     private final Function<String, CompletableFuture<Void>> enforce;
-    private final MembershipService members; // null where there are none
-    private final Supplier<CompletableFuture<String>> budgets; // null where there are none
-    private final Set<Channel> callers = new LinkedHashSet<>(); // the one that came first is first
+    private final MembershipService members; // null without peers
+    private final Supplier<CompletableFuture<String>> budgets; // null without shared budgets
+    private final Set<Channel> callers = new LinkedHashSet<>(); // oldest first
     private final Channel listener;
 
-    /** Told of a changed backend, {@code enforce} says when the change is in force; no members, no such
-     * call. */
+    /**
+     * Binds the console. {@code enforce} applies a changed backend and completes once the change is in
+     * force. {@code members} and {@code budgets} may be null; the commands about them are rejected
+     * then.
+     */
     Console(InetSocketAddress address, OperatorOverrides operators, BooleanSupplier serving,
             Function<String, CompletableFuture<Void>> enforce, MembershipService members,
             Supplier<CompletableFuture<String>> budgets) {
@@ -76,7 +86,7 @@
             }).bind(address).syncUninterruptibly().channel();
     }
 
-    /** Runs this over and over on the console's thread. */
+    /** Runs a task periodically on the console's thread, with a fixed delay in milliseconds. */
     void scheduleAtFixedDelay(long millis, Runnable look) {
         loop.scheduleWithFixedDelay(look, millis, millis, TimeUnit.MILLISECONDS);
     }
@@ -89,7 +99,7 @@
         group.shutdownGracefully(0, 1_000, TimeUnit.MILLISECONDS);
     }
 
-    /** What a call comes to: an answer that is complete once what it promises holds. */
+    /** Executes a command line. The answer completes once the change that it confirms is in force. */
     CompletableFuture<String> answer(String line) {
         String[] words = line.split(" ", -1);
         try {
@@ -114,9 +124,9 @@
                 boolean out = "DETACH".equals(words[0]);
                 boolean changed = out ? operators.detach(words[1]) : operators.attach(words[1]);
                 if (changed) {
-                    Log.write("console", line + ": " + operators.out() + " backends are out");
+                    Log.write("console", line + ": " + operators.out() + " backends are detached");
                 }
-                // Also where nothing changed: the call before may not be in force yet.
+                // Also without a change: an earlier one may not be in force yet.
                 return enforce.apply(words[1]).completeOnTimeout(null, IN_FORCE_MILLIS, TimeUnit.MILLISECONDS)
                     .thenApply(done -> "200 " + words[1] + (out ? " is out" : " is in use"));
             }
@@ -129,7 +139,7 @@
             + (budgets == null ? "" : ", and BUDGETS"));
     }
 
-    /** One caller. */
+    /** Handles one connection. */
     private final class Call extends SimpleChannelInboundHandler<ByteBuf> {
         private boolean answered;
 
@@ -166,7 +176,10 @@
             }
         }
 
-        /** Ends the sending only: closing with bytes unread would take the answer with it. */
+        /**
+         * Shuts down the output only: closing with unread input would reset the connection and lose the
+         * answer.
+         */
         private void say(ChannelHandlerContext context, String text) {
             context.writeAndFlush(Unpooled.copiedBuffer(text + "\n", StandardCharsets.ISO_8859_1))
                 .addListener((ChannelFutureListener) done -> {
--- a/proxy/src/main/java/dockrelay/proxy/MembersText.java
+++ b/proxy/src/main/java/dockrelay/proxy/MembersText.java
@@ -6,12 +6,15 @@
 import java.util.List;
 import java.util.Locale;
 
-/** What the console answers of the fleet: a first line of figures, then a line a member or a group. */
+/** Formats the console's answers about the fleet: a summary line, then a line per member or group. */
 final class MembersText {
     private MembersText() {
     }
 
-    /** The figures are of the whole fleet but for the digest and the health, which are of the own group. */
+    /**
+     * The summary line. Digest and health are those of this process's group, all other figures cover
+     * the whole fleet.
+     */
     static String figures(MembershipSnapshot standing, String digest, int health, long suspicions, long clashes) {
         return String.format(Locale.ROOT, "200 present=%d of=%d agreement=%s agreeing=%d digest=%s "
             + "counted=%d share=%.6f health=%d suspicions=%d clashes=%d", standing.presentMembers(),
@@ -19,7 +22,10 @@
             standing.countedMembers(), standing.budgetShare(), health, suspicions, clashes);
     }
 
-    /** Which part of the fleet the lines are of, and how old what is told of the others may be. */
+    /**
+     * The end of the summary line: this process's group, and the age of the oldest report from other
+     * groups.
+     */
     static String place(MembershipSnapshot standing, int groups, String group, boolean speaker) {
         return String.format(Locale.ROOT, " age=%.1fs groups=%d group=%s speaker=%s", standing.oldestReportAge() / 1e6,
             groups, group, speaker ? "yes" : "no");
--- a/proxy/src/main/java/dockrelay/proxy/MembershipService.java
+++ b/proxy/src/main/java/dockrelay/proxy/MembershipService.java
@@ -35,17 +35,17 @@
 import java.util.function.Supplier;
 
 /**
- * Plays the membership machine for real: its socket, its clock, its thread, so that neither a busy event loop
- * keeps it from answering nor a flood of datagrams a request from its answer. Nothing here looks through all
- * names of the fleet but a change of the list.
+ * Runs the membership protocol with its own socket and thread, so that neither a busy event loop delays
+ * its answers nor a flood of datagrams delays requests. Only a change of the member list iterates over
+ * all names of the fleet.
  */
 final class MembershipService implements GroupedMembership.Callbacks {
     private static final long TELL_MILLIS = 250, RETRY_MILLIS = 100, LOG_MILLIS = 200;
-    /** So many incarnations are taken at a time: each suspicion that is countered uses one up. */
+    /** Number of incarnations reserved per write to disk; each refuted suspicion uses one. */
     private static final long RESERVED = 10_000;
-    /** A caller of the console waits 1 s; by then it is told that nobody knows. */
+    /** Time limit for looking up a member; a caller of the console waits 1 s. */
     private static final long FIND_MILLIS = 800;
-    /** A line of the log ends before it is cut. */
+    /** Log lines are split at this length, before the log would truncate them. */
     private static final int LONGEST_LINE = 400;
 
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1,
@@ -59,15 +59,18 @@
     private Config config;
     private GroupedMembership machine;
     private final Map<String, CompletableFuture<MemberStatus>> sought = new HashMap<>();
-    private ScheduledFuture<?> next; // tick, at this time
+    private ScheduledFuture<?> next; // the scheduled tick; nextAt is its time
     private long nextAt;
     private long suspicions, clashes, reserved;
     private final RequestTable table;
-    private BudgetService budgets; // null where the configuration names none
-    private volatile BudgetService spending; // the same, for other threads
+    private BudgetService budgets; // null if no budgets are configured
+    private volatile BudgetService spending; // the same object, for access from other threads
     private boolean ended;
 
-    /** The folder outlives the process, or is null; the module is told through the consumer. */
+    /**
+     * The folder keeps the incarnation across restarts and may be null; the consumer receives the view
+     * of the fleet.
+     */
     MembershipService(Config config, Path folder, RequestTable table, Consumer<FleetView> told) {
         this.config = config;
         this.file = folder == null ? null : folder.resolve("incarnation");
@@ -77,7 +80,7 @@
         this.peers = new PeerTransport(loop, config, table, this::receive);
     }
 
-    /** Joins the others, once this process can serve. */
+    /** Opens the socket and joins the fleet, once this process can serve. */
     void join() {
         loop.execute(() -> peers.open(RETRY_MILLIS, this::begin));
     }
@@ -91,7 +94,7 @@
     }
 
     private void begin() {
-        // What others remember of a higher one is countered; the wall clock only makes that rare.
+        // The protocol corrects an incarnation that is too low; starting from the wall clock makes that rare.
         long incarnation = Math.max(kept() + 1, System.currentTimeMillis() / 1000);
         int life = random.nextInt() | 1;
         machine = new GroupedMembership(config.name(), config.peerGroups().grouping(), incarnation, life, ProtocolTiming.DEFAULT, random,
@@ -105,7 +108,7 @@
         loop.scheduleWithFixedDelay(this::log, LOG_MILLIS, LOG_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    /** The next tick: sooner than it was, where what came makes something due before. */
+    /** Schedules the next tick, or moves it forward if something became due earlier. */
     private void schedule() {
         long at = machine.nextTickAt();
         if (next == null || at < nextAt && next.cancel(false)) {
@@ -122,7 +125,7 @@
         }
     }
 
-    /** Guards against one bad moment that ends it for good. */
+    /** Logs an exception instead of letting it end the periodic tasks. */
     private static void guarded(Runnable action) {
         try {
             action.run();
@@ -153,7 +156,7 @@
             MembershipSnapshot standing = machine.snapshot(now());
             told.accept(new FleetView(standing.countedMembers(), standing.ownRank(), standing.budgetShare(), standing.minBudgetShare(),
                 Agreement.valueOf(standing.agreement().name()), 0, config.peerGroups().grouping().isSingleGroup() ? 0
-                    : Math.max(1, standing.oldestReportAge()))); // also where nothing of the others counts any more
+                    : Math.max(1, standing.oldestReportAge()))); // 0 stands for a single group
         }
     }
 
@@ -162,7 +165,10 @@
         peers.send(to, Unpooled.wrappedBuffer(datagram));
     }
 
-    /** Suspicions come and go with lost datagrams: they are counted, all else is told of. */
+    /**
+     * Logs state changes. Suspicions and their end are only counted, since each lost datagram may cause
+     * one.
+     */
     @Override
     public void memberChanged(MemberStateChange change) {
         if (change.newState() == MemberState.SUSPECT) {
@@ -198,7 +204,7 @@
     @Override
     public void nameConflict(String name, String why) {
         clashes++;
-        Log.write("members-clash", "two processes go by the name " + name + ": " + why);
+        Log.write("members-clash", "two processes use the name " + name + ": " + why);
     }
 
     private long kept() {
@@ -210,8 +216,10 @@
         }
     }
 
-    /** Kept is one well above: with a disk that takes its time each time, who is suspect would be deaf as
-     * well. */
+    /**
+     * Stores an incarnation well above the current one, so that most refutations need no write: a slow
+     * disk would block this thread and make a suspected member miss datagrams as well.
+     */
     @Override
     public void incarnationChanged(long own) {
         if (file == null || own <= reserved) {
@@ -224,16 +232,16 @@
             Files.writeString(part, reserved + "\n", StandardCharsets.US_ASCII);
             Files.move(part, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
         } catch (IOException e) {
-            Log.error("members", e); // the next start is told by the others
+            Log.error("members", e); // the next process learns its incarnation from the other members
         }
     }
 
-    /** Goes by another list of peers; where its own name or a name is not usable nothing changes. */
+    /** Applies a new configuration of the peers; ignored if it names this process differently. */
     void configure(Config file) {
         loop.execute(() -> guarded(() -> {
             if (!file.name().equals(config.name())) {
                 Log.write("reload", "name is " + file.name() + " in the file, this process is "
-                    + config.name() + "; the peers that were in force stay so");
+                    + config.name() + "; the previous peers stay in force");
                 return;
             }
             if (!file.peerGroups().same(config.peerGroups())) {
@@ -255,18 +263,19 @@
         GroupAssignment grouping = next.peerGroups().grouping();
         String names = PeerGroups.abbreviate(next.peers().names());
         if (grouping.isSingleGroup() && config.peerGroups().grouping().isSingleGroup()) {
-            return "the list is now " + names;
+            return "the member list is now " + names;
         }
         long fresh = next.peers().names().stream().filter(name -> !config.peers().names(name)).count();
         int own = grouping.groupOf(next.name());
-        return "the list is now of " + grouping.memberCount() + " names, " + fresh + " new and "
-            + (config.peers().size() + fresh - grouping.memberCount()) + " off it, in " + grouping.groupCount()
-            + (grouping.isSingleGroup() ? " group" : " groups") + "; its own is " + grouping.label(own) + " of "
+        return "the member list now has " + grouping.memberCount() + " names, " + fresh + " added and "
+            + (config.peers().size() + fresh - grouping.memberCount()) + " removed, in " + grouping.groupCount()
+            + (grouping.isSingleGroup() ? " group" : " groups") + "; own group is " + grouping.label(own) + " of "
             + grouping.memberNames(own).size() + ": " + names;
     }
 
     /**
-     * On the module's thread: nothing of the fleet's budgets is spent any more, so they can be given back.
+     * Stops spending from shared budgets, so that the shares can be returned. Runs on the event loop of
+     * the request table.
      */
     void stopSpending() {
         if (spending != null) {
@@ -274,7 +283,7 @@
         }
     }
 
-    /** Says goodbye, and goes on answering until the process ends. */
+    /** Announces the departure of this member, and keeps answering until the process ends. */
     void leave() {
         loop.execute(() -> {
             if (budgets != null) {
@@ -286,13 +295,13 @@
         });
     }
 
-    /** What the console answers of budgets: a line for all, then one a budget. */
+    /** The console's answer to BUDGETS: a summary line, then a line per budget. */
     CompletableFuture<String> describeBudgets() {
         return CompletableFuture.supplyAsync(() -> budgets == null || ended ? "400 no budgets are shared"
             : budgets.describe(), loop);
     }
 
-    /** Gives its place to the next process of this name: the others see one member. */
+    /** Hands the name over to the next process: it closes the socket without announcing a departure. */
     CompletableFuture<Void> handOver() {
         return CompletableFuture.runAsync(() -> {
             if (budgets != null) {
@@ -300,7 +309,7 @@
             }
             ended = true;
             peers.close();
-            // The next process has the name's part from now on.
+            // From now on the next process has the share of this member.
             told.accept(new FleetView(1, 0, 0, 0, Agreement.MINORITY, 0, 0));
         }, loop);
     }
@@ -309,7 +318,9 @@
         group.shutdownGracefully(0, 500, TimeUnit.MILLISECONDS);
     }
 
-    /** What the console answers: a line for all, then one a member of the own group. */
+    /**
+     * The console's answer to MEMBERS: a summary line, then a line per member of this process's group.
+     */
     CompletableFuture<String> describe() {
         return answered(() -> {
             long now = now();
@@ -326,12 +337,15 @@
         });
     }
 
-    /** What the console answers of the groups: a line for all, then one a group. */
+    /** The console's answer to GROUPS: a summary line, then a line per group. */
     CompletableFuture<String> describeGroups() {
         return answered(() -> CompletableFuture.completedFuture(MembersText.groups(machine.groupStatuses(now()))));
     }
 
-    /** What the console answers of one member, whom another group may have to be asked for. */
+    /**
+     * The console's answer to MEMBER; the state of a member of another group is queried from that
+     * group.
+     */
     CompletableFuture<String> describe(String name) {
         return answered(() -> {
             GroupAssignment grouping = config.peerGroups().grouping();
@@ -362,7 +376,7 @@
         }
     }
 
-    /** On the members' thread, once there is a machine. */
+    /** Computes an answer on the membership thread, or an error if the protocol is not running. */
     private CompletableFuture<String> answered(Supplier<CompletableFuture<String>> answer) {
         return CompletableFuture.supplyAsync(() -> machine != null && !ended ? answer.get()
             : CompletableFuture.completedFuture("400 not a member: " + (ended ? "the next process is"
--- a/proxy/src/main/java/dockrelay/proxy/OperatorOverrides.java
+++ b/proxy/src/main/java/dockrelay/proxy/OperatorOverrides.java
@@ -23,43 +23,43 @@
 import java.util.regex.Pattern;
 
 /**
- * The backends that the operators have taken out of use, and when each was put back. A mark is kept in a file
- * of its own, so that the next process has it at its start and two beside each other have the same ones.
- * Calls come on the console's thread, lists on the event loop's.
+ * The backends that operators have detached, and when each was attached again. Each override is stored
+ * in a file of its own, so that it survives a restart and concurrent processes share it. Commands
+ * arrive on the console's thread, backend lists on the event loop.
  */
 final class OperatorOverrides {
     private static final String PREFIX = "backend-";
     private static final Pattern KEPT = Pattern.compile("(out|in) (\\d{1,18})\\n");
-    /** What an id may look like in a call: its name in a file stays within what file systems take. */
+    /** Valid ids in a command: the encoded file name stays within the length limit of file systems. */
     private static final Pattern ID = Pattern.compile("[\\x21-\\x7e]{1,80}");
     private static final long MICROS_PER_MILLI = 1_000;
     private static final int MOST_LEFT = 1_000;
 
     private final Path folder;
     private final Map<String, Mark> marks = new ConcurrentHashMap<>();
-    private final Set<String> spoilt = new HashSet<>(); // files told of in the log
+    private final Set<String> spoilt = new HashSet<>(); // unreadable files that have been logged
     private final Set<String> named = ConcurrentHashMap.newKeySet();
-    private final Set<String> left = new LinkedHashSet<>(); // the last ones named no more; the loop's
+    private final Set<String> left = new LinkedHashSet<>(); // unlisted last; event loop only
 
-    /** A backend is out, or was put back at this time of the wall clock in microseconds. */
+    /** Detached or attached again, at this time of the wall clock in microseconds. */
     private record Mark(boolean out, long at) {
     }
 
-    /** Takes up what is kept in the folder; without one nothing is kept. */
+    /** Loads the overrides stored in the folder; if it is null, they are kept in memory only. */
     OperatorOverrides(Path folder) {
         this.folder = folder;
         refresh();
     }
 
-    /** Discovery has named this backend: there are calls for such ones only. */
+    /** Notes that discovery lists this backend; commands are accepted for known backends only. */
     void markListed(String id) {
         named.add(id);
         left.remove(id);
     }
 
     /**
-     * Discovery names it no more. It may be away for a restart only: calls about the last ones that left are
-     * still let pass.
+     * Notes that discovery no longer lists this backend. It may only be restarting, so commands are
+     * still accepted for a limited number of recently unlisted backends.
      */
     void markUnlisted(String id) {
         left.add(id);
@@ -70,18 +70,27 @@
         }
     }
 
-    /** Whether a call may be about this id: discovery named it, here or in the process before. */
+    /**
+     * Whether commands are accepted for this id: discovery listed it, or there is a stored override for
+     * it.
+     */
     boolean isKnown(String id) {
         return ID.matcher(id).matches() && (named.contains(id) || marks.containsKey(id));
     }
 
-    /** Takes a backend out. Returns whether that changed anything; it is kept by then. */
+    /**
+     * Detaches a backend. Returns whether that changed anything; the override is stored when the method
+     * returns.
+     */
     boolean detach(String id) throws IOException {
         Mark before = marks.get(id);
         return (before == null || !before.out) && set(id, new Mark(true, now()));
     }
 
-    /** Puts a backend back that was out: it counts as started just now. */
+    /**
+     * Attaches a detached backend again, which counts as started now. Returns whether that changed
+     * anything.
+     */
     boolean attach(String id) throws IOException {
         Mark before = marks.get(id);
         return before != null && before.out && set(id, new Mark(false, now()));
@@ -104,7 +113,7 @@
         return true;
     }
 
-    /** Reads what is kept, and returns the ids whose marks another process has changed. */
+    /** Reloads the stored overrides, and returns the ids whose overrides another process has changed. */
     List<String> refresh() {
         List<String> changed = new ArrayList<>();
         if (folder == null || !Files.isDirectory(folder)) {
@@ -120,7 +129,7 @@
                 }
             }
         } catch (IOException | RuntimeException e) {
-            Log.error("operators", e); // what cannot be read leaves the marks that there are
+            Log.error("operators", e); // the overrides loaded so far stay in force
         }
         return changed;
     }
@@ -130,19 +139,22 @@
         try {
             text = Files.readString(file, StandardCharsets.ISO_8859_1);
         } catch (NoSuchFileException e) {
-            return null; // moved aside since the folder was read
+            return null; // removed since the folder was listed
         }
         Matcher matcher = KEPT.matcher(text);
         if (!matcher.matches()) {
             if (spoilt.add(file.getFileName().toString())) {
-                Log.write("operators", "cannot read " + file.getFileName());
+                Log.write("operators", "cannot parse the stored override " + file.getFileName());
             }
             return null;
         }
         return new Mark("out".equals(matcher.group(1)), Long.parseLong(matcher.group(2)));
     }
 
-    /** The entry as the proxy goes by it: the worse of what discovery and the operators say. */
+    /**
+     * The entry with the override applied: detached backends drain, reattached ones have a new start
+     * time.
+     */
     RequestTable.ListedBackend applyOverride(String id, RequestTable.ListedBackend member) {
         Mark mark = marks.get(id);
         if (mark == null) {
@@ -155,7 +167,7 @@
             listed.cell(), phase, listed.weight(), startedAt), member.address());
     }
 
-    /** How many backends are out. */
+    /** The number of detached backends. */
     long out() {
         return marks.values().stream().filter(Mark::out).count();
     }
--- a/proxy/src/main/java/dockrelay/proxy/PeerDirectory.java
+++ b/proxy/src/main/java/dockrelay/proxy/PeerDirectory.java
@@ -5,14 +5,17 @@
 import java.util.List;
 import java.util.Map;
 
-/** The peers of a configuration, in its order: addresses, and names where it gives them, found both ways. */
+/**
+ * The configured peers in their order: addresses and, if configured, names, with lookup in both
+ * directions.
+ */
 final class PeerDirectory {
     private final List<String> names;
     private final List<InetSocketAddress> addresses;
     private final Map<String, Integer> byName = new HashMap<>();
     private final Map<InetSocketAddress, Integer> byAddress = new HashMap<>();
 
-    /** There are as many names as addresses, or none. */
+    /** Takes as many names as addresses, or no names. */
     PeerDirectory(List<String> names, List<InetSocketAddress> addresses) {
         this.names = List.copyOf(names);
         this.addresses = List.copyOf(addresses);
@@ -28,17 +31,17 @@
         return addresses.size();
     }
 
-    /** Empty where nobody is named. */
+    /** The names; empty if the configuration lists addresses only. */
     List<String> names() {
         return names;
     }
 
-    /** Whose address this is, by its place; below 0 where it is nobody's. */
+    /** The index of the peer at this address, the first one if several share it; -1 if there is none. */
     int at(InetSocketAddress address) {
         return byAddress.getOrDefault(address, -1);
     }
 
-    /** Null where nobody has the place, or nobody is named. */
+    /** The name at this index; null if the index is out of range or the peers have no names. */
     String name(int place) {
         return place < 0 || place >= names.size() ? null : names.get(place);
     }
@@ -47,7 +50,7 @@
         return addresses.get(place);
     }
 
-    /** Null where nobody has the name. */
+    /** The address of the peer of this name; null if there is none. */
     InetSocketAddress address(String name) {
         Integer place = byName.get(name);
         return place == null ? null : addresses.get(place);
--- a/proxy/src/main/java/dockrelay/proxy/PeerGroups.java
+++ b/proxy/src/main/java/dockrelay/proxy/PeerGroups.java
@@ -9,31 +9,36 @@
 import java.util.Map;
 
 /**
- * How the named peers are to be grouped ({@code peer_groups}): the size that is aimed at, and who is in which
- * zone. Where the configuration does not say, all are in one zone without a name.
+ * The configured grouping of the named peers ({@code peer_groups}): the target group size and the names
+ * in each zone. Without configured zones all peers are in one zone with an empty name.
  */
 record PeerGroups(int size, Map<String, List<String>> zones, GroupAssignment grouping) {
     static final String CONFIG_KEY = "peer_groups";
     private static final String SIZE = CONFIG_KEY + ".size", ZONES = CONFIG_KEY + ".zones";
-    /** So many names are told of in a line. */
+    /** Limits on the names and characters that an error message quotes. */
     private static final int MOST_TOLD = 12, LONGEST_VALUE = 60;
 
-    /** Of peers of which each has a name, or with the key given. */
+    /**
+     * Reads the grouping from the top-level object of the configuration.
+     *
+     * @throws PeerGroupsException if the entry is malformed or does not fit the peers
+     * @throws GroupException if the groups are invalid in themselves
+     */
     static PeerGroups read(Map<?, ?> top, PeerDirectory peers) {
         Object given = top.get(CONFIG_KEY);
         if (given == null) {
             return of(GroupAssignment.DEFAULT_GROUP_SIZE, Map.of("", peers.names()), peers);
         }
         if (peers.names().isEmpty()) {
-            throw new PeerGroupsException(Code.SHAPE, CONFIG_KEY, "given where peers names nobody",
-                "make peers an object {NAME: \"HOST:PORT\", ...}, or leave it out");
+            throw new PeerGroupsException(Code.SHAPE, CONFIG_KEY, "set although peers has no names",
+                "make peers an object {NAME: \"HOST:PORT\", ...}, or remove peer_groups");
         }
         if (!(given instanceof Map<?, ?> map)) {
             throw shape(CONFIG_KEY, given, "an object {\"size\": NUMBER, \"zones\": {ZONE: [NAME, ...], ...}}");
         }
         map.forEach((key, value) -> {
             if (!"size".equals(key) && !"zones".equals(key)) {
-                throw shape(CONFIG_KEY + "." + key, value, "a size and zones, nothing else");
+                throw shape(CONFIG_KEY + "." + key, value, "only size or zones");
             }
         });
         return of(size(map.get("size")), zones(map.get("zones"), peers), peers);
@@ -59,8 +64,9 @@
         Map<String, List<String>> result = new LinkedHashMap<>();
         map.forEach((zone, in) -> {
             if (((String) zone).isBlank()) {
-                throw new GroupException(GroupException.Code.ZONE, ZONES, "with a zone \"" + zone + "\"",
-                    "give each zone a name, or leave zones out where there is one");
+                throw new GroupException(GroupException.Code.ZONE, ZONES,
+                    "an object with the blank zone \"" + zone + "\"",
+                    "give each zone a name, or remove zones if there is only one");
             }
             List<String> names = new ArrayList<>();
             for (Object name : in instanceof List<?> list ? list : List.of(0)) {
@@ -88,18 +94,20 @@
         }
         zones.forEach((zone, names) -> names.forEach(name -> {
             if (!peers.names(name)) {
-                throw new PeerGroupsException(Code.UNKNOWN, ZONES + "." + zone, "with \"" + name + "\"",
-                    "allowed are names that peers has");
+                throw new PeerGroupsException(Code.UNKNOWN, ZONES + "." + zone,
+                    "a list with the unknown name \"" + name + "\"",
+                    "allowed are the names in peers");
             }
         }));
         if (grouping.memberCount() < peers.size()) {
-            throw new PeerGroupsException(Code.UNPLACED, ZONES, "without " + abbreviate(peers.names().stream()
-                .filter(name -> grouping.groupOf(name) < 0).toList()), "put each of peers into one zone");
+            throw new PeerGroupsException(Code.UNPLACED, ZONES, "incomplete without "
+                + abbreviate(peers.names().stream()
+                .filter(name -> grouping.groupOf(name) < 0).toList()), "put each peer into exactly one zone");
         }
         return new PeerGroups(size, zones, grouping);
     }
 
-    /** In one line, however many they are. */
+    /** Lists the names for a log line or an error message, the first ones only if there are many. */
     static String abbreviate(List<String> names) {
         return names.size() <= MOST_TOLD ? names.toString()
             : names.subList(0, MOST_TOLD) + " and " + (names.size() - MOST_TOLD) + " more";
@@ -111,17 +119,17 @@
             ? text.substring(0, LONGEST_VALUE) + "..." : text, "allowed is " + allowed);
     }
 
-    /** Whether both come to the same groups of the same names. */
+    /** Whether both result in the same groups of the same names. */
     boolean same(PeerGroups other) {
         return size == other.size && zones.equals(other.zones);
     }
 
-    /** The names of the own group, in the order that all see alike. */
+    /** The names in the group of the given member, in an order that is the same at every member. */
     List<String> namesInGroupOf(String name) {
         return grouping.memberNames(grouping.groupOf(name));
     }
 
-    /** How many names the smallest group has, and each other one at least. */
+    /** The number of names in the smallest group. */
     int smallest() {
         int least = Integer.MAX_VALUE;
         for (int i = 0; i < grouping.groupCount(); i++) {
--- a/proxy/src/main/java/dockrelay/proxy/PeerGroupsException.java
+++ b/proxy/src/main/java/dockrelay/proxy/PeerGroupsException.java
@@ -1,10 +1,16 @@
 package dockrelay.proxy;
 
-/** Zones and peers of a configuration do not fit each other: where, what stands there, what is allowed. */
+/**
+ * An invalid {@code peer_groups} entry. The message names the key, the value found and the values
+ * allowed.
+ */
 final class PeerGroupsException extends IllegalArgumentException {
     private static final long serialVersionUID = 1L;
 
-    /** What an operator finds in docs/on-call.md, beside those of dockrelay.fleet.group.GroupException. */
+    /**
+     * The error codes; docs/on-call.md explains them together with those of {@link
+     * dockrelay.fleet.group.GroupException}.
+     */
     enum Code { SHAPE, UNKNOWN, UNPLACED }
 
     private final Code code;
--- a/proxy/src/main/java/dockrelay/proxy/PeerTransport.java
+++ b/proxy/src/main/java/dockrelay/proxy/PeerTransport.java
@@ -17,17 +17,25 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Datagrams between the proxies, where the settings allow them. They may be lost; nobody waits for one. The
- * module's messages are text, the members' begin with a byte that no text has.
+ * The datagram socket between the proxies, if the settings permit peers. Delivery is best effort,
+ * without retransmission. Messages of the balancer are text; those of the membership and budget
+ * protocols start with a byte that is not valid in text.
  */
 final class PeerTransport {
     private static final int LONGEST = 256;
-    /** So many datagrams are read in so long; what is beyond is the system's to drop. */
+    /**
+     * Receive limit per window; the kernel drops the datagrams beyond it once the socket buffer is
+     * full.
+     */
     private static final long WINDOW_MILLIS = 50;
     private static final int MOST = 100, MOST_EACH = 10;
 
-    /** Takes what a peer sent, by the name that its address has here; null where it has none. */
+    /** Receives datagrams of the membership and budget protocols. */
     interface Receiver {
+        /**
+         * Takes a datagram; the name is the one configured for its source address, null if there is
+         * none.
+         */
         void receive(String from, ByteBuf content);
     }
 
@@ -39,7 +47,10 @@
     private int read;
     private boolean closed;
 
-    /** Without a receiver of members' datagrams there are the module's messages only. */
+    /**
+     * Creates the transport without opening the socket. The receiver may be null: only balancer
+     * messages are handled.
+     */
     PeerTransport(EventLoop loop, Config config, RequestTable table, Receiver members) {
         this.loop = loop;
         this.config = config;
@@ -74,14 +85,17 @@
             });
     }
 
-    /** Opens the socket as soon as nobody else has it: in an upgrade the process before may. */
+    /**
+     * Binds the socket and retries while the address is in use, as by the old process during an
+     * upgrade.
+     */
     void open(long retryMillis, Runnable opened) {
         bootstrap().bind(config.peerListenAddress()).addListener((ChannelFutureListener) done -> {
             if (done.isSuccess() && !closed) {
                 channel = done.channel();
                 opened.run();
             } else if (!closed) {
-                Log.write("peers", "cannot listen at " + config.peerListenAddress() + " yet: " + done.cause());
+                Log.write("peers", "cannot bind " + config.peerListenAddress() + " yet, retrying: " + done.cause());
                 loop.schedule(() -> open(retryMillis, opened), retryMillis, TimeUnit.MILLISECONDS);
             } else {
                 done.channel().close();
@@ -89,7 +103,7 @@
         });
     }
 
-    /** Guards against a flood that costs requests their time. */
+    /** Starts a new receive window. The limit keeps a flood of datagrams from delaying requests. */
     private void openWindow(Channel here) {
         read = 0;
         here.config().setAutoRead(true);
@@ -99,7 +113,7 @@
     }
 
     private void taken(ChannelHandlerContext context, DatagramPacket packet) {
-        int from = config.peers().at(packet.sender()); // the address is all that tells who it is
+        int from = config.peers().at(packet.sender()); // peers are identified by their source address only
         ByteBuf content = packet.content();
         if (members != null && ++read >= MOST + MOST_EACH * config.groupMemberNames().size()) {
             context.channel().config().setAutoRead(false);
@@ -115,19 +129,23 @@
     }
 
     /**
-     * The module tells each other proxy what each tenant asks of it, and hears as much: that is not for a
-     * fleet of more than one group, where the bytes would grow with tenants and with proxies.
+     * Whether balancer messages are exchanged. The balancer reports the demand of each tenant to every
+     * other proxy, so the traffic grows with the number of tenants and of proxies. Fleets of several
+     * groups therefore go without.
      */
     private boolean toldToAll() {
         return config.peerGroups() == null || config.peerGroups().grouping().isSingleGroup();
     }
 
-    /** Goes by another list of peers. */
+    /** Applies a new list of peers. */
     void configure(Config next) {
         config = next;
     }
 
-    /** Sends to one of them; what cannot be sent is lost. */
+    /**
+     * Sends to the peer of this name; the datagram is dropped if the socket is not open or the name is
+     * unknown.
+     */
     void send(String to, ByteBuf content) {
         Channel here = channel;
         InetSocketAddress address = config.peers().address(to);
@@ -138,7 +156,10 @@
         }
     }
 
-    /** Tells every other proxy, in a fleet of one group: a longer message than may be sent is left out. */
+    /**
+     * Sends a balancer message to every other proxy of a single-group fleet; messages that are too long
+     * are dropped.
+     */
     void broadcast(String message) {
         if (!toldToAll()) {
             return;
@@ -148,7 +169,7 @@
         if (here == null) {
             return;
         } else if (bytes.readableBytes() > LONGEST) {
-            Log.write("peers", "a message of " + bytes.readableBytes() + " bytes was left out");
+            Log.write("peers", "dropped a message of " + bytes.readableBytes() + " bytes: it is too long");
         } else if (config.peerBroadcastAddress() != null) {
             here.writeAndFlush(new DatagramPacket(bytes, config.peerBroadcastAddress()));
         } else {
@@ -161,7 +182,7 @@
         }
     }
 
-    /** Gives the socket free for the next process. */
+    /** Closes the socket, so that the next process can bind its address. */
     void close() {
         closed = true;
         Channel here = channel;
--- a/proxy/src/main/java/dockrelay/proxy/UpgradeOverlapDetector.java
+++ b/proxy/src/main/java/dockrelay/proxy/UpgradeOverlapDetector.java
@@ -10,9 +10,10 @@
 import java.nio.file.StandardOpenOption;
 
 /**
- * Tells whether another process of this proxy runs beside this one, as in an upgrade: each holds the lock of
- * one of two seats, which the system takes back however the process ends. In its seat's file is how many
- * descriptors it holds, as the limit is for both together.
+ * Detects whether another process of this proxy runs concurrently, as during an upgrade. Each process
+ * locks one of two slot files; the operating system releases the lock however the process ends. Each
+ * writes its number of open descriptors into its slot file, since the limit applies to both processes
+ * together.
  */
 final class UpgradeOverlapDetector {
     private final FileChannel[] seats = new FileChannel[2];
@@ -30,12 +31,12 @@
     }
 
     /**
-     * Tells the other process how many descriptors this one holds, and returns how many the other does; below
-     * 0 where there is none.
+     * Publishes the number of descriptors that this process holds, and returns that of the other
+     * process; -1 if no other process runs.
      */
     int exchangeDescriptorCounts(int held) throws IOException {
         if (own < 0) {
-            return 0; // a third one is not foreseen: it takes no notice of the other two
+            return 0; // a third process is not supported: it ignores the other two
         }
         ByteBuffer figure = ByteBuffer.allocate(Integer.BYTES);
         seats[own].write(figure.putInt(held).flip(), 0);
@@ -48,7 +49,7 @@
         return seats[1 - own].read(figure, 0) < Integer.BYTES ? 0 : Math.max(0, figure.getInt(0));
     }
 
-    /** Null where somebody else has it, in this process or another. */
+    /** Tries to lock a slot; null if it is locked already, in this process or another. */
     private static FileLock lock(FileChannel seat) throws IOException {
         try {
             return seat.tryLock();
--- a/proxy/src/test/java/dockrelay/proxy/ConsoleTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/ConsoleTest.java
@@ -27,7 +27,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The operators' address, and what it does to the backends that the proxy goes by. */
+/** The operators' console, and the effect of its commands on the backends that the proxy uses. */
 class ConsoleTest {
     private static final String SERVED = Fakes.httpResponse("200 OK", "", "a rate");
 
@@ -52,7 +52,7 @@
     private Proxy started() throws IOException {
         Proxy made = new Proxy(Fakes.config(discovery.port(), 1024),
             new ProcessEnvironment(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), folder, null));
-        Fakes.await("yes to PING", () -> Fakes.callConsole(made, "PING\n").startsWith("200 "));
+        Fakes.await("the proxy serves", () -> Fakes.callConsole(made, "PING\n").startsWith("200 "));
         return made;
     }
 
@@ -83,7 +83,7 @@
     void aBadCallIsToldSoAndChangesNothing(String raw) throws IOException {
         String answer = Fakes.callConsole(proxy, raw);
         assertTrue(answer.matches("400 [^\\n]+\\n"), answer);
-        assertFalse(marked(), "nothing is kept");
+        assertFalse(marked(), "no override is stored");
     }
 
     private boolean marked() throws IOException {
@@ -100,17 +100,17 @@
     @Test
     void whatIsTakenOutGetsNothingWhateverTheListsSayUntilItIsPutBack() throws Exception {
         assertTrue(Fakes.callConsole(proxy, "DETACH s-1\r\n").startsWith("200 "));
-        assertTrue(Fakes.callConsole(proxy, "DETACH s-1\n").startsWith("200 "), "said twice, it is out as before");
+        assertTrue(Fakes.callConsole(proxy, "DETACH s-1\n").startsWith("200 "), "a repeated DETACH succeeds");
         ask(30);
         discovery.push(both(3));
         discovery.push(FakeDiscovery.listJson(4, false, Fakes.entryJson("s-1", one.port(), "left")));
         discovery.push(FakeDiscovery.listJson(5, false, Fakes.entryJson("s-1", one.port(), "active")));
         discovery.push(FakeDiscovery.listJson(6, false, Fakes.entryJson("s-3", two.port(), "active")));
-        Fakes.await("the last list is known", () -> Fakes.callConsole(proxy, "ATTACH s-3\n").startsWith("200 "));
+        Fakes.await("the last list is applied", () -> Fakes.callConsole(proxy, "ATTACH s-3\n").startsWith("200 "));
         ask(30);
         assertEquals(0, one.requests.size());
-        assertTrue(Fakes.callConsole(proxy, "ATTACH s-1\n").startsWith("200 "), "two calls out need one back");
-        Fakes.await("it is used again", () -> {
+        assertTrue(Fakes.callConsole(proxy, "ATTACH s-1\n").startsWith("200 "), "one ATTACH undoes two DETACHes");
+        Fakes.await("the backend is used again", () -> {
             try {
                 ask(5);
             } catch (IOException e) {
@@ -129,7 +129,8 @@
             ask(30);
             assertEquals(0, one.requests.size());
             Fakes.callConsole(first, "DETACH s-2\n");
-            Fakes.await("no backend is left to it", () -> Fakes.callConsole(proxy, "PING\n").startsWith("400 "));
+            Fakes.await("the second process has no backend left", () ->
+                Fakes.callConsole(proxy, "PING\n").startsWith("400 "));
         } finally {
             first.stop();
         }
@@ -144,7 +145,7 @@
         }
         assertTrue(Fakes.callConsole(proxy, "PING\n").startsWith("200 "));
         for (Socket socket : hanging) {
-            Fakes.await("the caller is sent away", () -> ended(socket));
+            Fakes.await("the connection is closed", () -> ended(socket));
             socket.close();
         }
     }
@@ -153,7 +154,7 @@
         try {
             return socket.getInputStream().read() < 0;
         } catch (IOException e) {
-            return true; // reset: ended as well
+            return true; // reset by the console: closed as well
         }
     }
 
@@ -176,7 +177,7 @@
     void putBackItHasStartedAtTheCallUnlessDiscoveryNamesALaterStart(@TempDir Path kept) throws Exception {
         OperatorOverrides operators = new OperatorOverrides(kept);
         operators.markListed("s-1");
-        assertFalse(operators.attach("s-1"), "it was not out");
+        assertFalse(operators.attach("s-1"), "it was not detached");
         assertEquals(0, operators.applyOverride("s-1", listed(Phase.READY, 0)).backend().startedAt());
         assertTrue(operators.detach("s-1"));
         assertEquals(Phase.DRAINING, operators.applyOverride("s-1", listed(Phase.READY, 0)).backend().phase());
@@ -186,7 +187,7 @@
         for (OperatorOverrides each : List.of(operators, new OperatorOverrides(kept))) {
             Backend back = each.applyOverride("s-1", listed(Phase.READY, 1)).backend();
             assertEquals(Phase.READY, back.phase());
-            assertTrue(back.startedAt() >= before, "cold as of the call");
+            assertTrue(back.startedAt() >= before, "started at the time of the ATTACH");
             long later = Long.MAX_VALUE;
             assertEquals(later, each.applyOverride("s-1", listed(Phase.READY, later)).backend().startedAt());
         }
--- a/proxy/src/test/java/dockrelay/proxy/MembersTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/MembersTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Members in one process, on loopback sockets. */
+/** Several members in one process that communicate over loopback sockets. */
 class MembersTest {
     @TempDir
     Path folder;
@@ -42,7 +42,7 @@
         return ports;
     }
 
-    /** A member called n and the name's number, where n0, n1 and so on are at these ports. */
+    /** The configuration of the member n0, n1, ...; the peers listen on these ports. */
     private static Config config(int name, int port, List<Integer> ports) throws Exception {
         return config(name, port, ports, "");
     }
@@ -84,7 +84,7 @@
         });
     }
 
-    /** The module is told; after a flood of what strangers send all are present and agree. */
+    /** All members agree, and still do after a flood of datagrams from an unknown sender. */
     @Test
     void membersSeeEachOtherThroughAFlood() throws Exception {
         List<Integer> ports = ports(3);
@@ -96,7 +96,7 @@
         for (MembershipService member : all) {
             awaitSaying(member, "200 present=3 of=3 agreement=all");
         }
-        Fakes.await("the fact", () -> fleets.get(1).get() != null
+        Fakes.await("n1 publishes agreement", () -> fleets.get(1).get() != null
             && fleets.get(1).get().agreement() == Agreement.ALL);
         assertEquals(3, fleets.get(1).get().proxies());
         assertEquals(1, fleets.get(1).get().me());
@@ -115,7 +115,9 @@
         }
     }
 
-    /** Single members of other groups are asked for by name; the module hears how old its counts may be. */
+    /**
+     * A member of another group is looked up by name, and the fleet view carries the age of its counts.
+     */
     @Test
     void groupsSeeEachOther() throws Exception {
         List<Integer> ports = ports(5);
@@ -128,8 +130,9 @@
         for (MembershipService member : all) {
             awaitSaying(member, "200 present=5 of=5 agreement=all", " counted=5 ", " groups=3 ");
         }
-        Fakes.await("the fact", () -> fleets.stream().allMatch(fleet -> fleet.get().proxies() == 5
-            && fleet.get().agreement() == Agreement.ALL && fleet.get().countsAge() > 0));
+        Fakes.await("all members publish agreement", () -> fleets.stream().allMatch(fleet ->
+            fleet.get().proxies() == 5 && fleet.get().agreement() == Agreement.ALL
+            && fleet.get().countsAge() > 0));
         assertEquals(List.of(0, 1, 2, 3, 4), fleets.stream().map(fleet -> fleet.get().me()).toList());
         assertTrue(fleets.stream().mapToDouble(fleet -> fleet.get().share()).sum() < 1 + 1e-9);
         MembershipService n0 = all.get(0);
@@ -137,13 +140,16 @@
         String groups = n0.describeGroups().join();
         assertTrue(groups.startsWith("200 groups=3 fresh=3\na/1 fresh of=2 present=2 left=0 gone=0 "
             + "counted=2 ") && groups.contains("\nc/1 fresh of=1 "), groups);
-        Fakes.await("a word of n4", () -> n0.describe("n4").join().startsWith("200 group=c/1\nn4 present "));
+        Fakes.await("n0 has looked up n4", () ->
+            n0.describe("n4").join().startsWith("200 group=c/1\nn4 present "));
         assertEquals("400 n5 is no name of peers here", n0.describe("n5").join());
         all.get(3).leave();
         awaitSaying(n0, "200 present=4 of=5", " counted=4 ");
     }
 
-    /** What is told once it is one group again is the first that comes. */
+    /**
+     * Balancer messages are dropped while there are two groups and sent once there is one group again.
+     */
     @Test
     void theModulesMessagesAreForFleetsOfOneGroup() throws Exception {
         List<Integer> ports = ports(2);
@@ -159,13 +165,16 @@
             DatagramPacket first = new DatagramPacket(new byte[2_000], 2_000);
             do {
                 n1.receive(first);
-            } while (first.getData()[0] < 0); // the members' own
+            } while (first.getData()[0] < 0); // membership datagrams
             assertEquals("22 22", new String(first.getData(), 0, first.getLength(),
                 StandardCharsets.US_ASCII));
         }
     }
 
-    /** It is told at both ends, and the one who has the name by right stays. */
+    /**
+     * Both processes that use one name report the conflict, and the one at the configured address stays
+     * a member.
+     */
     @Test
     void twoOfOneNameAreToldSo() throws Exception {
         List<Integer> ports = ports(3);
@@ -175,13 +184,16 @@
         List<Integer> swapped = List.of(ports.get(0), ports.get(2), ports.get(1));
         MembershipService wrong = member(config(1, ports.get(2), swapped), folder.resolve("c"),
             new AtomicReference<>());
-        Fakes.await("the word at both", () -> !says(n0).contains("clashes=0")
+        Fakes.await("both report the conflict", () -> !says(n0).contains("clashes=0")
             && says(wrong).contains("200 ") && !says(wrong).contains("clashes=0"));
         awaitSaying(n0, "n1 present");
         assertTrue(says(n1).contains("n0 present"), says(n1));
     }
 
-    /** Peers may be added while it runs; the incarnation survives the process; wrong lists are named. */
+    /**
+     * Peers can be added at run time, the incarnation survives a restart, and an invalid list is
+     * rejected.
+     */
     @Test
     void aListMayChangeAndTheIncarnationIsKept() throws Exception {
         List<Integer> ports = ports(3);
--- a/proxy/src/test/java/dockrelay/proxy/PeerDirectoryTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/PeerDirectoryTest.java
@@ -8,7 +8,7 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** Names and addresses of peers, both ways. */
+/** Lookup of peers by name, index and address. */
 class PeerDirectoryTest {
     private static InetSocketAddress address(int port) {
         return new InetSocketAddress("127.0.0.1", port);
@@ -30,11 +30,11 @@
         assertNull(peers.address("n5700"));
     }
 
-    /** As a walk from the front would find it. */
+    /** If two peers share an address, the first one in the configuration is found. */
     @Test
     void ofTwoAtOneAddressTheFirstHasIt() {
         PeerDirectory peers = new PeerDirectory(List.of("a", "b"), List.of(address(1), address(1)));
         assertEquals("a", peers.name(peers.at(address(1))));
-        assertNull(new PeerDirectory(List.of(), List.of(address(1))).name(0), "nobody is named");
+        assertNull(new PeerDirectory(List.of(), List.of(address(1))).name(0), "peers without names");
     }
 }
--- a/proxy/src/test/java/dockrelay/proxy/PeerGroupsTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/PeerGroupsTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** How a configuration groups its peers, and what it says of one that it cannot. */
+/** The grouping of peers that a configuration results in, and the error messages of invalid groupings. */
 class PeerGroupsTest {
     private static final String SIX = "{\"a\":[\"n0\",\"n1\",\"n2\"],\"b\":[\"n3\",\"n4\"],\"c\":[\"n5\"]}";
     @TempDir
@@ -68,7 +68,7 @@
         assertEquals("b/1", config.peerGroups().grouping().label(config.peerGroups().grouping().groupOf("n3")));
     }
 
-    /** The order of a file's names is nothing that one group could differ in from the next. */
+    /** The order of the names in the file does not affect the groups. */
     @Test
     void aChangeOfZonesOrSizeIsAChange() {
         PeerGroups one = config(0, 6, "{\"zones\":" + SIX + "}").peerGroups();
@@ -88,22 +88,22 @@
         {"size":"64"} | G-SHAPE: peer_groups.size is "64"; allowed is a whole number of 32 to 128
         7 | G-SHAPE: peer_groups is 7; \
         allowed is an object {"size": NUMBER, "zones": {ZONE: [NAME, ...], ...}}
-        {"zone":{}} | G-SHAPE: peer_groups.zone is {}; allowed is a size and zones, nothing else
+        {"zone":{}} | G-SHAPE: peer_groups.zone is {}; allowed is only size or zones
         {"zones":{}} | G-SHAPE: peer_groups.zones is {}; allowed is an object {ZONE: [NAME, ...], ...}
         {"zones":{"a":"n0"}} | G-SHAPE: peer_groups.zones.a is "n0"; allowed is a list of names
         {"zones":{"a":["n0",1]}} | G-SHAPE: peer_groups.zones.a is [n0, 1]; allowed is a list of names
-        {"zones":{" ":["n0","n1","n2"]}} | G-ZONE: peer_groups.zones is with a zone " "; \
-        give each zone a name, or leave zones out where there is one
-        {"zones":{"":["n0","n1","n2"]}} | G-ZONE: peer_groups.zones is with a zone ""; \
-        give each zone a name, or leave zones out where there is one
+        {"zones":{" ":["n0","n1","n2"]}} | G-ZONE: peer_groups.zones is an object with the blank zone " "; \
+        give each zone a name, or remove zones if there is only one
+        {"zones":{"":["n0","n1","n2"]}} | G-ZONE: peer_groups.zones is an object with the blank zone ""; \
+        give each zone a name, or remove zones if there is only one
         {"zones":{"a":["n0","n1","n2"],"b":[]}} | G-EMPTY: peer_groups.zones: \
         zone is "b" without a name in it; give it one or leave it out
         {"zones":{"a":["n0","n1","n2"],"b":["n1"]}} | G-TWICE: peer_groups.zones: \
         name is "n1" in zone "a" and in zone "b"; name it once
-        {"zones":{"a":["n0","n1","n2","n9"]}} | G-UNKNOWN: peer_groups.zones.a is with "n9"; \
-        allowed are names that peers has
-        {"zones":{"a":["n0","n2"]}} | G-UNPLACED: peer_groups.zones is without [n1]; \
-        put each of peers into one zone
+        {"zones":{"a":["n0","n1","n2","n9"]}} | G-UNKNOWN: peer_groups.zones.a is a list with the unknown \
+        name "n9"; allowed are the names in peers
+        {"zones":{"a":["n0","n2"]}} | G-UNPLACED: peer_groups.zones is incomplete without [n1]; \
+        put each peer into exactly one zone
         """)
     void whatCannotBeIsOneLineWithFileKeyValueAndWhatIsAllowed(String given, String line) throws Exception {
         assertEquals(file + ": " + line, refused(text(0, peers(3), groups(given), "")));
@@ -119,11 +119,11 @@
         assertEquals(file + ": G-TOO_MANY: peers: number of names is 16385; allowed are 1 to 16384",
             refused(text(0, peers(16_385), "", "")));
         String unplaced = refused(text(0, peers(5_700), groups("{\"zones\":{\"a\":[\"n0\"]}}"), ""));
-        assertTrue(unplaced.contains("n12] and 5687 more; put each"), unplaced);
+        assertTrue(unplaced.contains("n12] and 5687 more; put each peer into exactly one zone"), unplaced);
         String absent = refused(text(5_700, peers(5_700), "", ""));
         assertTrue(absent.endsWith("n11] and 5688 more"), absent);
         String nobody = refused(text(0, "[\"127.0.0.1:7\"]", groups("{\"size\":64}"), ""));
-        assertTrue(nobody.contains(": G-SHAPE: peer_groups is given where peers names nobody"), nobody);
+        assertTrue(nobody.contains(": G-SHAPE: peer_groups is set although peers has no names"), nobody);
     }
 
     private static Config budgets(int me, int count, String groups, String budget, String tenants) {
@@ -131,7 +131,10 @@
             tenants));
     }
 
-    /** In one group the whole; in several each has its part by the number of its names, no more in all. */
+    /**
+     * A single group has the whole budget; several groups have parts by their number of names, within
+     * the whole.
+     */
     @Test
     void aGroupHasItsPartOfEachBudget() {
         String extra = "\"extra\":{\"per_second\":20,\"burst\":40}";
@@ -141,10 +144,10 @@
         assertEquals(List.of("extra", "tenant/t", "tenant/small"), single.budgets().stream().map(Budget::name)
             .toList());
         long rate = 0, burst = 0;
-        for (int one : new int[] {0, 3, 5}) { // of each group
+        for (int one : new int[] {0, 3, 5}) { // one member of each group
             List<Budget> parts = budgets(one, 6, "{\"zones\":" + SIX + "}", extra, tenant).groupBudgets();
             assertEquals(List.of("extra", "tenant/t"), parts.stream().map(Budget::name).toList(),
-                "a tenant's that is too small to be divided is left to the module");
+                "a tenant quota that is too small to divide is left to the balancer");
             rate += parts.get(0).rate();
             burst += parts.get(0).burst();
         }
@@ -152,12 +155,12 @@
         assertTrue(burst <= 40 * Budget.MICROTOKENS_PER_TOKEN && burst > 39.99 * Budget.MICROTOKENS_PER_TOKEN, "" + burst);
     }
 
-    /** Rather than that each group lends its least, which would be over the whole. */
+    /** Otherwise each group would lease the minimum burst, and the sum would exceed the budget. */
     @Test
     void aBudgetTooSmallToBeDividedIsRefused() throws Exception {
         String budgets = "\"budgets\":{\"extra\":{\"per_second\":20,\"burst\":11}},";
-        assertEquals(file + ": B-BURST: budget extra: burst of 11.0 is too little for 3 groups of 6 peers, "
-            + "the smallest of 1; allowed there is at least 12",
+        assertEquals(file + ": B-BURST: budget extra: burst of 11.0 is too small for 3 groups with a total "
+            + "of 6 peers, the smallest with 1; the minimum here is 12",
             refused(text(0, peers(6), groups("{\"zones\":" + SIX + "}") + budgets, "")));
     }
 }
--- a/proxy/src/test/java/dockrelay/proxy/PeersProcessTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/PeersProcessTest.java
@@ -31,9 +31,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Peers of a process of its own: what a configuration without them costs, and files that change them. */
+/** Peers of a proxy in a separate process: the resources that they use, and reloads that change them. */
 class PeersProcessTest {
-    /** Of 5,700 names, and of one fewer. */
+    /** The number of groups of 5,700 names; 5,699 names result in as many. */
     private static final long GROUPS = Math.round(5_700.0 / GroupAssignment.DEFAULT_GROUP_SIZE);
     private final FakeBackend backend = new FakeBackend(request -> Fakes.httpResponse("200 OK", "", "one"));
     private final FakeDiscovery discovery = new FakeDiscovery();
@@ -63,14 +63,14 @@
         discovery.close();
     }
 
-    /** With these keys before all others. */
+    /** Writes the configuration, with these keys before all others. */
     private void write(String keys) throws IOException {
         Files.writeString(folder.resolve("config.json"), Fakes.configJson(port, discovery.port(), 1024, "", "")
             .replaceFirst("\\{", "{" + keys).replaceFirst("\"Permissions\":\\{",
                 "\"Permissions\":{\"Peers\":true,"));
     }
 
-    /** Its own name is n0; the others are nobody. */
+    /** Configuration keys for n0, which is this process, and for peers that do not run. */
     private String peers(int count, String more) {
         StringBuilder text = new StringBuilder("\"peer_listen\":\"127.0.0.1:" + peer + "\",\"peers\":{");
         for (int i = 0; i < count; i++) {
@@ -91,7 +91,7 @@
         builder.environment().put("TMPDIR", Files.createDirectories(folder.resolve("tmp")).toString());
         builder.redirectErrorStream(true).redirectOutput(new File(folder.toFile(), "log"));
         process = builder.start();
-        Fakes.await("it serves", () -> call("PING").startsWith("200 "));
+        Fakes.await("the proxy serves", () -> call("PING").startsWith("200 "));
     }
 
     private String call(String line) {
@@ -125,7 +125,7 @@
         }
     }
 
-    /** Sockets for datagrams that the process has, of either family. */
+    /** Counts the UDP sockets of the process, IPv4 and IPv6. */
     private int datagramSockets() throws IOException {
         Path proc = Path.of("/proc", Long.toString(process.pid()));
         Set<String> bound = new HashSet<>();
@@ -140,7 +140,7 @@
                     proc.resolve("fd").resolve(descriptor)).toString());
                 count += socket.matches() && bound.contains(socket.group(1)) ? 1 : 0;
             } catch (java.nio.file.NoSuchFileException e) {
-                continue; // closed meanwhile
+                continue; // closed since the listing
             }
         }
         return count;
@@ -153,7 +153,7 @@
             try {
                 all.add(Files.readString(tasks.resolve(task).resolve("comm")).trim());
             } catch (java.nio.file.NoSuchFileException e) {
-                continue; // it ended meanwhile: one of the peers' lasts as long as the process
+                continue; // thread ended since the listing; peer threads live as long as the process
             }
         }
         return all.stream().filter(name -> name.startsWith("peers")).collect(Collectors.toSet());
@@ -170,21 +170,24 @@
             .toList();
     }
 
-    /** The same process with them has each, so that this would notice. */
+    /**
+     * The second half starts with peers and finds each of these resources, so the checks of the first
+     * half can fail.
+     */
     @Test
     void withoutPeersThereIsNoSocketThreadFileOrClassOfThem() throws Exception {
         write("");
         start();
         assertEquals(0, datagramSockets());
         assertEquals(Set.of(), threads());
-        assertEquals(List.of(), machines(), "no class of the machines: no time either");
+        assertEquals(List.of(), machines(), "no class of the peer protocols is loaded");
         assertFalse(keepsIncarnation());
         assertTrue(call("MEMBERS").startsWith("400 ") && call("GROUPS").startsWith("400 "));
         process.destroy();
         assertTrue(process.waitFor(20, TimeUnit.SECONDS));
         write(peers(3, ""));
         start();
-        Fakes.await("its socket", () -> call("MEMBERS").startsWith("200 "));
+        Fakes.await("the membership socket is bound", () -> call("MEMBERS").startsWith("200 "));
         assertEquals(1, datagramSockets());
         assertFalse(threads().isEmpty() || machines().isEmpty());
         assertTrue(keepsIncarnation());
@@ -194,7 +197,7 @@
     void aReloadGoesByOtherGroupsAndABadFileLeavesThoseThereAre() throws Exception {
         write(peers(3, ""));
         start();
-        Fakes.await("one group", () -> call("MEMBERS").contains(" groups=1 group=1 "));
+        Fakes.await("there is one group", () -> call("MEMBERS").contains(" groups=1 group=1 "));
         Path file = folder.resolve("config.json");
         write(peers(3, "\"peer_groups\":{\"size\":20},"));
         reload();
@@ -203,8 +206,8 @@
         assertTrue(call("MEMBERS").contains(" groups=1 group=1 "));
         write(peers(4, "\"peer_groups\":{\"zones\":{\"a\":[\"n1\",\"n2\"],\"b\":[\"n0\",\"n3\"]}},"));
         reload();
-        awaitLog("members: the list is now of 4 names, 1 new and 0 off it, in 2 groups; its own is b/1 of 2: "
-            + "[n0, n1, n2, n3]");
+        awaitLog("members: the member list now has 4 names, 1 added and 0 removed, in 2 groups; own group is "
+            + "b/1 of 2: [n0, n1, n2, n3]");
         String members = call("MEMBERS");
         assertTrue(members.contains(" groups=2 group=b/1 ") && members.contains("\nn3 ")
             && !members.contains("\nn1 "), members);
@@ -218,41 +221,43 @@
         assertTrue(call("MEMBERS").contains(" groups=2 group=b/1 "));
         write(peers(2, ""));
         reload();
-        awaitLog("members: the list is now of 2 names, 0 new and 2 off it, in 1 group; its own is 1 of 2: "
-            + "[n0, n1]");
+        awaitLog("members: the member list now has 2 names, 0 added and 2 removed, in 1 group; own group is "
+            + "1 of 2: [n0, n1]");
     }
 
-    /** With the heap that `run` has; the most names that were taken before were 1,024. */
+    /** Uses the heap size that `run` sets. Guards against a return of the former limit of 1,024 names. */
     @Test
     void aFleetOfThousandsIsTakenIn() throws Exception {
         write(peers(5_700, ""));
         start();
-        Fakes.await("its socket", () -> call("MEMBERS").startsWith(
+        Fakes.await("the membership socket is bound", () -> call("MEMBERS").startsWith(
             "200 present=1 of=5700 agreement=minority "));
         String members = call("MEMBERS");
         assertTrue(members.contains(" counted=5700 ") && members.contains(" groups=" + GROUPS + " "),
             members);
-        assertTrue(members.lines().count() <= 1 + GroupAssignment.MAX_GROUP_SIZE, "the own group only: " + members);
+        assertTrue(members.lines().count() <= 1 + GroupAssignment.MAX_GROUP_SIZE, 
+            "members of the own group only: " + members);
         assertEquals(1 + GROUPS, call("GROUPS").lines().count());
         write(peers(5_699, ""));
         reload();
-        awaitLog("members: the list is now of 5699 names, 0 new and 1 off it, in " + GROUPS
-            + " groups; its own is ");
-        assertTrue(read(folder.resolve("log")).lines().allMatch(line -> line.length() < 600), "short lines");
+        awaitLog("members: the member list now has 5699 names, 0 added and 1 removed, in " + GROUPS
+            + " groups; own group is ");
+        assertTrue(read(folder.resolve("log")).lines().allMatch(line -> line.length() < 600),
+            "log lines are short");
     }
 
     @Test
     void aFileOfAnotherProxyChangesNoPeers() throws Exception {
         write(peers(3, ""));
         start();
-        Fakes.await("one group", () -> call("MEMBERS").startsWith("200 "));
+        Fakes.await("there is one group", () -> call("MEMBERS").startsWith("200 "));
         Path file = folder.resolve("config.json");
         Files.writeString(file, read(file).replace("\"name\":\"n0\"", "\"name\":\"n1\""));
         reload();
-        awaitLog("reload: name is n1 in the file, this process is n0; the peers that were in force stay so");
+        awaitLog("reload: name is n1 in the file, this process is n0; the previous peers stay in force");
     }
 
-    /** With the list in force, and none that was read in part. */
+    /** An invalid grouping at the start ends the process with the error message. */
     @Test
     void aStartWithGroupsThatCannotBeEndsWithTheLine() throws Exception {
         write(peers(3, "\"peer_groups\":{\"zones\":{\"a\":[\"n0\",\"n1\"],\"b\":[\"n1\",\"n2\"]}},"));
--- a/proxy/src/test/java/dockrelay/proxy/UpgradeTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/UpgradeTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Two processes of one proxy at one listening socket that neither of them owns. */
+/** An upgrade: two processes of one proxy share a listening socket that neither of them owns. */
 class UpgradeTest {
     private final FakeDiscovery discovery = new FakeDiscovery();
     private final FakeBackend backend = new FakeBackend(request -> Fakes.httpResponse("200 OK", "", "a rate"));
@@ -45,7 +45,8 @@
     private Proxy started() throws IOException {
         Proxy proxy = new Proxy(Fakes.config(discovery.port(), 1024),
             new ProcessEnvironment(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), folder, listener));
-        assertTrue(Fakes.callConsole(proxy, "PING\n").startsWith("200 "), "it accepts once it is listed");
+        assertTrue(Fakes.callConsole(proxy, "PING\n").startsWith("200 "),
+            "the proxy serves once discovery lists a backend");
         return proxy;
     }
 
@@ -59,14 +60,15 @@
         Proxy first = started();
         try (FakeClient unread = client(); FakeClient resting = client()) {
             assertEquals(200, resting.send(FakeClient.getRequest("2.0")).readStatus());
-            Fakes.await("both are accepted", () -> first.clientConnectionCount() == 2);
+            Fakes.await("both connections are accepted", () -> first.clientConnectionCount() == 2);
             Proxy next = started();
             Thread stopping = new Thread(first::stop);
             stopping.start();
-            Fakes.await("it says that it ends", () -> Fakes.callConsole(first, "PING\n").startsWith("400 "));
+            Fakes.await("the first process reports that it stops", () ->
+                Fakes.callConsole(first, "PING\n").startsWith("400 "));
             try (FakeClient late = client()) {
                 assertEquals(200, late.send(FakeClient.getRequest("2.0")).readStatus());
-                assertEquals(1, next.clientConnectionCount(), "the next one has it");
+                assertEquals(1, next.clientConnectionCount(), "the second process has accepted the connection");
                 for (FakeClient kept : new FakeClient[] {unread, resting}) {
                     String answer = kept.send(FakeClient.getRequest("2.0")).readResponse();
                     assertTrue(answer.startsWith("HTTP/1.1 200"), answer);
@@ -75,7 +77,8 @@
                     kept.close();
                 }
                 stopping.join();
-                assertTrue(listener.isOpen(), "closing it would point the log at nothing");
+                assertTrue(listener.isOpen(),
+                    "the listener stays open: closing it would redirect the log to /dev/null");
                 assertEquals(200, late.send(FakeClient.getRequest("2.0")).readStatus());
             }
             next.stop();
