--- a/fleet/src/main/java/dockrelay/fleet/budget/Budget.java
+++ b/fleet/src/main/java/dockrelay/fleet/budget/Budget.java
@@ -10,33 +10,33 @@
 public record Budget(String name, long rate, long burst) {
     public static final long MICROTOKENS_PER_TOKEN = 1_000_000;
     /** 100,000 tokens a second, and as large a burst. */
-    public static final long MOST = 100_000 * MICROTOKENS_PER_TOKEN;
+    public static final long MAX_MICROTOKENS = 100_000 * MICROTOKENS_PER_TOKEN;
     /**
      * Small bursts are leased token by token; with fewer than two tokens one of them would always be
      * idle.
      */
-    public static final long LEAST_BURST = 2 * MICROTOKENS_PER_TOKEN;
-    private static final int LONGEST_NAME = 64;
+    public static final long MIN_BURST_MICROTOKENS = 2 * MICROTOKENS_PER_TOKEN;
+    private static final int MAX_NAME_LENGTH = 64;
 
     public Budget {
-        if (name.isEmpty() || name.length() > LONGEST_NAME) {
+        if (name.isEmpty() || name.length() > MAX_NAME_LENGTH) {
             throw new BudgetException(BudgetException.Code.NAME, "budget name \"" + name + "\" has "
-                + name.length() + " characters", "allowed are 1 to " + LONGEST_NAME);
+                + name.length() + " characters", "allowed are 1 to " + MAX_NAME_LENGTH);
         }
-        if (rate <= 0 || rate > MOST) {
+        if (rate <= 0 || rate > MAX_MICROTOKENS) {
             throw new BudgetException(BudgetException.Code.RATE, "budget " + name + ": rate of "
-                + rate / (double) MICROTOKENS_PER_TOKEN + " a second", "allowed is more than 0 and up to " + MOST / MICROTOKENS_PER_TOKEN);
+                + rate / (double) MICROTOKENS_PER_TOKEN + " a second", "allowed is more than 0 and up to " + MAX_MICROTOKENS / MICROTOKENS_PER_TOKEN);
         }
-        if (burst < LEAST_BURST || burst > MOST) {
+        if (burst < MIN_BURST_MICROTOKENS || burst > MAX_MICROTOKENS) {
             throw new BudgetException(BudgetException.Code.BURST, "budget " + name + ": burst of "
-                + burst / (double) MICROTOKENS_PER_TOKEN, "allowed is " + LEAST_BURST / MICROTOKENS_PER_TOKEN + " to " + MOST / MICROTOKENS_PER_TOKEN);
+                + burst / (double) MICROTOKENS_PER_TOKEN, "allowed is " + MIN_BURST_MICROTOKENS / MICROTOKENS_PER_TOKEN + " to " + MAX_MICROTOKENS / MICROTOKENS_PER_TOKEN);
         }
     }
 
     /** A budget of so many tokens a second, with a burst of one second's tokens. */
     public static Budget perSecond(String name, double rate) {
-        long micros = Math.round(rate * MICROTOKENS_PER_TOKEN);
-        return new Budget(name, micros, Math.max(LEAST_BURST, micros));
+        long microtokens = Math.round(rate * MICROTOKENS_PER_TOKEN);
+        return new Budget(name, microtokens, Math.max(MIN_BURST_MICROTOKENS, microtokens));
     }
 
     /** The id that stands for the name on the wire. */
--- a/fleet/src/main/java/dockrelay/fleet/budget/BudgetException.java
+++ b/fleet/src/main/java/dockrelay/fleet/budget/BudgetException.java
@@ -9,8 +9,8 @@
 
     private final Code code;
 
-    public BudgetException(Code code, String wrong, String remedy) {
-        super("B-" + code + ": " + wrong + "; " + remedy);
+    public BudgetException(Code code, String problem, String remedy) {
+        super("B-" + code + ": " + problem + "; " + remedy);
         this.code = code;
     }
 
--- a/fleet/src/main/java/dockrelay/fleet/budget/BudgetNode.java
+++ b/fleet/src/main/java/dockrelay/fleet/budget/BudgetNode.java
@@ -1,7 +1,7 @@
 package dockrelay.fleet.budget;
 
 import dockrelay.fleet.MemberList;
-import dockrelay.fleet.budget.Message.Kind;
+import dockrelay.fleet.budget.BudgetMessage.Kind;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -19,86 +19,86 @@
  * that the caller passes in, and all output goes through {@link Callbacks}. Not thread-safe.
  */
 public class BudgetNode {
-    private static final int MOST_BUDGETS = Message.MOST_LINES, ASKED_AGAIN_PERIODS = 3;
-    private static final long NEVER = 3_600_000_000L;
+    private static final int MAX_BUDGETS = BudgetMessage.MAX_BUDGETS, REQUEST_RETRY_PERIODS = 3;
+    private static final long IDLE_TICK_MICROS = 3_600_000_000L;
 
     /** The output of the state machine. */
     public interface Callbacks {
         /** Sends a datagram to a member; it may be lost. */
-        void send(String to, ByteBuffer datagram);
+        void send(String memberName, ByteBuffer datagram);
 
         /**
          * Sets the shares that may be spent until the given time. The spender confirms the update by
          * passing its number to {@link BudgetNode#used}.
          */
-        void applyShares(long telling, List<LeasedShare> parts, long until);
+        void applyShares(long updateNumber, List<LeasedShare> shares, long validUntil);
 
         /** Reports an event for the log. */
         void logEvent(String text);
     }
 
-    private final int self, life;
-    private final BudgetTiming pace;
+    private final int selfId, instanceId;
+    private final BudgetTiming timing;
     private final Random random;
-    private final Callbacks actions;
+    private final Callbacks callbacks;
     private final Voter voter;
-    private final Authority authority;
-    private final Holder holder;
-    private final Map<String, Long> refused = new TreeMap<>();
+    private final CoordinatorElection election;
+    private final LeaseHolder leaseHolder;
+    private final Map<String, Long> refusalCounts = new TreeMap<>();
     private Collection<Budget> budgets;
-    private MemberList roster;
-    private Ledger ledger; // null unless this process is the coordinator
-    private Set<Integer> present = new HashSet<>(), departed = new HashSet<>();
-    private long askAt, nextAt, keeperHeardAt = Long.MIN_VALUE / 2, keeperTerm;
-    private int keeper;
-    private boolean left;
-
-    public BudgetNode(String self, Collection<String> names, Collection<Budget> budgets, int life, BudgetTiming
-        pace,
-                   Random random, Callbacks actions, long now) {
-        this.self = MemberList.idOf(self);
-        this.life = life;
-        this.pace = pace;
+    private MemberList memberList;
+    private LeaseLedger ledger; // null unless this process is the coordinator
+    private Set<Integer> presentIds = new HashSet<>(), departedIds = new HashSet<>();
+    private long nextRequestAt, nextTickAt, coordinatorSeenAt = Long.MIN_VALUE / 2, coordinatorTerm;
+    private int coordinatorId;
+    private boolean hasLeft;
+
+    public BudgetNode(String selfName, Collection<String> memberNames, Collection<Budget> budgets, int instanceId, BudgetTiming
+        timing,
+                   Random random, Callbacks callbacks, long now) {
+        this.selfId = MemberList.idOf(selfName);
+        this.instanceId = instanceId;
+        this.timing = timing;
         this.random = random;
-        this.actions = actions;
-        this.roster = roster(names);
-        this.budgets = checked(budgets);
-        this.voter = voter(this.self, life, pace, now);
-        this.authority = authority(this.self, life, pace, voter, roster, random, this::send, now);
-        this.holder = holder(this.self, life, pace, this.budgets, now);
-        this.askAt = now + (long) (random.nextDouble() * pace.period());
-        this.nextAt = askAt;
+        this.callbacks = callbacks;
+        this.memberList = checkedMemberList(memberNames);
+        this.budgets = checkedBudgets(budgets);
+        this.voter = newVoter(this.selfId, instanceId, timing, now);
+        this.election = newElection(this.selfId, instanceId, timing, voter, memberList, random, this::send, now);
+        this.leaseHolder = newLeaseHolder(this.selfId, instanceId, timing, this.budgets, now);
+        this.nextRequestAt = now + (long) (random.nextDouble() * timing.periodMicros());
+        this.nextTickAt = nextRequestAt;
     }
 
     // Factory methods, overridden by tests that inject faulty components.
 
-    Voter voter(int id, int ofLife, BudgetTiming at, long now) {
-        return new Voter(id, ofLife, at, now);
+    Voter newVoter(int selfId, int instanceId, BudgetTiming timing, long now) {
+        return new Voter(selfId, instanceId, timing, now);
     }
 
-    Authority authority(int id, int ofLife, BudgetTiming at, Voter of, MemberList names, Random by,
-                        Authority.Sender sender, long now) {
-        return new Authority(id, ofLife, at, of, names, by, sender, now);
+    CoordinatorElection newElection(int selfId, int instanceId, BudgetTiming timing, Voter voter, MemberList memberList, Random random,
+                        CoordinatorElection.Sender sender, long now) {
+        return new CoordinatorElection(selfId, instanceId, timing, voter, memberList, random, sender, now);
     }
 
-    Holder holder(int id, int ofLife, BudgetTiming at, Collection<Budget> of, long now) {
-        return new Holder(id, ofLife, at, of, now);
+    LeaseHolder newLeaseHolder(int selfId, int instanceId, BudgetTiming timing, Collection<Budget> budgets, long now) {
+        return new LeaseHolder(selfId, instanceId, timing, budgets, now);
     }
 
-    Ledger ledger(Collection<Budget> of, long term, BudgetTiming at, long now) {
-        return new Ledger(of, term, at, now);
+    LeaseLedger newLedger(Collection<Budget> budgets, long term, BudgetTiming timing, long now) {
+        return new LeaseLedger(budgets, term, timing, now);
     }
 
     /** Rejects lists that do not fit into a datagram: no coordinator could ever be elected with them. */
-    private static MemberList roster(Collection<String> names) {
-        if (names.size() > Message.MOST_NAMES) {
+    private static MemberList checkedMemberList(Collection<String> names) {
+        if (names.size() > BudgetMessage.MAX_VOTERS) {
             throw new BudgetException(BudgetException.Code.MEMBERS, names.size()
-                + " members that share budgets", "allowed are " + Message.MOST_NAMES + " in one group");
+                + " members that share budgets", "allowed are " + BudgetMessage.MAX_VOTERS + " in one group");
         }
         return new MemberList(names);
     }
 
-    private static Collection<Budget> checked(Collection<Budget> budgets) {
+    private static Collection<Budget> checkedBudgets(Collection<Budget> budgets) {
         Set<Integer> ids = new HashSet<>();
         for (Budget budget : budgets) {
             if (!ids.add(budget.id())) {
@@ -106,9 +106,9 @@
                     + " has the same id as another budget", "rename one of them");
             }
         }
-        if (ids.size() > MOST_BUDGETS) {
+        if (ids.size() > MAX_BUDGETS) {
             throw new BudgetException(BudgetException.Code.TOO_MANY, ids.size() + " budgets",
-                "allowed are at most " + MOST_BUDGETS);
+                "allowed are at most " + MAX_BUDGETS);
         }
         return List.copyOf(budgets);
     }
@@ -117,14 +117,14 @@
      * Applies a new list of members and budgets. The voter set is not configured; the members agree on
      * it.
      */
-    public void configure(long now, Collection<String> names, Collection<Budget> next) {
-        Collection<Budget> usable = checked(next);
-        roster = roster(names);
-        authority.roster(roster);
-        if (!usable.equals(budgets)) {
-            budgets = usable;
-            if (holder.configure(budgets)) {
-                actions.applyShares(holder.telling(), holder.parts(null), holder.leaseEnd());
+    public void configure(long now, Collection<String> memberNames, Collection<Budget> newBudgets) {
+        Collection<Budget> checkedBudgets = checkedBudgets(newBudgets);
+        memberList = checkedMemberList(memberNames);
+        election.setMemberList(memberList);
+        if (!checkedBudgets.equals(budgets)) {
+            budgets = checkedBudgets;
+            if (leaseHolder.configure(budgets)) {
+                callbacks.applyShares(leaseHolder.updateNumber(), leaseHolder.shares(null), leaseHolder.leaseEnd());
             }
             if (ledger != null) {
                 ledger.configure(now, budgets);
@@ -136,22 +136,22 @@
      * Sets the members that operators have declared retired: no process runs under these names or will
      * again.
      */
-    public void retired(long now, Collection<String> names) {
-        Set<Integer> gone = ids(names);
-        gone.remove(self);
-        authority.retired(now, gone);
+    public void setRetiredMembers(long now, Collection<String> names) {
+        Set<Integer> retiredIds = idsOf(names);
+        retiredIds.remove(selfId);
+        election.setRetiredMembers(now, retiredIds);
     }
 
     /**
      * Passes on which members the membership protocol considers present and which departed for good.
      * These are hints; the budgets stay within their bounds even if they are wrong.
      */
-    public void updatePresence(Collection<String> here, Collection<String> away) {
-        present = ids(here);
-        departed = ids(away);
+    public void updatePresence(Collection<String> presentNames, Collection<String> departedNames) {
+        presentIds = idsOf(presentNames);
+        departedIds = idsOf(departedNames);
     }
 
-    private static Set<Integer> ids(Collection<String> names) {
+    private static Set<Integer> idsOf(Collection<String> names) {
         Set<Integer> result = new HashSet<>();
         names.forEach(name -> result.add(MemberList.idOf(name)));
         return result;
@@ -160,72 +160,72 @@
     // --- timers
 
     public long nextTickAt() {
-        return nextAt;
+        return nextTickAt;
     }
 
     public void tick(long now) {
-        if (left) {
-            nextAt = now + NEVER;
+        if (hasLeft) {
+            nextTickAt = now + IDLE_TICK_MICROS;
             return;
         }
-        if (holder.lapse(now)) {
-            actions.logEvent("the lease has expired: nothing may be spent until a coordinator grants a new one");
-            actions.applyShares(holder.telling(), holder.parts(null), now);
+        if (leaseHolder.dropExpiredLease(now)) {
+            callbacks.logEvent("the lease has expired: nothing may be spent until a coordinator grants a new one");
+            callbacks.applyShares(leaseHolder.updateNumber(), leaseHolder.shares(null), now);
         }
-        authority.tick(now, present, departed);
-        follow(now);
-        if (now >= askAt) {
-            askAt = Math.max(askAt + pace.period(), now + pace.period() / 2);
-            ask(now);
+        election.tick(now, presentIds, departedIds);
+        updateLedger(now);
+        if (now >= nextRequestAt) {
+            nextRequestAt = Math.max(nextRequestAt + timing.periodMicros(), now + timing.periodMicros() / 2);
+            requestLeases(now);
         }
-        nextAt = Math.min(askAt, authority.nextAt());
-        nextAt = holder.leaseEnd() == Long.MIN_VALUE ? nextAt : Math.min(nextAt, holder.leaseEnd());
-        nextAt = Math.max(nextAt, now + pace.period() / 100);
+        nextTickAt = Math.min(nextRequestAt, election.nextTickAt());
+        nextTickAt = leaseHolder.leaseEnd() == Long.MIN_VALUE ? nextTickAt : Math.min(nextTickAt, leaseHolder.leaseEnd());
+        nextTickAt = Math.max(nextTickAt, now + timing.periodMicros() / 100);
     }
 
-    private void ask(long now) {
-        if (authority.holds(now)) {
-            keeper = self;
-            keeperTerm = authority.term();
-            keeperHeardAt = now;
+    private void requestLeases(long now) {
+        if (election.isCoordinator(now)) {
+            coordinatorId = selfId;
+            coordinatorTerm = election.term();
+            coordinatorSeenAt = now;
             for (int i = 0; i < 2; i++) { // the first request may only move the holder to the new term
-                Message grant = ledger.ask(now, holder.ask(now));
+                BudgetMessage grant = ledger.handleRequest(now, leaseHolder.newLeaseRequest(now));
                 if (grant != null) {
-                    granted(now, grant);
+                    handleLeaseGrant(now, grant);
                 }
             }
-            String apart = ledger.apart();
-            if (apart != null) {
-                actions.logEvent("B-CLOCK: the clock of member #" + apart + " s against this one: the member"
+            String clockWarning = ledger.takeClockWarning();
+            if (clockWarning != null) {
+                callbacks.logEvent("B-CLOCK: the clock of member #" + clockWarning + " s against this one: the member"
                     + " gets no grants until both clocks agree again");
             }
             return;
         }
-        boolean known = now - keeperHeardAt < pace.promise() && keeper != self;
-        if (known) {
-            send(keeper, holder.ask(now));
+        boolean coordinatorKnown = now - coordinatorSeenAt < timing.voteDuration() && coordinatorId != selfId;
+        if (coordinatorKnown) {
+            send(coordinatorId, leaseHolder.newLeaseRequest(now));
         }
-        if (!known || now - holder.grantedAt() > ASKED_AGAIN_PERIODS * pace.period()) {
-            List<Integer> others = new ArrayList<>(present);
-            others.removeIf(id -> id == self || known && id == keeper);
+        if (!coordinatorKnown || now - leaseHolder.lastGrantAt() > REQUEST_RETRY_PERIODS * timing.periodMicros()) {
+            List<Integer> others = new ArrayList<>(presentIds);
+            others.removeIf(id -> id == selfId || coordinatorKnown && id == coordinatorId);
             if (others.isEmpty()) {
-                for (int i = 0; i < roster.size(); i++) {
-                    others.add(roster.idAt(i));
+                for (int i = 0; i < memberList.size(); i++) {
+                    others.add(memberList.idAt(i));
                 }
-                others.removeIf(id -> id == self);
+                others.removeIf(id -> id == selfId);
             }
             if (!others.isEmpty()) {
-                send(others.get(random.nextInt(others.size())), holder.ask(now));
+                send(others.get(random.nextInt(others.size())), leaseHolder.newLeaseRequest(now));
             }
         }
     }
 
     // --- datagrams
 
-    private void send(int to, Message message) {
-        int index = roster.indexOf(to);
+    private void send(int memberId, BudgetMessage message) {
+        int index = memberList.indexOf(memberId);
         if (index >= 0) {
-            actions.send(roster.nameAt(index), message.bytes());
+            callbacks.send(memberList.nameAt(index), message.encode());
         }
     }
 
@@ -233,103 +233,103 @@
      * Handles a datagram from a peer. The name is the one configured for the sender's address, null
      * if the address is unknown. Datagrams that cannot be used are dropped and counted by reason.
      */
-    public void receive(long now, String from, ByteBuffer datagram) {
-        Message message;
+    public void receive(long now, String senderName, ByteBuffer datagram) {
+        BudgetMessage message;
         try {
-            message = Message.read(datagram);
-        } catch (Message.Unreadable e) {
-            refused.merge(e.getMessage(), 1L, Long::sum);
+            message = BudgetMessage.decode(datagram);
+        } catch (BudgetMessage.MalformedMessageException e) {
+            refusalCounts.merge(e.getMessage(), 1L, Long::sum);
             return;
         }
-        boolean twin = message.sender() == self && message.life() != life;
-        if (from == null || message.sender() != MemberList.idOf(from) || twin) {
-            refused.merge(from == null ? "stranger" : twin ? "twin" : "misnamed", 1L, Long::sum);
-            if (from == null) {
-                authority.stranger(now);
+        boolean otherInstance = message.senderId() == selfId && message.instanceId() != instanceId;
+        if (senderName == null || message.senderId() != MemberList.idOf(senderName) || otherInstance) {
+            refusalCounts.merge(senderName == null ? "stranger" : otherInstance ? "twin" : "misnamed", 1L, Long::sum);
+            if (senderName == null) {
+                election.noteUnlistedSender(now);
             }
             return;
         }
-        if (left) {
+        if (hasLeft) {
             return;
         }
-        authority.heard(message.sender(), message.life());
+        election.noteInstance(message.senderId(), message.instanceId());
         switch (message.kind()) {
-            case ASK -> asked(now, message);
-            case GRANT -> granted(now, message);
-            case REDIRECT -> keeperIs(now, message.keeper(), message.term());
-            case CANVASS, RENEW -> {
-                Message vote = voter.asked(now, message);
-                if (message.kind() == Kind.RENEW && vote.yes() && message.sender() != self) {
-                    keeperIs(now, message.sender(), message.term());
-                    authority.quiet(now);
+            case LEASE_REQUEST -> handleLeaseRequest(now, message);
+            case LEASE_GRANT -> handleLeaseGrant(now, message);
+            case REDIRECT -> noteCoordinator(now, message.coordinatorId(), message.term());
+            case VOTE_REQUEST, VOTE_RENEWAL -> {
+                BudgetMessage vote = voter.handleVoteRequest(now, message);
+                if (message.kind() == Kind.VOTE_RENEWAL && vote.flag() && message.senderId() != selfId) {
+                    noteCoordinator(now, message.senderId(), message.term());
+                    election.postponeElection(now);
                 }
-                send(message.sender(), vote);
+                send(message.senderId(), vote);
             }
             case VOTE -> {
-                if (message.to() == life) {
-                    authority.vote(now, message.sender(), message);
-                    follow(now);
+                if (message.receiverInstanceId() == instanceId) {
+                    election.handleVote(now, message.senderId(), message);
+                    updateLedger(now);
                 }
             }
             case RESIGN -> {
-                if (voter.resigned(message.sender(), message.life(), message.term())) {
-                    authority.hurry(now);
+                if (voter.release(message.senderId(), message.instanceId(), message.term())) {
+                    election.hastenElection(now);
                 }
             }
             case LEAVE -> {
-                if (ledger != null && authority.holds(now)) {
-                    ledger.left(message.sender(), message.life());
+                if (ledger != null && election.isCoordinator(now)) {
+                    ledger.removeParticipant(message.senderId(), message.instanceId());
                 }
             }
-            default -> refused.merge("unknown", 1L, Long::sum);
+            default -> refusalCounts.merge("unknown", 1L, Long::sum);
         }
     }
 
     /** Starts a new ledger for each term as coordinator, and drops it when the term ends. */
-    private void follow(long now) {
-        boolean keeps = authority.holds(now);
-        if (keeps && (ledger == null || ledger.term() != authority.term())) {
-            ledger = ledger(budgets, authority.term(), pace, now);
-            askAt = now;
-            nextAt = now;
-            actions.logEvent("the keeper of term " + authority.term() + ", by " + authority.voters()
+    private void updateLedger(long now) {
+        boolean coordinator = election.isCoordinator(now);
+        if (coordinator && (ledger == null || ledger.term() != election.term())) {
+            ledger = newLedger(budgets, election.term(), timing, now);
+            nextRequestAt = now;
+            nextTickAt = now;
+            callbacks.logEvent("the keeper of term " + election.term() + ", by " + election.voterCount()
                 + " that vote");
-        } else if (!keeps && ledger != null) {
+        } else if (!coordinator && ledger != null) {
             ledger = null;
-            actions.logEvent("no longer the coordinator");
+            callbacks.logEvent("no longer the coordinator");
         }
     }
 
-    private void keeperIs(long now, int id, long term) {
-        if (term >= keeperTerm && id != self) {
-            keeper = id;
-            keeperTerm = term;
-            keeperHeardAt = now;
+    private void noteCoordinator(long now, int id, long term) {
+        if (term >= coordinatorTerm && id != selfId) {
+            coordinatorId = id;
+            coordinatorTerm = term;
+            coordinatorSeenAt = now;
         }
     }
 
-    private void asked(long now, Message ask) {
-        if (authority.holds(now)) {
-            Message grant = ledger.ask(now, ask);
+    private void handleLeaseRequest(long now, BudgetMessage request) {
+        if (election.isCoordinator(now)) {
+            BudgetMessage grant = ledger.handleRequest(now, request);
             if (grant != null) {
-                send(ask.sender(), new Message(Kind.GRANT, self, life, grant.to(), grant.term(),
-                    grant.number(),
-                    grant.version(), 0, false, self, null, null, grant.lines()));
+                send(request.senderId(), new BudgetMessage(Kind.LEASE_GRANT, selfId, instanceId, grant.receiverInstanceId(), grant.term(),
+                    grant.requestNumber(),
+                    grant.grantVersion(), 0, false, selfId, null, null, grant.entries()));
             }
-        } else if (now - keeperHeardAt < pace.promise() && keeper != self) {
-            send(ask.sender(), new Message(Kind.REDIRECT, self, life, ask.life(), keeperTerm, 0, 0, 0, false,
-                keeper, null, null, List.of()));
+        } else if (now - coordinatorSeenAt < timing.voteDuration() && coordinatorId != selfId) {
+            send(request.senderId(), new BudgetMessage(Kind.REDIRECT, selfId, instanceId, request.instanceId(), coordinatorTerm, 0, 0, 0, false,
+                coordinatorId, null, null, List.of()));
         }
     }
 
-    private void granted(long now, Message grant) {
-        long before = holder.telling();
-        if (holder.granted(now, grant)) {
-            if (grant.sender() != 0) {
-                keeperIs(now, grant.sender(), grant.term());
+    private void handleLeaseGrant(long now, BudgetMessage grant) {
+        long previousUpdate = leaseHolder.updateNumber();
+        if (leaseHolder.acceptGrant(now, grant)) {
+            if (grant.senderId() != 0) {
+                noteCoordinator(now, grant.senderId(), grant.term());
             }
-            boolean anew = holder.telling() != before;
-            actions.applyShares(holder.telling(), holder.parts(anew ? grant : null), holder.leaseEnd());
+            boolean sharesChanged = leaseHolder.updateNumber() != previousUpdate;
+            callbacks.applyShares(leaseHolder.updateNumber(), leaseHolder.shares(sharesChanged ? grant : null), leaseHolder.leaseEnd());
         }
     }
 
@@ -337,8 +337,8 @@
      * Takes the spender's report. It confirms all share updates up to the given number: tokens of
      * earlier shares that exceed the confirmed ones are no longer available to the spender.
      */
-    public void reportUsage(long upTo, Collection<ShareUsage> uses) {
-        holder.used(upTo, uses);
+    public void reportUsage(long updateNumber, Collection<ShareUsage> usages) {
+        leaseHolder.reportUsage(updateNumber, usages);
     }
 
     /**
@@ -346,42 +346,42 @@
      * call.
      */
     public void leave(long now) {
-        Message goodbye = holder.leave();
-        if (authority.holds(now)) {
-            authority.resign(now);
+        BudgetMessage leaveMessage = leaseHolder.returnShares();
+        if (election.isCoordinator(now)) {
+            election.resign(now);
             ledger = null;
-        } else if (now - keeperHeardAt < pace.promise()) {
-            send(keeper, goodbye);
-            send(keeper, goodbye);
+        } else if (now - coordinatorSeenAt < timing.voteDuration()) {
+            send(coordinatorId, leaveMessage);
+            send(coordinatorId, leaveMessage);
         }
-        left = true;
+        hasLeft = true;
     }
 
     // --- status
 
     /** Whether this process is the coordinator. */
     public boolean isCoordinator(long now) {
-        return authority.holds(now);
+        return election.isCoordinator(now);
     }
 
     /** The name of the coordinator that this process knows of; null if there is none. */
-    public String keeper(long now) {
-        return now - keeperHeardAt < pace.promise() ? roster.nameOrId(keeper) : null;
+    public String coordinatorName(long now) {
+        return now - coordinatorSeenAt < timing.voteDuration() ? memberList.nameOrId(coordinatorId) : null;
     }
 
     /** The members whose votes the last failed election lacked, comma-separated; null if none failed. */
-    public String waitsFor() {
-        return authority.waitsFor();
+    public String missingVoters() {
+        return election.missingVoters();
     }
 
-    public List<BudgetRow> rows(long now) {
-        return holder.rows(now);
+    public List<BudgetStatus> budgetStatuses(long now) {
+        return leaseHolder.budgetStatuses(now);
     }
 
     /** Counts of rejected datagrams by reason since the last call. */
-    public Map<String, Long> refused() {
-        Map<String, Long> result = new TreeMap<>(refused);
-        refused.clear();
+    public Map<String, Long> takeRefusalCounts() {
+        Map<String, Long> result = new TreeMap<>(refusalCounts);
+        refusalCounts.clear();
         return result;
     }
 
@@ -389,7 +389,7 @@
      * Whether a datagram with this first byte belongs to the budget protocol; other protocols share the
      * socket.
      */
-    public static boolean ours(byte first) {
-        return first == Message.MAGIC;
+    public static boolean isBudgetDatagram(byte firstByte) {
+        return firstByte == BudgetMessage.FIRST_MAGIC_BYTE;
     }
 }
--- a/fleet/src/main/java/dockrelay/fleet/budget/BudgetTiming.java
+++ b/fleet/src/main/java/dockrelay/fleet/budget/BudgetTiming.java
@@ -5,49 +5,49 @@
  * The clocks of two processes may run up to 3 % apart; therefore whoever grants a vote or a lease
  * honours it longer than whoever received it relies on it.
  */
-public record BudgetTiming(long period) {
+public record BudgetTiming(long periodMicros) {
     public static final BudgetTiming DEFAULT = new BudgetTiming(200_000);
-    private static final double RELIED = 0.94, WAITED = 1.07;
+    private static final double RELIED_FRACTION = 0.94, EXPIRY_FACTOR = 1.07;
 
     /** Interval at which the coordinator renews its votes. */
-    long renewal() {
-        return 2 * period;
+    long renewalInterval() {
+        return 2 * periodMicros;
     }
 
     /** How long a voter keeps a vote that it granted. */
-    long promise() {
-        return 10 * period;
+    long voteDuration() {
+        return 10 * periodMicros;
     }
 
     /**
      * How long the coordinator relies on a vote, counted from the moment at which it sent the request.
      */
-    long promiseRelied() {
-        return (long) (promise() * RELIED);
+    long reliedVoteDuration() {
+        return (long) (voteDuration() * RELIED_FRACTION);
     }
 
     /** After this time every vote that was granted before has expired, on any clock. */
-    long promiseOver() {
-        return (long) (promise() * WAITED);
+    long maxVoteDuration() {
+        return (long) (voteDuration() * EXPIRY_FACTOR);
     }
 
     /** How long the coordinator leases a share. */
-    public long lease() {
-        return 25 * period;
+    public long leaseDuration() {
+        return 25 * periodMicros;
     }
 
     /** How long the holder relies on a lease, counted from the moment at which it sent the request. */
-    long leaseRelied() {
-        return (long) (lease() * RELIED);
+    long reliedLeaseDuration() {
+        return (long) (leaseDuration() * RELIED_FRACTION);
     }
 
     /** After this time every lease that was granted before has expired, on any clock. */
-    public long leaseOver() {
-        return (long) (lease() * WAITED);
+    public long maxLeaseDuration() {
+        return (long) (leaseDuration() * EXPIRY_FACTOR);
     }
 
     /** How long a candidate waits for votes. */
-    long canvass() {
-        return 2 * period;
+    long electionTimeout() {
+        return 2 * periodMicros;
     }
 }
--- a/fleet/src/main/java/dockrelay/fleet/budget/Voter.java
+++ b/fleet/src/main/java/dockrelay/fleet/budget/Voter.java
@@ -1,6 +1,6 @@
 package dockrelay.fleet.budget;
 
-import dockrelay.fleet.budget.Message.Kind;
+import dockrelay.fleet.budget.BudgetMessage.Kind;
 
 /**
  * The vote of one member. It is granted to one candidate at a time and for a limited time, and not
@@ -8,19 +8,19 @@
  * voter sets that a coordinator announced.
  */
 class Voter {
-    private final int self, life;
-    private final BudgetTiming pace;
-    private final long votesFrom;
-    private long term, until, promisedTerm;
-    private int to, toLife;
-    private boolean promised;
-    private Agreed agreed, next;
+    private final int selfId, instanceId;
+    private final BudgetTiming timing;
+    private final long firstVoteAt;
+    private long term, voteEnd, grantedTerm;
+    private int candidateId, candidateInstanceId;
+    private boolean granted;
+    private VoterSet committedSet, pendingSet;
 
-    Voter(int self, int life, BudgetTiming pace, long now) {
-        this.self = self;
-        this.life = life;
-        this.pace = pace;
-        this.votesFrom = votesFrom(now);
+    Voter(int selfId, int instanceId, BudgetTiming timing, long now) {
+        this.selfId = selfId;
+        this.instanceId = instanceId;
+        this.timing = timing;
+        this.firstVoteAt = firstVoteTime(now);
     }
 
     /** The highest term that this process knows of. */
@@ -28,66 +28,66 @@
         return term;
     }
 
-    void heardOf(long higher) {
-        term = Math.max(term, higher);
+    void observeTerm(long observedTerm) {
+        term = Math.max(term, observedTerm);
     }
 
-    Agreed agreed() {
-        return agreed;
+    VoterSet committedSet() {
+        return committedSet;
     }
 
-    Agreed next() {
-        return next;
+    VoterSet pendingSet() {
+        return pendingSet;
     }
 
     /** The time from which on this process votes: votes of the previous process have expired by then. */
-    long votesFrom(long startedAt) {
-        return startedAt + pace.promiseOver();
+    long firstVoteTime(long startedAt) {
+        return startedAt + timing.maxVoteDuration();
     }
 
     /**
      * Whether the vote was granted to this instance. The same name is not enough: an earlier or
      * concurrent process of that name may still rely on the vote.
      */
-    boolean same(int ofLife) {
-        return toLife == ofLife;
+    boolean isCandidateInstance(int instance) {
+        return candidateInstanceId == instance;
     }
 
     /** Whether the vote can be granted: no other process relies on it. */
-    boolean free(long now) {
-        return now >= votesFrom && !(promised && now < until);
+    boolean isFree(long now) {
+        return now >= firstVoteAt && !(granted && now < voteEnd);
     }
 
     /**
      * Answers a vote request or a renewal. The answer carries the voter sets remembered before this
      * message.
      */
-    Message asked(long now, Message of) {
-        boolean canvass = of.kind() == Kind.CANVASS;
-        boolean mine = promised && now < until && to == of.sender() && same(of.life());
-        boolean yes = now >= votesFrom && of.to() == life
-            && (canvass ? of.term() > term : of.term() >= term) && (free(now) || mine);
-        Agreed had = agreed, hadNext = next;
-        if (yes) {
-            promised = true;
-            to = of.sender();
-            toLife = of.life();
-            until = now + pace.promise();
-            promisedTerm = of.term();
-            term = of.term();
-            if (!canvass && (agreed == null || !agreed.newerThan(of.agreed()))) {
-                agreed = of.agreed();
-                next = of.next();
+    BudgetMessage handleVoteRequest(long now, BudgetMessage request) {
+        boolean newElection = request.kind() == Kind.VOTE_REQUEST;
+        boolean grantedToSender = granted && now < voteEnd && candidateId == request.senderId() && isCandidateInstance(request.instanceId());
+        boolean grant = now >= firstVoteAt && request.receiverInstanceId() == instanceId
+            && (newElection ? request.term() > term : request.term() >= term) && (isFree(now) || grantedToSender);
+        VoterSet previousCommittedSet = committedSet, previousPendingSet = pendingSet;
+        if (grant) {
+            granted = true;
+            candidateId = request.senderId();
+            candidateInstanceId = request.instanceId();
+            voteEnd = now + timing.voteDuration();
+            grantedTerm = request.term();
+            term = request.term();
+            if (!newElection && (committedSet == null || !committedSet.isNewerThan(request.committedSet()))) {
+                committedSet = request.committedSet();
+                pendingSet = request.pendingSet();
             }
         }
-        return new Message(Kind.VOTE, self, life, of.life(), term, of.number(), 0, 0, yes, of.sender(), had,
-            hadNext, java.util.List.of());
+        return new BudgetMessage(Kind.VOTE, selfId, instanceId, request.instanceId(), term, request.requestNumber(), 0, 0, grant, request.senderId(), previousCommittedSet,
+            previousPendingSet, java.util.List.of());
     }
 
     /** Releases the vote if it was granted to the process that resigns; returns whether it was. */
-    boolean resigned(int by, int byLife, long ofTerm) {
-        boolean freed = promised && to == by && toLife == byLife && ofTerm >= promisedTerm;
-        promised &= !freed;
+    boolean release(int resigningId, int resigningInstanceId, long resignedTerm) {
+        boolean freed = granted && candidateId == resigningId && candidateInstanceId == resigningInstanceId && resignedTerm >= grantedTerm;
+        granted &= !freed;
         return freed;
     }
 }
--- a/fleet/src/test/java/dockrelay/fleet/budget/BrokenBudgets.java
+++ b/fleet/src/test/java/dockrelay/fleet/budget/BrokenBudgets.java
@@ -10,11 +10,11 @@
     /** A reduced share counts as free before its holder has confirmed the reduction. */
     GIVER_DOES_NOT_WAIT(0) {
         @Override
-        Ledger ledger(Collection<Budget> of, long term, BudgetTiming at, long now) {
-            return new Ledger(of, term, at, now) {
+        LeaseLedger ledger(Collection<Budget> of, long term, BudgetTiming at, long now) {
+            return new LeaseLedger(of, term, at, now) {
                 @Override
-                void told(Account account, Lent lent, long rate, long burst) {
-                    account.set(lent, rate, burst);
+                void recordGrant(BudgetAccount account, Lease lent, long rate, long burst) {
+                    account.setLease(lent, rate, burst);
                 }
             };
         }
@@ -23,29 +23,29 @@
     LEASE_WITHOUT_END(0) {
         @Override
         long leaseEnd(long now, long sentAt, BudgetTiming at) {
-            return now + 1000 * at.lease();
+            return now + 1000 * at.leaseDuration();
         }
     },
     /** A lease counts from the arrival of the grant instead of the sending of the request. */
     LEASE_FROM_ARRIVAL(8900) {
         @Override
         long leaseEnd(long now, long sentAt, BudgetTiming at) {
-            return now + at.lease();
+            return now + at.leaseDuration();
         }
     },
     /** The burst is not divided: each process has all of it. */
     BURST_NOT_COUNTED(0) {
         @Override
-        Ledger ledger(Collection<Budget> of, long term, BudgetTiming at, long now) {
-            return new Ledger(of, term, at, now) {
+        LeaseLedger ledger(Collection<Budget> of, long term, BudgetTiming at, long now) {
+            return new LeaseLedger(of, term, at, now) {
                 @Override
-                long freeBurst(Account account) {
-                    return account.whole.burst();
+                long freeBurst(BudgetAccount account) {
+                    return account.budget.burst();
                 }
 
                 @Override
-                long burst(Account account, long rate) {
-                    return account.whole.burst();
+                long burstFor(BudgetAccount account, long rate) {
+                    return account.budget.burst();
                 }
             };
         }
@@ -53,19 +53,19 @@
     /** A new coordinator treats shares that have not been reported to it yet as free. */
     UNKNOWN_IS_FREE(0) {
         @Override
-        Ledger ledger(Collection<Budget> of, long term, BudgetTiming at, long now) {
-            return new Ledger(of, term, at, now - at.leaseOver());
+        LeaseLedger ledger(Collection<Budget> of, long term, BudgetTiming at, long now) {
+            return new LeaseLedger(of, term, at, now - at.maxLeaseDuration());
         }
     },
     /** A change of the voter set needs a quorum of the new set only. */
     NEW_LIST_ALONE(700) {
         @Override
-        Authority authority(int id, int life, BudgetTiming at, Voter of, MemberList names, Random by,
-                            Authority.Sender sender, long now) {
-            return new Authority(id, life, at, of, names, by, sender, now) {
+        CoordinatorElection authority(int id, int life, BudgetTiming at, Voter of, MemberList names, Random by,
+                            CoordinatorElection.Sender sender, long now) {
+            return new CoordinatorElection(id, life, at, of, names, by, sender, now) {
                 @Override
-                boolean enough(Set<Integer> said, Agreed list, Agreed change, Set<Integer> but) {
-                    return change == null ? list.quorum(said, but) : change.quorum(said, but);
+                boolean hasQuorum(Set<Integer> said, VoterSet list, VoterSet change, Set<Integer> but) {
+                    return change == null ? list.isQuorum(said, but) : change.isQuorum(said, but);
                 }
             };
         }
@@ -73,12 +73,12 @@
     /** Any half of the voter set is a quorum, so that two disjoint quorums exist. */
     HALF_IS_ENOUGH(0) {
         @Override
-        Authority authority(int id, int life, BudgetTiming at, Voter of, MemberList names, Random by,
-                            Authority.Sender sender, long now) {
-            return new Authority(id, life, at, of, names, by, sender, now) {
+        CoordinatorElection authority(int id, int life, BudgetTiming at, Voter of, MemberList names, Random by,
+                            CoordinatorElection.Sender sender, long now) {
+            return new CoordinatorElection(id, life, at, of, names, by, sender, now) {
                 @Override
-                boolean enough(Set<Integer> said, Agreed list, Agreed change, Set<Integer> but) {
-                    return 2 * list.ids().length <= 4 * said.size();
+                boolean hasQuorum(Set<Integer> said, VoterSet list, VoterSet change, Set<Integer> but) {
+                    return 2 * list.memberIds().length <= 4 * said.size();
                 }
             };
         }
@@ -95,17 +95,17 @@
         return new Voter(id, life, at, now);
     }
 
-    Authority authority(int id, int life, BudgetTiming at, Voter of, MemberList names, Random by,
-                        Authority.Sender sender, long now) {
-        return new Authority(id, life, at, of, names, by, sender, now);
+    CoordinatorElection authority(int id, int life, BudgetTiming at, Voter of, MemberList names, Random by,
+                        CoordinatorElection.Sender sender, long now) {
+        return new CoordinatorElection(id, life, at, of, names, by, sender, now);
     }
 
-    Ledger ledger(Collection<Budget> of, long term, BudgetTiming at, long now) {
-        return new Ledger(of, term, at, now);
+    LeaseLedger ledger(Collection<Budget> of, long term, BudgetTiming at, long now) {
+        return new LeaseLedger(of, term, at, now);
     }
 
     long leaseEnd(long now, long sentAt, BudgetTiming at) {
-        return sentAt + at.leaseRelied();
+        return sentAt + at.reliedLeaseDuration();
     }
 
     @Override
@@ -115,24 +115,24 @@
         BrokenBudgets broken = this;
         return new BudgetNode(self, names, budgets, life, BudgetTiming.DEFAULT, random, actions, now) {
             @Override
-            Voter voter(int id, int ofLife, BudgetTiming at, long from) {
+            Voter newVoter(int id, int ofLife, BudgetTiming at, long from) {
                 return broken.voter(id, ofLife, at, from);
             }
 
             @Override
-            Authority authority(int id, int ofLife, BudgetTiming at, Voter of, MemberList roster, Random by,
-                                Authority.Sender sender, long from) {
+            CoordinatorElection newElection(int id, int ofLife, BudgetTiming at, Voter of, MemberList roster, Random by,
+                                CoordinatorElection.Sender sender, long from) {
                 return broken.authority(id, ofLife, at, of, roster, by, sender, from);
             }
 
             @Override
-            Ledger ledger(Collection<Budget> of, long term, BudgetTiming at, long from) {
+            LeaseLedger newLedger(Collection<Budget> of, long term, BudgetTiming at, long from) {
                 return broken.ledger(of, term, at, from);
             }
 
             @Override
-            Holder holder(int id, int ofLife, BudgetTiming at, Collection<Budget> of, long from) {
-                return new Holder(id, ofLife, at, of, from) {
+            LeaseHolder newLeaseHolder(int id, int ofLife, BudgetTiming at, Collection<Budget> of, long from) {
+                return new LeaseHolder(id, ofLife, at, of, from) {
                     @Override
                     long leaseEnd(long here, long sentAt) {
                         return broken.leaseEnd(here, sentAt, at);
--- a/fleet/src/test/java/dockrelay/fleet/budget/BudgetSchedule.java
+++ b/fleet/src/test/java/dockrelay/fleet/budget/BudgetSchedule.java
@@ -76,7 +76,7 @@
         world.all.forEach(process -> gone.add(process.name));
         gone.removeAll(names);
         for (Process process : world.processes.values()) {
-            process.run(() -> process.machine.retired(process.local(), gone));
+            process.run(() -> process.machine.setRetiredMembers(process.local(), gone));
         }
         world.runUntil(world.now + CALM);
         long most = 0; // shares that move between processes belong to neither for a moment
@@ -93,13 +93,13 @@
             throw new Broken(most / (double) world.budget.rate() + " of the rate is leased at the end, "
                 + world.processes.values().stream().filter(one -> !one.dead).map(one -> one.name + " " +
                     one.partRate
-                + " of " + one.machine.rows(one.local())).toList());
+                + " of " + one.machine.budgetStatuses(one.local())).toList());
         }
     }
 
     private String waiting() {
         return String.valueOf(world.processes.values().stream().map(one -> one.name + " waits for "
-            + one.machine.waitsFor()).toList());
+            + one.machine.missingVoters()).toList());
     }
 
     private void demand(Process process) {
--- a/fleet/src/test/java/dockrelay/fleet/budget/BudgetsTest.java
+++ b/fleet/src/test/java/dockrelay/fleet/budget/BudgetsTest.java
@@ -189,20 +189,20 @@
     @Test
     void aBudgetThatIsNamedAgainIsNotLentTwice() {
         Budget budget = Budget.perSecond("again", 100);
-        long now = BudgetTiming.DEFAULT.leaseOver() + 1;
-        Ledger ledger = new Ledger(List.of(budget), 1, BudgetTiming.DEFAULT, 0);
-        assertTrue(ledger.ask(now, first(1, budget)).lines().get(0).rate() > 0, "the whole budget is free");
+        long now = BudgetTiming.DEFAULT.maxLeaseDuration() + 1;
+        LeaseLedger ledger = new LeaseLedger(List.of(budget), 1, BudgetTiming.DEFAULT, 0);
+        assertTrue(ledger.handleRequest(now, first(1, budget)).entries().get(0).rate() > 0, "the whole budget is free");
         ledger.configure(now + 1, List.of());
         ledger.configure(now + 2, List.of(budget));
-        assertTrue(ledger.ask(now + 3, first(2, budget)).lines().get(0).rate() == 0,
+        assertTrue(ledger.handleRequest(now + 3, first(2, budget)).entries().get(0).rate() == 0,
             "the budget is still leased");
-        assertTrue(ledger.ask(now + 3 + BudgetTiming.DEFAULT.leaseOver(), first(3, budget)).lines().get(0).rate()
+        assertTrue(ledger.handleRequest(now + 3 + BudgetTiming.DEFAULT.maxLeaseDuration(), first(3, budget)).entries().get(0).rate()
             > 0, "the earlier lease has expired");
     }
 
-    private static Message first(int name, Budget budget) {
-        return new Message(Message.Kind.ASK, name, 7, 0, 1, 1, 0, 0, false, 0, null, null,
-            List.of(new Message.Line(budget.id(), 0, 0, budget.rate(), 0)));
+    private static BudgetMessage first(int name, Budget budget) {
+        return new BudgetMessage(BudgetMessage.Kind.LEASE_REQUEST, name, 7, 0, 1, 1, 0, 0, false, 0, null, null,
+            List.of(new BudgetMessage.BudgetEntry(budget.id(), 0, 0, budget.rate(), 0)));
     }
 
     private static long until(BudgetWorld world, BooleanSupplier holds) {
--- a/proxy/src/main/java/dockrelay/proxy/BudgetConfigReader.java
+++ b/proxy/src/main/java/dockrelay/proxy/BudgetConfigReader.java
@@ -60,7 +60,7 @@
             + budget.burst() / (double) Budget.MICROTOKENS_PER_TOKEN + " is too small for " + groups.grouping().groupCount()
             + " groups with a total of " + names + " peers, the smallest with " + smallest,
             "the minimum here is "
-                + (long) Math.ceil((double) Budget.LEAST_BURST / Budget.MICROTOKENS_PER_TOKEN * names / smallest));
+                + (long) Math.ceil((double) Budget.MIN_BURST_MICROTOKENS / Budget.MICROTOKENS_PER_TOKEN * names / smallest));
     }
 
     /**
@@ -68,7 +68,7 @@
      * processes with the same list of peers.
      */
     private static boolean divisible(Budget budget, PeerGroups groups) {
-        return part(budget.burst(), groups.smallest(), groups) >= Budget.LEAST_BURST
+        return part(budget.burst(), groups.smallest(), groups) >= Budget.MIN_BURST_MICROTOKENS
             && part(budget.rate(), groups.smallest(), groups) > 0;
     }
 
--- a/proxy/src/main/java/dockrelay/proxy/BudgetService.java
+++ b/proxy/src/main/java/dockrelay/proxy/BudgetService.java
@@ -6,7 +6,7 @@
 import dockrelay.fleet.MemberState;
 import dockrelay.fleet.budget.Budget;
 import dockrelay.fleet.budget.BudgetTiming;
-import dockrelay.fleet.budget.BudgetRow;
+import dockrelay.fleet.budget.BudgetStatus;
 import dockrelay.fleet.budget.BudgetNode;
 import dockrelay.fleet.budget.LeasedShare;
 import dockrelay.fleet.budget.ShareUsage;
@@ -50,7 +50,7 @@
         this.reportedAt = now;
         this.machine = new BudgetNode(config.name(), config.groupMemberNames(), config.groupBudgets(), life,
             BudgetTiming.DEFAULT, random, this, now);
-        machine.retired(now, config.retiredMembers());
+        machine.setRetiredMembers(now, config.retiredMembers());
         schedule();
         table.eventLoop().scheduleWithFixedDelay(this::report, REPORT_MILLIS, REPORT_MILLIS,
             TimeUnit.MILLISECONDS);
@@ -98,7 +98,7 @@
 
     void configure(Config next) {
         machine.configure(now(), next.groupMemberNames(), next.groupBudgets());
-        machine.retired(now(), next.retiredMembers());
+        machine.setRetiredMembers(now(), next.retiredMembers());
     }
 
     @Override
@@ -156,7 +156,7 @@
     }
 
     void log() {
-        Map<String, Long> refused = machine.refused();
+        Map<String, Long> refused = machine.takeRefusalCounts();
         if (!refused.isEmpty()) {
             Log.write("budgets-refused", "datagrams not taken: " + refused);
         }
@@ -170,19 +170,19 @@
     /** The console's answer to BUDGETS: a summary line, then a line per budget. */
     String describe() {
         long now = now();
-        String keeper = machine.keeper(now);
+        String keeper = machine.coordinatorName(now);
         StringBuilder text = new StringBuilder("200 keeper=" + (machine.isCoordinator(now) ? "self" : keeper == null
             ? "none" : keeper));
-        if (machine.waitsFor() != null) {
-            text.append(" waits-for=").append(machine.waitsFor());
+        if (machine.missingVoters() != null) {
+            text.append(" waits-for=").append(machine.missingVoters());
         }
-        for (BudgetRow row : machine.rows(now)) {
+        for (BudgetStatus row : machine.budgetStatuses(now)) {
             text.append(String.format(Locale.ROOT, "%n%s whole=%.3f/s burst=%.1f part=%.3f/s part-burst=%.1f"
-                + " wanted=%.1f/s spent=%d lease=%.1fs age=%.1fs", row.whole().name(),
-                    micros(row.whole().rate()),
-                micros(row.whole().burst()), micros(row.rate()), micros(row.burst()), row.wanted() /
+                + " wanted=%.1f/s spent=%d lease=%.1fs age=%.1fs", row.budget().name(),
+                    micros(row.budget().rate()),
+                micros(row.budget().burst()), micros(row.shareRate()), micros(row.shareBurst()), row.demand() /
                     Budget.MICROTOKENS_PER_TOKEN,
-                row.spent(), row.lease() / 1e6, Math.min(row.age() / 1e6, 99_999)));
+                row.spentTokens(), row.remainingLeaseMicros() / 1e6, Math.min(row.grantAgeMicros() / 1e6, 99_999)));
         }
         return text.toString();
     }
--- a/proxy/src/main/java/dockrelay/proxy/MembershipService.java
+++ b/proxy/src/main/java/dockrelay/proxy/MembershipService.java
@@ -137,7 +137,7 @@
     private void receive(String from, ByteBuf content) {
         if (machine != null && !ended) {
             ByteBuffer bytes = content.nioBuffer();
-            if (bytes.hasRemaining() && BudgetNode.ours(bytes.get(0))) {
+            if (bytes.hasRemaining() && BudgetNode.isBudgetDatagram(bytes.get(0))) {
                 if (budgets != null) {
                     guarded(() -> budgets.receive(from, bytes));
                 }
@@ -265,7 +265,7 @@
         if (grouping.isSingleGroup() && config.peerGroups().grouping().isSingleGroup()) {
             return "the member list is now " + names;
         }
-        long fresh = next.peers().names().stream().filter(name -> !config.peers().names(name)).count();
+        long fresh = next.peers().names().stream().filter(name -> !config.peers().contains(name)).count();
         int own = grouping.groupOf(next.name());
         return "the member list now has " + grouping.memberCount() + " names, " + fresh + " added and "
             + (config.peers().size() + fresh - grouping.memberCount()) + " removed, in " + grouping.groupCount()
--- a/proxy/src/main/java/dockrelay/proxy/PeerDirectory.java
+++ b/proxy/src/main/java/dockrelay/proxy/PeerDirectory.java
@@ -56,7 +56,7 @@
         return place == null ? null : addresses.get(place);
     }
 
-    boolean names(String name) {
+    boolean contains(String name) {
         return byName.containsKey(name);
     }
 }
--- a/proxy/src/main/java/dockrelay/proxy/PeerGroups.java
+++ b/proxy/src/main/java/dockrelay/proxy/PeerGroups.java
@@ -41,10 +41,10 @@
                 throw shape(CONFIG_KEY + "." + key, value, "only size or zones");
             }
         });
-        return of(size(map.get("size")), zones(map.get("zones"), peers), peers);
+        return of(readSize(map.get("size")), readZones(map.get("zones"), peers), peers);
     }
 
-    private static int size(Object value) {
+    private static int readSize(Object value) {
         if (value == null) {
             return GroupAssignment.DEFAULT_GROUP_SIZE;
         }
@@ -54,7 +54,7 @@
         throw shape(SIZE, value, "a whole number of " + GroupAssignment.MIN_GROUP_SIZE + " to " + GroupAssignment.MAX_GROUP_SIZE);
     }
 
-    private static Map<String, List<String>> zones(Object value, PeerDirectory peers) {
+    private static Map<String, List<String>> readZones(Object value, PeerDirectory peers) {
         if (value == null) {
             return Map.of("", peers.names());
         }
@@ -93,7 +93,7 @@
             };
         }
         zones.forEach((zone, names) -> names.forEach(name -> {
-            if (!peers.names(name)) {
+            if (!peers.contains(name)) {
                 throw new PeerGroupsException(Code.UNKNOWN, ZONES + "." + zone,
                     "a list with the unknown name \"" + name + "\"",
                     "allowed are the names in peers");
--- a/proxy/src/main/java/dockrelay/proxy/PeerTransport.java
+++ b/proxy/src/main/java/dockrelay/proxy/PeerTransport.java
@@ -120,7 +120,7 @@
         }
         if (members != null && content.isReadable()
             && (from < 0 || GroupedMembership.isMembershipDatagram(content.getByte(content.readerIndex()))
-            || BudgetNode.ours(content.getByte(content.readerIndex())))) {
+            || BudgetNode.isBudgetDatagram(content.getByte(content.readerIndex())))) {
             members.receive(config.peers().name(from), content);
         } else if (from >= 0 && toldToAll()) {
             String message = content.toString(StandardCharsets.UTF_8);
