--- a/proxy/src/main/java/dockrelay/proxy/BudgetConfigReader.java
+++ b/proxy/src/main/java/dockrelay/proxy/BudgetConfigReader.java
@@ -15,7 +15,7 @@
  */
 final class BudgetConfigReader {
     /** The budget of redundant attempts, hedges and retries of all proxies together. */
-    private static final Set<String> NAMES = Set.of("extra");
+    private static final Set<String> KNOWN_BUDGETS = Set.of("extra");
 
     private BudgetConfigReader() {
     }
@@ -26,62 +26,62 @@
      *
      * @throws BudgetException if a budget is unknown, invalid or too small for the groups
      */
-    static List<Budget> read(Map<?, ?> named, Settings settings, PeerGroups groups) {
-        List<Budget> result = new ArrayList<>();
-        named.forEach((name, value) -> {
-            if (!NAMES.contains(name) || !(value instanceof Map<?, ?>)) {
+    static List<Budget> read(Map<?, ?> entries, Settings settings, PeerGroups groups) {
+        List<Budget> budgets = new ArrayList<>();
+        entries.forEach((name, value) -> {
+            if (!KNOWN_BUDGETS.contains(name) || !(value instanceof Map<?, ?>)) {
                 throw new BudgetException(BudgetException.Code.NAME, "budgets." + name + " = " + value
-                    + " is not a known budget", "allowed are " + NAMES
+                    + " is not a known budget", "allowed are " + KNOWN_BUDGETS
                     + ", each {\"per_second\": NUMBER, \"burst\": NUMBER}");
             }
-            Map<?, ?> of = (Map<?, ?>) value;
-            Budget budget = Budget.perSecond((String) name, Config.numberOrDefault(of, "per_second", 0));
-            budget = of.containsKey("burst") ? new Budget(budget.name(), budget.rate(),
-                Math.round(Config.numberOrDefault(of, "burst", 0) * Budget.MICROTOKENS_PER_TOKEN)) : budget;
-            if (groups != null && !divisible(budget, groups)) {
+            Map<?, ?> properties = (Map<?, ?>) value;
+            Budget budget = Budget.perSecond((String) name, Config.numberOrDefault(properties, "per_second", 0));
+            budget = properties.containsKey("burst") ? new Budget(budget.name(), budget.rate(),
+                Math.round(Config.numberOrDefault(properties, "burst", 0) * Budget.MICROTOKENS_PER_TOKEN)) : budget;
+            if (groups != null && !isDivisible(budget, groups)) {
                 throw tooSmall(budget, groups);
             }
-            result.add(budget);
+            budgets.add(budget);
         });
         for (Tenant tenant : settings.tenants()) {
             if (tenant.quotaPerSecond() > 0) {
                 Budget budget = Budget.perSecond("tenant/" + tenant.name(), tenant.quotaPerSecond());
-                if (groups == null || divisible(budget, groups)) {
-                    result.add(budget); // the balancer divides smaller quotas itself
+                if (groups == null || isDivisible(budget, groups)) {
+                    budgets.add(budget); // the balancer divides smaller quotas itself
                 }
             }
         }
-        return result;
+        return budgets;
     }
 
     private static BudgetException tooSmall(Budget budget, PeerGroups groups) {
-        int names = groups.grouping().memberCount(), smallest = groups.smallest();
+        int peerCount = groups.assignment().memberCount(), smallestSize = groups.smallestGroupSize();
         return new BudgetException(BudgetException.Code.BURST, "budget " + budget.name() + ": burst of "
-            + budget.burst() / (double) Budget.MICROTOKENS_PER_TOKEN + " is too small for " + groups.grouping().groupCount()
-            + " groups with a total of " + names + " peers, the smallest with " + smallest,
+            + budget.burst() / (double) Budget.MICROTOKENS_PER_TOKEN + " is too small for " + groups.assignment().groupCount()
+            + " groups with a total of " + peerCount + " peers, the smallest with " + smallestSize,
             "the minimum here is "
-                + (long) Math.ceil((double) Budget.MIN_BURST_MICROTOKENS / Budget.MICROTOKENS_PER_TOKEN * names / smallest));
+                + (long) Math.ceil((double) Budget.MIN_BURST_MICROTOKENS / Budget.MICROTOKENS_PER_TOKEN * peerCount / smallestSize));
     }
 
     /**
      * Whether the part of the smallest group is still a valid budget. The result is the same at all
      * processes with the same list of peers.
      */
-    private static boolean divisible(Budget budget, PeerGroups groups) {
-        return part(budget.burst(), groups.smallest(), groups) >= Budget.MIN_BURST_MICROTOKENS
-            && part(budget.rate(), groups.smallest(), groups) > 0;
+    private static boolean isDivisible(Budget budget, PeerGroups groups) {
+        return groupPart(budget.burst(), groups.smallestGroupSize(), groups) >= Budget.MIN_BURST_MICROTOKENS
+            && groupPart(budget.rate(), groups.smallestGroupSize(), groups) > 0;
     }
 
-    private static long part(long whole, int names, PeerGroups groups) {
-        return whole * names / groups.grouping().memberCount();
+    private static long groupPart(long total, int groupSize, PeerGroups groups) {
+        return total * groupSize / groups.assignment().memberCount();
     }
 
     /**
      * The budgets of a group with so many names. The parts of all groups never add up to more than the
      * whole.
      */
-    static List<Budget> groupShares(List<Budget> budgets, int names, PeerGroups groups) {
-        return budgets.stream().map(whole -> new Budget(whole.name(), part(whole.rate(), names, groups),
-            part(whole.burst(), names, groups))).toList();
+    static List<Budget> groupShares(List<Budget> budgets, int groupSize, PeerGroups groups) {
+        return budgets.stream().map(budget -> new Budget(budget.name(), groupPart(budget.rate(), groupSize, groups),
+            groupPart(budget.burst(), groupSize, groups))).toList();
     }
 }
--- a/proxy/src/main/java/dockrelay/proxy/BudgetService.java
+++ b/proxy/src/main/java/dockrelay/proxy/BudgetService.java
@@ -27,32 +27,32 @@
  * proportion to its number of members; shares are not leased between groups.
  */
 final class BudgetService implements BudgetNode.Callbacks {
-    private static final long REPORT_MILLIS = 100;
+    private static final long REPORT_INTERVAL_MILLIS = 100;
     /**
      * A member that is gone for longer loses its vote, so that the remaining voters can form a quorum.
      */
-    private static final long GONE_MICROS = 10_000_000;
-
-    private final EventLoop loop;
-    private final RequestTable table;
-    private final BiConsumer<String, ByteBuffer> sender;
-    private final BudgetNode machine;
-    private final Map<String, Long> askedBefore = new HashMap<>();
-    private volatile boolean left;
-    private long reportedAt, lastTold; // confined to the event loop of the request table
-
-    BudgetService(EventLoop loop, RequestTable table, Config config, int life, Random random,
-                 BiConsumer<String, ByteBuffer> sender) {
-        this.loop = loop;
-        this.table = table;
-        this.sender = sender;
-        long now = now();
-        this.reportedAt = now;
-        this.machine = new BudgetNode(config.name(), config.groupMemberNames(), config.groupBudgets(), life,
+    private static final long MIN_GONE_MICROS = 10_000_000;
+
+    private final EventLoop membershipLoop;
+    private final RequestTable requestTable;
+    private final BiConsumer<String, ByteBuffer> datagramSender;
+    private final BudgetNode budgetNode;
+    private final Map<String, Long> previousRequestCounts = new HashMap<>();
+    private volatile boolean stopped;
+    private long lastReportAt, lastUpdateNumber; // confined to the event loop of the request table
+
+    BudgetService(EventLoop membershipLoop, RequestTable requestTable, Config config, int instanceId, Random random,
+                 BiConsumer<String, ByteBuffer> datagramSender) {
+        this.membershipLoop = membershipLoop;
+        this.requestTable = requestTable;
+        this.datagramSender = datagramSender;
+        long now = nowMicros();
+        this.lastReportAt = now;
+        this.budgetNode = new BudgetNode(config.name(), config.groupMemberNames(), config.groupBudgets(), instanceId,
             BudgetTiming.DEFAULT, random, this, now);
-        machine.setRetiredMembers(now, config.retiredMembers());
-        schedule();
-        table.eventLoop().scheduleWithFixedDelay(this::report, REPORT_MILLIS, REPORT_MILLIS,
+        budgetNode.setRetiredMembers(now, config.retiredMembers());
+        scheduleTick();
+        requestTable.eventLoop().scheduleWithFixedDelay(this::reportUsage, REPORT_INTERVAL_MILLIS, REPORT_INTERVAL_MILLIS,
             TimeUnit.MILLISECONDS);
     }
 
@@ -60,105 +60,105 @@
      * Sets all shares to zero, so that nothing is spent before the first lease. Runs on the table's
      * event loop.
      */
-    static void applyZeroShares(RequestTable table, Config config) {
-        table.budgets(0, 0, config.budgets().stream().map(budget -> new BudgetShare(budget.name(), 0, 0, 0))
+    static void applyZeroShares(RequestTable requestTable, Config config) {
+        requestTable.budgets(0, 0, config.budgets().stream().map(budget -> new BudgetShare(budget.name(), 0, 0, 0))
             .toList());
     }
 
-    private static long now() {
+    private static long nowMicros() {
         return System.nanoTime() / 1000;
     }
 
-    private void schedule() {
-        loop.schedule(() -> {
-            if (!left) {
-                machine.tick(now());
-                schedule();
+    private void scheduleTick() {
+        membershipLoop.schedule(() -> {
+            if (!stopped) {
+                budgetNode.tick(nowMicros());
+                scheduleTick();
             }
-        }, Math.max(0, machine.nextTickAt() - now()), TimeUnit.MICROSECONDS);
+        }, Math.max(0, budgetNode.nextTickAt() - nowMicros()), TimeUnit.MICROSECONDS);
     }
 
-    void receive(String from, ByteBuffer datagram) {
-        if (!left) {
-            machine.receive(now(), from, datagram);
+    void receive(String senderName, ByteBuffer datagram) {
+        if (!stopped) {
+            budgetNode.receive(nowMicros(), senderName, datagram);
         }
     }
 
-    void presence(List<MemberStatus> rows) {
-        List<String> here = new ArrayList<>(), away = new ArrayList<>();
-        for (MemberStatus row : rows) {
-            if (row.state() == MemberState.PRESENT || row.state() == MemberState.SUSPECT) {
-                here.add(row.name());
-            } else if (row.state() == MemberState.LEFT || row.state() == MemberState.GONE && row.stateAge() > GONE_MICROS) {
-                away.add(row.name());
+    void updatePresence(List<MemberStatus> statuses) {
+        List<String> presentNames = new ArrayList<>(), departedNames = new ArrayList<>();
+        for (MemberStatus status : statuses) {
+            if (status.state() == MemberState.PRESENT || status.state() == MemberState.SUSPECT) {
+                presentNames.add(status.name());
+            } else if (status.state() == MemberState.LEFT || status.state() == MemberState.GONE && status.stateAge() > MIN_GONE_MICROS) {
+                departedNames.add(status.name());
             }
         }
-        machine.updatePresence(here, away);
+        budgetNode.updatePresence(presentNames, departedNames);
     }
 
-    void configure(Config next) {
-        machine.configure(now(), next.groupMemberNames(), next.groupBudgets());
-        machine.setRetiredMembers(now(), next.retiredMembers());
+    void configure(Config newConfig) {
+        budgetNode.configure(nowMicros(), newConfig.groupMemberNames(), newConfig.groupBudgets());
+        budgetNode.setRetiredMembers(nowMicros(), newConfig.retiredMembers());
     }
 
     @Override
-    public void send(String to, ByteBuffer datagram) {
-        sender.accept(to, datagram);
+    public void send(String memberName, ByteBuffer datagram) {
+        datagramSender.accept(memberName, datagram);
     }
 
     @Override
-    public void applyShares(long telling, List<LeasedShare> parts, long until) {
-        tell(telling, until, parts);
+    public void applyShares(long updateNumber, List<LeasedShare> shares, long validUntil) {
+        passToBalancer(updateNumber, validUntil, shares);
     }
 
-    private void tell(long telling, long until, List<LeasedShare> parts) {
-        List<BudgetShare> told = parts.stream().map(part -> new BudgetShare(part.budget(), micros(part.rate()),
-            micros(part.burst()), micros(part.addedTokens()))).toList();
-        table.eventLoop().execute(() -> {
-            if (!left) {
-                table.budgets(telling, until - now(), told);
-                lastTold = telling;
+    private void passToBalancer(long updateNumber, long validUntil, List<LeasedShare> shares) {
+        List<BudgetShare> balancerShares = shares.stream().map(share -> new BudgetShare(share.budget(), toTokens(share.rate()),
+            toTokens(share.burst()), toTokens(share.addedTokens()))).toList();
+        requestTable.eventLoop().execute(() -> {
+            if (!stopped) {
+                requestTable.budgets(updateNumber, validUntil - nowMicros(), balancerShares);
+                lastUpdateNumber = updateNumber;
             }
         });
     }
 
-    private static double micros(long amount) {
-        return amount / (double) Budget.MICROTOKENS_PER_TOKEN;
+    private static double toTokens(long microtokens) {
+        return microtokens / (double) Budget.MICROTOKENS_PER_TOKEN;
     }
 
     /** Reports the balancer's usage of the shares. Runs on the table's event loop. */
-    private void report() {
-        if (left) {
+    private void reportUsage() {
+        if (stopped) {
             return;
         }
-        long now = now(), went = Math.max(1, now - reportedAt), upTo = lastTold;
-        reportedAt = now;
-        List<ShareUsage> uses = new ArrayList<>();
-        for (BudgetUse use : table.budgets()) {
-            Long before = askedBefore.put(use.budget(), use.asked());
-            double wanted = (use.asked() - (before == null ? 0 : before)) * 1e6 / went * Budget.MICROTOKENS_PER_TOKEN;
-            uses.add(new ShareUsage(use.budget(), wanted, use.waits() ? 1 : 0, (long) Math.ceil(use.left() *
+        long now = nowMicros(), elapsedMicros = Math.max(1, now - lastReportAt), updateNumber = lastUpdateNumber;
+        lastReportAt = now;
+        List<ShareUsage> usages = new ArrayList<>();
+        for (BudgetUse balancerUsage : requestTable.budgets()) {
+            Long previousCount = previousRequestCounts.put(balancerUsage.budget(), balancerUsage.asked());
+            double demand = (balancerUsage.asked() - (previousCount == null ? 0 : previousCount)) * 1e6 / elapsedMicros * Budget.MICROTOKENS_PER_TOKEN;
+            usages.add(new ShareUsage(balancerUsage.budget(), demand, balancerUsage.waits() ? 1 : 0, (long) Math.ceil(balancerUsage.left() *
                 Budget.MICROTOKENS_PER_TOKEN),
-                use.spent()));
+                balancerUsage.spent()));
         }
-        loop.execute(() -> machine.reportUsage(upTo, uses));
+        membershipLoop.execute(() -> budgetNode.reportUsage(updateNumber, usages));
     }
 
     /** Revokes all shares for good, including updates still queued. Runs on the table's event loop. */
     void stopSpending() {
-        left = true;
-        table.budgets(Long.MAX_VALUE, 0, List.of());
+        stopped = true;
+        requestTable.budgets(Long.MAX_VALUE, 0, List.of());
     }
 
     /** Returns the shares after spending has stopped. Runs on the membership thread. */
     void leave() {
-        machine.leave(now());
+        budgetNode.leave(nowMicros());
     }
 
-    void log() {
-        Map<String, Long> refused = machine.takeRefusalCounts();
-        if (!refused.isEmpty()) {
-            Log.write("budgets-refused", "datagrams not taken: " + refused);
+    void logRefusals() {
+        Map<String, Long> refusalCounts = budgetNode.takeRefusalCounts();
+        if (!refusalCounts.isEmpty()) {
+            Log.write("budgets-refused", "datagrams not taken: " + refusalCounts);
         }
     }
 
@@ -168,21 +168,21 @@
     }
 
     /** The console's answer to BUDGETS: a summary line, then a line per budget. */
-    String describe() {
-        long now = now();
-        String keeper = machine.coordinatorName(now);
-        StringBuilder text = new StringBuilder("200 keeper=" + (machine.isCoordinator(now) ? "self" : keeper == null
-            ? "none" : keeper));
-        if (machine.missingVoters() != null) {
-            text.append(" waits-for=").append(machine.missingVoters());
+    String consoleAnswer() {
+        long now = nowMicros();
+        String coordinator = budgetNode.coordinatorName(now);
+        StringBuilder text = new StringBuilder("200 keeper=" + (budgetNode.isCoordinator(now) ? "self" : coordinator == null
+            ? "none" : coordinator));
+        if (budgetNode.missingVoters() != null) {
+            text.append(" waits-for=").append(budgetNode.missingVoters());
         }
-        for (BudgetStatus row : machine.budgetStatuses(now)) {
+        for (BudgetStatus status : budgetNode.budgetStatuses(now)) {
             text.append(String.format(Locale.ROOT, "%n%s whole=%.3f/s burst=%.1f part=%.3f/s part-burst=%.1f"
-                + " wanted=%.1f/s spent=%d lease=%.1fs age=%.1fs", row.budget().name(),
-                    micros(row.budget().rate()),
-                micros(row.budget().burst()), micros(row.shareRate()), micros(row.shareBurst()), row.demand() /
+                + " wanted=%.1f/s spent=%d lease=%.1fs age=%.1fs", status.budget().name(),
+                    toTokens(status.budget().rate()),
+                toTokens(status.budget().burst()), toTokens(status.shareRate()), toTokens(status.shareBurst()), status.demand() /
                     Budget.MICROTOKENS_PER_TOKEN,
-                row.spentTokens(), row.remainingLeaseMicros() / 1e6, Math.min(row.grantAgeMicros() / 1e6, 99_999)));
+                status.spentTokens(), status.remainingLeaseMicros() / 1e6, Math.min(status.grantAgeMicros() / 1e6, 99_999)));
         }
         return text.toString();
     }
--- a/proxy/src/main/java/dockrelay/proxy/Console.java
+++ b/proxy/src/main/java/dockrelay/proxy/Console.java
@@ -37,28 +37,28 @@
  * loop is busy.
  */
 final class Console {
-    private static final int LONGEST_LINE = 256;
+    private static final int MAX_LINE_BYTES = 256;
     /**
      * Beyond this number the oldest connection is closed, so that idle callers cannot block the
      * console.
      */
-    private static final int MOST_CALLERS = 12;
-    private static final long CALL_MILLIS = 2_000;
+    private static final int MAX_CONNECTIONS = 12;
+    private static final long CONNECTION_TIMEOUT_MILLIS = 2_000;
     /**
      * How long an answer waits for a change to take effect. A caller waits 1 s; a change that the event
      * loop has not applied by then is stored already and is applied next.
      */
-    private static final long IN_FORCE_MILLIS = 700;
+    private static final long APPLY_TIMEOUT_MILLIS = 700;
 
-    private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1,
+    private final EventLoopGroup eventLoopGroup = new MultiThreadIoEventLoopGroup(1,
         new DefaultThreadFactory("console"), NioIoHandler.newFactory());
-    private final EventLoop loop = group.next();
-    private final OperatorOverrides operators;
+    private final EventLoop eventLoop = eventLoopGroup.next();
+    private final OperatorOverrides overrides;
     private final BooleanSupplier serving;
-    private final Function<String, CompletableFuture<Void>> enforce;
-    private final MembershipService members; // null without peers
-    private final Supplier<CompletableFuture<String>> budgets; // null without shared budgets
-    private final Set<Channel> callers = new LinkedHashSet<>(); // oldest first
+    private final Function<String, CompletableFuture<Void>> applyChange;
+    private final MembershipService membership; // null without peers
+    private final Supplier<CompletableFuture<String>> budgetAnswer; // null without shared budgets
+    private final Set<Channel> connections = new LinkedHashSet<>(); // oldest first
     private final Channel listener;
 
     /**
@@ -66,29 +66,29 @@
      * force. {@code members} and {@code budgets} may be null; the commands about them are rejected
      * then.
      */
-    Console(InetSocketAddress address, OperatorOverrides operators, BooleanSupplier serving,
-            Function<String, CompletableFuture<Void>> enforce, MembershipService members,
-            Supplier<CompletableFuture<String>> budgets) {
-        this.budgets = budgets;
-        this.members = members;
-        this.operators = operators;
+    Console(InetSocketAddress address, OperatorOverrides overrides, BooleanSupplier serving,
+            Function<String, CompletableFuture<Void>> applyChange, MembershipService membership,
+            Supplier<CompletableFuture<String>> budgetAnswer) {
+        this.budgetAnswer = budgetAnswer;
+        this.membership = membership;
+        this.overrides = overrides;
         this.serving = serving;
-        this.enforce = enforce;
-        this.listener = new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
+        this.applyChange = applyChange;
+        this.listener = new ServerBootstrap().group(eventLoop).channel(NioServerSocketChannel.class)
             .option(ChannelOption.SO_REUSEADDR, true)
             .childOption(ChannelOption.ALLOW_HALF_CLOSURE, true)
             .childHandler(new ChannelInitializer<Channel>() {
                 @Override
                 protected void initChannel(Channel channel) {
-                    channel.pipeline().addLast(new LineBasedFrameDecoder(LONGEST_LINE, true, true),
-                        new Call());
+                    channel.pipeline().addLast(new LineBasedFrameDecoder(MAX_LINE_BYTES, true, true),
+                        new ConnectionHandler());
                 }
             }).bind(address).syncUninterruptibly().channel();
     }
 
     /** Runs a task periodically on the console's thread, with a fixed delay in milliseconds. */
-    void scheduleAtFixedDelay(long millis, Runnable look) {
-        loop.scheduleWithFixedDelay(look, millis, millis, TimeUnit.MILLISECONDS);
+    void scheduleAtFixedDelay(long delayMillis, Runnable task) {
+        eventLoop.scheduleWithFixedDelay(task, delayMillis, delayMillis, TimeUnit.MILLISECONDS);
     }
 
     InetSocketAddress address() {
@@ -96,83 +96,83 @@
     }
 
     void close() {
-        group.shutdownGracefully(0, 1_000, TimeUnit.MILLISECONDS);
+        eventLoopGroup.shutdownGracefully(0, 1_000, TimeUnit.MILLISECONDS);
     }
 
     /** Executes a command line. The answer completes once the change that it confirms is in force. */
-    CompletableFuture<String> answer(String line) {
+    CompletableFuture<String> execute(String line) {
         String[] words = line.split(" ", -1);
         try {
             if ("PING".equals(words[0]) && words.length == 1) {
                 return CompletableFuture.completedFuture(serving.getAsBoolean() ? "200 serving"
                     : "400 not serving");
-            } else if ("MEMBERS".equals(words[0]) && words.length == 1 && members != null) {
-                return members.describe();
-            } else if ("GROUPS".equals(words[0]) && words.length == 1 && members != null) {
-                return members.describeGroups();
-            } else if ("MEMBER".equals(words[0]) && members != null) {
-                return words.length == 2 && !words[1].isEmpty() ? members.describe(words[1])
+            } else if ("MEMBERS".equals(words[0]) && words.length == 1 && membership != null) {
+                return membership.describe();
+            } else if ("GROUPS".equals(words[0]) && words.length == 1 && membership != null) {
+                return membership.describeGroups();
+            } else if ("MEMBER".equals(words[0]) && membership != null) {
+                return words.length == 2 && !words[1].isEmpty() ? membership.describe(words[1])
                     : CompletableFuture.completedFuture("400 usage: MEMBER NAME");
-            } else if ("BUDGETS".equals(words[0]) && words.length == 1 && budgets != null) {
-                return budgets.get();
+            } else if ("BUDGETS".equals(words[0]) && words.length == 1 && budgetAnswer != null) {
+                return budgetAnswer.get();
             } else if ("DETACH".equals(words[0]) || "ATTACH".equals(words[0])) {
                 if (words.length != 2 || words[1].isEmpty()) {
                     return CompletableFuture.completedFuture("400 usage: " + words[0] + " ID");
-                } else if (!operators.isKnown(words[1])) {
+                } else if (!overrides.isKnown(words[1])) {
                     return CompletableFuture.completedFuture("400 no backend has that id");
                 }
-                boolean out = "DETACH".equals(words[0]);
-                boolean changed = out ? operators.detach(words[1]) : operators.attach(words[1]);
+                boolean detaching = "DETACH".equals(words[0]);
+                boolean changed = detaching ? overrides.detach(words[1]) : overrides.attach(words[1]);
                 if (changed) {
-                    Log.write("console", line + ": " + operators.out() + " backends are detached");
+                    Log.write("console", line + ": " + overrides.detachedCount() + " backends are detached");
                 }
                 // Also without a change: an earlier one may not be in force yet.
-                return enforce.apply(words[1]).completeOnTimeout(null, IN_FORCE_MILLIS, TimeUnit.MILLISECONDS)
-                    .thenApply(done -> "200 " + words[1] + (out ? " is out" : " is in use"));
+                return applyChange.apply(words[1]).completeOnTimeout(null, APPLY_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
+                    .thenApply(ignored -> "200 " + words[1] + (detaching ? " is out" : " is in use"));
             }
         } catch (IOException e) {
             Log.error("console", e);
             return CompletableFuture.completedFuture("400 cannot keep the change: nothing is changed");
         }
         return CompletableFuture.completedFuture("400 calls are PING, DETACH ID and ATTACH ID"
-            + (members == null ? "" : ", and MEMBERS, GROUPS and MEMBER NAME")
-            + (budgets == null ? "" : ", and BUDGETS"));
+            + (membership == null ? "" : ", and MEMBERS, GROUPS and MEMBER NAME")
+            + (budgetAnswer == null ? "" : ", and BUDGETS"));
     }
 
     /** Handles one connection. */
-    private final class Call extends SimpleChannelInboundHandler<ByteBuf> {
+    private final class ConnectionHandler extends SimpleChannelInboundHandler<ByteBuf> {
         private boolean answered;
 
         @Override
         public void channelActive(ChannelHandlerContext context) {
-            if (callers.size() >= MOST_CALLERS) {
-                Iterator<Channel> first = callers.iterator();
-                Channel longest = first.next();
-                first.remove();
-                longest.close();
+            if (connections.size() >= MAX_CONNECTIONS) {
+                Iterator<Channel> oldestFirst = connections.iterator();
+                Channel oldest = oldestFirst.next();
+                oldestFirst.remove();
+                oldest.close();
             }
-            callers.add(context.channel());
-            loop.schedule(() -> context.close(), CALL_MILLIS, TimeUnit.MILLISECONDS);
+            connections.add(context.channel());
+            eventLoop.schedule(() -> context.close(), CONNECTION_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            callers.remove(context.channel());
+            connections.remove(context.channel());
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, ByteBuf line) {
             if (!answered) {
                 answered = true;
-                answer(line.toString(StandardCharsets.ISO_8859_1))
-                    .thenAccept(text -> loop.execute(() -> say(context, text)));
+                execute(line.toString(StandardCharsets.ISO_8859_1))
+                    .thenAccept(text -> eventLoop.execute(() -> respond(context, text)));
             }
         }
 
-        private void refuse(ChannelHandlerContext context, String why) {
+        private void reject(ChannelHandlerContext context, String answer) {
             if (!answered) {
                 answered = true;
-                say(context, why);
+                respond(context, answer);
             }
         }
 
@@ -180,13 +180,13 @@
          * Shuts down the output only: closing with unread input would reset the connection and lose the
          * answer.
          */
-        private void say(ChannelHandlerContext context, String text) {
-            context.writeAndFlush(Unpooled.copiedBuffer(text + "\n", StandardCharsets.ISO_8859_1))
-                .addListener((ChannelFutureListener) done -> {
-                    if (done.isSuccess()) {
-                        ((DuplexChannel) done.channel()).shutdownOutput();
+        private void respond(ChannelHandlerContext context, String answer) {
+            context.writeAndFlush(Unpooled.copiedBuffer(answer + "\n", StandardCharsets.ISO_8859_1))
+                .addListener((ChannelFutureListener) write -> {
+                    if (write.isSuccess()) {
+                        ((DuplexChannel) write.channel()).shutdownOutput();
                     } else {
-                        done.channel().close();
+                        write.channel().close();
                     }
                 });
         }
@@ -197,7 +197,7 @@
                 if (answered && ((DuplexChannel) context.channel()).isOutputShutdown()) {
                     context.close();
                 } else {
-                    refuse(context, "400 the line has no end");
+                    reject(context, "400 the line has no end");
                 }
             }
             context.fireUserEventTriggered(event);
@@ -206,7 +206,7 @@
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
             if (cause instanceof TooLongFrameException) {
-                refuse(context, "400 the line is too long");
+                reject(context, "400 the line is too long");
                 return;
             }
             if (!(cause instanceof IOException)) {
--- a/proxy/src/main/java/dockrelay/proxy/MembershipService.java
+++ b/proxy/src/main/java/dockrelay/proxy/MembershipService.java
@@ -40,93 +40,93 @@
  * all names of the fleet.
  */
 final class MembershipService implements GroupedMembership.Callbacks {
-    private static final long TELL_MILLIS = 250, RETRY_MILLIS = 100, LOG_MILLIS = 200;
+    private static final long PUBLISH_INTERVAL_MILLIS = 250, BIND_RETRY_MILLIS = 100, LOG_INTERVAL_MILLIS = 200;
     /** Number of incarnations reserved per write to disk; each refuted suspicion uses one. */
-    private static final long RESERVED = 10_000;
+    private static final long RESERVED_INCARNATIONS = 10_000;
     /** Time limit for looking up a member; a caller of the console waits 1 s. */
-    private static final long FIND_MILLIS = 800;
+    private static final long LOOKUP_TIMEOUT_MILLIS = 800;
     /** Log lines are split at this length, before the log would truncate them. */
-    private static final int LONGEST_LINE = 400;
+    private static final int MAX_LOG_LINE_LENGTH = 400;
 
-    private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1,
+    private final EventLoopGroup eventLoopGroup = new MultiThreadIoEventLoopGroup(1,
         new DefaultThreadFactory("peers", true), NioIoHandler.newFactory());
-    private final EventLoop loop = group.next();
-    private final Path file;
-    private final Consumer<FleetView> told;
-    private final PeerTransport peers;
+    private final EventLoop eventLoop = eventLoopGroup.next();
+    private final Path incarnationFile;
+    private final Consumer<FleetView> fleetViewConsumer;
+    private final PeerTransport transport;
     private final Random random;
-    private final List<String> news = new ArrayList<>();
+    private final List<String> loggedChanges = new ArrayList<>();
     private Config config;
-    private GroupedMembership machine;
-    private final Map<String, CompletableFuture<MemberStatus>> sought = new HashMap<>();
-    private ScheduledFuture<?> next; // the scheduled tick; nextAt is its time
-    private long nextAt;
-    private long suspicions, clashes, reserved;
-    private final RequestTable table;
-    private BudgetService budgets; // null if no budgets are configured
-    private volatile BudgetService spending; // the same object, for access from other threads
-    private boolean ended;
+    private GroupedMembership membership;
+    private final Map<String, CompletableFuture<MemberStatus>> pendingLookups = new HashMap<>();
+    private ScheduledFuture<?> scheduledTick; // the scheduled tick; nextAt is its time
+    private long scheduledTickAt;
+    private long suspicionCount, nameConflictCount, storedIncarnation;
+    private final RequestTable requestTable;
+    private BudgetService budgetService; // null if no budgets are configured
+    private volatile BudgetService publishedBudgetService; // the same object, for access from other threads
+    private boolean handedOver;
 
     /**
      * The folder keeps the incarnation across restarts and may be null; the consumer receives the view
      * of the fleet.
      */
-    MembershipService(Config config, Path folder, RequestTable table, Consumer<FleetView> told) {
+    MembershipService(Config config, Path folder, RequestTable requestTable, Consumer<FleetView> fleetViewConsumer) {
         this.config = config;
-        this.file = folder == null ? null : folder.resolve("incarnation");
-        this.told = told;
-        this.table = table;
+        this.incarnationFile = folder == null ? null : folder.resolve("incarnation");
+        this.fleetViewConsumer = fleetViewConsumer;
+        this.requestTable = requestTable;
         this.random = new Random(config.seed());
-        this.peers = new PeerTransport(loop, config, table, this::receive);
+        this.transport = new PeerTransport(eventLoop, config, requestTable, this::receive);
     }
 
     /** Opens the socket and joins the fleet, once this process can serve. */
     void join() {
-        loop.execute(() -> peers.open(RETRY_MILLIS, this::begin));
+        eventLoop.execute(() -> transport.open(BIND_RETRY_MILLIS, this::start));
     }
 
     PeerTransport transport() {
-        return peers;
+        return transport;
     }
 
-    private static long now() {
+    private static long nowMicros() {
         return System.nanoTime() / 1000;
     }
 
-    private void begin() {
+    private void start() {
         // The protocol corrects an incarnation that is too low; starting from the wall clock makes that rare.
-        long incarnation = Math.max(kept() + 1, System.currentTimeMillis() / 1000);
-        int life = random.nextInt() | 1;
-        machine = new GroupedMembership(config.name(), config.peerGroups().grouping(), incarnation, life, ProtocolTiming.DEFAULT, random,
-            this, now());
+        long incarnation = Math.max(readStoredIncarnation() + 1, System.currentTimeMillis() / 1000);
+        int instanceId = random.nextInt() | 1;
+        membership = new GroupedMembership(config.name(), config.peerGroups().assignment(), incarnation, instanceId, ProtocolTiming.DEFAULT, random,
+            this, nowMicros());
         if (!config.budgets().isEmpty()) {
-            budgets = new BudgetService(loop, table, config, life, new Random(random.nextLong()), this::send);
-            spending = budgets;
+            budgetService = new BudgetService(eventLoop, requestTable, config, instanceId, new Random(random.nextLong()), this::send);
+            publishedBudgetService = budgetService;
         }
-        schedule();
-        loop.scheduleWithFixedDelay(this::tell, TELL_MILLIS, TELL_MILLIS, TimeUnit.MILLISECONDS);
-        loop.scheduleWithFixedDelay(this::log, LOG_MILLIS, LOG_MILLIS, TimeUnit.MILLISECONDS);
+        scheduleTick();
+        eventLoop.scheduleWithFixedDelay(this::publishFleetView, PUBLISH_INTERVAL_MILLIS, PUBLISH_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
+        eventLoop.scheduleWithFixedDelay(this::writeLog, LOG_INTERVAL_MILLIS, LOG_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     /** Schedules the next tick, or moves it forward if something became due earlier. */
-    private void schedule() {
-        long at = machine.nextTickAt();
-        if (next == null || at < nextAt && next.cancel(false)) {
-            nextAt = at;
-            next = loop.schedule(this::tick, Math.max(0, at - now()), TimeUnit.MICROSECONDS);
+    private void scheduleTick() {
+        long tickAt = membership.nextTickAt();
+        if (scheduledTick == null || tickAt < scheduledTickAt && scheduledTick.cancel(false)) {
+            scheduledTickAt = tickAt;
+            scheduledTick = eventLoop.schedule(this::tick, Math.max(0, tickAt - nowMicros()), TimeUnit.MICROSECONDS);
         }
     }
 
     private void tick() {
-        next = null;
-        if (!ended) {
-            guarded(() -> machine.tick(now()));
-            schedule();
+        scheduledTick = null;
+        if (!handedOver) {
+            runGuarded(() -> membership.tick(nowMicros()));
+            scheduleTick();
         }
     }
 
     /** Logs an exception instead of letting it end the periodic tasks. */
-    private static void guarded(Runnable action) {
+    private static void runGuarded(Runnable action) {
         try {
             action.run();
         } catch (RuntimeException e) {
@@ -134,35 +134,35 @@
         }
     }
 
-    private void receive(String from, ByteBuf content) {
-        if (machine != null && !ended) {
+    private void receive(String senderName, ByteBuf content) {
+        if (membership != null && !handedOver) {
             ByteBuffer bytes = content.nioBuffer();
             if (bytes.hasRemaining() && BudgetNode.isBudgetDatagram(bytes.get(0))) {
-                if (budgets != null) {
-                    guarded(() -> budgets.receive(from, bytes));
+                if (budgetService != null) {
+                    runGuarded(() -> budgetService.receive(senderName, bytes));
                 }
                 return;
             }
-            guarded(() -> machine.receive(now(), from, bytes));
-            schedule();
+            runGuarded(() -> membership.receive(nowMicros(), senderName, bytes));
+            scheduleTick();
         }
     }
 
-    private void tell() {
-        if (!ended) {
-            if (budgets != null) {
-                guarded(() -> budgets.presence(machine.memberStatuses(now())));
+    private void publishFleetView() {
+        if (!handedOver) {
+            if (budgetService != null) {
+                runGuarded(() -> budgetService.updatePresence(membership.memberStatuses(nowMicros())));
             }
-            MembershipSnapshot standing = machine.snapshot(now());
-            told.accept(new FleetView(standing.countedMembers(), standing.ownRank(), standing.budgetShare(), standing.minBudgetShare(),
-                Agreement.valueOf(standing.agreement().name()), 0, config.peerGroups().grouping().isSingleGroup() ? 0
-                    : Math.max(1, standing.oldestReportAge()))); // 0 stands for a single group
+            MembershipSnapshot snapshot = membership.snapshot(nowMicros());
+            fleetViewConsumer.accept(new FleetView(snapshot.countedMembers(), snapshot.ownRank(), snapshot.budgetShare(), snapshot.minBudgetShare(),
+                Agreement.valueOf(snapshot.agreement().name()), 0, config.peerGroups().assignment().isSingleGroup() ? 0
+                    : Math.max(1, snapshot.oldestReportAge()))); // 0 stands for a single group
         }
     }
 
     @Override
-    public void send(String to, ByteBuffer datagram) {
-        peers.send(to, Unpooled.wrappedBuffer(datagram));
+    public void send(String memberName, ByteBuffer datagram) {
+        transport.send(memberName, Unpooled.wrappedBuffer(datagram));
     }
 
     /**
@@ -172,44 +172,44 @@
     @Override
     public void memberChanged(MemberStateChange change) {
         if (change.newState() == MemberState.SUSPECT) {
-            suspicions++;
+            suspicionCount++;
         } else if (change.previousState() != MemberState.SUSPECT || change.newState() != MemberState.PRESENT
             || change.restarted()) {
-            news.add("at " + System.currentTimeMillis() + " " + change);
+            loggedChanges.add("at " + System.currentTimeMillis() + " " + change);
         }
     }
 
-    private void log() {
+    private void writeLog() {
         StringBuilder line = new StringBuilder();
-        for (String one : news) {
-            if (line.length() > 0 && line.length() + one.length() > LONGEST_LINE) {
+        for (String change : loggedChanges) {
+            if (line.length() > 0 && line.length() + change.length() > MAX_LOG_LINE_LENGTH) {
                 Log.write("members", line.toString());
                 line.setLength(0);
             }
-            line.append(line.length() == 0 ? "" : "; ").append(one);
+            line.append(line.length() == 0 ? "" : "; ").append(change);
         }
         if (line.length() > 0) {
             Log.write("members", line.toString());
         }
-        news.clear();
-        if (budgets != null) {
-            budgets.log();
+        loggedChanges.clear();
+        if (budgetService != null) {
+            budgetService.logRefusals();
         }
-        Map<String, Long> refused = machine.takeRefusalCounts();
-        if (!refused.isEmpty()) {
-            Log.write("members-refused", "datagrams not taken: " + refused);
+        Map<String, Long> refusalCounts = membership.takeRefusalCounts();
+        if (!refusalCounts.isEmpty()) {
+            Log.write("members-refused", "datagrams not taken: " + refusalCounts);
         }
     }
 
     @Override
-    public void nameConflict(String name, String why) {
-        clashes++;
-        Log.write("members-clash", "two processes use the name " + name + ": " + why);
+    public void nameConflict(String name, String reason) {
+        nameConflictCount++;
+        Log.write("members-clash", "two processes use the name " + name + ": " + reason);
     }
 
-    private long kept() {
+    private long readStoredIncarnation() {
         try {
-            return file == null || !Files.exists(file) ? 0 : Long.parseLong(Files.readString(file).trim());
+            return incarnationFile == null || !Files.exists(incarnationFile) ? 0 : Long.parseLong(Files.readString(incarnationFile).trim());
         } catch (IOException | NumberFormatException e) {
             Log.write("members", "cannot read the incarnation that was kept: " + e);
             return 0;
@@ -221,56 +221,56 @@
      * disk would block this thread and make a suspected member miss datagrams as well.
      */
     @Override
-    public void incarnationChanged(long own) {
-        if (file == null || own <= reserved) {
+    public void incarnationChanged(long newIncarnation) {
+        if (incarnationFile == null || newIncarnation <= storedIncarnation) {
             return;
         }
-        reserved = own + RESERVED;
+        storedIncarnation = newIncarnation + RESERVED_INCARNATIONS;
         try {
-            Files.createDirectories(file.getParent());
-            Path part = file.resolveSibling("incarnation.part");
-            Files.writeString(part, reserved + "\n", StandardCharsets.US_ASCII);
-            Files.move(part, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+            Files.createDirectories(incarnationFile.getParent());
+            Path temporaryFile = incarnationFile.resolveSibling("incarnation.part");
+            Files.writeString(temporaryFile, storedIncarnation + "\n", StandardCharsets.US_ASCII);
+            Files.move(temporaryFile, incarnationFile, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
         } catch (IOException e) {
             Log.error("members", e); // the next process learns its incarnation from the other members
         }
     }
 
     /** Applies a new configuration of the peers; ignored if it names this process differently. */
-    void configure(Config file) {
-        loop.execute(() -> guarded(() -> {
-            if (!file.name().equals(config.name())) {
-                Log.write("reload", "name is " + file.name() + " in the file, this process is "
+    void configure(Config newConfig) {
+        eventLoop.execute(() -> runGuarded(() -> {
+            if (!newConfig.name().equals(config.name())) {
+                Log.write("reload", "name is " + newConfig.name() + " in the file, this process is "
                     + config.name() + "; the previous peers stay in force");
                 return;
             }
-            if (!file.peerGroups().same(config.peerGroups())) {
-                if (machine != null) {
-                    machine.configure(now(), file.peerGroups().grouping());
-                    schedule();
+            if (!newConfig.peerGroups().hasSameGroups(config.peerGroups())) {
+                if (membership != null) {
+                    membership.configure(nowMicros(), newConfig.peerGroups().assignment());
+                    scheduleTick();
                 }
-                Log.write("members", listed(file));
+                Log.write("members", describeListChange(newConfig));
             }
-            config = file;
-            peers.configure(file);
-            if (budgets != null) {
-                budgets.configure(file);
+            config = newConfig;
+            transport.configure(newConfig);
+            if (budgetService != null) {
+                budgetService.configure(newConfig);
             }
         }));
     }
 
-    private String listed(Config next) {
-        GroupAssignment grouping = next.peerGroups().grouping();
-        String names = PeerGroups.abbreviate(next.peers().names());
-        if (grouping.isSingleGroup() && config.peerGroups().grouping().isSingleGroup()) {
+    private String describeListChange(Config newConfig) {
+        GroupAssignment assignment = newConfig.peerGroups().assignment();
+        String names = PeerGroups.abbreviate(newConfig.peers().names());
+        if (assignment.isSingleGroup() && config.peerGroups().assignment().isSingleGroup()) {
             return "the member list is now " + names;
         }
-        long fresh = next.peers().names().stream().filter(name -> !config.peers().contains(name)).count();
-        int own = grouping.groupOf(next.name());
-        return "the member list now has " + grouping.memberCount() + " names, " + fresh + " added and "
-            + (config.peers().size() + fresh - grouping.memberCount()) + " removed, in " + grouping.groupCount()
-            + (grouping.isSingleGroup() ? " group" : " groups") + "; own group is " + grouping.label(own) + " of "
-            + grouping.memberNames(own).size() + ": " + names;
+        long added = newConfig.peers().names().stream().filter(name -> !config.peers().contains(name)).count();
+        int ownGroup = assignment.groupOf(newConfig.name());
+        return "the member list now has " + assignment.memberCount() + " names, " + added + " added and "
+            + (config.peers().size() + added - assignment.memberCount()) + " removed, in " + assignment.groupCount()
+            + (assignment.isSingleGroup() ? " group" : " groups") + "; own group is " + assignment.label(ownGroup) + " of "
+            + assignment.memberNames(ownGroup).size() + ": " + names;
     }
 
     /**
@@ -278,60 +278,60 @@
      * the request table.
      */
     void stopSpending() {
-        if (spending != null) {
-            spending.stopSpending();
+        if (publishedBudgetService != null) {
+            publishedBudgetService.stopSpending();
         }
     }
 
     /** Announces the departure of this member, and keeps answering until the process ends. */
     void leave() {
-        loop.execute(() -> {
-            if (budgets != null) {
-                guarded(budgets::leave);
+        eventLoop.execute(() -> {
+            if (budgetService != null) {
+                runGuarded(budgetService::leave);
             }
-            if (machine != null) {
-                guarded(() -> machine.leave(now()));
+            if (membership != null) {
+                runGuarded(() -> membership.leave(nowMicros()));
             }
         });
     }
 
     /** The console's answer to BUDGETS: a summary line, then a line per budget. */
     CompletableFuture<String> describeBudgets() {
-        return CompletableFuture.supplyAsync(() -> budgets == null || ended ? "400 no budgets are shared"
-            : budgets.describe(), loop);
+        return CompletableFuture.supplyAsync(() -> budgetService == null || handedOver ? "400 no budgets are shared"
+            : budgetService.consoleAnswer(), eventLoop);
     }
 
     /** Hands the name over to the next process: it closes the socket without announcing a departure. */
     CompletableFuture<Void> handOver() {
         return CompletableFuture.runAsync(() -> {
-            if (budgets != null) {
-                guarded(budgets::leave);
+            if (budgetService != null) {
+                runGuarded(budgetService::leave);
             }
-            ended = true;
-            peers.close();
+            handedOver = true;
+            transport.close();
             // From now on the next process has the share of this member.
-            told.accept(new FleetView(1, 0, 0, 0, Agreement.MINORITY, 0, 0));
-        }, loop);
+            fleetViewConsumer.accept(new FleetView(1, 0, 0, 0, Agreement.MINORITY, 0, 0));
+        }, eventLoop);
     }
 
     void close() {
-        group.shutdownGracefully(0, 500, TimeUnit.MILLISECONDS);
+        eventLoopGroup.shutdownGracefully(0, 500, TimeUnit.MILLISECONDS);
     }
 
     /**
      * The console's answer to MEMBERS: a summary line, then a line per member of this process's group.
      */
     CompletableFuture<String> describe() {
-        return answered(() -> {
-            long now = now();
-            MembershipSnapshot standing = machine.snapshot(now);
-            GroupAssignment grouping = config.peerGroups().grouping();
-            StringBuilder text = new StringBuilder(MembersText.figures(standing, machine.digest(),
-                machine.healthScore(), suspicions, clashes));
-            text.append(MembersText.place(standing, grouping.groupCount(),
-                grouping.label(grouping.groupOf(config.name())), machine.isRepresentative()));
-            for (MemberStatus row : machine.memberStatuses(now)) {
-                text.append(System.lineSeparator()).append(MembersText.member(row));
+        return answerOnEventLoop(() -> {
+            long now = nowMicros();
+            MembershipSnapshot snapshot = membership.snapshot(now);
+            GroupAssignment assignment = config.peerGroups().assignment();
+            StringBuilder text = new StringBuilder(MembershipText.summary(snapshot, membership.digest(),
+                membership.healthScore(), suspicionCount, nameConflictCount));
+            text.append(MembershipText.groupSummary(snapshot, assignment.groupCount(),
+                assignment.label(assignment.groupOf(config.name())), membership.isRepresentative()));
+            for (MemberStatus status : membership.memberStatuses(now)) {
+                text.append(System.lineSeparator()).append(MembershipText.memberLine(status));
             }
             return CompletableFuture.completedFuture(text.toString());
         });
@@ -339,7 +339,7 @@
 
     /** The console's answer to GROUPS: a summary line, then a line per group. */
     CompletableFuture<String> describeGroups() {
-        return answered(() -> CompletableFuture.completedFuture(MembersText.groups(machine.groupStatuses(now()))));
+        return answerOnEventLoop(() -> CompletableFuture.completedFuture(MembershipText.groupsAnswer(membership.groupStatuses(nowMicros()))));
     }
 
     /**
@@ -347,39 +347,39 @@
      * group.
      */
     CompletableFuture<String> describe(String name) {
-        return answered(() -> {
-            GroupAssignment grouping = config.peerGroups().grouping();
-            int group = grouping.groupOf(name);
+        return answerOnEventLoop(() -> {
+            GroupAssignment assignment = config.peerGroups().assignment();
+            int group = assignment.groupOf(name);
             if (group < 0) {
                 return CompletableFuture.completedFuture("400 " + name + " is no name of peers here");
             }
-            CompletableFuture<MemberStatus> asked = sought.get(name);
-            if (asked == null) {
-                asked = new CompletableFuture<MemberStatus>().completeOnTimeout(null, FIND_MILLIS,
+            CompletableFuture<MemberStatus> lookup = pendingLookups.get(name);
+            if (lookup == null) {
+                lookup = new CompletableFuture<MemberStatus>().completeOnTimeout(null, LOOKUP_TIMEOUT_MILLIS,
                     TimeUnit.MILLISECONDS);
-                sought.put(name, asked);
-                asked.whenCompleteAsync((row, failure) -> sought.remove(name), loop);
-                machine.findMember(now(), name);
-                schedule();
+                pendingLookups.put(name, lookup);
+                lookup.whenCompleteAsync((status, failure) -> pendingLookups.remove(name), eventLoop);
+                membership.findMember(nowMicros(), name);
+                scheduleTick();
             }
-            return asked.thenApply(row -> row == null ? "400 no answer of group " + grouping.label(group)
-                + ": GROUPS tells whether it is heard" : "200 group=" + grouping.label(group)
-                + System.lineSeparator() + MembersText.member(row));
+            return lookup.thenApply(status -> status == null ? "400 no answer of group " + assignment.label(group)
+                + ": GROUPS tells whether it is heard" : "200 group=" + assignment.label(group)
+                + System.lineSeparator() + MembershipText.memberLine(status));
         });
     }
 
     @Override
-    public void memberLookupCompleted(String name, MemberStatus row) {
-        CompletableFuture<MemberStatus> asked = sought.get(name);
-        if (asked != null) {
-            asked.complete(row);
+    public void memberLookupCompleted(String name, MemberStatus status) {
+        CompletableFuture<MemberStatus> lookup = pendingLookups.get(name);
+        if (lookup != null) {
+            lookup.complete(status);
         }
     }
 
     /** Computes an answer on the membership thread, or an error if the protocol is not running. */
-    private CompletableFuture<String> answered(Supplier<CompletableFuture<String>> answer) {
-        return CompletableFuture.supplyAsync(() -> machine != null && !ended ? answer.get()
-            : CompletableFuture.completedFuture("400 not a member: " + (ended ? "the next process is"
-                : "its address is taken")), loop).thenCompose(later -> later);
+    private CompletableFuture<String> answerOnEventLoop(Supplier<CompletableFuture<String>> answer) {
+        return CompletableFuture.supplyAsync(() -> membership != null && !handedOver ? answer.get()
+            : CompletableFuture.completedFuture("400 not a member: " + (handedOver ? "the next process is"
+                : "its address is taken")), eventLoop).thenCompose(future -> future);
     }
 }
--- a/proxy/src/main/java/dockrelay/proxy/OperatorOverrides.java
+++ b/proxy/src/main/java/dockrelay/proxy/OperatorOverrides.java
@@ -28,21 +28,21 @@
  * arrive on the console's thread, backend lists on the event loop.
  */
 final class OperatorOverrides {
-    private static final String PREFIX = "backend-";
-    private static final Pattern KEPT = Pattern.compile("(out|in) (\\d{1,18})\\n");
+    private static final String FILE_NAME_PREFIX = "backend-";
+    private static final Pattern FILE_CONTENT = Pattern.compile("(out|in) (\\d{1,18})\\n");
     /** Valid ids in a command: the encoded file name stays within the length limit of file systems. */
-    private static final Pattern ID = Pattern.compile("[\\x21-\\x7e]{1,80}");
+    private static final Pattern VALID_ID = Pattern.compile("[\\x21-\\x7e]{1,80}");
     private static final long MICROS_PER_MILLI = 1_000;
-    private static final int MOST_LEFT = 1_000;
+    private static final int MAX_UNLISTED_IDS = 1_000;
 
     private final Path folder;
-    private final Map<String, Mark> marks = new ConcurrentHashMap<>();
-    private final Set<String> spoilt = new HashSet<>(); // unreadable files that have been logged
-    private final Set<String> named = ConcurrentHashMap.newKeySet();
-    private final Set<String> left = new LinkedHashSet<>(); // unlisted last; event loop only
+    private final Map<String, StoredOverride> overridesById = new ConcurrentHashMap<>();
+    private final Set<String> unreadableFiles = new HashSet<>(); // unreadable files that have been logged
+    private final Set<String> knownIds = ConcurrentHashMap.newKeySet();
+    private final Set<String> unlistedIds = new LinkedHashSet<>(); // unlisted last; event loop only
 
     /** Detached or attached again, at this time of the wall clock in microseconds. */
-    private record Mark(boolean out, long at) {
+    private record StoredOverride(boolean detached, long changedAtMicros) {
     }
 
     /** Loads the overrides stored in the folder; if it is null, they are kept in memory only. */
@@ -53,8 +53,8 @@
 
     /** Notes that discovery lists this backend; commands are accepted for known backends only. */
     void markListed(String id) {
-        named.add(id);
-        left.remove(id);
+        knownIds.add(id);
+        unlistedIds.remove(id);
     }
 
     /**
@@ -62,11 +62,11 @@
      * still accepted for a limited number of recently unlisted backends.
      */
     void markUnlisted(String id) {
-        left.add(id);
-        if (left.size() > MOST_LEFT) {
-            Iterator<String> eldest = left.iterator();
-            named.remove(eldest.next());
-            eldest.remove();
+        unlistedIds.add(id);
+        if (unlistedIds.size() > MAX_UNLISTED_IDS) {
+            Iterator<String> oldest = unlistedIds.iterator();
+            knownIds.remove(oldest.next());
+            oldest.remove();
         }
     }
 
@@ -75,7 +75,7 @@
      * it.
      */
     boolean isKnown(String id) {
-        return ID.matcher(id).matches() && (named.contains(id) || marks.containsKey(id));
+        return VALID_ID.matcher(id).matches() && (knownIds.contains(id) || overridesById.containsKey(id));
     }
 
     /**
@@ -83,8 +83,8 @@
      * returns.
      */
     boolean detach(String id) throws IOException {
-        Mark before = marks.get(id);
-        return (before == null || !before.out) && set(id, new Mark(true, now()));
+        StoredOverride previous = overridesById.get(id);
+        return (previous == null || !previous.detached) && store(id, new StoredOverride(true, nowMicros()));
     }
 
     /**
@@ -92,83 +92,83 @@
      * anything.
      */
     boolean attach(String id) throws IOException {
-        Mark before = marks.get(id);
-        return before != null && before.out && set(id, new Mark(false, now()));
+        StoredOverride previous = overridesById.get(id);
+        return previous != null && previous.detached && store(id, new StoredOverride(false, nowMicros()));
     }
 
-    private static long now() {
+    private static long nowMicros() {
         return System.currentTimeMillis() * MICROS_PER_MILLI;
     }
 
-    private boolean set(String id, Mark mark) throws IOException {
+    private boolean store(String id, StoredOverride override) throws IOException {
         if (folder != null) {
             Files.createDirectories(folder);
-            String name = PREFIX + URLEncoder.encode(id, StandardCharsets.UTF_8);
-            Path part = Files.createTempFile(folder, "new-", null);
-            Files.writeString(part, (mark.out ? "out " : "in ") + mark.at + "\n");
-            Files.move(part, folder.resolve(name), StandardCopyOption.ATOMIC_MOVE,
+            String fileName = FILE_NAME_PREFIX + URLEncoder.encode(id, StandardCharsets.UTF_8);
+            Path temporaryFile = Files.createTempFile(folder, "new-", null);
+            Files.writeString(temporaryFile, (override.detached ? "out " : "in ") + override.changedAtMicros + "\n");
+            Files.move(temporaryFile, folder.resolve(fileName), StandardCopyOption.ATOMIC_MOVE,
                 StandardCopyOption.REPLACE_EXISTING);
         }
-        marks.put(id, mark);
+        overridesById.put(id, override);
         return true;
     }
 
     /** Reloads the stored overrides, and returns the ids whose overrides another process has changed. */
     List<String> refresh() {
-        List<String> changed = new ArrayList<>();
+        List<String> changedIds = new ArrayList<>();
         if (folder == null || !Files.isDirectory(folder)) {
-            return changed;
+            return changedIds;
         }
-        try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, PREFIX + "*")) {
+        try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, FILE_NAME_PREFIX + "*")) {
             for (Path file : files) {
-                String id = URLDecoder.decode(file.getFileName().toString().substring(PREFIX.length()),
+                String id = URLDecoder.decode(file.getFileName().toString().substring(FILE_NAME_PREFIX.length()),
                     StandardCharsets.UTF_8);
-                Mark mark = kept(file);
-                if (mark != null && !mark.equals(marks.put(id, mark))) {
-                    changed.add(id);
+                StoredOverride override = readOverride(file);
+                if (override != null && !override.equals(overridesById.put(id, override))) {
+                    changedIds.add(id);
                 }
             }
         } catch (IOException | RuntimeException e) {
             Log.error("operators", e); // the overrides loaded so far stay in force
         }
-        return changed;
+        return changedIds;
     }
 
-    private Mark kept(Path file) throws IOException {
+    private StoredOverride readOverride(Path file) throws IOException {
         String text;
         try {
             text = Files.readString(file, StandardCharsets.ISO_8859_1);
         } catch (NoSuchFileException e) {
             return null; // removed since the folder was listed
         }
-        Matcher matcher = KEPT.matcher(text);
+        Matcher matcher = FILE_CONTENT.matcher(text);
         if (!matcher.matches()) {
-            if (spoilt.add(file.getFileName().toString())) {
+            if (unreadableFiles.add(file.getFileName().toString())) {
                 Log.write("operators", "cannot parse the stored override " + file.getFileName());
             }
             return null;
         }
-        return new Mark("out".equals(matcher.group(1)), Long.parseLong(matcher.group(2)));
+        return new StoredOverride("out".equals(matcher.group(1)), Long.parseLong(matcher.group(2)));
     }
 
     /**
      * The entry with the override applied: detached backends drain, reattached ones have a new start
      * time.
      */
-    RequestTable.ListedBackend applyOverride(String id, RequestTable.ListedBackend member) {
-        Mark mark = marks.get(id);
-        if (mark == null) {
-            return member;
+    RequestTable.ListedBackend applyOverride(String id, RequestTable.ListedBackend listedBackend) {
+        StoredOverride override = overridesById.get(id);
+        if (override == null) {
+            return listedBackend;
         }
-        Backend listed = member.backend();
-        Phase phase = mark.out && listed.phase() == Phase.READY ? Phase.DRAINING : listed.phase();
-        long startedAt = mark.out ? listed.startedAt() : Math.max(listed.startedAt(), mark.at);
-        return new RequestTable.ListedBackend(id, new Backend(listed.id(), listed.zone(), listed.kind(),
-            listed.cell(), phase, listed.weight(), startedAt), member.address());
+        Backend backend = listedBackend.backend();
+        Phase phase = override.detached && backend.phase() == Phase.READY ? Phase.DRAINING : backend.phase();
+        long startedAt = override.detached ? backend.startedAt() : Math.max(backend.startedAt(), override.changedAtMicros);
+        return new RequestTable.ListedBackend(id, new Backend(backend.id(), backend.zone(), backend.kind(),
+            backend.cell(), phase, backend.weight(), startedAt), listedBackend.address());
     }
 
     /** The number of detached backends. */
-    long out() {
-        return marks.values().stream().filter(Mark::out).count();
+    long detachedCount() {
+        return overridesById.values().stream().filter(StoredOverride::detached).count();
     }
 }
--- a/proxy/src/main/java/dockrelay/proxy/PeerDirectory.java
+++ b/proxy/src/main/java/dockrelay/proxy/PeerDirectory.java
@@ -12,18 +12,18 @@
 final class PeerDirectory {
     private final List<String> names;
     private final List<InetSocketAddress> addresses;
-    private final Map<String, Integer> byName = new HashMap<>();
-    private final Map<InetSocketAddress, Integer> byAddress = new HashMap<>();
+    private final Map<String, Integer> indexByName = new HashMap<>();
+    private final Map<InetSocketAddress, Integer> indexByAddress = new HashMap<>();
 
     /** Takes as many names as addresses, or no names. */
     PeerDirectory(List<String> names, List<InetSocketAddress> addresses) {
         this.names = List.copyOf(names);
         this.addresses = List.copyOf(addresses);
         for (int i = 0; i < this.names.size(); i++) {
-            byName.put(this.names.get(i), i);
+            indexByName.put(this.names.get(i), i);
         }
         for (int i = 0; i < this.addresses.size(); i++) {
-            byAddress.putIfAbsent(this.addresses.get(i), i);
+            indexByAddress.putIfAbsent(this.addresses.get(i), i);
         }
     }
 
@@ -37,26 +37,26 @@
     }
 
     /** The index of the peer at this address, the first one if several share it; -1 if there is none. */
-    int at(InetSocketAddress address) {
-        return byAddress.getOrDefault(address, -1);
+    int indexOf(InetSocketAddress address) {
+        return indexByAddress.getOrDefault(address, -1);
     }
 
     /** The name at this index; null if the index is out of range or the peers have no names. */
-    String name(int place) {
-        return place < 0 || place >= names.size() ? null : names.get(place);
+    String nameAt(int index) {
+        return index < 0 || index >= names.size() ? null : names.get(index);
     }
 
-    InetSocketAddress address(int place) {
-        return addresses.get(place);
+    InetSocketAddress address(int index) {
+        return addresses.get(index);
     }
 
     /** The address of the peer of this name; null if there is none. */
     InetSocketAddress address(String name) {
-        Integer place = byName.get(name);
-        return place == null ? null : addresses.get(place);
+        Integer index = indexByName.get(name);
+        return index == null ? null : addresses.get(index);
     }
 
     boolean contains(String name) {
-        return byName.containsKey(name);
+        return indexByName.containsKey(name);
     }
 }
--- a/proxy/src/main/java/dockrelay/proxy/PeerTransport.java
+++ b/proxy/src/main/java/dockrelay/proxy/PeerTransport.java
@@ -22,60 +22,60 @@
  * protocols start with a byte that is not valid in text.
  */
 final class PeerTransport {
-    private static final int LONGEST = 256;
+    private static final int MAX_MESSAGE_BYTES = 256;
     /**
      * Receive limit per window; the kernel drops the datagrams beyond it once the socket buffer is
      * full.
      */
-    private static final long WINDOW_MILLIS = 50;
-    private static final int MOST = 100, MOST_EACH = 10;
+    private static final long RECEIVE_WINDOW_MILLIS = 50;
+    private static final int MAX_DATAGRAMS_PER_WINDOW = 100, MAX_DATAGRAMS_PER_MEMBER = 10;
 
     /** Receives datagrams of the membership and budget protocols. */
-    interface Receiver {
+    interface DatagramReceiver {
         /**
          * Takes a datagram; the name is the one configured for its source address, null if there is
          * none.
          */
-        void receive(String from, ByteBuf content);
+        void receive(String senderName, ByteBuf content);
     }
 
-    private final EventLoop loop;
-    private final RequestTable table;
-    private final Receiver members;
+    private final EventLoop eventLoop;
+    private final RequestTable requestTable;
+    private final DatagramReceiver protocolReceiver;
     private volatile Config config;
     private volatile Channel channel;
-    private int read;
+    private int receivedInWindow;
     private boolean closed;
 
     /**
      * Creates the transport without opening the socket. The receiver may be null: only balancer
      * messages are handled.
      */
-    PeerTransport(EventLoop loop, Config config, RequestTable table, Receiver members) {
-        this.loop = loop;
+    PeerTransport(EventLoop eventLoop, Config config, RequestTable requestTable, DatagramReceiver protocolReceiver) {
+        this.eventLoop = eventLoop;
         this.config = config;
-        this.table = table;
-        this.members = members;
+        this.requestTable = requestTable;
+        this.protocolReceiver = protocolReceiver;
     }
 
-    PeerTransport(EventLoop loop, Config config, RequestTable table) {
-        this(loop, config, table, null);
+    PeerTransport(EventLoop eventLoop, Config config, RequestTable requestTable) {
+        this(eventLoop, config, requestTable, null);
         channel = bootstrap().bind(config.peerListenAddress()).syncUninterruptibly().channel();
     }
 
     private Bootstrap bootstrap() {
-        return new Bootstrap().group(loop).channel(NioDatagramChannel.class)
+        return new Bootstrap().group(eventLoop).channel(NioDatagramChannel.class)
             .handler(new SimpleChannelInboundHandler<DatagramPacket>() {
                 @Override
                 public void channelActive(ChannelHandlerContext context) {
-                    if (members != null) {
-                        openWindow(context.channel());
+                    if (protocolReceiver != null) {
+                        startReceiveWindow(context.channel());
                     }
                 }
 
                 @Override
                 protected void channelRead0(ChannelHandlerContext context, DatagramPacket packet) {
-                    taken(context, packet);
+                    handleDatagram(context, packet);
                 }
 
                 @Override
@@ -89,42 +89,42 @@
      * Binds the socket and retries while the address is in use, as by the old process during an
      * upgrade.
      */
-    void open(long retryMillis, Runnable opened) {
-        bootstrap().bind(config.peerListenAddress()).addListener((ChannelFutureListener) done -> {
-            if (done.isSuccess() && !closed) {
-                channel = done.channel();
-                opened.run();
+    void open(long retryMillis, Runnable onOpen) {
+        bootstrap().bind(config.peerListenAddress()).addListener((ChannelFutureListener) bind -> {
+            if (bind.isSuccess() && !closed) {
+                channel = bind.channel();
+                onOpen.run();
             } else if (!closed) {
-                Log.write("peers", "cannot bind " + config.peerListenAddress() + " yet, retrying: " + done.cause());
-                loop.schedule(() -> open(retryMillis, opened), retryMillis, TimeUnit.MILLISECONDS);
+                Log.write("peers", "cannot bind " + config.peerListenAddress() + " yet, retrying: " + bind.cause());
+                eventLoop.schedule(() -> open(retryMillis, onOpen), retryMillis, TimeUnit.MILLISECONDS);
             } else {
-                done.channel().close();
+                bind.channel().close();
             }
         });
     }
 
     /** Starts a new receive window. The limit keeps a flood of datagrams from delaying requests. */
-    private void openWindow(Channel here) {
-        read = 0;
-        here.config().setAutoRead(true);
-        if (here.isOpen()) {
-            loop.schedule(() -> openWindow(here), WINDOW_MILLIS, TimeUnit.MILLISECONDS);
+    private void startReceiveWindow(Channel socketChannel) {
+        receivedInWindow = 0;
+        socketChannel.config().setAutoRead(true);
+        if (socketChannel.isOpen()) {
+            eventLoop.schedule(() -> startReceiveWindow(socketChannel), RECEIVE_WINDOW_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
-    private void taken(ChannelHandlerContext context, DatagramPacket packet) {
-        int from = config.peers().at(packet.sender()); // peers are identified by their source address only
+    private void handleDatagram(ChannelHandlerContext context, DatagramPacket packet) {
+        int senderIndex = config.peers().indexOf(packet.sender()); // peers are identified by their source address only
         ByteBuf content = packet.content();
-        if (members != null && ++read >= MOST + MOST_EACH * config.groupMemberNames().size()) {
+        if (protocolReceiver != null && ++receivedInWindow >= MAX_DATAGRAMS_PER_WINDOW + MAX_DATAGRAMS_PER_MEMBER * config.groupMemberNames().size()) {
             context.channel().config().setAutoRead(false);
         }
-        if (members != null && content.isReadable()
-            && (from < 0 || GroupedMembership.isMembershipDatagram(content.getByte(content.readerIndex()))
+        if (protocolReceiver != null && content.isReadable()
+            && (senderIndex < 0 || GroupedMembership.isMembershipDatagram(content.getByte(content.readerIndex()))
             || BudgetNode.isBudgetDatagram(content.getByte(content.readerIndex())))) {
-            members.receive(config.peers().name(from), content);
-        } else if (from >= 0 && toldToAll()) {
+            protocolReceiver.receive(config.peers().nameAt(senderIndex), content);
+        } else if (senderIndex >= 0 && exchangesBalancerMessages()) {
             String message = content.toString(StandardCharsets.UTF_8);
-            table.eventLoop().execute(() -> table.deliverPeerMessage(from, message));
+            requestTable.eventLoop().execute(() -> requestTable.deliverPeerMessage(senderIndex, message));
         }
     }
 
@@ -133,26 +133,26 @@
      * other proxy, so the traffic grows with the number of tenants and of proxies. Fleets of several
      * groups therefore go without.
      */
-    private boolean toldToAll() {
-        return config.peerGroups() == null || config.peerGroups().grouping().isSingleGroup();
+    private boolean exchangesBalancerMessages() {
+        return config.peerGroups() == null || config.peerGroups().assignment().isSingleGroup();
     }
 
     /** Applies a new list of peers. */
-    void configure(Config next) {
-        config = next;
+    void configure(Config newConfig) {
+        config = newConfig;
     }
 
     /**
      * Sends to the peer of this name; the datagram is dropped if the socket is not open or the name is
      * unknown.
      */
-    void send(String to, ByteBuf content) {
-        Channel here = channel;
-        InetSocketAddress address = config.peers().address(to);
-        if (here == null || address == null) {
+    void send(String peerName, ByteBuf content) {
+        Channel openChannel = channel;
+        InetSocketAddress address = config.peers().address(peerName);
+        if (openChannel == null || address == null) {
             content.release();
         } else {
-            here.writeAndFlush(new DatagramPacket(content, address), here.voidPromise());
+            openChannel.writeAndFlush(new DatagramPacket(content, address), openChannel.voidPromise());
         }
     }
 
@@ -161,33 +161,33 @@
      * are dropped.
      */
     void broadcast(String message) {
-        if (!toldToAll()) {
+        if (!exchangesBalancerMessages()) {
             return;
         }
         ByteBuf bytes = Unpooled.copiedBuffer(message, StandardCharsets.UTF_8);
-        Channel here = channel;
-        if (here == null) {
+        Channel openChannel = channel;
+        if (openChannel == null) {
             return;
-        } else if (bytes.readableBytes() > LONGEST) {
+        } else if (bytes.readableBytes() > MAX_MESSAGE_BYTES) {
             Log.write("peers", "dropped a message of " + bytes.readableBytes() + " bytes: it is too long");
         } else if (config.peerBroadcastAddress() != null) {
-            here.writeAndFlush(new DatagramPacket(bytes, config.peerBroadcastAddress()));
+            openChannel.writeAndFlush(new DatagramPacket(bytes, config.peerBroadcastAddress()));
         } else {
             for (int i = 0; i < config.peers().size(); i++) {
                 if (i != config.settings().me()) {
-                    here.write(new DatagramPacket(bytes.retainedDuplicate(), config.peers().address(i)));
+                    openChannel.write(new DatagramPacket(bytes.retainedDuplicate(), config.peers().address(i)));
                 }
             }
-            here.flush();
+            openChannel.flush();
         }
     }
 
     /** Closes the socket, so that the next process can bind its address. */
     void close() {
         closed = true;
-        Channel here = channel;
-        if (here != null) {
-            here.close();
+        Channel openChannel = channel;
+        if (openChannel != null) {
+            openChannel.close();
         }
     }
 }
--- a/proxy/src/main/java/dockrelay/proxy/UpgradeOverlapDetector.java
+++ b/proxy/src/main/java/dockrelay/proxy/UpgradeOverlapDetector.java
@@ -16,17 +16,17 @@
  * together.
  */
 final class UpgradeOverlapDetector {
-    private final FileChannel[] seats = new FileChannel[2];
-    private int own = -1;
+    private final FileChannel[] slots = new FileChannel[2];
+    private int ownSlot = -1;
 
     UpgradeOverlapDetector(Path folder) throws IOException {
         Files.createDirectories(folder);
-        for (int i = 0; i < seats.length; i++) {
-            seats[i] = FileChannel.open(folder.resolve("seat-" + i), StandardOpenOption.CREATE,
+        for (int i = 0; i < slots.length; i++) {
+            slots[i] = FileChannel.open(folder.resolve("seat-" + i), StandardOpenOption.CREATE,
                 StandardOpenOption.READ, StandardOpenOption.WRITE);
         }
-        for (int i = 0; i < seats.length && own < 0; i++) {
-            own = lock(seats[i]) == null ? -1 : i;
+        for (int i = 0; i < slots.length && ownSlot < 0; i++) {
+            ownSlot = tryLock(slots[i]) == null ? -1 : i;
         }
     }
 
@@ -34,33 +34,33 @@
      * Publishes the number of descriptors that this process holds, and returns that of the other
      * process; -1 if no other process runs.
      */
-    int exchangeDescriptorCounts(int held) throws IOException {
-        if (own < 0) {
+    int exchangeDescriptorCounts(int openDescriptors) throws IOException {
+        if (ownSlot < 0) {
             return 0; // a third process is not supported: it ignores the other two
         }
-        ByteBuffer figure = ByteBuffer.allocate(Integer.BYTES);
-        seats[own].write(figure.putInt(held).flip(), 0);
-        FileLock other = lock(seats[1 - own]);
-        if (other != null) {
-            other.release();
+        ByteBuffer count = ByteBuffer.allocate(Integer.BYTES);
+        slots[ownSlot].write(count.putInt(openDescriptors).flip(), 0);
+        FileLock otherSlotLock = tryLock(slots[1 - ownSlot]);
+        if (otherSlotLock != null) {
+            otherSlotLock.release();
             return -1;
         }
-        figure.clear();
-        return seats[1 - own].read(figure, 0) < Integer.BYTES ? 0 : Math.max(0, figure.getInt(0));
+        count.clear();
+        return slots[1 - ownSlot].read(count, 0) < Integer.BYTES ? 0 : Math.max(0, count.getInt(0));
     }
 
     /** Tries to lock a slot; null if it is locked already, in this process or another. */
-    private static FileLock lock(FileChannel seat) throws IOException {
+    private static FileLock tryLock(FileChannel slot) throws IOException {
         try {
-            return seat.tryLock();
+            return slot.tryLock();
         } catch (OverlappingFileLockException e) {
             return null;
         }
     }
 
     void close() throws IOException {
-        for (FileChannel seat : seats) {
-            seat.close();
+        for (FileChannel slot : slots) {
+            slot.close();
         }
     }
 }
--- a/proxy/src/test/java/dockrelay/proxy/ConsoleTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/ConsoleTest.java
@@ -203,6 +203,6 @@
         OperatorOverrides after = new OperatorOverrides(kept);
         assertTrue(after.isKnown("s/1"));
         assertFalse(after.isKnown("s-2") || after.isKnown("s-3"));
-        assertEquals(1, after.out());
+        assertEquals(1, after.detachedCount());
     }
 }
--- a/proxy/src/test/java/dockrelay/proxy/PeerDirectoryTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/PeerDirectoryTest.java
@@ -20,13 +20,13 @@
             IntStream.range(0, 5_700).mapToObj(i -> address(10_000 + i)).toList());
         assertEquals(5_700, peers.size());
         for (int i = 0; i < 5_700; i += 57) {
-            assertEquals(i, peers.at(address(10_000 + i)));
-            assertEquals("n" + i, peers.name(i));
+            assertEquals(i, peers.indexOf(address(10_000 + i)));
+            assertEquals("n" + i, peers.nameAt(i));
             assertEquals(address(10_000 + i), peers.address("n" + i));
             assertEquals(address(10_000 + i), peers.address(i));
         }
-        assertEquals(-1, peers.at(address(9_999)));
-        assertNull(peers.name(-1));
+        assertEquals(-1, peers.indexOf(address(9_999)));
+        assertNull(peers.nameAt(-1));
         assertNull(peers.address("n5700"));
     }
 
@@ -34,7 +34,7 @@
     @Test
     void ofTwoAtOneAddressTheFirstHasIt() {
         PeerDirectory peers = new PeerDirectory(List.of("a", "b"), List.of(address(1), address(1)));
-        assertEquals("a", peers.name(peers.at(address(1))));
-        assertNull(new PeerDirectory(List.of(), List.of(address(1))).name(0), "peers without names");
+        assertEquals("a", peers.nameAt(peers.indexOf(address(1))));
+        assertNull(new PeerDirectory(List.of(), List.of(address(1))).nameAt(0), "peers without names");
     }
 }
--- a/proxy/src/test/java/dockrelay/proxy/PeerGroupsTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/PeerGroupsTest.java
@@ -53,19 +53,19 @@
     @Test
     void withoutAWordOfGroupsAllAreInOneUpToOneAndAHalfTimesItsSize() {
         int most = GroupAssignment.DEFAULT_GROUP_SIZE * 3 / 2;
-        assertTrue(config(0, 3, "").peerGroups().grouping().isSingleGroup());
-        assertTrue(config(0, most, "").peerGroups().grouping().isSingleGroup());
-        assertEquals(2, config(0, most + 1, "").peerGroups().grouping().groupCount());
-        assertEquals(3, config(0, 97, "{\"size\":32}").peerGroups().grouping().groupCount());
+        assertTrue(config(0, 3, "").peerGroups().assignment().isSingleGroup());
+        assertTrue(config(0, most, "").peerGroups().assignment().isSingleGroup());
+        assertEquals(2, config(0, most + 1, "").peerGroups().assignment().groupCount());
+        assertEquals(3, config(0, 97, "{\"size\":32}").peerGroups().assignment().groupCount());
         assertNull(Fakes.parseConfig(text(0, "[\"127.0.0.1:7\"]", "", "")).peerGroups());
     }
 
     @Test
     void zonesAreGroupsOfTheirOwn() {
         Config config = config(3, 6, "{\"zones\":" + SIX + "}");
-        assertEquals(3, config.peerGroups().grouping().groupCount());
+        assertEquals(3, config.peerGroups().assignment().groupCount());
         assertEquals(List.of("n3", "n4"), config.groupMemberNames());
-        assertEquals("b/1", config.peerGroups().grouping().label(config.peerGroups().grouping().groupOf("n3")));
+        assertEquals("b/1", config.peerGroups().assignment().label(config.peerGroups().assignment().groupOf("n3")));
     }
 
     /** The order of the names in the file does not affect the groups. */
@@ -73,10 +73,10 @@
     void aChangeOfZonesOrSizeIsAChange() {
         PeerGroups one = config(0, 6, "{\"zones\":" + SIX + "}").peerGroups();
         String usual = "{\"size\":" + GroupAssignment.DEFAULT_GROUP_SIZE + ",\"zones\":" + SIX + "}";
-        assertTrue(one.same(config(4, 6, usual).peerGroups()));
+        assertTrue(one.hasSameGroups(config(4, 6, usual).peerGroups()));
         for (String other : List.of("", "{\"size\":40,\"zones\":" + SIX + "}",
             "{\"zones\":{\"a\":[\"n0\",\"n1\",\"n2\",\"n3\"],\"b\":[\"n4\"],\"c\":[\"n5\"]}}")) {
-            assertTrue(!one.same(config(0, 6, other).peerGroups()), other);
+            assertTrue(!one.hasSameGroups(config(0, 6, other).peerGroups()), other);
         }
     }
 
