--- a/control/src/main/java/dockrelay/control/Mark.java
+++ b/control/src/main/java/dockrelay/control/BackendCommand.java
@@ -9,24 +9,24 @@
 import picocli.CommandLine.Parameters;
 
 /** Detaches a backend from proxies, or attaches it again. */
-abstract class Mark implements Callable<Integer> {
+abstract class BackendCommand implements Callable<Integer> {
     @Parameters(index = "0", paramLabel = "BACKEND", description = "its id in discovery's list")
-    String backend;
+    String backendId;
     @Parameters(index = "1..*", paramLabel = "HOST:PORT", arity = "0..*", description = "consoles")
     List<String> consoles;
     @Mixin
-    Targets targets;
+    SharedOptions options;
 
-    private final String word;
+    private final String consoleCommand;
 
-    Mark(String word) {
-        this.word = word;
+    BackendCommand(String consoleCommand) {
+        this.consoleCommand = consoleCommand;
     }
 
     /** Makes proxies send no new requests to a backend. */
     @Command(name = "detach", mixinStandardHelpOptions = true,
         description = "Takes a backend out: it gets nothing new from these proxies.")
-    static final class Detach extends Mark {
+    static final class Detach extends BackendCommand {
         Detach() {
             super("DETACH");
         }
@@ -35,7 +35,7 @@
     /** Attaches a backend again, which counts as newly started from then on. */
     @Command(name = "attach", mixinStandardHelpOptions = true,
         description = "Puts a backend back that was taken out.")
-    static final class Attach extends Mark {
+    static final class Attach extends BackendCommand {
         Attach() {
             super("ATTACH");
         }
@@ -43,21 +43,21 @@
 
     @Override
     public Integer call() throws InterruptedException {
-        if (!backend.matches("[\\x21-\\x7e]{1,80}")) {
-            throw new IllegalArgumentException("BACKEND = " + backend + " is not 1 to 80 visible characters");
+        if (!backendId.matches("[\\x21-\\x7e]{1,80}")) {
+            throw new IllegalArgumentException("BACKEND = " + backendId + " is not 1 to 80 visible characters");
         }
-        return tell(targets.call(consoles, word + " " + backend), targets.json);
+        return printAnswers(options.call(consoles, consoleCommand + " " + backendId), options.json);
     }
 
     /** Prints the answers; returns the exit code, 0 if all consoles accepted the command. */
-    static int tell(Map<String, Consoles.Answer> answers, boolean json) {
-        Table table = new Table("CONSOLE", "ANSWER");
+    static int printAnswers(Map<String, ConsoleClient.Answer> answers, boolean json) {
+        TextTable table = new TextTable("CONSOLE", "ANSWER");
         Map<String, Object> values = new LinkedHashMap<>();
         answers.forEach((console, answer) -> {
-            table.row(console, (answer.yes() ? "yes: " : "no: ") + answer.text());
-            values.put(console, Map.of("yes", answer.yes(), "text", answer.text()));
+            table.addRow(console, (answer.isAccepted() ? "yes: " : "no: ") + answer.text());
+            values.put(console, Map.of("yes", answer.isAccepted(), "text", answer.text()));
         });
-        System.out.print(json ? Table.json(values) + System.lineSeparator() : table.toString());
-        return answers.values().stream().allMatch(Consoles.Answer::yes) ? 0 : 1;
+        System.out.print(json ? TextTable.toJson(values) + System.lineSeparator() : table.toString());
+        return answers.values().stream().allMatch(ConsoleClient.Answer::isAccepted) ? 0 : 1;
     }
 }
--- a/control/src/main/java/dockrelay/control/Consoles.java
+++ b/control/src/main/java/dockrelay/control/ConsoleClient.java
@@ -22,22 +22,22 @@
 /**
  * Sends a command line to the consoles of many proxies in parallel and collects the answers or errors.
  */
-final class Consoles {
-    private static final int AT_ONCE = 32;
+final class ConsoleClient {
+    private static final int MAX_PARALLEL_CALLS = 32;
 
     /** The result of one call: the lines of the answer, or no lines and an error message. */
-    record Answer(String console, List<String> lines, String trouble) {
-        boolean yes() {
+    record Answer(String console, List<String> lines, String error) {
+        boolean isAccepted() {
             return !lines.isEmpty() && lines.get(0).startsWith("200");
         }
 
         /** The first line without its status code, or the error message. */
         String text() {
-            return trouble != null ? trouble : lines.get(0).replaceFirst("^\\d+ ?", "");
+            return error != null ? error : lines.get(0).replaceFirst("^\\d+ ?", "");
         }
     }
 
-    private Consoles() {
+    private ConsoleClient() {
     }
 
     /**
@@ -46,16 +46,16 @@
      *
      * @throws IllegalArgumentException if an address is malformed, the file is unreadable, or none is given
      */
-    static List<String> named(List<String> given, Path file) {
-        List<String> all = new ArrayList<>(given);
+    static List<String> collectAddresses(List<String> addresses, Path file) {
+        List<String> collected = new ArrayList<>(addresses);
         if (file != null) {
             try {
                 List<String> lines = Files.readAllLines(file);
                 for (int i = 0; i < lines.size(); i++) {
                     String line = lines.get(i).replaceFirst("#.*", "").trim();
                     if (!line.isEmpty()) {
-                        address(line, file + ":" + (i + 1));
-                        all.add(line);
+                        parseAddress(line, file + ":" + (i + 1));
+                        collected.add(line);
                     }
                 }
             } catch (NoSuchFileException e) {
@@ -64,61 +64,61 @@
                 throw new IllegalArgumentException(file + ": cannot be read: " + e.getMessage());
             }
         }
-        given.forEach(one -> address(one, "argument"));
-        if (all.isEmpty()) {
+        addresses.forEach(address -> parseAddress(address, "argument"));
+        if (collected.isEmpty()) {
             throw new IllegalArgumentException("no console given: HOST:PORT, or a file of them with --file");
         }
-        return all.stream().distinct().toList();
+        return collected.stream().distinct().toList();
     }
 
-    private static InetSocketAddress address(String text, String where) {
+    private static InetSocketAddress parseAddress(String text, String origin) {
         int colon = text.lastIndexOf(':');
         try {
             return new InetSocketAddress(text.substring(0, colon), Integer.parseInt(text.substring(colon
                 + 1)));
         } catch (RuntimeException e) {
-            throw new IllegalArgumentException(where + ": " + text + " is not HOST:PORT");
+            throw new IllegalArgumentException(origin + ": " + text + " is not HOST:PORT");
         }
     }
 
     /** Calls all consoles in parallel, and returns the answers in the order of the consoles. */
-    static Map<String, Answer> call(List<String> consoles, String line,
-        int millis) throws InterruptedException {
-        ExecutorService threads = Executors.newFixedThreadPool(Math.min(AT_ONCE, consoles.size()));
+    static Map<String, Answer> call(List<String> consoles, String command,
+        int timeoutMillis) throws InterruptedException {
+        ExecutorService executor = Executors.newFixedThreadPool(Math.min(MAX_PARALLEL_CALLS, consoles.size()));
         try {
             Map<String, Future<Answer>> calls = new LinkedHashMap<>();
-            consoles.forEach(one -> calls.put(one, threads.submit(() -> call(one, line, millis))));
-            Map<String, Answer> result = new LinkedHashMap<>();
-            for (Map.Entry<String, Future<Answer>> one : calls.entrySet()) {
+            consoles.forEach(console -> calls.put(console, executor.submit(() -> call(console, command, timeoutMillis))));
+            Map<String, Answer> answers = new LinkedHashMap<>();
+            for (Map.Entry<String, Future<Answer>> console : calls.entrySet()) {
                 try {
-                    result.put(one.getKey(), one.getValue().get());
+                    answers.put(console.getKey(), console.getValue().get());
                 } catch (java.util.concurrent.ExecutionException e) {
-                    result.put(one.getKey(), new Answer(one.getKey(), List.of(), e.getCause().toString()));
+                    answers.put(console.getKey(), new Answer(console.getKey(), List.of(), e.getCause().toString()));
                 }
             }
-            return result;
+            return answers;
         } finally {
-            threads.shutdownNow();
+            executor.shutdownNow();
         }
     }
 
-    private static Answer call(String console, String line, int millis) {
+    private static Answer call(String console, String command, int timeoutMillis) {
         try (Socket socket = new Socket()) {
-            socket.connect(address(console, "argument"), millis);
-            socket.setSoTimeout(millis);
-            socket.getOutputStream().write((line + "\n").getBytes(StandardCharsets.ISO_8859_1));
+            socket.connect(parseAddress(console, "argument"), timeoutMillis);
+            socket.setSoTimeout(timeoutMillis);
+            socket.getOutputStream().write((command + "\n").getBytes(StandardCharsets.ISO_8859_1));
             List<String> lines = new BufferedReader(new InputStreamReader(socket.getInputStream(),
                 StandardCharsets.ISO_8859_1)).lines().toList();
             return new Answer(console, lines, lines.isEmpty() ? "closed without an answer" : null);
         } catch (UncheckedIOException e) {
-            return new Answer(console, List.of(), trouble(e.getCause(), millis));
+            return new Answer(console, List.of(), errorMessage(e.getCause(), timeoutMillis));
         } catch (IOException e) {
-            return new Answer(console, List.of(), trouble(e, millis));
+            return new Answer(console, List.of(), errorMessage(e, timeoutMillis));
         }
     }
 
-    private static String trouble(IOException e, int millis) {
-        return e instanceof SocketTimeoutException ? "no answer within " + millis + " ms"
-            : "cannot be reached: " + e.getMessage();
+    private static String errorMessage(IOException failure, int timeoutMillis) {
+        return failure instanceof SocketTimeoutException ? "no answer within " + timeoutMillis + " ms"
+            : "cannot be reached: " + failure.getMessage();
     }
 }
--- a/control/src/main/java/dockrelay/control/Main.java
+++ b/control/src/main/java/dockrelay/control/Main.java
@@ -8,8 +8,8 @@
  * error.
  */
 @Command(name = "ctl", mixinStandardHelpOptions = true, version = "ctl 0.1.0",
-    subcommands = {Ping.class, Members.class, Groups.class, Member.class, Mark.Detach.class,
-        Mark.Attach.class},
+    subcommands = {PingCommand.class, MembersCommand.class, GroupsCommand.class, MemberCommand.class, BackendCommand.Detach.class,
+        BackendCommand.Attach.class},
     description = "Speaks to one or many proxies at their consoles.", exitCodeListHeading = "Exit codes:%n",
     exitCodeList = {"0:done", "1:some did not answer, said no, or do not agree", "2:misuse"},
     footerHeading = "Examples:%n", footer = {"  ctl ping 127.0.0.1:12000 127.0.0.1:12001",
@@ -23,14 +23,14 @@
     }
 
     static CommandLine commands() {
-        CommandLine line = new CommandLine(new Main());
-        line.setExecutionExceptionHandler((e, command, parsed) -> {
+        CommandLine commandLine = new CommandLine(new Main());
+        commandLine.setExecutionExceptionHandler((e, command, parsed) -> {
             if (e instanceof IllegalArgumentException) {
                 command.getErr().println(e.getMessage());
                 return 2;
             }
             throw e;
         });
-        return line;
+        return commandLine;
     }
 }
--- a/control/src/main/java/dockrelay/control/Ping.java
+++ b/control/src/main/java/dockrelay/control/PingCommand.java
@@ -8,14 +8,14 @@
 
 /** Asks proxies whether they serve. */
 @Command(name = "ping", mixinStandardHelpOptions = true, description = "Asks proxies whether they serve.")
-final class Ping implements Callable<Integer> {
+final class PingCommand implements Callable<Integer> {
     @Parameters(paramLabel = "HOST:PORT", arity = "0..*", description = "consoles")
     List<String> consoles;
     @Mixin
-    Targets targets;
+    SharedOptions options;
 
     @Override
     public Integer call() throws InterruptedException {
-        return Mark.tell(targets.call(consoles, "PING"), targets.json);
+        return BackendCommand.printAnswers(options.call(consoles, "PING"), options.json);
     }
 }
--- a/control/src/main/java/dockrelay/control/Views.java
+++ b/control/src/main/java/dockrelay/control/ProxyAnswers.java
@@ -5,68 +5,68 @@
 import java.util.Map;
 
 /** The parsed answers of many proxies to a command that returns rows, and the errors of the others. */
-record Views(Map<String, View> all, Map<String, String> troubles) {
+record ProxyAnswers(Map<String, FleetReport> reportsByConsole, Map<String, String> errorsByConsole) {
     /** One proxy's answer: the fields of the summary line, and the fields of each row by its name. */
-    record View(Map<String, String> figures, Map<String, Map<String, String>> rows) {
+    record FleetReport(Map<String, String> summary, Map<String, Map<String, String>> rows) {
     }
 
-    static Views of(Map<String, Consoles.Answer> answers) {
-        Map<String, View> all = new LinkedHashMap<>();
-        Map<String, String> troubles = new LinkedHashMap<>();
+    static ProxyAnswers parse(Map<String, ConsoleClient.Answer> answers) {
+        Map<String, FleetReport> reportsByConsole = new LinkedHashMap<>();
+        Map<String, String> errorsByConsole = new LinkedHashMap<>();
         answers.forEach((console, answer) -> {
-            if (answer.yes()) {
-                all.put(console, view(answer.lines()));
+            if (answer.isAccepted()) {
+                reportsByConsole.put(console, parseReport(answer.lines()));
             } else {
-                troubles.put(console, answer.text());
+                errorsByConsole.put(console, answer.text());
             }
         });
-        return new Views(all, troubles);
+        return new ProxyAnswers(reportsByConsole, errorsByConsole);
     }
 
     /**
      * Parses a summary line of {@code key=value} fields, then a row {@code name state key=value ...}
      * per line.
      */
-    private static View view(List<String> lines) {
+    private static FleetReport parseReport(List<String> lines) {
         Map<String, Map<String, String>> rows = new LinkedHashMap<>();
         for (String line : lines.subList(1, lines.size())) {
             String[] words = line.split(" ");
             if (words.length >= 2) {
                 Map<String, String> row = new LinkedHashMap<>();
                 row.put("state", words[1]);
-                row.putAll(figures(words));
+                row.putAll(parseFields(words));
                 rows.put(words[0], row);
             }
         }
-        return new View(figures(lines.get(0).split(" ")), rows);
+        return new FleetReport(parseFields(lines.get(0).split(" ")), rows);
     }
 
-    private static Map<String, String> figures(String[] words) {
-        Map<String, String> result = new LinkedHashMap<>();
+    private static Map<String, String> parseFields(String[] words) {
+        Map<String, String> fields = new LinkedHashMap<>();
         for (String word : words) {
             int equals = word.indexOf('=');
             if (equals > 0) {
-                result.putIfAbsent(word.substring(0, equals), word.substring(equals + 1));
+                fields.putIfAbsent(word.substring(0, equals), word.substring(equals + 1));
             } else if (word.equals("other-list")) {
-                result.put(word, "true");
+                fields.put(word, "true");
             }
         }
-        return result;
+        return fields;
     }
 
     /** The value printed by {@code --json}; {@code rows} is the key of the rows. */
-    Map<String, Object> json(boolean agreed, String rows) {
+    Map<String, Object> toJson(boolean agreed, String rowsKey) {
         Map<String, Object> proxies = new LinkedHashMap<>();
-        all.forEach((console, view) -> {
-            Map<String, Object> one = new LinkedHashMap<>();
-            one.put("figures", view.figures);
-            one.put(rows, view.rows);
-            proxies.put(console, one);
+        reportsByConsole.forEach((console, report) -> {
+            Map<String, Object> proxy = new LinkedHashMap<>();
+            proxy.put("figures", report.summary);
+            proxy.put(rowsKey, report.rows);
+            proxies.put(console, proxy);
         });
         Map<String, Object> result = new LinkedHashMap<>();
         result.put("agreed", agreed);
         result.put("proxies", proxies);
-        result.put("unanswered", troubles);
+        result.put("unanswered", errorsByConsole);
         return result;
     }
 }
--- a/control/src/main/java/dockrelay/control/Targets.java
+++ b/control/src/main/java/dockrelay/control/SharedOptions.java
@@ -7,19 +7,19 @@
 import picocli.CommandLine.Option;
 
 /** The options that all commands share: consoles, timeout and output format. */
-final class Targets {
+final class SharedOptions {
     @Option(names = "--file", paramLabel = "FILE", description = "consoles, one HOST:PORT a line")
-    Path file;
+    Path addressFile;
     @Option(names = "--timeout", paramLabel = "MS", defaultValue = "1000",
         description = "to wait for each, in milliseconds (${DEFAULT-VALUE})")
-    int timeout;
+    int timeoutMillis;
     @Option(names = "--json", description = "for machines")
     boolean json;
 
-    Map<String, Consoles.Answer> call(List<String> given, String line) throws InterruptedException {
-        if (timeout < 1) {
-            throw new IllegalArgumentException("--timeout = " + timeout + " is not at least 1 ms");
+    Map<String, ConsoleClient.Answer> call(List<String> addresses, String command) throws InterruptedException {
+        if (timeoutMillis < 1) {
+            throw new IllegalArgumentException("--timeout = " + timeoutMillis + " is not at least 1 ms");
         }
-        return Consoles.call(Consoles.named(given == null ? new ArrayList<>() : given, file), line, timeout);
+        return ConsoleClient.call(ConsoleClient.collectAddresses(addresses == null ? new ArrayList<>() : addresses, addressFile), command, timeoutMillis);
     }
 }
--- a/control/src/main/java/dockrelay/control/Table.java
+++ b/control/src/main/java/dockrelay/control/TextTable.java
@@ -7,16 +7,16 @@
 import java.util.List;
 
 /** A text table with headings, whose columns are as wide as their widest cell. */
-final class Table {
+final class TextTable {
     private static final ObjectMapper JSON = new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT);
 
     private final List<List<String>> rows = new ArrayList<>();
 
-    Table(String... headings) {
+    TextTable(String... headings) {
         rows.add(List.of(headings));
     }
 
-    void row(Object... cells) {
+    void addRow(Object... cells) {
         rows.add(java.util.Arrays.stream(cells).map(String::valueOf).toList());
     }
 
@@ -26,7 +26,7 @@
         for (List<String> row : rows) {
             for (int i = 0; i < row.size(); i++) {
                 int column = i;
-                int width = rows.stream().mapToInt(one -> one.get(column).length()).max().orElse(0);
+                int width = rows.stream().mapToInt(otherRow -> otherRow.get(column).length()).max().orElse(0);
                 text.append(i == row.size() - 1 ? row.get(i) : String.format("%-" + (width + 2) + "s",
                     row.get(i)));
             }
@@ -35,7 +35,7 @@
         return text.toString();
     }
 
-    static String json(Object value) {
+    static String toJson(Object value) {
         try {
             return JSON.writeValueAsString(value);
         } catch (JsonProcessingException e) {
