--- a/fleet/src/test/java/dockrelay/fleet/budget/BrokenBudgets.java
+++ b/fleet/src/test/java/dockrelay/fleet/budget/FaultyBudgetNode.java
@@ -6,11 +6,11 @@
 import java.util.Set;
 
 /** Faulty versions of the budget protocol, each with one bug that the random schedules have to detect. */
-enum BrokenBudgets implements BudgetWorld.Maker {
+enum FaultyBudgetNode implements BudgetSimulation.NodeFactory {
     /** A reduced share counts as free before its holder has confirmed the reduction. */
-    GIVER_DOES_NOT_WAIT(0) {
+    REDUCTION_NOT_CONFIRMED(0) {
         @Override
-        LeaseLedger ledger(Collection<Budget> of, long term, BudgetTiming at, long now) {
+        LeaseLedger newLedger(Collection<Budget> of, long term, BudgetTiming at, long now) {
             return new LeaseLedger(of, term, at, now) {
                 @Override
                 void recordGrant(BudgetAccount account, Lease lent, long rate, long burst) {
@@ -20,23 +20,23 @@
         }
     },
     /** Leases do not expire. */
-    LEASE_WITHOUT_END(0) {
+    LEASE_NEVER_EXPIRES(0) {
         @Override
         long leaseEnd(long now, long sentAt, BudgetTiming at) {
             return now + 1000 * at.leaseDuration();
         }
     },
     /** A lease counts from the arrival of the grant instead of the sending of the request. */
-    LEASE_FROM_ARRIVAL(8900) {
+    LEASE_COUNTED_FROM_ARRIVAL(8900) {
         @Override
         long leaseEnd(long now, long sentAt, BudgetTiming at) {
             return now + at.leaseDuration();
         }
     },
     /** The burst is not divided: each process has all of it. */
-    BURST_NOT_COUNTED(0) {
+    BURST_NOT_DIVIDED(0) {
         @Override
-        LeaseLedger ledger(Collection<Budget> of, long term, BudgetTiming at, long now) {
+        LeaseLedger newLedger(Collection<Budget> of, long term, BudgetTiming at, long now) {
             return new LeaseLedger(of, term, at, now) {
                 @Override
                 long freeBurst(BudgetAccount account) {
@@ -51,16 +51,16 @@
         }
     },
     /** A new coordinator treats shares that have not been reported to it yet as free. */
-    UNKNOWN_IS_FREE(0) {
+    UNREPORTED_SHARES_FREE(0) {
         @Override
-        LeaseLedger ledger(Collection<Budget> of, long term, BudgetTiming at, long now) {
+        LeaseLedger newLedger(Collection<Budget> of, long term, BudgetTiming at, long now) {
             return new LeaseLedger(of, term, at, now - at.maxLeaseDuration());
         }
     },
     /** A change of the voter set needs a quorum of the new set only. */
-    NEW_LIST_ALONE(700) {
+    QUORUM_OF_NEW_VOTER_SET_ONLY(700) {
         @Override
-        CoordinatorElection authority(int id, int life, BudgetTiming at, Voter of, MemberList names, Random by,
+        CoordinatorElection newElection(int id, int life, BudgetTiming at, Voter of, MemberList names, Random by,
                             CoordinatorElection.Sender sender, long now) {
             return new CoordinatorElection(id, life, at, of, names, by, sender, now) {
                 @Override
@@ -71,9 +71,9 @@
         }
     },
     /** Any half of the voter set is a quorum, so that two disjoint quorums exist. */
-    HALF_IS_ENOUGH(0) {
+    QUORUM_OF_HALF(0) {
         @Override
-        CoordinatorElection authority(int id, int life, BudgetTiming at, Voter of, MemberList names, Random by,
+        CoordinatorElection newElection(int id, int life, BudgetTiming at, Voter of, MemberList names, Random by,
                             CoordinatorElection.Sender sender, long now) {
             return new CoordinatorElection(id, life, at, of, names, by, sender, now) {
                 @Override
@@ -85,49 +85,49 @@
     };
 
     /** The first seed to try; the bug is known to show up soon after it. */
-    final long from;
+    final long firstSeed;
 
-    BrokenBudgets(long from) {
-        this.from = from;
+    FaultyBudgetNode(long firstSeed) {
+        this.firstSeed = firstSeed;
     }
 
-    Voter voter(int id, int life, BudgetTiming at, long now) {
-        return new Voter(id, life, at, now);
+    Voter newVoter(int selfId, int instanceId, BudgetTiming timing, long now) {
+        return new Voter(selfId, instanceId, timing, now);
     }
 
-    CoordinatorElection authority(int id, int life, BudgetTiming at, Voter of, MemberList names, Random by,
+    CoordinatorElection newElection(int selfId, int instanceId, BudgetTiming timing, Voter voter, MemberList memberList, Random random,
                         CoordinatorElection.Sender sender, long now) {
-        return new CoordinatorElection(id, life, at, of, names, by, sender, now);
+        return new CoordinatorElection(selfId, instanceId, timing, voter, memberList, random, sender, now);
     }
 
-    LeaseLedger ledger(Collection<Budget> of, long term, BudgetTiming at, long now) {
-        return new LeaseLedger(of, term, at, now);
+    LeaseLedger newLedger(Collection<Budget> budgets, long term, BudgetTiming timing, long now) {
+        return new LeaseLedger(budgets, term, timing, now);
     }
 
-    long leaseEnd(long now, long sentAt, BudgetTiming at) {
-        return sentAt + at.reliedLeaseDuration();
+    long leaseEnd(long now, long sentAt, BudgetTiming timing) {
+        return sentAt + timing.reliedLeaseDuration();
     }
 
     @Override
-    public BudgetNode make(String self, Collection<String> names, Collection<Budget> budgets, int life, Random
+    public BudgetNode newNode(String selfName, Collection<String> memberNames, Collection<Budget> budgets, int instanceId, Random
         random,
-                        BudgetNode.Callbacks actions, long now) {
-        BrokenBudgets broken = this;
-        return new BudgetNode(self, names, budgets, life, BudgetTiming.DEFAULT, random, actions, now) {
+                        BudgetNode.Callbacks callbacks, long now) {
+        FaultyBudgetNode faulty = this;
+        return new BudgetNode(selfName, memberNames, budgets, instanceId, BudgetTiming.DEFAULT, random, callbacks, now) {
             @Override
             Voter newVoter(int id, int ofLife, BudgetTiming at, long from) {
-                return broken.voter(id, ofLife, at, from);
+                return faulty.newVoter(id, ofLife, at, from);
             }
 
             @Override
             CoordinatorElection newElection(int id, int ofLife, BudgetTiming at, Voter of, MemberList roster, Random by,
                                 CoordinatorElection.Sender sender, long from) {
-                return broken.authority(id, ofLife, at, of, roster, by, sender, from);
+                return faulty.newElection(id, ofLife, at, of, roster, by, sender, from);
             }
 
             @Override
             LeaseLedger newLedger(Collection<Budget> of, long term, BudgetTiming at, long from) {
-                return broken.ledger(of, term, at, from);
+                return faulty.newLedger(of, term, at, from);
             }
 
             @Override
@@ -135,7 +135,7 @@
                 return new LeaseHolder(id, ofLife, at, of, from) {
                     @Override
                     long leaseEnd(long here, long sentAt) {
-                        return broken.leaseEnd(here, sentAt, at);
+                        return faulty.leaseEnd(here, sentAt, at);
                     }
                 };
             }
--- a/proxy/src/test/java/dockrelay/proxy/ConsoleTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/ConsoleTest.java
@@ -29,48 +29,48 @@
 
 /** The operators' console, and the effect of its commands on the backends that the proxy uses. */
 class ConsoleTest {
-    private static final String SERVED = Fakes.httpResponse("200 OK", "", "a rate");
+    private static final String OK_RESPONSE = Fakes.httpResponse("200 OK", "", "a rate");
 
     private final FakeDiscovery discovery = new FakeDiscovery();
-    private final FakeBackend one = new FakeBackend(request -> SERVED);
-    private final FakeBackend two = new FakeBackend(request -> SERVED);
+    private final FakeBackend backend1 = new FakeBackend(request -> OK_RESPONSE);
+    private final FakeBackend backend2 = new FakeBackend(request -> OK_RESPONSE);
     @TempDir
     private Path folder;
     private Proxy proxy;
 
     @BeforeEach
     void start() throws Exception {
-        discovery.setFirstList(both(2));
-        proxy = started();
+        discovery.setFirstList(bothBackends(2));
+        proxy = startProxy();
     }
 
-    private String both(int version) {
-        return FakeDiscovery.listJson(version, true, Fakes.entryJson("s-1", one.port(), "active"),
-            Fakes.entryJson("s-2", two.port(), "active"));
+    private String bothBackends(int version) {
+        return FakeDiscovery.listJson(version, true, Fakes.entryJson("s-1", backend1.port(), "active"),
+            Fakes.entryJson("s-2", backend2.port(), "active"));
     }
 
-    private Proxy started() throws IOException {
-        Proxy made = new Proxy(Fakes.config(discovery.port(), 1024),
+    private Proxy startProxy() throws IOException {
+        Proxy newProxy = new Proxy(Fakes.config(discovery.port(), 1024),
             new ProcessEnvironment(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), folder, null));
-        Fakes.await("the proxy serves", () -> Fakes.callConsole(made, "PING\n").startsWith("200 "));
-        return made;
+        Fakes.await("the proxy serves", () -> Fakes.callConsole(newProxy, "PING\n").startsWith("200 "));
+        return newProxy;
     }
 
     @AfterEach
-    void end() throws Exception {
+    void stop() throws Exception {
         proxy.stop();
-        one.close();
-        two.close();
+        backend1.close();
+        backend2.close();
         discovery.close();
     }
 
-    private static Socket connected(Proxy at) throws IOException {
-        return new Socket(InetAddress.getLoopbackAddress(), at.consoleAddress().getPort());
+    private static Socket connect(Proxy target) throws IOException {
+        return new Socket(InetAddress.getLoopbackAddress(), target.consoleAddress().getPort());
     }
 
-    private void ask(int times) throws IOException {
+    private void sendRequests(int count) throws IOException {
         try (FakeClient client = new FakeClient(proxy)) {
-            for (int i = 0; i < times; i++) {
+            for (int i = 0; i < count; i++) {
                 assertEquals(200, client.send(FakeClient.postRequest("put", "3.0")).readStatus());
             }
         }
@@ -80,77 +80,77 @@
     @ValueSource(strings = {"\n", "PONG\n", "ping\n", "PING \n", "PING s-1\n", "DETACH\n", "DETACH \n",
         "DETACH s-9\n", "ATTACH s-9\n", "DETACH s-1 s-2\n", " DETACH s-1\n", "DETACH ../s-1\n", "DETACH s-1",
         "GET / HTTP/1.1\r\n", ""})
-    void aBadCallIsToldSoAndChangesNothing(String raw) throws IOException {
-        String answer = Fakes.callConsole(proxy, raw);
+    void rejectsInvalidCommandWithoutChange(String input) throws IOException {
+        String answer = Fakes.callConsole(proxy, input);
         assertTrue(answer.matches("400 [^\\n]+\\n"), answer);
-        assertFalse(marked(), "no override is stored");
+        assertFalse(hasStoredOverride(), "no override is stored");
     }
 
-    private boolean marked() throws IOException {
-        try (DirectoryStream<Path> kept = Files.newDirectoryStream(folder, "backend-*")) {
-            return kept.iterator().hasNext();
+    private boolean hasStoredOverride() throws IOException {
+        try (DirectoryStream<Path> overrideFiles = Files.newDirectoryStream(folder, "backend-*")) {
+            return overrideFiles.iterator().hasNext();
         }
     }
 
     @Test
-    void aLineWithoutEndIsCutOff() {
+    void rejectsTooLongLine() {
         assertTrue(Fakes.callConsole(proxy, "DETACH " + "s".repeat(5_000) + "\n").startsWith("400 "));
     }
 
     @Test
-    void whatIsTakenOutGetsNothingWhateverTheListsSayUntilItIsPutBack() throws Exception {
+    void detachedBackendGetsNoRequestsUntilAttached() throws Exception {
         assertTrue(Fakes.callConsole(proxy, "DETACH s-1\r\n").startsWith("200 "));
         assertTrue(Fakes.callConsole(proxy, "DETACH s-1\n").startsWith("200 "), "a repeated DETACH succeeds");
-        ask(30);
-        discovery.push(both(3));
-        discovery.push(FakeDiscovery.listJson(4, false, Fakes.entryJson("s-1", one.port(), "left")));
-        discovery.push(FakeDiscovery.listJson(5, false, Fakes.entryJson("s-1", one.port(), "active")));
-        discovery.push(FakeDiscovery.listJson(6, false, Fakes.entryJson("s-3", two.port(), "active")));
+        sendRequests(30);
+        discovery.push(bothBackends(3));
+        discovery.push(FakeDiscovery.listJson(4, false, Fakes.entryJson("s-1", backend1.port(), "left")));
+        discovery.push(FakeDiscovery.listJson(5, false, Fakes.entryJson("s-1", backend1.port(), "active")));
+        discovery.push(FakeDiscovery.listJson(6, false, Fakes.entryJson("s-3", backend2.port(), "active")));
         Fakes.await("the last list is applied", () -> Fakes.callConsole(proxy, "ATTACH s-3\n").startsWith("200 "));
-        ask(30);
-        assertEquals(0, one.requests.size());
+        sendRequests(30);
+        assertEquals(0, backend1.requests.size());
         assertTrue(Fakes.callConsole(proxy, "ATTACH s-1\n").startsWith("200 "), "one ATTACH undoes two DETACHes");
         Fakes.await("the backend is used again", () -> {
             try {
-                ask(5);
+                sendRequests(5);
             } catch (IOException e) {
                 throw new IllegalStateException(e);
             }
-            return !one.requests.isEmpty();
+            return !backend1.requests.isEmpty();
         });
     }
 
     @Test
-    void theNextProcessKeepsItOutAndBothNoticeEachOthersChanges() throws Exception {
+    void overridesAreSharedWithNextProcess() throws Exception {
         Fakes.callConsole(proxy, "DETACH s-1\n");
-        Proxy first = proxy;
-        proxy = started();
+        Proxy firstProxy = proxy;
+        proxy = startProxy();
         try {
-            ask(30);
-            assertEquals(0, one.requests.size());
-            Fakes.callConsole(first, "DETACH s-2\n");
+            sendRequests(30);
+            assertEquals(0, backend1.requests.size());
+            Fakes.callConsole(firstProxy, "DETACH s-2\n");
             Fakes.await("the second process has no backend left", () ->
                 Fakes.callConsole(proxy, "PING\n").startsWith("400 "));
         } finally {
-            first.stop();
+            firstProxy.stop();
         }
     }
 
     @Test
-    void callersThatFinishNoCallHoldUpNobody() throws Exception {
-        List<Socket> hanging = new ArrayList<>();
+    void unfinishedCallsDoNotBlockOthers() throws Exception {
+        List<Socket> unfinishedCalls = new ArrayList<>();
         for (int i = 0; i < 30; i++) {
-            hanging.add(connected(proxy));
-            hanging.get(i).getOutputStream().write('P');
+            unfinishedCalls.add(connect(proxy));
+            unfinishedCalls.get(i).getOutputStream().write('P');
         }
         assertTrue(Fakes.callConsole(proxy, "PING\n").startsWith("200 "));
-        for (Socket socket : hanging) {
-            Fakes.await("the connection is closed", () -> ended(socket));
+        for (Socket socket : unfinishedCalls) {
+            Fakes.await("the connection is closed", () -> isClosed(socket));
             socket.close();
         }
     }
 
-    private static boolean ended(Socket socket) {
+    private static boolean isClosed(Socket socket) {
         try {
             return socket.getInputStream().read() < 0;
         } catch (IOException e) {
@@ -159,50 +159,50 @@
     }
 
     @Test
-    void aBusyLoopDelaysNoAnswer() throws Exception {
-        CountDownLatch busy = new CountDownLatch(1);
-        proxy.eventLoop().submit(() -> busy.await(1, TimeUnit.MINUTES));
+    void answersWhileEventLoopIsBusy() throws Exception {
+        CountDownLatch release = new CountDownLatch(1);
+        proxy.eventLoop().submit(() -> release.await(1, TimeUnit.MINUTES));
         try {
             assertTrue(Fakes.callConsole(proxy, "PING\n").startsWith("200 "));
         } finally {
-            busy.countDown();
+            release.countDown();
         }
     }
 
-    private static RequestTable.ListedBackend listed(Phase phase, long startedAt) {
+    private static RequestTable.ListedBackend listedBackend(Phase phase, long startedAt) {
         return new RequestTable.ListedBackend(new Backend(1, "a", "k", 1, phase, 1, startedAt), null);
     }
 
     @Test
-    void putBackItHasStartedAtTheCallUnlessDiscoveryNamesALaterStart(@TempDir Path kept) throws Exception {
-        OperatorOverrides operators = new OperatorOverrides(kept);
-        operators.markListed("s-1");
-        assertFalse(operators.attach("s-1"), "it was not detached");
-        assertEquals(0, operators.applyOverride("s-1", listed(Phase.READY, 0)).backend().startedAt());
-        assertTrue(operators.detach("s-1"));
-        assertEquals(Phase.DRAINING, operators.applyOverride("s-1", listed(Phase.READY, 0)).backend().phase());
-        assertEquals(Phase.GONE, operators.applyOverride("s-1", listed(Phase.GONE, 0)).backend().phase());
-        long before = System.currentTimeMillis() * 1_000;
-        assertTrue(operators.attach("s-1"));
-        for (OperatorOverrides each : List.of(operators, new OperatorOverrides(kept))) {
-            Backend back = each.applyOverride("s-1", listed(Phase.READY, 1)).backend();
-            assertEquals(Phase.READY, back.phase());
-            assertTrue(back.startedAt() >= before, "started at the time of the ATTACH");
-            long later = Long.MAX_VALUE;
-            assertEquals(later, each.applyOverride("s-1", listed(Phase.READY, later)).backend().startedAt());
+    void attachedBackendCountsAsStartedUnlessDiscoveryReportsLaterStart(@TempDir Path stateFolder) throws Exception {
+        OperatorOverrides overrides = new OperatorOverrides(stateFolder);
+        overrides.markListed("s-1");
+        assertFalse(overrides.attach("s-1"), "it was not detached");
+        assertEquals(0, overrides.applyOverride("s-1", listedBackend(Phase.READY, 0)).backend().startedAt());
+        assertTrue(overrides.detach("s-1"));
+        assertEquals(Phase.DRAINING, overrides.applyOverride("s-1", listedBackend(Phase.READY, 0)).backend().phase());
+        assertEquals(Phase.GONE, overrides.applyOverride("s-1", listedBackend(Phase.GONE, 0)).backend().phase());
+        long attachedAfter = System.currentTimeMillis() * 1_000;
+        assertTrue(overrides.attach("s-1"));
+        for (OperatorOverrides reader : List.of(overrides, new OperatorOverrides(stateFolder))) {
+            Backend attached = reader.applyOverride("s-1", listedBackend(Phase.READY, 1)).backend();
+            assertEquals(Phase.READY, attached.phase());
+            assertTrue(attached.startedAt() >= attachedAfter, "started at the time of the ATTACH");
+            long laterStart = Long.MAX_VALUE;
+            assertEquals(laterStart, reader.applyOverride("s-1", listedBackend(Phase.READY, laterStart)).backend().startedAt());
         }
     }
 
     @Test
-    void whatCannotBeReadOfTheStateHidesNothingElse(@TempDir Path kept) throws Exception {
-        OperatorOverrides before = new OperatorOverrides(kept);
-        before.markListed("s/1");
-        before.detach("s/1");
-        Files.write(kept.resolve("backend-s-2"), new byte[] {(byte) 0xff, 'o', 'u'});
-        Files.createFile(kept.resolve("backend-s-3"));
-        OperatorOverrides after = new OperatorOverrides(kept);
-        assertTrue(after.isKnown("s/1"));
-        assertFalse(after.isKnown("s-2") || after.isKnown("s-3"));
-        assertEquals(1, after.detachedCount());
+    void unreadableOverrideDoesNotHideOthers(@TempDir Path stateFolder) throws Exception {
+        OperatorOverrides writer = new OperatorOverrides(stateFolder);
+        writer.markListed("s/1");
+        writer.detach("s/1");
+        Files.write(stateFolder.resolve("backend-s-2"), new byte[] {(byte) 0xff, 'o', 'u'});
+        Files.createFile(stateFolder.resolve("backend-s-3"));
+        OperatorOverrides reader = new OperatorOverrides(stateFolder);
+        assertTrue(reader.isKnown("s/1"));
+        assertFalse(reader.isKnown("s-2") || reader.isKnown("s-3"));
+        assertEquals(1, reader.detachedCount());
     }
 }
--- a/proxy/src/test/java/dockrelay/proxy/PeerDirectoryTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/PeerDirectoryTest.java
@@ -15,7 +15,7 @@
     }
 
     @Test
-    void eachNameIsFoundByItsAddressAndEachAddressByItsName() {
+    void findsPeersByNameAndByAddress() {
         PeerDirectory peers = new PeerDirectory(IntStream.range(0, 5_700).mapToObj(i -> "n" + i).toList(),
             IntStream.range(0, 5_700).mapToObj(i -> address(10_000 + i)).toList());
         assertEquals(5_700, peers.size());
@@ -32,7 +32,7 @@
 
     /** If two peers share an address, the first one in the configuration is found. */
     @Test
-    void ofTwoAtOneAddressTheFirstHasIt() {
+    void sharedAddressBelongsToFirstPeer() {
         PeerDirectory peers = new PeerDirectory(List.of("a", "b"), List.of(address(1), address(1)));
         assertEquals("a", peers.nameAt(peers.indexOf(address(1))));
         assertNull(new PeerDirectory(List.of(), List.of(address(1))).nameAt(0), "peers without names");
--- a/proxy/src/test/java/dockrelay/proxy/PeerGroupsTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/PeerGroupsTest.java
@@ -20,49 +20,49 @@
 
 /** The grouping of peers that a configuration results in, and the error messages of invalid groupings. */
 class PeerGroupsTest {
-    private static final String SIX = "{\"a\":[\"n0\",\"n1\",\"n2\"],\"b\":[\"n3\",\"n4\"],\"c\":[\"n5\"]}";
+    private static final String SIX_PEERS_IN_ZONES = "{\"a\":[\"n0\",\"n1\",\"n2\"],\"b\":[\"n3\",\"n4\"],\"c\":[\"n5\"]}";
     @TempDir
     Path folder;
-    private Path file;
+    private Path configFile;
 
     @BeforeEach
-    void name() {
-        file = folder.resolve("config.json");
+    void setConfigFile() {
+        configFile = folder.resolve("config.json");
     }
 
-    private static String text(int me, String peers, String more, String tenants) {
-        return "{\"name\":\"n" + me + "\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:1\","
-            + "\"seed\":\"1\",\"peer_listen\":\"127.0.0.1:1\",\"peers\":" + peers + "," + more
+    private static String configJson(int ownNumber, String peers, String moreKeys, String tenants) {
+        return "{\"name\":\"n" + ownNumber + "\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:1\","
+            + "\"seed\":\"1\",\"peer_listen\":\"127.0.0.1:1\",\"peers\":" + peers + "," + moreKeys
             + "\"settings\":{\"Permissions\":{\"Peers\":true},\"Tenants\":[" + tenants + "],"
             + "\"Services\":[{\"Name\":\"look\",\"Aim\":1.0,\"HardLimit\":5.0}]}}";
     }
 
-    private static String peers(int count) {
+    private static String peersJson(int count) {
         return IntStream.range(0, count).mapToObj(i -> "\"n" + i + "\":\"127.0.0.1:" + (20_000 + i) + "\"")
             .collect(Collectors.joining(",", "{", "}"));
     }
 
-    private static String groups(String value) {
+    private static String peerGroupsJson(String value) {
         return value.isEmpty() ? "" : "\"peer_groups\":" + value + ",";
     }
 
-    private static Config config(int me, int count, String groups) {
-        return Fakes.parseConfig(text(me, peers(count), groups(groups), ""));
+    private static Config config(int ownNumber, int count, String groups) {
+        return Fakes.parseConfig(configJson(ownNumber, peersJson(count), peerGroupsJson(groups), ""));
     }
 
     @Test
-    void withoutAWordOfGroupsAllAreInOneUpToOneAndAHalfTimesItsSize() {
-        int most = GroupAssignment.DEFAULT_GROUP_SIZE * 3 / 2;
+    void formsOneGroupByDefaultUpToOneAndAHalfTimesItsSize() {
+        int maxGroupSize = GroupAssignment.DEFAULT_GROUP_SIZE * 3 / 2;
         assertTrue(config(0, 3, "").peerGroups().assignment().isSingleGroup());
-        assertTrue(config(0, most, "").peerGroups().assignment().isSingleGroup());
-        assertEquals(2, config(0, most + 1, "").peerGroups().assignment().groupCount());
+        assertTrue(config(0, maxGroupSize, "").peerGroups().assignment().isSingleGroup());
+        assertEquals(2, config(0, maxGroupSize + 1, "").peerGroups().assignment().groupCount());
         assertEquals(3, config(0, 97, "{\"size\":32}").peerGroups().assignment().groupCount());
-        assertNull(Fakes.parseConfig(text(0, "[\"127.0.0.1:7\"]", "", "")).peerGroups());
+        assertNull(Fakes.parseConfig(configJson(0, "[\"127.0.0.1:7\"]", "", "")).peerGroups());
     }
 
     @Test
-    void zonesAreGroupsOfTheirOwn() {
-        Config config = config(3, 6, "{\"zones\":" + SIX + "}");
+    void eachZoneFormsItsOwnGroups() {
+        Config config = config(3, 6, "{\"zones\":" + SIX_PEERS_IN_ZONES + "}");
         assertEquals(3, config.peerGroups().assignment().groupCount());
         assertEquals(List.of("n3", "n4"), config.groupMemberNames());
         assertEquals("b/1", config.peerGroups().assignment().label(config.peerGroups().assignment().groupOf("n3")));
@@ -70,13 +70,13 @@
 
     /** The order of the names in the file does not affect the groups. */
     @Test
-    void aChangeOfZonesOrSizeIsAChange() {
-        PeerGroups one = config(0, 6, "{\"zones\":" + SIX + "}").peerGroups();
-        String usual = "{\"size\":" + GroupAssignment.DEFAULT_GROUP_SIZE + ",\"zones\":" + SIX + "}";
-        assertTrue(one.hasSameGroups(config(4, 6, usual).peerGroups()));
-        for (String other : List.of("", "{\"size\":40,\"zones\":" + SIX + "}",
+    void detectsChangedZonesAndSizes() {
+        PeerGroups original = config(0, 6, "{\"zones\":" + SIX_PEERS_IN_ZONES + "}").peerGroups();
+        String explicitDefaultSize = "{\"size\":" + GroupAssignment.DEFAULT_GROUP_SIZE + ",\"zones\":" + SIX_PEERS_IN_ZONES + "}";
+        assertTrue(original.hasSameGroups(config(4, 6, explicitDefaultSize).peerGroups()));
+        for (String changed : List.of("", "{\"size\":40,\"zones\":" + SIX_PEERS_IN_ZONES + "}",
             "{\"zones\":{\"a\":[\"n0\",\"n1\",\"n2\",\"n3\"],\"b\":[\"n4\"],\"c\":[\"n5\"]}}")) {
-            assertTrue(!one.hasSameGroups(config(0, 6, other).peerGroups()), other);
+            assertTrue(!original.hasSameGroups(config(0, 6, changed).peerGroups()), changed);
         }
     }
 
@@ -105,29 +105,29 @@
         {"zones":{"a":["n0","n2"]}} | G-UNPLACED: peer_groups.zones is incomplete without [n1]; \
         put each peer into exactly one zone
         """)
-    void whatCannotBeIsOneLineWithFileKeyValueAndWhatIsAllowed(String given, String line) throws Exception {
-        assertEquals(file + ": " + line, refused(text(0, peers(3), groups(given), "")));
+    void errorsNameFileKeyValueAndAllowedValues(String peerGroups, String expectedError) throws Exception {
+        assertEquals(configFile + ": " + expectedError, readError(configJson(0, peersJson(3), peerGroupsJson(peerGroups), "")));
     }
 
-    private String refused(String text) throws Exception {
-        Files.writeString(file, text);
-        return assertThrows(ConfigException.class, () -> Config.read(file)).getMessage();
+    private String readError(String configText) throws Exception {
+        Files.writeString(configFile, configText);
+        return assertThrows(ConfigException.class, () -> Config.read(configFile)).getMessage();
     }
 
     @Test
-    void listsThatAreTooLongAreToldInAShortLine() throws Exception {
-        assertEquals(file + ": G-TOO_MANY: peers: number of names is 16385; allowed are 1 to 16384",
-            refused(text(0, peers(16_385), "", "")));
-        String unplaced = refused(text(0, peers(5_700), groups("{\"zones\":{\"a\":[\"n0\"]}}"), ""));
+    void errorsAbbreviateLongLists() throws Exception {
+        assertEquals(configFile + ": G-TOO_MANY: peers: number of names is 16385; allowed are 1 to 16384",
+            readError(configJson(0, peersJson(16_385), "", "")));
+        String unplaced = readError(configJson(0, peersJson(5_700), peerGroupsJson("{\"zones\":{\"a\":[\"n0\"]}}"), ""));
         assertTrue(unplaced.contains("n12] and 5687 more; put each peer into exactly one zone"), unplaced);
-        String absent = refused(text(5_700, peers(5_700), "", ""));
-        assertTrue(absent.endsWith("n11] and 5688 more"), absent);
-        String nobody = refused(text(0, "[\"127.0.0.1:7\"]", groups("{\"size\":64}"), ""));
-        assertTrue(nobody.contains(": G-SHAPE: peer_groups is set although peers has no names"), nobody);
+        String missingOwnName = readError(configJson(5_700, peersJson(5_700), "", ""));
+        assertTrue(missingOwnName.endsWith("n11] and 5688 more"), missingOwnName);
+        String withoutNames = readError(configJson(0, "[\"127.0.0.1:7\"]", peerGroupsJson("{\"size\":64}"), ""));
+        assertTrue(withoutNames.contains(": G-SHAPE: peer_groups is set although peers has no names"), withoutNames);
     }
 
-    private static Config budgets(int me, int count, String groups, String budget, String tenants) {
-        return Fakes.parseConfig(text(me, peers(count), groups(groups) + "\"budgets\":{" + budget + "},",
+    private static Config configWithBudgets(int ownNumber, int count, String groups, String budgets, String tenants) {
+        return Fakes.parseConfig(configJson(ownNumber, peersJson(count), peerGroupsJson(groups) + "\"budgets\":{" + budgets + "},",
             tenants));
     }
 
@@ -136,20 +136,20 @@
      * the whole.
      */
     @Test
-    void aGroupHasItsPartOfEachBudget() {
-        String extra = "\"extra\":{\"per_second\":20,\"burst\":40}";
-        String tenant = "{\"Name\":\"t\",\"QuotaRps\":100},{\"Name\":\"small\",\"QuotaRps\":7}";
-        Config single = budgets(0, 6, "", extra, tenant);
-        assertEquals(single.budgets(), single.groupBudgets());
-        assertEquals(List.of("extra", "tenant/t", "tenant/small"), single.budgets().stream().map(Budget::name)
+    void groupsDivideEachBudget() {
+        String extraBudget = "\"extra\":{\"per_second\":20,\"burst\":40}";
+        String tenants = "{\"Name\":\"t\",\"QuotaRps\":100},{\"Name\":\"small\",\"QuotaRps\":7}";
+        Config singleGroup = configWithBudgets(0, 6, "", extraBudget, tenants);
+        assertEquals(singleGroup.budgets(), singleGroup.groupBudgets());
+        assertEquals(List.of("extra", "tenant/t", "tenant/small"), singleGroup.budgets().stream().map(Budget::name)
             .toList());
         long rate = 0, burst = 0;
-        for (int one : new int[] {0, 3, 5}) { // one member of each group
-            List<Budget> parts = budgets(one, 6, "{\"zones\":" + SIX + "}", extra, tenant).groupBudgets();
-            assertEquals(List.of("extra", "tenant/t"), parts.stream().map(Budget::name).toList(),
+        for (int memberNumber : new int[] {0, 3, 5}) { // one member of each group
+            List<Budget> groupBudgets = configWithBudgets(memberNumber, 6, "{\"zones\":" + SIX_PEERS_IN_ZONES + "}", extraBudget, tenants).groupBudgets();
+            assertEquals(List.of("extra", "tenant/t"), groupBudgets.stream().map(Budget::name).toList(),
                 "a tenant quota that is too small to divide is left to the balancer");
-            rate += parts.get(0).rate();
-            burst += parts.get(0).burst();
+            rate += groupBudgets.get(0).rate();
+            burst += groupBudgets.get(0).burst();
         }
         assertTrue(rate <= 20 * Budget.MICROTOKENS_PER_TOKEN && rate > 19.99 * Budget.MICROTOKENS_PER_TOKEN, "" + rate);
         assertTrue(burst <= 40 * Budget.MICROTOKENS_PER_TOKEN && burst > 39.99 * Budget.MICROTOKENS_PER_TOKEN, "" + burst);
@@ -157,10 +157,10 @@
 
     /** Otherwise each group would lease the minimum burst, and the sum would exceed the budget. */
     @Test
-    void aBudgetTooSmallToBeDividedIsRefused() throws Exception {
+    void rejectsBudgetTooSmallToDivide() throws Exception {
         String budgets = "\"budgets\":{\"extra\":{\"per_second\":20,\"burst\":11}},";
-        assertEquals(file + ": B-BURST: budget extra: burst of 11.0 is too small for 3 groups with a total "
+        assertEquals(configFile + ": B-BURST: budget extra: burst of 11.0 is too small for 3 groups with a total "
             + "of 6 peers, the smallest with 1; the minimum here is 12",
-            refused(text(0, peers(6), groups("{\"zones\":" + SIX + "}") + budgets, "")));
+            readError(configJson(0, peersJson(6), peerGroupsJson("{\"zones\":" + SIX_PEERS_IN_ZONES + "}") + budgets, "")));
     }
 }
--- a/proxy/src/test/java/dockrelay/proxy/UpgradeTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/UpgradeTest.java
@@ -36,13 +36,13 @@
     }
 
     @AfterEach
-    void end() throws Exception {
+    void stop() throws Exception {
         listener.close();
         backend.close();
         discovery.close();
     }
 
-    private Proxy started() throws IOException {
+    private Proxy startProxy() throws IOException {
         Proxy proxy = new Proxy(Fakes.config(discovery.port(), 1024),
             new ProcessEnvironment(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), folder, listener));
         assertTrue(Fakes.callConsole(proxy, "PING\n").startsWith("200 "),
@@ -50,61 +50,61 @@
         return proxy;
     }
 
-    private FakeClient client() throws IOException {
+    private FakeClient connectClient() throws IOException {
         int port = ((InetSocketAddress) listener.getLocalAddress()).getPort();
         return new FakeClient(new Socket(InetAddress.getLoopbackAddress(), port));
     }
 
     @Test
-    void askedToEndItServesWhatItAcceptedAndLeavesTheRestToTheNextOne() throws Exception {
-        Proxy first = started();
-        try (FakeClient unread = client(); FakeClient resting = client()) {
-            assertEquals(200, resting.send(FakeClient.getRequest("2.0")).readStatus());
+    void stoppingProcessServesAcceptedConnectionsAndLeavesNewOnes() throws Exception {
+        Proxy first = startProxy();
+        try (FakeClient unused = connectClient(); FakeClient idle = connectClient()) {
+            assertEquals(200, idle.send(FakeClient.getRequest("2.0")).readStatus());
             Fakes.await("both connections are accepted", () -> first.clientConnectionCount() == 2);
-            Proxy next = started();
+            Proxy next = startProxy();
             Thread stopping = new Thread(first::stop);
             stopping.start();
             Fakes.await("the first process reports that it stops", () ->
                 Fakes.callConsole(first, "PING\n").startsWith("400 "));
-            try (FakeClient late = client()) {
-                assertEquals(200, late.send(FakeClient.getRequest("2.0")).readStatus());
+            try (FakeClient newClient = connectClient()) {
+                assertEquals(200, newClient.send(FakeClient.getRequest("2.0")).readStatus());
                 assertEquals(1, next.clientConnectionCount(), "the second process has accepted the connection");
-                for (FakeClient kept : new FakeClient[] {unread, resting}) {
-                    String answer = kept.send(FakeClient.getRequest("2.0")).readResponse();
+                for (FakeClient accepted : new FakeClient[] {unused, idle}) {
+                    String answer = accepted.send(FakeClient.getRequest("2.0")).readResponse();
                     assertTrue(answer.startsWith("HTTP/1.1 200"), answer);
                     assertTrue(answer.contains("connection: close"), answer);
-                    assertNull(kept.readResponse());
-                    kept.close();
+                    assertNull(accepted.readResponse());
+                    accepted.close();
                 }
                 stopping.join();
                 assertTrue(listener.isOpen(),
                     "the listener stays open: closing it would redirect the log to /dev/null");
-                assertEquals(200, late.send(FakeClient.getRequest("2.0")).readStatus());
+                assertEquals(200, newClient.send(FakeClient.getRequest("2.0")).readStatus());
             }
             next.stop();
         }
     }
 
     @Test
-    void eachKnowsWhatTheOtherHoldsAndThatItHasEnded() throws Exception {
-        UpgradeOverlapDetector one = new UpgradeOverlapDetector(folder);
-        assertEquals(-1, one.exchangeDescriptorCounts(5));
-        UpgradeOverlapDetector two = new UpgradeOverlapDetector(folder);
-        assertEquals(5, two.exchangeDescriptorCounts(7));
-        assertEquals(7, one.exchangeDescriptorCounts(6));
-        assertEquals(6, two.exchangeDescriptorCounts(7));
-        one.close();
-        assertEquals(-1, two.exchangeDescriptorCounts(7));
-        two.close();
+    void processesExchangeDescriptorCountsUntilOneEnds() throws Exception {
+        UpgradeOverlapDetector first = new UpgradeOverlapDetector(folder);
+        assertEquals(-1, first.exchangeDescriptorCounts(5));
+        UpgradeOverlapDetector second = new UpgradeOverlapDetector(folder);
+        assertEquals(5, second.exchangeDescriptorCounts(7));
+        assertEquals(7, first.exchangeDescriptorCounts(6));
+        assertEquals(6, second.exchangeDescriptorCounts(7));
+        first.close();
+        assertEquals(-1, second.exchangeDescriptorCounts(7));
+        second.close();
     }
 
     @Test
-    void whatIsNoListeningSocketFailsTheStart() {
+    void startFailsWithoutListeningSocket() {
         Config config = Fakes.config(1, 1024);
         for (String descriptor : new String[] {"0", "3", "x"}) {
-            IOException failed = assertThrows(IOException.class,
+            IOException failure = assertThrows(IOException.class,
                 () -> ProcessEnvironment.read(config, Map.of("PROXY_SOCKET_FD", descriptor)));
-            assertTrue(failed.getMessage().contains("no listening socket"), failed.getMessage());
+            assertTrue(failure.getMessage().contains("no listening socket"), failure.getMessage());
         }
     }
 }
