--- a/control/src/main/java/dockrelay/control/BackendCommand.java
+++ b/control/src/main/java/dockrelay/control/BackendCommand.java
@@ -10,7 +10,7 @@
 
 /** Detaches a backend from proxies, or attaches it again. */
 abstract class BackendCommand implements Callable<Integer> {
-    @Parameters(index = "0", paramLabel = "BACKEND", description = "its id in discovery's list")
+    @Parameters(index = "0", paramLabel = "BACKEND", description = "id of the backend in the discovery list")
     String backendId;
     @Parameters(index = "1..*", paramLabel = "HOST:PORT", arity = "0..*", description = "consoles")
     List<String> consoles;
@@ -25,7 +25,7 @@
 
     /** Makes proxies send no new requests to a backend. */
     @Command(name = "detach", mixinStandardHelpOptions = true,
-        description = "Takes a backend out: it gets nothing new from these proxies.")
+        description = "Detaches a backend: these proxies send it no new requests.")
     static final class Detach extends BackendCommand {
         Detach() {
             super("DETACH");
@@ -34,7 +34,7 @@
 
     /** Attaches a backend again, which counts as newly started from then on. */
     @Command(name = "attach", mixinStandardHelpOptions = true,
-        description = "Puts a backend back that was taken out.")
+        description = "Attaches a detached backend again.")
     static final class Attach extends BackendCommand {
         Attach() {
             super("ATTACH");
@@ -44,7 +44,8 @@
     @Override
     public Integer call() throws InterruptedException {
         if (!backendId.matches("[\\x21-\\x7e]{1,80}")) {
-            throw new IllegalArgumentException("BACKEND = " + backendId + " is not 1 to 80 visible characters");
+            throw new IllegalArgumentException("BACKEND = " + backendId
+                + " is not 1 to 80 visible characters");
         }
         return printAnswers(options.call(consoles, consoleCommand + " " + backendId), options.json);
     }
--- a/control/src/main/java/dockrelay/control/ConsoleClient.java
+++ b/control/src/main/java/dockrelay/control/ConsoleClient.java
@@ -71,29 +71,33 @@
         return collected.stream().distinct().toList();
     }
 
+    /** Parses HOST:PORT; the origin of the text is named in the error message. */
     private static InetSocketAddress parseAddress(String text, String origin) {
         int colon = text.lastIndexOf(':');
         try {
-            return new InetSocketAddress(text.substring(0, colon), Integer.parseInt(text.substring(colon
-                + 1)));
+            return new InetSocketAddress(text.substring(0, colon),
+                Integer.parseInt(text.substring(colon + 1)));
         } catch (RuntimeException e) {
             throw new IllegalArgumentException(origin + ": " + text + " is not HOST:PORT");
         }
     }
 
     /** Calls all consoles in parallel, and returns the answers in the order of the consoles. */
-    static Map<String, Answer> call(List<String> consoles, String command,
-        int timeoutMillis) throws InterruptedException {
-        ExecutorService executor = Executors.newFixedThreadPool(Math.min(MAX_PARALLEL_CALLS, consoles.size()));
+    static Map<String, Answer> call(List<String> consoles, String command, int timeoutMillis)
+        throws InterruptedException {
+        ExecutorService executor =
+            Executors.newFixedThreadPool(Math.min(MAX_PARALLEL_CALLS, consoles.size()));
         try {
             Map<String, Future<Answer>> calls = new LinkedHashMap<>();
-            consoles.forEach(console -> calls.put(console, executor.submit(() -> call(console, command, timeoutMillis))));
+            consoles.forEach(console ->
+                calls.put(console, executor.submit(() -> call(console, command, timeoutMillis))));
             Map<String, Answer> answers = new LinkedHashMap<>();
-            for (Map.Entry<String, Future<Answer>> console : calls.entrySet()) {
+            for (Map.Entry<String, Future<Answer>> call : calls.entrySet()) {
                 try {
-                    answers.put(console.getKey(), console.getValue().get());
+                    answers.put(call.getKey(), call.getValue().get());
                 } catch (java.util.concurrent.ExecutionException e) {
-                    answers.put(console.getKey(), new Answer(console.getKey(), List.of(), e.getCause().toString()));
+                    answers.put(call.getKey(),
+                        new Answer(call.getKey(), List.of(), e.getCause().toString()));
                 }
             }
             return answers;
--- a/control/src/main/java/dockrelay/control/Main.java
+++ b/control/src/main/java/dockrelay/control/Main.java
@@ -8,10 +8,11 @@
  * error.
  */
 @Command(name = "ctl", mixinStandardHelpOptions = true, version = "ctl 0.1.0",
-    subcommands = {PingCommand.class, MembersCommand.class, GroupsCommand.class, MemberCommand.class, BackendCommand.Detach.class,
-        BackendCommand.Attach.class},
-    description = "Speaks to one or many proxies at their consoles.", exitCodeListHeading = "Exit codes:%n",
-    exitCodeList = {"0:done", "1:some did not answer, said no, or do not agree", "2:misuse"},
+    subcommands = {PingCommand.class, MembersCommand.class, GroupsCommand.class, MemberCommand.class,
+        BackendCommand.Detach.class, BackendCommand.Attach.class},
+    description = "Sends commands to the consoles of one or many proxies.",
+    exitCodeListHeading = "Exit codes:%n",
+    exitCodeList = {"0:done", "1:some did not answer, refused, or disagree", "2:misuse"},
     footerHeading = "Examples:%n", footer = {"  ctl ping 127.0.0.1:12000 127.0.0.1:12001",
         "  ctl members --file consoles.txt --json", "  ctl detach s-1 --file consoles.txt"})
 public final class Main {
--- a/control/src/main/java/dockrelay/control/MemberCommand.java
+++ b/control/src/main/java/dockrelay/control/MemberCommand.java
@@ -9,9 +9,9 @@
 
 /** Queries the state of one member of any group, by name. */
 @Command(name = "member", mixinStandardHelpOptions = true, description =
-    "Asks proxies for one member by name; those of another group have that group asked.")
+    "Looks up one member by name; proxies query its group if it is not their own.")
 final class MemberCommand implements Callable<Integer> {
-    @Parameters(index = "0", paramLabel = "NAME", description = "its name in the configuration's peers")
+    @Parameters(index = "0", paramLabel = "NAME", description = "name of the member in the configuration")
     String name;
     @Parameters(index = "1..*", paramLabel = "HOST:PORT", arity = "0..*", description = "consoles")
     List<String> consoles;
@@ -25,15 +25,16 @@
         }
         ProxyAnswers answers = ProxyAnswers.parse(options.call(consoles, "MEMBER " + name));
         boolean agreed = answers.errorsByConsole().isEmpty() && answers.reportsByConsole().values().stream()
-            .map(view -> view.rows().getOrDefault(name, Map.of()).get("state")).distinct().count() == 1;
+            .map(report -> report.rows().getOrDefault(name, Map.of()).get("state")).distinct().count() == 1;
         if (options.json) {
-            System.out.println(TextTable.toJson(answers.toJson(agreed, "members")));
+            System.out.println(TextTable.toJson(answers.toJsonValue(agreed, "members")));
         } else {
             TextTable table = new TextTable("CONSOLE", "GROUP", "STATE", "FOR", "WORD OF", "INCARNATION");
-            answers.reportsByConsole().forEach((console, view) -> view.rows().forEach((member, row) -> table.addRow(console,
-                view.summary().get("group"), row.get("state"), row.get("for"), row.get("by"),
-                row.get("incarnation"))));
-            answers.errorsByConsole().forEach((console, error) -> table.addRow(console, "?", error, "", "", ""));
+            answers.reportsByConsole().forEach((console, report) -> report.rows().forEach((member, row) ->
+                table.addRow(console, report.summary().get("group"), row.get("state"), row.get("for"),
+                    row.get("by"), row.get("incarnation"))));
+            answers.errorsByConsole().forEach((console, error) ->
+                table.addRow(console, "?", error, "", "", ""));
             System.out.print(table);
         }
         return agreed ? 0 : 1;
--- a/control/src/main/java/dockrelay/control/ProxyAnswers.java
+++ b/control/src/main/java/dockrelay/control/ProxyAnswers.java
@@ -54,8 +54,8 @@
         return fields;
     }
 
-    /** The value printed by {@code --json}; {@code rows} is the key of the rows. */
-    Map<String, Object> toJson(boolean agreed, String rowsKey) {
+    /** The value printed by {@code --json}; {@code rowsKey} is the key of the rows. */
+    Map<String, Object> toJsonValue(boolean agreed, String rowsKey) {
         Map<String, Object> proxies = new LinkedHashMap<>();
         reportsByConsole.forEach((console, report) -> {
             Map<String, Object> proxy = new LinkedHashMap<>();
--- a/control/src/main/java/dockrelay/control/TextTable.java
+++ b/control/src/main/java/dockrelay/control/TextTable.java
@@ -27,8 +27,8 @@
             for (int i = 0; i < row.size(); i++) {
                 int column = i;
                 int width = rows.stream().mapToInt(otherRow -> otherRow.get(column).length()).max().orElse(0);
-                text.append(i == row.size() - 1 ? row.get(i) : String.format("%-" + (width + 2) + "s",
-                    row.get(i)));
+                text.append(i == row.size() - 1 ? row.get(i)
+                    : String.format("%-" + (width + 2) + "s", row.get(i)));
             }
             text.append(System.lineSeparator());
         }
--- a/control/src/test/java/dockrelay/control/CommandsTest.java
+++ b/control/src/test/java/dockrelay/control/CommandsTest.java
@@ -27,7 +27,8 @@
 
 /** Runs the commands against fake consoles with fixed answers. */
 class CommandsTest {
-    private static final String SUMMARY_LINE = "200 present=2 of=2 agreement=%s agreeing=2 digest=%s counted=2 "
+    private static final String SUMMARY_LINE =
+        "200 present=2 of=2 agreement=%s agreeing=2 digest=%s counted=2 "
         + "share=0.5 health=0 suspicions=0 clashes=0\n";
     @TempDir
     Path folder;
@@ -89,12 +90,14 @@
 
     @Test
     void membersCommandComparesProxies() throws Exception {
-        String console1 = startConsole(SUMMARY_LINE.formatted("all", "0a") + "n0 present for=3.0s by=n0 incarnation=7\n"
+        String console1 = startConsole(SUMMARY_LINE.formatted("all", "0a")
+            + "n0 present for=3.0s by=n0 incarnation=7\n"
             + "n1 present for=2.0s by=n1 incarnation=8 word=0.5s\n");
-        String console2 = startConsole(SUMMARY_LINE.formatted("all", "0a") + "n0 present for=2.5s by=n0 incarnation=7 word=0.2s\n"
-            + "n1 present for=9.0s by=n1 incarnation=8\n");
-        String console3 = startConsole(SUMMARY_LINE.formatted("minority", "0b") + "n0 gone for=1.0s by=n1 incarnation=7\n"
+        String console2 = startConsole(SUMMARY_LINE.formatted("all", "0a")
+            + "n0 present for=2.5s by=n0 incarnation=7 word=0.2s\n"
             + "n1 present for=9.0s by=n1 incarnation=8\n");
+        String console3 = startConsole(SUMMARY_LINE.formatted("minority", "0b")
+            + "n0 gone for=1.0s by=n1 incarnation=7\n" + "n1 present for=9.0s by=n1 incarnation=8\n");
         assertTrue(runCommand(0, "members", console1, console2).contains("all 2"));
         String differing = runCommand(1, "members", console1, console2, console3);
         assertTrue(differing.contains("minority (2)") && differing.contains("gone"), differing);
@@ -107,20 +110,26 @@
     @Test
     void membersCommandComparesDigestsWithinGroups() throws Exception {
         String summaryLine = SUMMARY_LINE.trim() + " age=0.8s groups=2 group=%s speaker=yes\n";
-        String console1 = startConsole(summaryLine.formatted("all", "0a", "a/1") + "n0 present for=3.0s by=n0 incarnation=7\n");
-        String console2 = startConsole(summaryLine.formatted("all", "0b", "b/1") + "n1 present for=3.0s by=n1 incarnation=7\n");
+        String console1 = startConsole(summaryLine.formatted("all", "0a", "a/1")
+            + "n0 present for=3.0s by=n0 incarnation=7\n");
+        String console2 = startConsole(summaryLine.formatted("all", "0b", "b/1")
+            + "n1 present for=3.0s by=n1 incarnation=7\n");
         String output = runCommand(0, "members", console1, console2);
         assertTrue(output.contains("b/1, speaks") && output.contains("0.8s"), output);
-        String differentDigest = startConsole(summaryLine.formatted("all", "0c", "b/1") + "n2 gone for=1.0s by=n1 incarnation=7\n");
+        String differentDigest = startConsole(summaryLine.formatted("all", "0c", "b/1")
+            + "n2 gone for=1.0s by=n1 incarnation=7\n");
         runCommand(1, "members", console1, console2, differentDigest);
-        String fewerPresent = startConsole(summaryLine.formatted("all", "0b", "b/1").replace("present=2", "present=1"));
+        String fewerPresent = startConsole(summaryLine.formatted("all", "0b", "b/1").replace("present=2",
+            "present=1"));
         runCommand(1, "members", console1, fewerPresent);
     }
 
     @Test
     void groupsCommandComparesProxies() throws Exception {
-        String ownGroupRow = "a/1 fresh of=2 present=2 left=0 gone=0 counted=2 agreement=all age=%s speaker=n0\n";
-        String otherGroupRow = "b/1 %s of=2 present=%d left=0 gone=%d counted=%d agreement=all age=1.5s%s speaker=n3\n";
+        String ownGroupRow =
+            "a/1 fresh of=2 present=2 left=0 gone=0 counted=2 agreement=all age=%s speaker=n0\n";
+        String otherGroupRow =
+            "b/1 %s of=2 present=%d left=0 gone=%d counted=%d agreement=all age=1.5s%s speaker=n3\n";
         String console1 = startConsole("200 groups=2 fresh=2\n" + ownGroupRow.formatted("0.0s")
             + otherGroupRow.formatted("fresh", 2, 0, 2, ""));
         String console2 = startConsole("200 groups=2 fresh=2\n" + ownGroupRow.formatted("1.2s")
@@ -131,14 +140,16 @@
             + otherGroupRow.formatted("fresh", 1, 1, 1, ""));
         String differing = runCommand(1, "groups", console1, fewerPresent);
         assertTrue(differing.contains("2 of 2") && differing.contains("1 of 2"), differing);
-        JsonNode json = new ObjectMapper().readTree(runCommand(1, "groups", "--json", console1, fewerPresent));
-        assertEquals("1", json.path("proxies").path(fewerPresent).path("groups").path("b/1").path("gone").asText());
+        JsonNode json = new ObjectMapper().readTree(runCommand(1, "groups", "--json", console1,
+            fewerPresent));
+        assertEquals("1", json.path("proxies").path(fewerPresent).path("groups").path("b/1").path("gone")
+            .asText());
         runCommand(1, "groups", startConsole("200 groups=2 fresh=1\n" + ownGroupRow.formatted("0.1s")
             + otherGroupRow.formatted("stale", 2, 0, 2, "")));
         runCommand(1, "groups", startConsole("200 groups=2 fresh=2\n" + ownGroupRow.formatted("0.1s")
             + otherGroupRow.formatted("fresh", 2, 0, 2, " other-list")));
-        String unheard = runCommand(1, "groups", startConsole("200 groups=2 fresh=1\n" + ownGroupRow.formatted("0.1s")
-            + "b/1 unheard of=2\n"));
+        String unheard = runCommand(1, "groups", startConsole("200 groups=2 fresh=1\n"
+            + ownGroupRow.formatted("0.1s") + "b/1 unheard of=2\n"));
         assertTrue(unheard.contains("never") && unheard.contains("? of 2"), unheard);
         runCommand(1, "groups", console1, startConsole("400 calls are PING, DETACH ID and ATTACH ID\n"));
     }
@@ -147,10 +158,12 @@
     void memberCommandFindsMemberByName() throws Exception {
         String row = "n3 %s for=3.0s by=n3 incarnation=7\n";
         String console1 = startConsole("200 group=b/1\n" + row.formatted("present"));
-        String output = runCommand(0, "member", "n3", console1, startConsole("200 group=b/1\n" + row.formatted("present")));
+        String output = runCommand(0, "member", "n3", console1, startConsole("200 group=b/1\n"
+            + row.formatted("present")));
         assertTrue(output.contains("b/1") && output.contains("present"), output);
         runCommand(1, "member", "n3", console1, startConsole("200 group=b/1\n" + row.formatted("gone")));
-        String unanswered = runCommand(1, "member", "n3", console1, startConsole("400 no answer of group b/1: asked\n"));
+        String unanswered = runCommand(1, "member", "n3", console1,
+            startConsole("400 no answer of group b/1: asked\n"));
         assertTrue(unanswered.contains("no answer of group b/1"), unanswered);
         JsonNode json = new ObjectMapper().readTree(runCommand(0, "member", "--json", "n3", console1));
         assertEquals("present", json.at("/proxies/" + console1 + "/members/n3/state").asText());
--- a/fleet/src/main/java/dockrelay/fleet/budget/Budget.java
+++ b/fleet/src/main/java/dockrelay/fleet/budget/Budget.java
@@ -9,7 +9,7 @@
  */
 public record Budget(String name, long rate, long burst) {
     public static final long MICROTOKENS_PER_TOKEN = 1_000_000;
-    /** 100,000 tokens a second, and as large a burst. */
+    /** Upper limit of rate and burst: 100,000 tokens (a second). */
     public static final long MAX_MICROTOKENS = 100_000 * MICROTOKENS_PER_TOKEN;
     /**
      * Small bursts are leased token by token; with fewer than two tokens one of them would always be
@@ -25,11 +25,14 @@
         }
         if (rate <= 0 || rate > MAX_MICROTOKENS) {
             throw new BudgetException(BudgetException.Code.RATE, "budget " + name + ": rate of "
-                + rate / (double) MICROTOKENS_PER_TOKEN + " a second", "allowed is more than 0 and up to " + MAX_MICROTOKENS / MICROTOKENS_PER_TOKEN);
+                + rate / (double) MICROTOKENS_PER_TOKEN + " a second", "allowed is more than 0 and up to "
+                + MAX_MICROTOKENS / MICROTOKENS_PER_TOKEN);
         }
         if (burst < MIN_BURST_MICROTOKENS || burst > MAX_MICROTOKENS) {
             throw new BudgetException(BudgetException.Code.BURST, "budget " + name + ": burst of "
-                + burst / (double) MICROTOKENS_PER_TOKEN, "allowed is " + MIN_BURST_MICROTOKENS / MICROTOKENS_PER_TOKEN + " to " + MAX_MICROTOKENS / MICROTOKENS_PER_TOKEN);
+                + burst / (double) MICROTOKENS_PER_TOKEN, "allowed is "
+                + MIN_BURST_MICROTOKENS / MICROTOKENS_PER_TOKEN + " to "
+                + MAX_MICROTOKENS / MICROTOKENS_PER_TOKEN);
         }
     }
 
--- a/fleet/src/main/java/dockrelay/fleet/budget/BudgetMessage.java
+++ b/fleet/src/main/java/dockrelay/fleet/budget/BudgetMessage.java
@@ -9,23 +9,26 @@
 /**
  * A message of the budget protocol. On the wire: magic, schema, kind, sender, the sender's instance
  * id, the instance id of the addressee, term, number, the fields of the kind, and a checksum.
- * docs/budgets.md describes the format.
+ * {@code grantedOrExpired} means that the vote is granted, or in a lease request that the lease has
+ * expired. docs/budgets.md describes the format.
  */
-record BudgetMessage(Kind kind, int senderId, int instanceId, int receiverInstanceId, long term, long requestNumber, long grantVersion, long senderClock,
-               boolean flag, int coordinatorId, VoterSet committedSet, VoterSet pendingSet, List<BudgetEntry> entries) {
+record BudgetMessage(Kind kind, int senderId, int instanceId, int receiverInstanceId, long term,
+                     long requestNumber, long grantVersion, long senderClock, boolean grantedOrExpired,
+                     int coordinatorId, VoterSet committedSet, VoterSet pendingSet,
+                     List<BudgetEntry> entries) {
     static final byte FIRST_MAGIC_BYTE = (byte) 0xd6;
     static final int MAX_MESSAGE_BYTES = 1400, MAX_BUDGETS = 32, MAX_VOTERS = 128;
     private static final byte SECOND_MAGIC_BYTE = 0x62, SCHEMA_VERSION = 1;
 
     /**
-     * The first two request and grant leases, the others serve the election; the order is the wire
-     * format.
+     * Requests and grants of leases, the name of the coordinator, the messages of the election, and the
+     * return of all shares. The ordinals are part of the wire format.
      */
     enum Kind { LEASE_REQUEST, LEASE_GRANT, REDIRECT, VOTE_REQUEST, VOTE_RENEWAL, VOTE, RESIGN, LEAVE }
 
     /**
-     * The figures of one budget. {@code extra} is the number of waiting requests in a lease request,
-     * and the tokens to add once in a grant.
+     * The figures of one budget. The last one is the number of waiting requests in a lease request, and
+     * the tokens to add once in a grant.
      */
     record BudgetEntry(int budgetId, long rate, long burst, long demand, long waitingOrAddedTokens) {
     }
@@ -39,19 +42,23 @@
         }
     }
 
-    static BudgetMessage withoutPayload(Kind kind, int senderId, int instanceId, int receiverInstanceId, long term, long requestNumber) {
-        return new BudgetMessage(kind, senderId, instanceId, receiverInstanceId, term, requestNumber, 0, 0, false, 0, null, null, List.of());
+    /** Creates a message whose kind has no fields of its own. */
+    static BudgetMessage withoutPayload(Kind kind, int senderId, int instanceId, int receiverInstanceId,
+                                        long term, long requestNumber) {
+        return new BudgetMessage(kind, senderId, instanceId, receiverInstanceId, term, requestNumber, 0, 0,
+            false, 0, null, null, List.of());
     }
 
     ByteBuffer encode() {
         ByteBuffer out = ByteBuffer.allocate(MAX_MESSAGE_BYTES);
-        out.put(FIRST_MAGIC_BYTE).put(SECOND_MAGIC_BYTE).put(SCHEMA_VERSION).put((byte)
-            kind.ordinal()).putInt(senderId).putInt(instanceId).putInt(receiverInstanceId);
+        out.put(FIRST_MAGIC_BYTE).put(SECOND_MAGIC_BYTE).put(SCHEMA_VERSION).put((byte) kind.ordinal())
+            .putInt(senderId).putInt(instanceId).putInt(receiverInstanceId);
         WireFormat.putVarint(out, term);
         WireFormat.putVarint(out, requestNumber);
         WireFormat.putVarint(out, grantVersion);
         WireFormat.putVarint(out, senderClock);
-        out.put((byte) ((flag ? 1 : 0) | (committedSet == null ? 0 : 2) | (pendingSet == null ? 0 : 4))).putInt(coordinatorId);
+        out.put((byte) ((grantedOrExpired ? 1 : 0) | (committedSet == null ? 0 : 2) | (pendingSet == null
+            ? 0 : 4))).putInt(coordinatorId);
         putVoterSet(out, committedSet);
         putVoterSet(out, pendingSet);
         WireFormat.putVarint(out, entries.size());
@@ -77,12 +84,12 @@
     }
 
     private static VoterSet readVoterSet(ByteBuffer in) throws MalformedMessageException {
-        long term = WireFormat.getVarint(in), number = WireFormat.getVarint(in);
+        long term = WireFormat.getVarint(in), version = WireFormat.getVarint(in);
         int[] ids = new int[readCount(in, MAX_VOTERS)];
         for (int i = 0; i < ids.length; i++) {
             ids[i] = in.getInt();
         }
-        return new VoterSet(term, number, ids);
+        return new VoterSet(term, version, ids);
     }
 
     /**
@@ -97,6 +104,11 @@
         return (int) count;
     }
 
+    /**
+     * Decodes a datagram.
+     *
+     * @throws MalformedMessageException if it is truncated, corrupt or not of this protocol version
+     */
     static BudgetMessage decode(ByteBuffer datagram) throws MalformedMessageException {
         ByteBuffer in = WireFormat.verifyChecksum(datagram);
         if (in == null) {
@@ -109,12 +121,13 @@
             if (in.get() != SCHEMA_VERSION) {
                 throw new MalformedMessageException("newer");
             }
-            int kind = in.get();
-            if (kind < 0 || kind >= Kind.values().length) {
+            int kindIndex = in.get();
+            if (kindIndex < 0 || kindIndex >= Kind.values().length) {
                 throw new MalformedMessageException("unknown");
             }
             int senderId = in.getInt(), instanceId = in.getInt(), receiverInstanceId = in.getInt();
-            long term = WireFormat.getVarint(in), requestNumber = WireFormat.getVarint(in), grantVersion = WireFormat.getVarint(in);
+            long term = WireFormat.getVarint(in), requestNumber = WireFormat.getVarint(in),
+                grantVersion = WireFormat.getVarint(in);
             long senderClock = WireFormat.getVarint(in);
             int flags = in.get();
             int coordinatorId = in.getInt();
@@ -122,11 +135,12 @@
             VoterSet pendingSet = (flags & 4) == 0 ? null : readVoterSet(in);
             List<BudgetEntry> entries = new ArrayList<>();
             for (int remaining = readCount(in, MAX_BUDGETS); remaining > 0; remaining--) {
-                entries.add(new BudgetEntry(in.getInt(), WireFormat.getVarint(in), WireFormat.getVarint(in), WireFormat.getVarint(in),
-                    WireFormat.getVarint(in)));
+                entries.add(new BudgetEntry(in.getInt(), WireFormat.getVarint(in), WireFormat.getVarint(in),
+                    WireFormat.getVarint(in), WireFormat.getVarint(in)));
             }
-            return new BudgetMessage(Kind.values()[kind], senderId, instanceId, receiverInstanceId, term, requestNumber, grantVersion, senderClock,
-                (flags & 1) != 0, coordinatorId, committedSet, pendingSet, entries);
+            return new BudgetMessage(Kind.values()[kindIndex], senderId, instanceId, receiverInstanceId,
+                term, requestNumber, grantVersion, senderClock, (flags & 1) != 0, coordinatorId,
+                committedSet, pendingSet, entries);
         } catch (BufferUnderflowException e) {
             throw new MalformedMessageException("cut");
         }
--- a/fleet/src/main/java/dockrelay/fleet/budget/BudgetNode.java
+++ b/fleet/src/main/java/dockrelay/fleet/budget/BudgetNode.java
@@ -16,10 +16,13 @@
  * One process's side of the protocol that shares token-bucket budgets among the whole fleet
  * (docs/budgets.md): it takes part in the election of the coordinator, holds leased shares and, while
  * it is the coordinator, grants them. A pure state machine: times are microseconds of a monotonic clock
- * that the caller passes in, and all output goes through {@link Callbacks}. Not thread-safe.
+ * that the caller passes in, and all output goes through {@link Callbacks}. Not thread-safe. In log lines
+ * and console answers the coordinator is called keeper.
  */
 public class BudgetNode {
+    /** Without a grant for so many periods, other members are asked as well. */
     private static final int MAX_BUDGETS = BudgetMessage.MAX_BUDGETS, REQUEST_RETRY_PERIODS = 3;
+    /** Tick interval after leaving: nothing is due any more. */
     private static final long IDLE_TICK_MICROS = 3_600_000_000L;
 
     /** The output of the state machine. */
@@ -29,7 +32,7 @@
 
         /**
          * Sets the shares that may be spent until the given time. The spender confirms the update by
-         * passing its number to {@link BudgetNode#used}.
+         * passing its number to {@link BudgetNode#reportUsage}.
          */
         void applyShares(long updateNumber, List<LeasedShare> shares, long validUntil);
 
@@ -53,9 +56,8 @@
     private int coordinatorId;
     private boolean hasLeft;
 
-    public BudgetNode(String selfName, Collection<String> memberNames, Collection<Budget> budgets, int instanceId, BudgetTiming
-        timing,
-                   Random random, Callbacks callbacks, long now) {
+    public BudgetNode(String selfName, Collection<String> memberNames, Collection<Budget> budgets,
+                      int instanceId, BudgetTiming timing, Random random, Callbacks callbacks, long now) {
         this.selfId = MemberList.idOf(selfName);
         this.instanceId = instanceId;
         this.timing = timing;
@@ -64,7 +66,8 @@
         this.memberList = checkedMemberList(memberNames);
         this.budgets = checkedBudgets(budgets);
         this.voter = newVoter(this.selfId, instanceId, timing, now);
-        this.election = newElection(this.selfId, instanceId, timing, voter, memberList, random, this::send, now);
+        this.election = newElection(this.selfId, instanceId, timing, voter, memberList, random, this::send,
+            now);
         this.leaseHolder = newLeaseHolder(this.selfId, instanceId, timing, this.budgets, now);
         this.nextRequestAt = now + (long) (random.nextDouble() * timing.periodMicros());
         this.nextTickAt = nextRequestAt;
@@ -76,12 +79,14 @@
         return new Voter(selfId, instanceId, timing, now);
     }
 
-    CoordinatorElection newElection(int selfId, int instanceId, BudgetTiming timing, Voter voter, MemberList memberList, Random random,
-                        CoordinatorElection.Sender sender, long now) {
+    CoordinatorElection newElection(int selfId, int instanceId, BudgetTiming timing, Voter voter,
+                                    MemberList memberList, Random random, CoordinatorElection.Sender sender,
+                                    long now) {
         return new CoordinatorElection(selfId, instanceId, timing, voter, memberList, random, sender, now);
     }
 
-    LeaseHolder newLeaseHolder(int selfId, int instanceId, BudgetTiming timing, Collection<Budget> budgets, long now) {
+    LeaseHolder newLeaseHolder(int selfId, int instanceId, BudgetTiming timing, Collection<Budget> budgets,
+                               long now) {
         return new LeaseHolder(selfId, instanceId, timing, budgets, now);
     }
 
@@ -124,7 +129,8 @@
         if (!checkedBudgets.equals(budgets)) {
             budgets = checkedBudgets;
             if (leaseHolder.configure(budgets)) {
-                callbacks.applyShares(leaseHolder.updateNumber(), leaseHolder.shares(null), leaseHolder.leaseEnd());
+                callbacks.applyShares(leaseHolder.updateNumber(), leaseHolder.shares(null),
+                    leaseHolder.leaseEnd());
             }
             if (ledger != null) {
                 ledger.configure(now, budgets);
@@ -169,7 +175,8 @@
             return;
         }
         if (leaseHolder.dropExpiredLease(now)) {
-            callbacks.logEvent("the lease has expired: nothing may be spent until a coordinator grants a new one");
+            callbacks.logEvent(
+                "the lease has expired: nothing may be spent until a keeper grants a new one");
             callbacks.applyShares(leaseHolder.updateNumber(), leaseHolder.shares(null), now);
         }
         election.tick(now, presentIds, departedIds);
@@ -179,7 +186,8 @@
             requestLeases(now);
         }
         nextTickAt = Math.min(nextRequestAt, election.nextTickAt());
-        nextTickAt = leaseHolder.leaseEnd() == Long.MIN_VALUE ? nextTickAt : Math.min(nextTickAt, leaseHolder.leaseEnd());
+        nextTickAt = leaseHolder.leaseEnd() == Long.MIN_VALUE ? nextTickAt
+            : Math.min(nextTickAt, leaseHolder.leaseEnd());
         nextTickAt = Math.max(nextTickAt, now + timing.periodMicros() / 100);
     }
 
@@ -196,8 +204,8 @@
             }
             String clockWarning = ledger.takeClockWarning();
             if (clockWarning != null) {
-                callbacks.logEvent("B-CLOCK: the clock of member #" + clockWarning + " s against this one: the member"
-                    + " gets no grants until both clocks agree again");
+                callbacks.logEvent("B-CLOCK: the clock of member #" + clockWarning + " s against this one: "
+                    + "the member gets no grants until both clocks agree again");
             }
             return;
         }
@@ -205,7 +213,8 @@
         if (coordinatorKnown) {
             send(coordinatorId, leaseHolder.newLeaseRequest(now));
         }
-        if (!coordinatorKnown || now - leaseHolder.lastGrantAt() > REQUEST_RETRY_PERIODS * timing.periodMicros()) {
+        if (!coordinatorKnown
+            || now - leaseHolder.lastGrantAt() > REQUEST_RETRY_PERIODS * timing.periodMicros()) {
             List<Integer> others = new ArrayList<>(presentIds);
             others.removeIf(id -> id == selfId || coordinatorKnown && id == coordinatorId);
             if (others.isEmpty()) {
@@ -243,7 +252,8 @@
         }
         boolean otherInstance = message.senderId() == selfId && message.instanceId() != instanceId;
         if (senderName == null || message.senderId() != MemberList.idOf(senderName) || otherInstance) {
-            refusalCounts.merge(senderName == null ? "stranger" : otherInstance ? "twin" : "misnamed", 1L, Long::sum);
+            refusalCounts.merge(senderName == null ? "stranger" : otherInstance ? "twin" : "misnamed", 1L,
+                Long::sum);
             if (senderName == null) {
                 election.noteUnlistedSender(now);
             }
@@ -259,7 +269,8 @@
             case REDIRECT -> noteCoordinator(now, message.coordinatorId(), message.term());
             case VOTE_REQUEST, VOTE_RENEWAL -> {
                 BudgetMessage vote = voter.handleVoteRequest(now, message);
-                if (message.kind() == Kind.VOTE_RENEWAL && vote.flag() && message.senderId() != selfId) {
+                if (message.kind() == Kind.VOTE_RENEWAL && vote.grantedOrExpired()
+                    && message.senderId() != selfId) {
                     noteCoordinator(now, message.senderId(), message.term());
                     election.postponeElection(now);
                 }
@@ -296,7 +307,7 @@
                 + " that vote");
         } else if (!coordinator && ledger != null) {
             ledger = null;
-            callbacks.logEvent("no longer the coordinator");
+            callbacks.logEvent("no longer the keeper");
         }
     }
 
@@ -312,13 +323,14 @@
         if (election.isCoordinator(now)) {
             BudgetMessage grant = ledger.handleRequest(now, request);
             if (grant != null) {
-                send(request.senderId(), new BudgetMessage(Kind.LEASE_GRANT, selfId, instanceId, grant.receiverInstanceId(), grant.term(),
-                    grant.requestNumber(),
-                    grant.grantVersion(), 0, false, selfId, null, null, grant.entries()));
+                send(request.senderId(), new BudgetMessage(Kind.LEASE_GRANT, selfId, instanceId,
+                    grant.receiverInstanceId(), grant.term(), grant.requestNumber(), grant.grantVersion(),
+                    0, false, selfId, null, null, grant.entries()));
             }
         } else if (now - coordinatorSeenAt < timing.voteDuration() && coordinatorId != selfId) {
-            send(request.senderId(), new BudgetMessage(Kind.REDIRECT, selfId, instanceId, request.instanceId(), coordinatorTerm, 0, 0, 0, false,
-                coordinatorId, null, null, List.of()));
+            send(request.senderId(), new BudgetMessage(Kind.REDIRECT, selfId, instanceId,
+                request.instanceId(), coordinatorTerm, 0, 0, 0, false, coordinatorId, null, null,
+                List.of()));
         }
     }
 
@@ -329,7 +341,8 @@
                 noteCoordinator(now, grant.senderId(), grant.term());
             }
             boolean sharesChanged = leaseHolder.updateNumber() != previousUpdate;
-            callbacks.applyShares(leaseHolder.updateNumber(), leaseHolder.shares(sharesChanged ? grant : null), leaseHolder.leaseEnd());
+            callbacks.applyShares(leaseHolder.updateNumber(),
+                leaseHolder.shares(sharesChanged ? grant : null), leaseHolder.leaseEnd());
         }
     }
 
--- a/fleet/src/main/java/dockrelay/fleet/budget/BudgetStatus.java
+++ b/fleet/src/main/java/dockrelay/fleet/budget/BudgetStatus.java
@@ -5,7 +5,7 @@
  * millionths of a token), the demand, the requests that wait for a token, the tokens spent so far, the
  * remaining lease time (0 without a lease) and the time since the last grant, both in microseconds.
  */
-public record BudgetStatus(Budget budget, long shareRate, long shareBurst, double demand, int waitingRequests, long spentTokens, long
-    remainingLeaseMicros,
-                        long grantAgeMicros) {
+public record BudgetStatus(Budget budget, long shareRate, long shareBurst, double demand,
+                           int waitingRequests, long spentTokens, long remainingLeaseMicros,
+                           long grantAgeMicros) {
 }
--- a/fleet/src/main/java/dockrelay/fleet/budget/CoordinatorElection.java
+++ b/fleet/src/main/java/dockrelay/fleet/budget/CoordinatorElection.java
@@ -17,6 +17,7 @@
  * of the caller's clock.
  */
 class CoordinatorElection {
+    /** Votes are counted for so many of the last renewals. */
     private static final int MAX_TRACKED_RENEWALS = 8;
     /**
      * Members without a vote get every n-th renewal only. A member that lost its state in a restart
@@ -34,6 +35,7 @@
         void send(int memberId, BudgetMessage message);
     }
 
+    /** A renewal sent to the voters, and the votes that it has received. */
     private record Renewal(long sentAt, boolean includesPendingSet, Set<Integer> votes) {
     }
 
@@ -47,15 +49,16 @@
     private final Set<Integer> grantedVotes = new HashSet<>(), informedVotes = new HashSet<>();
     private MemberList memberList;
     private VoterSet committedSet, pendingSet;
-    private long term = -1, leadershipEnd = Long.MIN_VALUE, requestNumber, lastElectionAt, electionDeadline, nextRenewalAt, nextElectionAt;
+    private long term = -1, leadershipEnd = Long.MIN_VALUE, requestNumber, lastElectionAt, electionDeadline,
+        nextRenewalAt, nextElectionAt;
     private long voteRequestsSentAt, voterSetVersion, unlistedSenderSeenAt = Long.MIN_VALUE / 2;
     private Set<Integer> retiredIds = Set.of();
     private long retirementEffectiveAt;
     private boolean coordinator, electionRunning;
     private String missingVoters;
 
-    CoordinatorElection(int selfId, int instanceId, BudgetTiming timing, Voter voter, MemberList memberList, Random random, Sender sender,
-              long now) {
+    CoordinatorElection(int selfId, int instanceId, BudgetTiming timing, Voter voter, MemberList memberList,
+                        Random random, Sender sender, long now) {
         this.selfId = selfId;
         this.instanceId = instanceId;
         this.timing = timing;
@@ -114,9 +117,11 @@
     }
 
     long nextTickAt() {
-        return coordinator ? Math.min(nextRenewalAt, leadershipEnd) : electionRunning ? electionDeadline : nextElectionAt;
+        return coordinator ? Math.min(nextRenewalAt, leadershipEnd) : electionRunning ? electionDeadline
+            : nextElectionAt;
     }
 
+    /** Does what is due; takes the ids of the present and the departed members. */
     void tick(long now, Set<Integer> present, Set<Integer> departed) {
         if (coordinator && now >= leadershipEnd) {
             stepDown(now);
@@ -128,7 +133,8 @@
             if (voter.isFree(now)) {
                 startElection(now);
             } else {
-                nextElectionAt = now + timing.periodMicros() / 2 + (long) (random.nextDouble() * timing.electionTimeout());
+                nextElectionAt = now + timing.periodMicros() / 2
+                    + (long) (random.nextDouble() * timing.electionTimeout());
             }
         }
     }
@@ -139,9 +145,10 @@
         postponeElection(now);
     }
 
-    private BudgetMessage newMessage(Kind kind, int receiverId, long messageTerm, VoterSet committed, VoterSet pending) {
-        return new BudgetMessage(kind, selfId, instanceId, instanceIds.getOrDefault(receiverId, 0), messageTerm, requestNumber, 0, 0, false, 0, committed,
-            pending, List.of());
+    private BudgetMessage newMessage(Kind kind, int receiverId, long messageTerm, VoterSet committed,
+                                     VoterSet pending) {
+        return new BudgetMessage(kind, selfId, instanceId, instanceIds.getOrDefault(receiverId, 0),
+            messageTerm, requestNumber, 0, 0, false, 0, committed, pending, List.of());
     }
 
     private void startElection(long now) {
@@ -155,7 +162,8 @@
         requestNumber++;
         term = voter.term() + 1;
         Set<Integer> voterIds = potentialVoters();
-        for (int id : voterIds) { // to itself too: the vote belongs to the process that has the configured address
+        // to itself too: the vote belongs to the process that has the configured address
+        for (int id : voterIds) {
             sender.send(id, newMessage(Kind.VOTE_REQUEST, id, term, null, null));
         }
     }
@@ -166,7 +174,8 @@
         for (int i = 0; i < memberList.size(); i++) {
             voterIds.add(memberList.idAt(i));
         }
-        for (VoterSet voterSet : new VoterSet[] {voter.committedSet(), voter.pendingSet(), committedSet, pendingSet}) {
+        for (VoterSet voterSet : new VoterSet[] {voter.committedSet(), voter.pendingSet(),
+            committedSet, pendingSet}) {
             for (int id : voterSet == null ? new int[0] : voterSet.memberIds()) {
                 voterIds.add(id);
             }
@@ -199,23 +208,25 @@
 
     /** Takes the answer to a vote request or to a renewal. */
     void handleVote(long now, int senderId, BudgetMessage vote) {
-        voter.observeTerm(vote.flag() ? 0 : vote.term());
+        voter.observeTerm(vote.grantedOrExpired() ? 0 : vote.term());
         if (electionRunning && vote.requestNumber() == requestNumber && vote.term() <= term) {
             committedSet = VoterSet.newerOf(committedSet, vote.committedSet());
             pendingSet = VoterSet.newerOf(pendingSet, vote.pendingSet());
-            if (vote.flag()) {
+            if (vote.grantedOrExpired()) {
                 grantedVotes.add(senderId);
                 if (vote.committedSet() != null) {
                     informedVotes.add(senderId);
                 }
             }
-            if (!vote.flag()) {
-                electionDeadline = Math.min(electionDeadline, now + timing.electionTimeout() / 8); // another may win
+            if (!vote.grantedOrExpired()) {
+                // the refusing voter may have voted for another candidate: end this election early
+                electionDeadline = Math.min(electionDeadline, now + timing.electionTimeout() / 8);
             }
             if (isElected(now)) {
                 becomeCoordinator(now);
             }
-        } else if (coordinator && vote.flag() && vote.term() == term && renewals.containsKey(vote.requestNumber())) {
+        } else if (coordinator && vote.grantedOrExpired() && vote.term() == term
+            && renewals.containsKey(vote.requestNumber())) {
             handleRenewedVote(now, vote.requestNumber(), senderId);
         }
     }
@@ -225,12 +236,14 @@
         if (committedSet != null && hasQuorum(informedVotes(), committedSet, pending, excludedVoters(now))) {
             return true;
         }
-        if (committedSet == null && now - unlistedSenderSeenAt < UNLISTED_SENDER_VOTE_DURATIONS * timing.voteDuration()) {
+        if (committedSet == null
+            && now - unlistedSenderSeenAt < UNLISTED_SENDER_VOTE_DURATIONS * timing.voteDuration()) {
             return false; // no known voter set, and a running process is missing from the list
         }
         Set<Integer> requiredVoters = potentialVoters();
         requiredVoters.removeAll(excludedVoters(now));
-        return grantedVotes.containsAll(requiredVoters); // every member answered: no voter set can be known to anyone else
+        // every member answered: no voter set can be known to anyone else
+        return grantedVotes.containsAll(requiredVoters);
     }
 
     /**
@@ -260,7 +273,8 @@
         voterSetVersion = 0;
         leadershipEnd = voteRequestsSentAt + timing.reliedVoteDuration();
         if (committedSet == null) {
-            committedSet = new VoterSet(term, 0, potentialVoters().stream().mapToInt(Integer::intValue).toArray());
+            committedSet = new VoterSet(term, 0,
+                potentialVoters().stream().mapToInt(Integer::intValue).toArray());
         }
         pendingSet = pendingSet != null && pendingSet.isNewerThan(committedSet) ? pendingSet : null;
         nextRenewalAt = now;
@@ -355,7 +369,8 @@
      */
     void noteInstance(int memberId, int memberInstanceId) {
         Integer previousInstanceId = instanceIds.put(memberId, memberInstanceId);
-        if (electionRunning && (previousInstanceId == null || previousInstanceId != memberInstanceId) && !grantedVotes.contains(memberId)) {
+        if (electionRunning && (previousInstanceId == null || previousInstanceId != memberInstanceId)
+            && !grantedVotes.contains(memberId)) {
             sender.send(memberId, newMessage(Kind.VOTE_REQUEST, memberId, term, null, null));
         }
     }
--- a/fleet/src/main/java/dockrelay/fleet/budget/LeaseHolder.java
+++ b/fleet/src/main/java/dockrelay/fleet/budget/LeaseHolder.java
@@ -44,7 +44,8 @@
     private final Map<Integer, HeldShare> sharesById = new LinkedHashMap<>();
     private final LinkedHashMap<Long, Long> requestTimes = new LinkedHashMap<>();
     private final long startedAt;
-    private long term, grantVersion, confirmedVersion, requestNumber, lastExpiredRequest, lastGrantAt, updateNumber;
+    private long term, grantVersion, confirmedVersion, requestNumber, lastExpiredRequest, lastGrantAt,
+        updateNumber;
     private long leaseEnd = Long.MIN_VALUE;
     private boolean expired;
 
@@ -126,7 +127,8 @@
         for (ShareUsage usage : usages) {
             HeldShare share = sharesById.get(MemberList.idOf(usage.budgetName()));
             if (share != null) {
-                share.demand += (usage.demand() > share.demand ? RISE_SMOOTHING : FALL_SMOOTHING) * (usage.demand() - share.demand);
+                share.demand += (usage.demand() > share.demand ? RISE_SMOOTHING : FALL_SMOOTHING)
+                    * (usage.demand() - share.demand);
                 share.waitingRequests = usage.waitingRequests();
                 share.spentTokens = usage.spentTokens();
                 share.tokens = usage.remainingTokens();
@@ -141,13 +143,15 @@
             sharesById.values().forEach(share -> {
                 share.maxRate = share.grantedRate;
                 // Without a rate a spent token is not refilled: its part of the burst is returned at once.
-                share.maxBurst = share.grantedRate > 0 ? share.grantedBurst : Math.min(share.grantedBurst, roundUpToToken(share.tokens));
+                share.maxBurst = share.grantedRate > 0 ? share.grantedBurst
+                    : Math.min(share.grantedBurst, roundUpToToken(share.tokens));
             });
         }
     }
 
     private static long roundUpToToken(long tokens) {
-        return (tokens + Budget.MICROTOKENS_PER_TOKEN - 1) / Budget.MICROTOKENS_PER_TOKEN * Budget.MICROTOKENS_PER_TOKEN;
+        return (tokens + Budget.MICROTOKENS_PER_TOKEN - 1) / Budget.MICROTOKENS_PER_TOKEN
+            * Budget.MICROTOKENS_PER_TOKEN;
     }
 
     /** Creates the lease request, which reports the shares held and the demand. */
@@ -155,19 +159,17 @@
         requestTimes.put(++requestNumber, now);
         requestTimes.keySet().removeIf(oldNumber -> oldNumber <= requestNumber - MAX_TRACKED_REQUESTS);
         List<BudgetEntry> entries = new ArrayList<>();
-        sharesById.forEach((id, share) -> entries.add(new BudgetEntry(id, share.maxRate, share.maxBurst, (long) share.demand,
-            share.waitingRequests)));
-        return new BudgetMessage(Kind.LEASE_REQUEST, selfId, instanceId, 0, term, requestNumber, expired ? 0 : confirmedVersion, now - startedAt,
-            expired, 0, null, null, entries);
+        sharesById.forEach((id, share) -> entries.add(new BudgetEntry(id, share.maxRate, share.maxBurst,
+            (long) share.demand, share.waitingRequests)));
+        return new BudgetMessage(Kind.LEASE_REQUEST, selfId, instanceId, 0, term, requestNumber,
+            expired ? 0 : confirmedVersion, now - startedAt, expired, 0, null, null, entries);
     }
 
-    /**
-     * Takes a coordinator's grant; returns whether it was accepted and the shares or their expiry
-     * changed.
-     */
+    /** Takes a coordinator's grant; returns whether it was accepted. */
     boolean acceptGrant(long now, BudgetMessage grant) {
         Long sentAt = requestTimes.get(grant.requestNumber());
-        if (grant.receiverInstanceId() != instanceId || grant.term() < term || sentAt == null || grant.requestNumber() <= lastExpiredRequest) {
+        if (grant.receiverInstanceId() != instanceId || grant.term() < term || sentAt == null
+            || grant.requestNumber() <= lastExpiredRequest) {
             return false;
         }
         if (grant.term() > term) {
@@ -213,7 +215,7 @@
 
     /**
      * The shares for the spender. The extra tokens of a grant must be added exactly once, so they are
-     * included only when the grant is passed on for the first time; null otherwise.
+     * included only when the grant is passed on for the first time; callers pass null otherwise.
      */
     List<LeasedShare> shares(BudgetMessage grant) {
         List<LeasedShare> shares = new ArrayList<>();
@@ -222,7 +224,8 @@
             for (BudgetEntry entry : grant == null ? List.<BudgetEntry>of() : grant.entries()) {
                 addedTokens = entry.budgetId() == id ? entry.waitingOrAddedTokens() : addedTokens;
             }
-            shares.add(new LeasedShare(share.budget.name(), share.grantedRate, share.grantedBurst, addedTokens));
+            shares.add(new LeasedShare(share.budget.name(), share.grantedRate, share.grantedBurst,
+                addedTokens));
         });
         return shares;
     }
@@ -236,9 +239,9 @@
 
     /** The status of each configured budget, for the console. */
     List<BudgetStatus> budgetStatuses(long now) {
-        return sharesById.values().stream().filter(share -> !share.removed).map(share -> new BudgetStatus(share.budget,
-            share.maxRate, share.maxBurst, share.demand,
-            share.waitingRequests, share.spentTokens, leaseEnd == Long.MIN_VALUE ? 0 : Math.max(0, leaseEnd - now),
-            now - lastGrantAt)).toList();
+        return sharesById.values().stream().filter(share -> !share.removed)
+            .map(share -> new BudgetStatus(share.budget, share.maxRate, share.maxBurst, share.demand,
+                share.waitingRequests, share.spentTokens,
+                leaseEnd == Long.MIN_VALUE ? 0 : Math.max(0, leaseEnd - now), now - lastGrantAt)).toList();
     }
 }
--- a/fleet/src/main/java/dockrelay/fleet/budget/LeaseLedger.java
+++ b/fleet/src/main/java/dockrelay/fleet/budget/LeaseLedger.java
@@ -32,6 +32,7 @@
      * delay.
      */
     private static final long CLOCK_CHECK_INTERVAL_MICROS = 10_000_000;
+    /** Deviations in a row after which a clock is distrusted. */
     private static final int MIN_DRIFT_DETECTIONS = 2;
     private static final double MAX_CLOCK_DRIFT = 0.03, MAX_DELAY_VARIATION_MICROS = 100_000;
 
@@ -48,7 +49,8 @@
     private static final class Participant {
         final int memberId;
         final Map<Integer, Lease> leasesById = new HashMap<>();
-        long grantVersion = 1, lastRequestNumber, leaseEnd, lastRequestAt, clockCheckedAt, minClockOffset = Long.MAX_VALUE, previousMinClockOffset;
+        long grantVersion = 1, lastRequestNumber, leaseEnd, lastRequestAt, clockCheckedAt,
+            minClockOffset = Long.MAX_VALUE, previousMinClockOffset;
         int clockChecks, driftDetections;
         boolean clockUntrusted;
 
@@ -114,7 +116,8 @@
         accounts.clear();
         for (Budget budget : budgets) {
             BudgetAccount previousAccount = previousAccounts.remove(budget.id());
-            BudgetAccount account = new BudgetAccount(budget, now, previousAccount == null ? now + timing.maxLeaseDuration() : previousAccount.unreportedUntil);
+            BudgetAccount account = new BudgetAccount(budget, now,
+                previousAccount == null ? now + timing.maxLeaseDuration() : previousAccount.unreportedUntil);
             if (previousAccount != null) {
                 account.unreportedRate = previousAccount.unreportedRate;
                 account.unreportedBurst = previousAccount.unreportedBurst;
@@ -125,7 +128,8 @@
             accounts.put(budget.id(), account);
         }
         // A budget that is added again later starts as unknown: others may still hold all of it.
-        participants.values().forEach(participant -> participant.leasesById.keySet().removeAll(previousAccounts.keySet()));
+        participants.values().forEach(participant ->
+            participant.leasesById.keySet().removeAll(previousAccounts.keySet()));
         lastDivisionAt = Long.MIN_VALUE;
     }
 
@@ -143,6 +147,7 @@
         return warning;
     }
 
+    /** The key of a process: its member id and its instance id. */
     long participantKey(int memberId, int instanceId) {
         return (long) memberId << 32 | instanceId & 0xffffffffL;
     }
@@ -209,15 +214,18 @@
         }
         participant.lastRequestNumber = request.requestNumber();
         participant.lastRequestAt = now;
-        boolean expired = request.flag() || request.grantVersion() > participant.grantVersion || firstRequest && request.grantVersion() > 0;
-        boolean acknowledged = !firstRequest && !expired && request.grantVersion() == participant.grantVersion;
+        boolean expired = request.grantedOrExpired() || request.grantVersion() > participant.grantVersion
+            || firstRequest && request.grantVersion() > 0;
+        boolean acknowledged = !firstRequest && !expired
+            && request.grantVersion() == participant.grantVersion;
         if (acknowledged) {
             checkClock(now, participant, request.senderClock()); // a first request may be a delayed one
         }
         Map<Integer, BudgetEntry> reportedById = new HashMap<>();
         request.entries().forEach(entry -> reportedById.put(entry.budgetId(), entry));
         for (BudgetAccount account : accounts.values()) {
-            BudgetEntry entry = reportedById.getOrDefault(account.budget.id(), new BudgetEntry(0, 0, 0, 0, 0));
+            BudgetEntry entry = reportedById.getOrDefault(account.budget.id(),
+                new BudgetEntry(0, 0, 0, 0, 0));
             Lease lease = participant.leasesById.computeIfAbsent(account.budget.id(), id -> new Lease());
             lease.demand = entry.demand();
             lease.waitingRequests = entry.waitingOrAddedTokens();
@@ -229,7 +237,8 @@
                 account.unreportedBurst = Math.max(0, account.unreportedBurst - entry.burst());
             } else if (acknowledged) {
                 // A holder that has confirmed all grants may have returned part of its share on its own.
-                recordConfirmedLease(account, lease, Math.min(lease.grantedRate, entry.rate()), Math.min(lease.grantedBurst, entry.burst()));
+                recordConfirmedLease(account, lease, Math.min(lease.grantedRate, entry.rate()),
+                    Math.min(lease.grantedBurst, entry.burst()));
             }
         }
         if (expired) {
@@ -243,13 +252,14 @@
             return null;
         }
         List<BudgetEntry> entries = new ArrayList<>();
-        participant.leasesById.forEach((id, lease) -> entries.add(new BudgetEntry(id, lease.grantedRate, lease.grantedBurst, 0, lease.addedTokens)));
+        participant.leasesById.forEach((id, lease) -> entries.add(
+            new BudgetEntry(id, lease.grantedRate, lease.grantedBurst, 0, lease.addedTokens)));
         return newGrant(request, participant.grantVersion, entries);
     }
 
     private BudgetMessage newGrant(BudgetMessage request, long version, List<BudgetEntry> entries) {
-        return new BudgetMessage(Kind.LEASE_GRANT, 0, 0, request.instanceId(), term, request.requestNumber(), version, 0, false, 0, null, null,
-            entries);
+        return new BudgetMessage(Kind.LEASE_GRANT, 0, 0, request.instanceId(), term,
+            request.requestNumber(), version, 0, false, 0, null, null, entries);
     }
 
     /** Records a lease of this size, with no other grant in flight. */
@@ -271,13 +281,14 @@
             participant.clockCheckedAt = now;
         } else if (now - participant.clockCheckedAt >= CLOCK_CHECK_INTERVAL_MICROS) {
             double drift = participant.minClockOffset - (double) participant.previousMinClockOffset;
-            boolean drifted = participant.clockChecks++ > 0 && Math.abs(drift) > MAX_CLOCK_DRIFT * (now - participant.clockCheckedAt) +
-                MAX_DELAY_VARIATION_MICROS;
+            boolean drifted = participant.clockChecks++ > 0
+                && Math.abs(drift) > MAX_CLOCK_DRIFT * (now - participant.clockCheckedAt)
+                + MAX_DELAY_VARIATION_MICROS;
             participant.driftDetections = drifted ? participant.driftDetections + 1 : 0;
             participant.clockUntrusted = participant.driftDetections >= MIN_DRIFT_DETECTIONS;
             if (participant.clockUntrusted) {
-                clockWarning = String.format(java.util.Locale.ROOT, "%08x drifted by %.2f s in %.2f", participant.memberId,
-                    drift / 1e6, (now - participant.clockCheckedAt) / 1e6);
+                clockWarning = String.format(java.util.Locale.ROOT, "%08x drifted by %.2f s in %.2f",
+                    participant.memberId, drift / 1e6, (now - participant.clockCheckedAt) / 1e6);
             }
             participant.clockCheckedAt = now;
             participant.previousMinClockOffset = participant.minClockOffset;
@@ -293,8 +304,8 @@
         lastDivisionAt = now;
         for (BudgetAccount account : accounts.values()) {
             int id = account.budget.id();
-            List<Lease> leases = participants.values().stream().map(participant -> participant.leasesById.get(id))
-                .filter(lease -> lease != null).toList();
+            List<Lease> leases = participants.values().stream()
+                .map(participant -> participant.leasesById.get(id)).filter(lease -> lease != null).toList();
             double[] demands = leases.stream().mapToDouble(lease -> lease.demand).toArray();
             long[] targetRates = MaxMinDivision.divide(account.leasableRate, demands);
             account.starving = false;
@@ -314,6 +325,7 @@
         return account.budget.burst() >= 2 * Budget.MICROTOKENS_PER_TOKEN * participants.size();
     }
 
+    /** Updates what is granted to a process, by the target shares and the free tokens. */
     private void updateGrants(long now, Participant participant) {
         computeTargetRates(now);
         boolean changed = false;
@@ -332,7 +344,8 @@
             long grantedRate = limitIncrease(lease.maxRate, targetRate, account.freeRate());
             long grantedBurst = limitIncrease(lease.maxBurst, targetBurst, freeBurst(account));
             boolean makesRoom = account.starving && grantedRate < lease.grantedRate;
-            if (addedTokens > 0 || makesRoom || isSignificant(grantedRate, lease.grantedRate) || isSignificant(grantedBurst, lease.grantedBurst)) {
+            if (addedTokens > 0 || makesRoom || isSignificant(grantedRate, lease.grantedRate)
+                || isSignificant(grantedBurst, lease.grantedBurst)) {
                 changed = true;
                 recordGrant(account, lease, grantedRate, grantedBurst);
                 lease.grantedRate = grantedRate;
@@ -347,7 +360,8 @@
 
     /** The burst of a process: one token, plus a part of the remainder in proportion to its rate. */
     long burstFor(BudgetAccount account, long rate) {
-        double remainder = account.budget.burst() - (double) Budget.MICROTOKENS_PER_TOKEN * participants.size();
+        double remainder = account.budget.burst()
+            - (double) Budget.MICROTOKENS_PER_TOKEN * participants.size();
         return Budget.MICROTOKENS_PER_TOKEN + (long) (remainder * (rate / (double) account.leasableRate));
     }
 
@@ -376,24 +390,29 @@
         return target <= current ? target : current + Math.min(target - current, Math.max(0, free));
     }
 
+    /** Whether a change of a share is large enough to be passed on. */
     private static boolean isSignificant(long newAmount, long oldAmount) {
-        return newAmount != oldAmount && (newAmount == 0 || oldAmount == 0 || Math.abs(newAmount - oldAmount) > MIN_RELATIVE_CHANGE * Math.max(newAmount, oldAmount));
+        return newAmount != oldAmount && (newAmount == 0 || oldAmount == 0
+            || Math.abs(newAmount - oldAmount) > MIN_RELATIVE_CHANGE * Math.max(newAmount, oldAmount));
     }
 
     /**
      * Whether a free token goes to this process: the least recently served waiting process comes first.
      */
     private boolean isNextInLine(long now, BudgetAccount account, Lease lease) {
-        long availableTokens = (long) Math.min(account.freeTokens, account.freeBurst() + lease.maxBurst) / Budget.MICROTOKENS_PER_TOKEN;
-        if (lease.waitingRequests == 0 || lease.maxBurst >= Budget.MICROTOKENS_PER_TOKEN || availableTokens < 1) {
+        long availableTokens = (long) Math.min(account.freeTokens, account.freeBurst() + lease.maxBurst)
+            / Budget.MICROTOKENS_PER_TOKEN;
+        if (lease.waitingRequests == 0 || lease.maxBurst >= Budget.MICROTOKENS_PER_TOKEN
+            || availableTokens < 1) {
             return false;
         }
         int waitingBefore = 0;
         for (Participant other : participants.values()) {
             Lease otherLease = other.leasesById.get(account.budget.id());
-            waitingBefore += otherLease != null && otherLease != lease && otherLease.waitingRequests > 0 && otherLease.maxBurst < Budget.MICROTOKENS_PER_TOKEN
-                && now - other.lastRequestAt < MAX_WAITING_PERIODS * timing.periodMicros() && otherLease.lastServedAt < lease.lastServedAt ?
-                    1 : 0;
+            waitingBefore += otherLease != null && otherLease != lease && otherLease.waitingRequests > 0
+                && otherLease.maxBurst < Budget.MICROTOKENS_PER_TOKEN
+                && now - other.lastRequestAt < MAX_WAITING_PERIODS * timing.periodMicros()
+                && otherLease.lastServedAt < lease.lastServedAt ? 1 : 0;
         }
         return waitingBefore < availableTokens;
     }
--- a/fleet/src/main/java/dockrelay/fleet/budget/Voter.java
+++ b/fleet/src/main/java/dockrelay/fleet/budget/Voter.java
@@ -64,9 +64,11 @@
      */
     BudgetMessage handleVoteRequest(long now, BudgetMessage request) {
         boolean newElection = request.kind() == Kind.VOTE_REQUEST;
-        boolean grantedToSender = granted && now < voteEnd && candidateId == request.senderId() && isCandidateInstance(request.instanceId());
+        boolean grantedToSender = granted && now < voteEnd && candidateId == request.senderId()
+            && isCandidateInstance(request.instanceId());
         boolean grant = now >= firstVoteAt && request.receiverInstanceId() == instanceId
-            && (newElection ? request.term() > term : request.term() >= term) && (isFree(now) || grantedToSender);
+            && (newElection ? request.term() > term : request.term() >= term)
+            && (isFree(now) || grantedToSender);
         VoterSet previousCommittedSet = committedSet, previousPendingSet = pendingSet;
         if (grant) {
             granted = true;
@@ -80,13 +82,15 @@
                 pendingSet = request.pendingSet();
             }
         }
-        return new BudgetMessage(Kind.VOTE, selfId, instanceId, request.instanceId(), term, request.requestNumber(), 0, 0, grant, request.senderId(), previousCommittedSet,
+        return new BudgetMessage(Kind.VOTE, selfId, instanceId, request.instanceId(), term,
+            request.requestNumber(), 0, 0, grant, request.senderId(), previousCommittedSet,
             previousPendingSet, java.util.List.of());
     }
 
     /** Releases the vote if it was granted to the process that resigns; returns whether it was. */
     boolean release(int resigningId, int resigningInstanceId, long resignedTerm) {
-        boolean freed = granted && candidateId == resigningId && candidateInstanceId == resigningInstanceId && resignedTerm >= grantedTerm;
+        boolean freed = granted && candidateId == resigningId && candidateInstanceId == resigningInstanceId
+            && resignedTerm >= grantedTerm;
         granted &= !freed;
         return freed;
     }
--- a/fleet/src/test/java/dockrelay/fleet/budget/BudgetNodeTest.java
+++ b/fleet/src/test/java/dockrelay/fleet/budget/BudgetNodeTest.java
@@ -28,17 +28,18 @@
  * a trace, {@code -Dbudget.schedules=N} sets their number.
  */
 class BudgetNodeTest {
-    private static final BudgetSimulation.NodeFactory CORRECT_NODE = (selfName, memberNames, budgets, instanceId, random, callbacks, now) ->
-        new BudgetNode(selfName, memberNames, budgets, instanceId, BudgetTiming.DEFAULT, random, callbacks, now);
+    private static final BudgetSimulation.NodeFactory CORRECT_NODE = (selfName, memberNames, budgets,
+        instanceId, random, callbacks, now) -> new BudgetNode(selfName, memberNames, budgets, instanceId,
+        BudgetTiming.DEFAULT, random, callbacks, now);
 
     private static final BudgetNode.Callbacks NO_CALLBACKS = new BudgetNode.Callbacks() {
         @Override
-        public void send(String to, ByteBuffer datagram) {
+        public void send(String memberName, ByteBuffer datagram) {
             // no network
         }
 
         @Override
-        public void applyShares(long telling, List<LeasedShare> parts, long until) {
+        public void applyShares(long updateNumber, List<LeasedShare> shares, long validUntil) {
             // no spender
         }
 
@@ -54,8 +55,8 @@
         try {
             new BudgetFaultSchedule(seed, nodeFactory, traceEnabled).run();
             return null;
-        } catch (InvariantViolation e) {
-            return "schedule " + seed + ": " + e.getMessage();
+        } catch (InvariantViolation violation) {
+            return "schedule " + seed + ": " + violation.getMessage();
         }
     }
 
@@ -77,18 +78,16 @@
     void randomSchedulesNeverOverspend() {
         String singleSeed = System.getProperty("budget.schedule");
         if (singleSeed != null) {
-            String violations = violationOf(Long.parseLong(singleSeed), CORRECT_NODE, true);
-            assertTrue(violations == null, violations);
+            String violation = violationOf(Long.parseLong(singleSeed), CORRECT_NODE, true);
+            assertTrue(violation == null, violation);
             return;
         }
         long scheduleCount = Long.getLong("budget.schedules", 3_000);
         long startNanos = System.nanoTime();
-        List<String> violations = LongStream.range(0, scheduleCount).parallel().mapToObj(seed -> violationOf(seed, CORRECT_NODE,
-            false))
-            .filter(text -> text != null).toList();
+        List<String> violations = LongStream.range(0, scheduleCount).parallel()
+            .mapToObj(seed -> violationOf(seed, CORRECT_NODE, false)).filter(text -> text != null).toList();
         System.out.printf("%d schedules in %.1f s, %d with violations%n", scheduleCount,
-            (System.nanoTime() - startNanos) / 1e9,
-            violations.size());
+            (System.nanoTime() - startNanos) / 1e9, violations.size());
         if (!violations.isEmpty()) {
             fail(String.join("\n", violations.subList(0, Math.min(5, violations.size()))));
         }
@@ -101,7 +100,8 @@
     @EnumSource(FaultyBudgetNode.class)
     void schedulesDetectInjectedBugs(FaultyBudgetNode faulty) {
         long seedLimit = faulty.firstSeed + 1_000, detectedAtSeed = -1;
-        for (long firstSeed = faulty.firstSeed; firstSeed < seedLimit && detectedAtSeed < 0; firstSeed += 200) {
+        for (long firstSeed = faulty.firstSeed;
+            firstSeed < seedLimit && detectedAtSeed < 0; firstSeed += 200) {
             detectedAtSeed = LongStream.range(firstSeed, firstSeed + 200).parallel()
                 .filter(seed -> OVERSPENDING.matcher(String.valueOf(violationOf(seed, faulty, false))).find())
                 .min().orElse(-1);
@@ -117,7 +117,8 @@
     @ParameterizedTest
     @CsvSource({"3,60,60", "12,120,120", "48,480,480", "12,3,3", "48,3,3"})
     void sharesFollowShiftingDemand(int members, int rate, int burst) {
-        Budget budget = new Budget("shifts", rate * Budget.MICROTOKENS_PER_TOKEN, burst * Budget.MICROTOKENS_PER_TOKEN);
+        Budget budget = new Budget("shifts", rate * Budget.MICROTOKENS_PER_TOKEN,
+            burst * Budget.MICROTOKENS_PER_TOKEN);
         BudgetSimulation simulation = new BudgetSimulation(members, budget, CORRECT_NODE, false);
         Set<String> names = new TreeSet<>();
         IntStream.range(0, members).forEach(i -> names.add("n" + i));
@@ -126,7 +127,8 @@
         long spent = 0;
         int shifts = 10;
         for (int i = 0; i < shifts; i++) {
-            for (SimulatedProcess process : simulation.allProcesses) { // a third of the members together demand twice the budget
+            // a third of the members together demand twice the budget
+            for (SimulatedProcess process : simulation.allProcesses) {
                 process.demandPerSecond = simulation.random.nextInt(3) == 0 ? 6.0 * rate / members : 0;
             }
             simulation.allProcesses.get(i % members).demandPerSecond = 6.0 * rate / members + rate * 1.2;
@@ -136,10 +138,11 @@
             spent += simulation.totalSpent - spentBefore;
         }
         double usedFraction = spent / (8.0 * shifts * rate);
-        long maxWaitMicros = simulation.allProcesses.stream().mapToLong(process -> process.maxWaitMicros).max().orElse(0);
+        long maxWaitMicros = simulation.allProcesses.stream().mapToLong(process -> process.maxWaitMicros)
+            .max().orElse(0);
         System.out.printf("%d members, %d a second: %.3f of the rate used from 2 s after a shift,"
             + " %.0f datagrams and %.1f kB a second each, longest wait %.1f s%n", members, rate, usedFraction,
-                simulation.datagramCount * 1e6 / simulation.now / members,
+            simulation.datagramCount * 1e6 / simulation.now / members,
             simulation.sentBytes * 1e3 / simulation.now / members, maxWaitMicros / 1e6);
         assertTrue(usedFraction >= 0.9, usedFraction + " of the rate is used");
     }
@@ -151,38 +154,48 @@
     @ParameterizedTest
     @ValueSource(ints = {3, 12, 48})
     void sharesAreRedistributedWhenMembersChange(int members) {
-        Budget budget = new Budget("all", 20L * members * Budget.MICROTOKENS_PER_TOKEN, 20L * members * Budget.MICROTOKENS_PER_TOKEN);
+        Budget budget = new Budget("all", 20L * members * Budget.MICROTOKENS_PER_TOKEN,
+            20L * members * Budget.MICROTOKENS_PER_TOKEN);
         BudgetSimulation simulation = new BudgetSimulation(members, budget, CORRECT_NODE, false);
         Set<String> names = new TreeSet<>();
         IntStream.range(0, members + 1).forEach(i -> names.add("n" + i));
         names.forEach(name -> simulation.start(name, names).demandPerSecond = 40);
         simulation.runUntil(20 * BudgetSimulation.SECOND_MICROS);
-        List<SimulatedProcess> dead = simulation.allProcesses.stream().filter(process -> !process.node.isCoordinator(process.localTime()))
+        List<SimulatedProcess> dead = simulation.allProcesses.stream()
+            .filter(process -> !process.node.isCoordinator(process.localTime()))
             .limit(Math.max(1, members / 4)).toList();
         dead.forEach(simulation::kill);
-        long redistributedAfter = microsUntil(simulation, () -> simulation.totalLeasedRate() > 0.93 * budget.rate());
+        long redistributedAfter = microsUntil(simulation, () -> simulation.totalLeasedRate() > 0.93 * budget
+            .rate());
         SimulatedProcess newMember = simulation.start(dead.get(0).name, names);
         newMember.demandPerSecond = 40;
-        long newMemberServedAfter = microsUntil(simulation, () -> newMember.shareRate > budget.rate() / 2 / (members + 1));
+        long newMemberServedAfter = microsUntil(simulation, () -> newMember.shareRate > budget.rate() / 2
+            / (members + 1));
         simulation.runUntil(simulation.now + 5 * BudgetSimulation.SECOND_MICROS);
         simulation.leave(newMember);
-        long leftShareDividedAfter = microsUntil(simulation, () -> simulation.totalLeasedRate() > 0.93 * budget.rate());
+        long leftShareDividedAfter = microsUntil(simulation, () -> simulation.totalLeasedRate() > 0.93
+            * budget.rate());
         SimulatedProcess coordinator = simulation.allProcesses.stream().filter(process ->
             process.node.isCoordinator(process.localTime())).findFirst().orElseThrow();
         simulation.kill(coordinator);
-        long newCoordinatorAfter = microsUntil(simulation, () -> simulation.allProcesses.stream().anyMatch(process -> !process.dead && !process.unreachable
+        long newCoordinatorAfter = microsUntil(simulation, () -> simulation.allProcesses.stream()
+            .anyMatch(process -> !process.dead && !process.unreachable
             && process.node.isCoordinator(process.localTime())));
-        long allDividedAfter = microsUntil(simulation, () -> simulation.totalLeasedRate() > 0.9 * budget.rate());
+        long allDividedAfter = microsUntil(simulation, () -> simulation.totalLeasedRate() > 0.9
+            * budget.rate());
         System.out.printf("%d members: shares of a quarter that dies are back after %.1f s, a new member has"
             + " one after %.1f s, that of a leaving one is divided after %.1f s; the coordinator dies: next"
-            + " after %.1f s, all divided %.1f s later%n", members,
-            redistributedAfter / 1e6, newMemberServedAfter / 1e6, leftShareDividedAfter / 1e6, newCoordinatorAfter / 1e6,
+            + " after %.1f s, all divided %.1f s later%n", members, redistributedAfter / 1e6,
+            newMemberServedAfter / 1e6, leftShareDividedAfter / 1e6, newCoordinatorAfter / 1e6,
             allDividedAfter / 1e6);
-        assertTrue(newMemberServedAfter <= 2 * BudgetSimulation.SECOND_MICROS && leftShareDividedAfter <= BudgetSimulation.SECOND_MICROS, newMemberServedAfter
-            + " us until a new member has a share; us until a leaving member's share is divided: " + leftShareDividedAfter);
-        assertTrue(redistributedAfter <= 7 * BudgetSimulation.SECOND_MICROS && newCoordinatorAfter + allDividedAfter <= 11 * BudgetSimulation.SECOND_MICROS, redistributedAfter
-            + " us until the shares of dead members are back; us until all is divided by a new coordinator: "
-            + allDividedAfter);
+        assertTrue(newMemberServedAfter <= 2 * BudgetSimulation.SECOND_MICROS
+            && leftShareDividedAfter <= BudgetSimulation.SECOND_MICROS, newMemberServedAfter
+            + " us until a new member has a share; us until a leaving member's share is divided: "
+            + leftShareDividedAfter);
+        assertTrue(redistributedAfter <= 7 * BudgetSimulation.SECOND_MICROS
+            && newCoordinatorAfter + allDividedAfter <= 11 * BudgetSimulation.SECOND_MICROS,
+            redistributedAfter + " us until the shares of dead members are back; us until a new"
+            + " coordinator has divided all: " + allDividedAfter);
     }
 
     /** Shares of a budget that is removed and added again are not leased twice. */
@@ -191,23 +204,25 @@
         Budget budget = Budget.perSecond("again", 100);
         long now = BudgetTiming.DEFAULT.maxLeaseDuration() + 1;
         LeaseLedger ledger = new LeaseLedger(List.of(budget), 1, BudgetTiming.DEFAULT, 0);
-        assertTrue(ledger.handleRequest(now, firstLeaseRequest(1, budget)).entries().get(0).rate() > 0, "the whole budget is free");
+        assertTrue(ledger.handleRequest(now, firstLeaseRequest(1, budget)).entries().get(0).rate() > 0,
+            "the whole budget is free");
         ledger.configure(now + 1, List.of());
         ledger.configure(now + 2, List.of(budget));
         assertTrue(ledger.handleRequest(now + 3, firstLeaseRequest(2, budget)).entries().get(0).rate() == 0,
             "the budget is still leased");
-        assertTrue(ledger.handleRequest(now + 3 + BudgetTiming.DEFAULT.maxLeaseDuration(), firstLeaseRequest(3, budget)).entries().get(0).rate()
-            > 0, "the earlier lease has expired");
+        assertTrue(ledger.handleRequest(now + 3 + BudgetTiming.DEFAULT.maxLeaseDuration(),
+            firstLeaseRequest(3, budget)).entries().get(0).rate() > 0, "the earlier lease has expired");
     }
 
     private static BudgetMessage firstLeaseRequest(int memberId, Budget budget) {
-        return new BudgetMessage(BudgetMessage.Kind.LEASE_REQUEST, memberId, 7, 0, 1, 1, 0, 0, false, 0, null, null,
-            List.of(new BudgetMessage.BudgetEntry(budget.id(), 0, 0, budget.rate(), 0)));
+        return new BudgetMessage(BudgetMessage.Kind.LEASE_REQUEST, memberId, 7, 0, 1, 1, 0, 0, false, 0,
+            null, null, List.of(new BudgetMessage.BudgetEntry(budget.id(), 0, 0, budget.rate(), 0)));
     }
 
     private static long microsUntil(BudgetSimulation simulation, BooleanSupplier condition) {
         long startedAt = simulation.now;
-        while (!condition.getAsBoolean() && simulation.now - startedAt < 30 * BudgetSimulation.SECOND_MICROS) {
+        while (!condition.getAsBoolean()
+            && simulation.now - startedAt < 30 * BudgetSimulation.SECOND_MICROS) {
             simulation.runUntil(simulation.now + 10 * BudgetSimulation.MILLI_MICROS);
         }
         return simulation.now - startedAt;
--- a/fleet/src/test/java/dockrelay/fleet/budget/BudgetSimulation.java
+++ b/fleet/src/test/java/dockrelay/fleet/budget/BudgetSimulation.java
@@ -25,9 +25,8 @@
 
     /** Creates the protocol instance of a process, so that tests can inject a faulty one. */
     interface NodeFactory {
-        BudgetNode newNode(String selfName, Collection<String> memberNames, Collection<Budget> budgets, int instanceId, Random
-            random,
-                     BudgetNode.Callbacks callbacks, long now);
+        BudgetNode newNode(String selfName, Collection<String> memberNames, Collection<Budget> budgets,
+            int instanceId, Random random, BudgetNode.Callbacks callbacks, long now);
     }
 
     /** An invariant was violated. */
@@ -52,8 +51,8 @@
         Set<String> memberNames;
         boolean dead, suspended, unreachable;
         double demandPerSecond, tokens;
-        long shareRate, shareBurst, validUntil, refilledAt, lastUpdateNumber, scheduledTick, spentTokens, waitingSince, waitingRequests, maxWaitMicros,
-            lastDeliveryAt;
+        long shareRate, shareBurst, validUntil, refilledAt, lastUpdateNumber, lastTickNumber, spentTokens,
+            waitingSince, waitingRequests, maxWaitMicros, lastDeliveryAt;
         int requestCount;
 
         SimulatedProcess(String name, Collection<String> memberNames) {
@@ -71,10 +70,10 @@
         }
 
         void scheduleTick() {
-            long tickNumber = ++scheduledTick;
+            long tickNumber = ++lastTickNumber;
             long time = now + Math.max(0, (long) Math.ceil((node.nextTickAt() - localTime()) / clockRate));
             scheduleAfter(time - now, () -> run(() -> {
-                if (tickNumber == scheduledTick) {
+                if (tickNumber == lastTickNumber) {
                     node.tick(localTime());
                     scheduleTick();
                 }
@@ -119,8 +118,8 @@
             if (dead) {
                 return;
             }
-            scheduleAfter(demandPerSecond <= 0 ? 50 * MILLI_MICROS : (long) Math.max(1, -Math.log(1 - random.nextDouble()) * 1e6 /
-                demandPerSecond),
+            scheduleAfter(demandPerSecond <= 0 ? 50 * MILLI_MICROS
+                : (long) Math.max(1, -Math.log(1 - random.nextDouble()) * 1e6 / demandPerSecond),
                 this::createRequest);
             if (demandPerSecond > 0) {
                 run(() -> {
@@ -156,17 +155,20 @@
             run(() -> {
                 refill();
                 serveWaiting();
-                ShareUsage usage = new ShareUsage(budget.name(), requestCount * 10.0 * Budget.MICROTOKENS_PER_TOKEN, (int) waitingRequests, (long) tokens,
-                    spentTokens);
+                ShareUsage usage = new ShareUsage(budget.name(),
+                    requestCount * 10.0 * Budget.MICROTOKENS_PER_TOKEN, (int) waitingRequests,
+                    (long) tokens, spentTokens);
                 requestCount = 0;
                 long updateNumber = lastUpdateNumber;
-                scheduleAfter(random.nextInt((int) (3 * MILLI_MICROS)), () -> run(() -> node.reportUsage(updateNumber, List.of(usage))));
+                scheduleAfter(random.nextInt((int) (3 * MILLI_MICROS)),
+                    () -> run(() -> node.reportUsage(updateNumber, List.of(usage))));
             });
         }
 
         @Override
         public void applyShares(long updateNumber, List<LeasedShare> shares, long leaseEnd) {
-            long delay = random.nextInt((int) (random.nextInt(50) == 0 ? SECOND_MICROS / 2 : 3 * MILLI_MICROS));
+            long delay = random.nextInt((int) (random.nextInt(50) == 0 ? SECOND_MICROS / 2
+                : 3 * MILLI_MICROS));
             lastDeliveryAt = Math.max(lastDeliveryAt, now + delay); // between threads, in order
             scheduleAfter(lastDeliveryAt - now, () -> run(() -> {
                 refill();
@@ -201,7 +203,9 @@
 
     final Random random;
     final Budget budget;
-    final Map<String, SimulatedProcess> processByName = new LinkedHashMap<>(); // current process by name
+    /** The process that has the address of each name. */
+    final Map<String, SimulatedProcess> processByName = new LinkedHashMap<>();
+    /** All processes ever started, including those that have ended. */
     final List<SimulatedProcess> allProcesses = new ArrayList<>();
     final Set<String> cutLinks = new HashSet<>();
     final Map<String, Long> deathTimes = new HashMap<>();
@@ -247,7 +251,8 @@
      * It detects any interval in which more is spent than the budget allows.
      */
     private void checkSpentToken() {
-        bucketTokens = Math.min(budget.burst(), bucketTokens + budget.rate() * ((now - bucketRefilledAt) / 1e6));
+        bucketTokens = Math.min(budget.burst(),
+            bucketTokens + budget.rate() * ((now - bucketRefilledAt) / 1e6));
         bucketRefilledAt = now;
         bucketTokens -= Budget.MICROTOKENS_PER_TOKEN;
         totalSpent++;
@@ -268,8 +273,8 @@
             }
         }
         if (rate > budget.rate() || burst > budget.burst()) {
-            throw new
-                InvariantViolation(String.format("at %.3f s the shares add up to %.3f of the rate and %.3f of the burst",
+            throw new InvariantViolation(
+                String.format("at %.3f s the shares add up to %.3f of the rate and %.3f of the burst",
                 now / 1e6, rate / (double) budget.rate(), burst / (double) budget.burst()));
         }
     }
@@ -329,11 +334,12 @@
             Set<String> presentNames = new TreeSet<>(), departedNames = new TreeSet<>();
             for (String name : process.memberNames) {
                 SimulatedProcess other = processByName.get(name);
-                boolean isReachable = other != null && !other.dead && !other.suspended && !cutLinks.contains(process.name + ">" +
-                    name);
+                boolean isReachable = other != null && !other.dead && !other.suspended
+                    && !cutLinks.contains(process.name + ">" + name);
                 (isReachable ? presentNames : departedNames).add(name);
                 departedNames.removeIf(departed -> departed.equals(name) && (other == null || !other.dead
-                    || now - deathTimes.getOrDefault(name, now) < 8 * SECOND_MICROS) && random.nextInt(20) > 0);
+                    || now - deathTimes.getOrDefault(name, now) < 8 * SECOND_MICROS)
+                    && random.nextInt(20) > 0);
             }
             process.run(() -> process.node.updatePresence(presentNames, departedNames));
         }
@@ -369,7 +375,7 @@
 
     /** The sum of the rates of all live shares, in millionths of a token per second. */
     long totalLeasedRate() {
-        return allProcesses.stream().filter(process -> !process.dead && process.localTime() < process.validUntil)
-            .mapToLong(process -> process.shareRate).sum();
+        return allProcesses.stream().filter(process -> !process.dead
+            && process.localTime() < process.validUntil).mapToLong(process -> process.shareRate).sum();
     }
 }
--- a/fleet/src/test/java/dockrelay/fleet/budget/FaultyBudgetNode.java
+++ b/fleet/src/test/java/dockrelay/fleet/budget/FaultyBudgetNode.java
@@ -10,11 +10,11 @@
     /** A reduced share counts as free before its holder has confirmed the reduction. */
     REDUCTION_NOT_CONFIRMED(0) {
         @Override
-        LeaseLedger newLedger(Collection<Budget> of, long term, BudgetTiming at, long now) {
-            return new LeaseLedger(of, term, at, now) {
+        LeaseLedger newLedger(Collection<Budget> budgets, long term, BudgetTiming timing, long now) {
+            return new LeaseLedger(budgets, term, timing, now) {
                 @Override
-                void recordGrant(BudgetAccount account, Lease lent, long rate, long burst) {
-                    account.setLease(lent, rate, burst);
+                void recordGrant(BudgetAccount account, Lease lease, long rate, long burst) {
+                    account.setLease(lease, rate, burst);
                 }
             };
         }
@@ -22,22 +22,22 @@
     /** Leases do not expire. */
     LEASE_NEVER_EXPIRES(0) {
         @Override
-        long leaseEnd(long now, long sentAt, BudgetTiming at) {
-            return now + 1000 * at.leaseDuration();
+        long leaseEnd(long now, long sentAt, BudgetTiming timing) {
+            return now + 1000 * timing.leaseDuration();
         }
     },
     /** A lease counts from the arrival of the grant instead of the sending of the request. */
     LEASE_COUNTED_FROM_ARRIVAL(8900) {
         @Override
-        long leaseEnd(long now, long sentAt, BudgetTiming at) {
-            return now + at.leaseDuration();
+        long leaseEnd(long now, long sentAt, BudgetTiming timing) {
+            return now + timing.leaseDuration();
         }
     },
     /** The burst is not divided: each process has all of it. */
     BURST_NOT_DIVIDED(0) {
         @Override
-        LeaseLedger newLedger(Collection<Budget> of, long term, BudgetTiming at, long now) {
-            return new LeaseLedger(of, term, at, now) {
+        LeaseLedger newLedger(Collection<Budget> budgets, long term, BudgetTiming timing, long now) {
+            return new LeaseLedger(budgets, term, timing, now) {
                 @Override
                 long freeBurst(BudgetAccount account) {
                     return account.budget.burst();
@@ -53,19 +53,23 @@
     /** A new coordinator treats shares that have not been reported to it yet as free. */
     UNREPORTED_SHARES_FREE(0) {
         @Override
-        LeaseLedger newLedger(Collection<Budget> of, long term, BudgetTiming at, long now) {
-            return new LeaseLedger(of, term, at, now - at.maxLeaseDuration());
+        LeaseLedger newLedger(Collection<Budget> budgets, long term, BudgetTiming timing, long now) {
+            return new LeaseLedger(budgets, term, timing, now - timing.maxLeaseDuration());
         }
     },
     /** A change of the voter set needs a quorum of the new set only. */
     QUORUM_OF_NEW_VOTER_SET_ONLY(700) {
         @Override
-        CoordinatorElection newElection(int id, int life, BudgetTiming at, Voter of, MemberList names, Random by,
-                            CoordinatorElection.Sender sender, long now) {
-            return new CoordinatorElection(id, life, at, of, names, by, sender, now) {
+        CoordinatorElection newElection(int selfId, int instanceId, BudgetTiming timing, Voter voter,
+                                        MemberList memberList, Random random,
+                                        CoordinatorElection.Sender sender, long now) {
+            return new CoordinatorElection(selfId, instanceId, timing, voter, memberList, random, sender,
+                now) {
                 @Override
-                boolean hasQuorum(Set<Integer> said, VoterSet list, VoterSet change, Set<Integer> but) {
-                    return change == null ? list.isQuorum(said, but) : change.isQuorum(said, but);
+                boolean hasQuorum(Set<Integer> votes, VoterSet committed, VoterSet pending,
+                                  Set<Integer> excluded) {
+                    return pending == null ? committed.isQuorum(votes, excluded) : pending.isQuorum(votes,
+                        excluded);
                 }
             };
         }
@@ -73,12 +77,15 @@
     /** Any half of the voter set is a quorum, so that two disjoint quorums exist. */
     QUORUM_OF_HALF(0) {
         @Override
-        CoordinatorElection newElection(int id, int life, BudgetTiming at, Voter of, MemberList names, Random by,
-                            CoordinatorElection.Sender sender, long now) {
-            return new CoordinatorElection(id, life, at, of, names, by, sender, now) {
+        CoordinatorElection newElection(int selfId, int instanceId, BudgetTiming timing, Voter voter,
+                                        MemberList memberList, Random random,
+                                        CoordinatorElection.Sender sender, long now) {
+            return new CoordinatorElection(selfId, instanceId, timing, voter, memberList, random, sender,
+                now) {
                 @Override
-                boolean hasQuorum(Set<Integer> said, VoterSet list, VoterSet change, Set<Integer> but) {
-                    return 2 * list.memberIds().length <= 4 * said.size();
+                boolean hasQuorum(Set<Integer> votes, VoterSet committed, VoterSet pending,
+                                  Set<Integer> excluded) {
+                    return 2 * committed.memberIds().length <= 4 * votes.size();
                 }
             };
         }
@@ -95,8 +102,9 @@
         return new Voter(selfId, instanceId, timing, now);
     }
 
-    CoordinatorElection newElection(int selfId, int instanceId, BudgetTiming timing, Voter voter, MemberList memberList, Random random,
-                        CoordinatorElection.Sender sender, long now) {
+    CoordinatorElection newElection(int selfId, int instanceId, BudgetTiming timing, Voter voter,
+                                    MemberList memberList, Random random, CoordinatorElection.Sender sender,
+                                    long now) {
         return new CoordinatorElection(selfId, instanceId, timing, voter, memberList, random, sender, now);
     }
 
@@ -109,33 +117,35 @@
     }
 
     @Override
-    public BudgetNode newNode(String selfName, Collection<String> memberNames, Collection<Budget> budgets, int instanceId, Random
-        random,
-                        BudgetNode.Callbacks callbacks, long now) {
+    public BudgetNode newNode(String selfName, Collection<String> memberNames, Collection<Budget> budgets,
+                              int instanceId, Random random, BudgetNode.Callbacks callbacks, long now) {
         FaultyBudgetNode faulty = this;
-        return new BudgetNode(selfName, memberNames, budgets, instanceId, BudgetTiming.DEFAULT, random, callbacks, now) {
+        return new BudgetNode(selfName, memberNames, budgets, instanceId, BudgetTiming.DEFAULT, random,
+            callbacks, now) {
             @Override
-            Voter newVoter(int id, int ofLife, BudgetTiming at, long from) {
-                return faulty.newVoter(id, ofLife, at, from);
+            Voter newVoter(int selfId, int instanceId, BudgetTiming timing, long now) {
+                return faulty.newVoter(selfId, instanceId, timing, now);
             }
 
             @Override
-            CoordinatorElection newElection(int id, int ofLife, BudgetTiming at, Voter of, MemberList roster, Random by,
-                                CoordinatorElection.Sender sender, long from) {
-                return faulty.newElection(id, ofLife, at, of, roster, by, sender, from);
+            CoordinatorElection newElection(int selfId, int instanceId, BudgetTiming timing, Voter voter,
+                                            MemberList memberList, Random random,
+                                            CoordinatorElection.Sender sender, long now) {
+                return faulty.newElection(selfId, instanceId, timing, voter, memberList, random, sender, now);
             }
 
             @Override
-            LeaseLedger newLedger(Collection<Budget> of, long term, BudgetTiming at, long from) {
-                return faulty.newLedger(of, term, at, from);
+            LeaseLedger newLedger(Collection<Budget> budgets, long term, BudgetTiming timing, long now) {
+                return faulty.newLedger(budgets, term, timing, now);
             }
 
             @Override
-            LeaseHolder newLeaseHolder(int id, int ofLife, BudgetTiming at, Collection<Budget> of, long from) {
-                return new LeaseHolder(id, ofLife, at, of, from) {
+            LeaseHolder newLeaseHolder(int selfId, int instanceId, BudgetTiming timing,
+                                       Collection<Budget> budgets, long now) {
+                return new LeaseHolder(selfId, instanceId, timing, budgets, now) {
                     @Override
-                    long leaseEnd(long here, long sentAt) {
-                        return faulty.leaseEnd(here, sentAt, at);
+                    long leaseEnd(long now, long sentAt) {
+                        return faulty.leaseEnd(now, sentAt, timing);
                     }
                 };
             }
--- a/proxy/src/main/java/dockrelay/proxy/BudgetConfigReader.java
+++ b/proxy/src/main/java/dockrelay/proxy/BudgetConfigReader.java
@@ -35,9 +35,11 @@
                     + ", each {\"per_second\": NUMBER, \"burst\": NUMBER}");
             }
             Map<?, ?> properties = (Map<?, ?>) value;
-            Budget budget = Budget.perSecond((String) name, Config.numberOrDefault(properties, "per_second", 0));
+            Budget budget = Budget.perSecond((String) name,
+                Config.numberOrDefault(properties, "per_second", 0));
             budget = properties.containsKey("burst") ? new Budget(budget.name(), budget.rate(),
-                Math.round(Config.numberOrDefault(properties, "burst", 0) * Budget.MICROTOKENS_PER_TOKEN)) : budget;
+                Math.round(Config.numberOrDefault(properties, "burst", 0) * Budget.MICROTOKENS_PER_TOKEN))
+                : budget;
             if (groups != null && !isDivisible(budget, groups)) {
                 throw tooSmall(budget, groups);
             }
@@ -57,10 +59,11 @@
     private static BudgetException tooSmall(Budget budget, PeerGroups groups) {
         int peerCount = groups.assignment().memberCount(), smallestSize = groups.smallestGroupSize();
         return new BudgetException(BudgetException.Code.BURST, "budget " + budget.name() + ": burst of "
-            + budget.burst() / (double) Budget.MICROTOKENS_PER_TOKEN + " is too small for " + groups.assignment().groupCount()
-            + " groups with a total of " + peerCount + " peers, the smallest with " + smallestSize,
-            "the minimum here is "
-                + (long) Math.ceil((double) Budget.MIN_BURST_MICROTOKENS / Budget.MICROTOKENS_PER_TOKEN * peerCount / smallestSize));
+            + budget.burst() / (double) Budget.MICROTOKENS_PER_TOKEN + " is too small for "
+            + groups.assignment().groupCount() + " groups with a total of " + peerCount
+            + " peers, the smallest with " + smallestSize,
+            "the minimum here is " + (long) Math.ceil((double) Budget.MIN_BURST_MICROTOKENS
+                / Budget.MICROTOKENS_PER_TOKEN * peerCount / smallestSize));
     }
 
     /**
@@ -81,7 +84,8 @@
      * whole.
      */
     static List<Budget> groupShares(List<Budget> budgets, int groupSize, PeerGroups groups) {
-        return budgets.stream().map(budget -> new Budget(budget.name(), groupPart(budget.rate(), groupSize, groups),
+        return budgets.stream().map(budget -> new Budget(budget.name(),
+            groupPart(budget.rate(), groupSize, groups),
             groupPart(budget.burst(), groupSize, groups))).toList();
     }
 }
--- a/proxy/src/main/java/dockrelay/proxy/BudgetService.java
+++ b/proxy/src/main/java/dockrelay/proxy/BudgetService.java
@@ -41,19 +41,19 @@
     private volatile boolean stopped;
     private long lastReportAt, lastUpdateNumber; // confined to the event loop of the request table
 
-    BudgetService(EventLoop membershipLoop, RequestTable requestTable, Config config, int instanceId, Random random,
-                 BiConsumer<String, ByteBuffer> datagramSender) {
+    BudgetService(EventLoop membershipLoop, RequestTable requestTable, Config config, int instanceId,
+                  Random random, BiConsumer<String, ByteBuffer> datagramSender) {
         this.membershipLoop = membershipLoop;
         this.requestTable = requestTable;
         this.datagramSender = datagramSender;
         long now = nowMicros();
         this.lastReportAt = now;
-        this.budgetNode = new BudgetNode(config.name(), config.groupMemberNames(), config.groupBudgets(), instanceId,
-            BudgetTiming.DEFAULT, random, this, now);
+        this.budgetNode = new BudgetNode(config.name(), config.groupMemberNames(), config.groupBudgets(),
+            instanceId, BudgetTiming.DEFAULT, random, this, now);
         budgetNode.setRetiredMembers(now, config.retiredMembers());
         scheduleTick();
-        requestTable.eventLoop().scheduleWithFixedDelay(this::reportUsage, REPORT_INTERVAL_MILLIS, REPORT_INTERVAL_MILLIS,
-            TimeUnit.MILLISECONDS);
+        requestTable.eventLoop().scheduleWithFixedDelay(this::reportUsage, REPORT_INTERVAL_MILLIS,
+            REPORT_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     /**
@@ -61,8 +61,8 @@
      * event loop.
      */
     static void applyZeroShares(RequestTable requestTable, Config config) {
-        requestTable.budgets(0, 0, config.budgets().stream().map(budget -> new BudgetShare(budget.name(), 0, 0, 0))
-            .toList());
+        requestTable.budgets(0, 0, config.budgets().stream()
+            .map(budget -> new BudgetShare(budget.name(), 0, 0, 0)).toList());
     }
 
     private static long nowMicros() {
@@ -84,12 +84,14 @@
         }
     }
 
+    /** Passes the states of the members of this group to the budget protocol. */
     void updatePresence(List<MemberStatus> statuses) {
         List<String> presentNames = new ArrayList<>(), departedNames = new ArrayList<>();
         for (MemberStatus status : statuses) {
             if (status.state() == MemberState.PRESENT || status.state() == MemberState.SUSPECT) {
                 presentNames.add(status.name());
-            } else if (status.state() == MemberState.LEFT || status.state() == MemberState.GONE && status.stateAge() > MIN_GONE_MICROS) {
+            } else if (status.state() == MemberState.LEFT
+                || status.state() == MemberState.GONE && status.stateAge() > MIN_GONE_MICROS) {
                 departedNames.add(status.name());
             }
         }
@@ -112,8 +114,8 @@
     }
 
     private void passToBalancer(long updateNumber, long validUntil, List<LeasedShare> shares) {
-        List<BudgetShare> balancerShares = shares.stream().map(share -> new BudgetShare(share.budget(), toTokens(share.rate()),
-            toTokens(share.burst()), toTokens(share.addedTokens()))).toList();
+        List<BudgetShare> balancerShares = shares.stream().map(share -> new BudgetShare(share.budget(),
+            toTokens(share.rate()), toTokens(share.burst()), toTokens(share.addedTokens()))).toList();
         requestTable.eventLoop().execute(() -> {
             if (!stopped) {
                 requestTable.budgets(updateNumber, validUntil - nowMicros(), balancerShares);
@@ -131,14 +133,16 @@
         if (stopped) {
             return;
         }
-        long now = nowMicros(), elapsedMicros = Math.max(1, now - lastReportAt), updateNumber = lastUpdateNumber;
+        long now = nowMicros(), elapsedMicros = Math.max(1, now - lastReportAt),
+            updateNumber = lastUpdateNumber;
         lastReportAt = now;
         List<ShareUsage> usages = new ArrayList<>();
         for (BudgetUse balancerUsage : requestTable.budgets()) {
             Long previousCount = previousRequestCounts.put(balancerUsage.budget(), balancerUsage.asked());
-            double demand = (balancerUsage.asked() - (previousCount == null ? 0 : previousCount)) * 1e6 / elapsedMicros * Budget.MICROTOKENS_PER_TOKEN;
-            usages.add(new ShareUsage(balancerUsage.budget(), demand, balancerUsage.waits() ? 1 : 0, (long) Math.ceil(balancerUsage.left() *
-                Budget.MICROTOKENS_PER_TOKEN),
+            double demand = (balancerUsage.asked() - (previousCount == null ? 0 : previousCount)) * 1e6
+                / elapsedMicros * Budget.MICROTOKENS_PER_TOKEN;
+            usages.add(new ShareUsage(balancerUsage.budget(), demand, balancerUsage.waits() ? 1 : 0,
+                (long) Math.ceil(balancerUsage.left() * Budget.MICROTOKENS_PER_TOKEN),
                 balancerUsage.spent()));
         }
         membershipLoop.execute(() -> budgetNode.reportUsage(updateNumber, usages));
@@ -171,18 +175,19 @@
     String consoleAnswer() {
         long now = nowMicros();
         String coordinator = budgetNode.coordinatorName(now);
-        StringBuilder text = new StringBuilder("200 keeper=" + (budgetNode.isCoordinator(now) ? "self" : coordinator == null
-            ? "none" : coordinator));
+        StringBuilder text = new StringBuilder("200 keeper=" + (budgetNode.isCoordinator(now) ? "self"
+            : coordinator == null ? "none" : coordinator));
         if (budgetNode.missingVoters() != null) {
             text.append(" waits-for=").append(budgetNode.missingVoters());
         }
         for (BudgetStatus status : budgetNode.budgetStatuses(now)) {
-            text.append(String.format(Locale.ROOT, "%n%s whole=%.3f/s burst=%.1f part=%.3f/s part-burst=%.1f"
+            text.append(String.format(Locale.ROOT,
+                "%n%s whole=%.3f/s burst=%.1f part=%.3f/s part-burst=%.1f"
                 + " wanted=%.1f/s spent=%d lease=%.1fs age=%.1fs", status.budget().name(),
-                    toTokens(status.budget().rate()),
-                toTokens(status.budget().burst()), toTokens(status.shareRate()), toTokens(status.shareBurst()), status.demand() /
-                    Budget.MICROTOKENS_PER_TOKEN,
-                status.spentTokens(), status.remainingLeaseMicros() / 1e6, Math.min(status.grantAgeMicros() / 1e6, 99_999)));
+                toTokens(status.budget().rate()), toTokens(status.budget().burst()),
+                toTokens(status.shareRate()), toTokens(status.shareBurst()),
+                status.demand() / Budget.MICROTOKENS_PER_TOKEN, status.spentTokens(),
+                status.remainingLeaseMicros() / 1e6, Math.min(status.grantAgeMicros() / 1e6, 99_999)));
         }
         return text.toString();
     }
--- a/proxy/src/main/java/dockrelay/proxy/Console.java
+++ b/proxy/src/main/java/dockrelay/proxy/Console.java
@@ -62,9 +62,9 @@
     private final Channel listener;
 
     /**
-     * Binds the console. {@code enforce} applies a changed backend and completes once the change is in
-     * force. {@code members} and {@code budgets} may be null; the commands about them are rejected
-     * then.
+     * Binds the console. {@code applyChange} applies a changed backend and completes once the change
+     * is in force. {@code membership} and {@code budgetAnswer} may be null; the commands about them are
+     * rejected then.
      */
     Console(InetSocketAddress address, OperatorOverrides overrides, BooleanSupplier serving,
             Function<String, CompletableFuture<Void>> applyChange, MembershipService membership,
@@ -127,7 +127,8 @@
                     Log.write("console", line + ": " + overrides.detachedCount() + " backends are detached");
                 }
                 // Also without a change: an earlier one may not be in force yet.
-                return applyChange.apply(words[1]).completeOnTimeout(null, APPLY_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
+                return applyChange.apply(words[1])
+                    .completeOnTimeout(null, APPLY_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
                     .thenApply(ignored -> "200 " + words[1] + (detaching ? " is out" : " is in use"));
             }
         } catch (IOException e) {
--- a/proxy/src/main/java/dockrelay/proxy/MembershipService.java
+++ b/proxy/src/main/java/dockrelay/proxy/MembershipService.java
@@ -40,7 +40,8 @@
  * all names of the fleet.
  */
 final class MembershipService implements GroupedMembership.Callbacks {
-    private static final long PUBLISH_INTERVAL_MILLIS = 250, BIND_RETRY_MILLIS = 100, LOG_INTERVAL_MILLIS = 200;
+    private static final long PUBLISH_INTERVAL_MILLIS = 250, BIND_RETRY_MILLIS = 100,
+        LOG_INTERVAL_MILLIS = 200;
     /** Number of incarnations reserved per write to disk; each refuted suspicion uses one. */
     private static final long RESERVED_INCARNATIONS = 10_000;
     /** Time limit for looking up a member; a caller of the console waits 1 s. */
@@ -55,23 +56,24 @@
     private final Consumer<FleetView> fleetViewConsumer;
     private final PeerTransport transport;
     private final Random random;
-    private final List<String> loggedChanges = new ArrayList<>();
+    private final List<String> changesToLog = new ArrayList<>();
     private Config config;
     private GroupedMembership membership;
     private final Map<String, CompletableFuture<MemberStatus>> pendingLookups = new HashMap<>();
-    private ScheduledFuture<?> scheduledTick; // the scheduled tick; nextAt is its time
+    private ScheduledFuture<?> scheduledTick; // due at scheduledTickAt
     private long scheduledTickAt;
     private long suspicionCount, nameConflictCount, storedIncarnation;
     private final RequestTable requestTable;
     private BudgetService budgetService; // null if no budgets are configured
-    private volatile BudgetService publishedBudgetService; // the same object, for access from other threads
+    private volatile BudgetService sharedBudgetService; // the same object, for access from other threads
     private boolean handedOver;
 
     /**
      * The folder keeps the incarnation across restarts and may be null; the consumer receives the view
      * of the fleet.
      */
-    MembershipService(Config config, Path folder, RequestTable requestTable, Consumer<FleetView> fleetViewConsumer) {
+    MembershipService(Config config, Path folder, RequestTable requestTable,
+                      Consumer<FleetView> fleetViewConsumer) {
         this.config = config;
         this.incarnationFile = folder == null ? null : folder.resolve("incarnation");
         this.fleetViewConsumer = fleetViewConsumer;
@@ -97,15 +99,18 @@
         // The protocol corrects an incarnation that is too low; starting from the wall clock makes that rare.
         long incarnation = Math.max(readStoredIncarnation() + 1, System.currentTimeMillis() / 1000);
         int instanceId = random.nextInt() | 1;
-        membership = new GroupedMembership(config.name(), config.peerGroups().assignment(), incarnation, instanceId, ProtocolTiming.DEFAULT, random,
-            this, nowMicros());
+        membership = new GroupedMembership(config.name(), config.peerGroups().assignment(), incarnation,
+            instanceId, ProtocolTiming.DEFAULT, random, this, nowMicros());
         if (!config.budgets().isEmpty()) {
-            budgetService = new BudgetService(eventLoop, requestTable, config, instanceId, new Random(random.nextLong()), this::send);
-            publishedBudgetService = budgetService;
+            budgetService = new BudgetService(eventLoop, requestTable, config, instanceId,
+                new Random(random.nextLong()), this::send);
+            sharedBudgetService = budgetService;
         }
         scheduleTick();
-        eventLoop.scheduleWithFixedDelay(this::publishFleetView, PUBLISH_INTERVAL_MILLIS, PUBLISH_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
-        eventLoop.scheduleWithFixedDelay(this::writeLog, LOG_INTERVAL_MILLIS, LOG_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
+        eventLoop.scheduleWithFixedDelay(this::publishFleetView, PUBLISH_INTERVAL_MILLIS,
+            PUBLISH_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
+        eventLoop.scheduleWithFixedDelay(this::writeLog, LOG_INTERVAL_MILLIS, LOG_INTERVAL_MILLIS,
+            TimeUnit.MILLISECONDS);
     }
 
     /** Schedules the next tick, or moves it forward if something became due earlier. */
@@ -113,7 +118,8 @@
         long tickAt = membership.nextTickAt();
         if (scheduledTick == null || tickAt < scheduledTickAt && scheduledTick.cancel(false)) {
             scheduledTickAt = tickAt;
-            scheduledTick = eventLoop.schedule(this::tick, Math.max(0, tickAt - nowMicros()), TimeUnit.MICROSECONDS);
+            scheduledTick = eventLoop.schedule(this::tick, Math.max(0, tickAt - nowMicros()),
+                TimeUnit.MICROSECONDS);
         }
     }
 
@@ -154,9 +160,12 @@
                 runGuarded(() -> budgetService.updatePresence(membership.memberStatuses(nowMicros())));
             }
             MembershipSnapshot snapshot = membership.snapshot(nowMicros());
-            fleetViewConsumer.accept(new FleetView(snapshot.countedMembers(), snapshot.ownRank(), snapshot.budgetShare(), snapshot.minBudgetShare(),
-                Agreement.valueOf(snapshot.agreement().name()), 0, config.peerGroups().assignment().isSingleGroup() ? 0
-                    : Math.max(1, snapshot.oldestReportAge()))); // 0 stands for a single group
+            // An age of 0 stands for a single group.
+            fleetViewConsumer.accept(new FleetView(snapshot.countedMembers(), snapshot.ownRank(),
+                snapshot.budgetShare(), snapshot.minBudgetShare(),
+                Agreement.valueOf(snapshot.agreement().name()), 0,
+                config.peerGroups().assignment().isSingleGroup() ? 0
+                    : Math.max(1, snapshot.oldestReportAge())));
         }
     }
 
@@ -175,13 +184,13 @@
             suspicionCount++;
         } else if (change.previousState() != MemberState.SUSPECT || change.newState() != MemberState.PRESENT
             || change.restarted()) {
-            loggedChanges.add("at " + System.currentTimeMillis() + " " + change);
+            changesToLog.add("at " + System.currentTimeMillis() + " " + change);
         }
     }
 
     private void writeLog() {
         StringBuilder line = new StringBuilder();
-        for (String change : loggedChanges) {
+        for (String change : changesToLog) {
             if (line.length() > 0 && line.length() + change.length() > MAX_LOG_LINE_LENGTH) {
                 Log.write("members", line.toString());
                 line.setLength(0);
@@ -191,7 +200,7 @@
         if (line.length() > 0) {
             Log.write("members", line.toString());
         }
-        loggedChanges.clear();
+        changesToLog.clear();
         if (budgetService != null) {
             budgetService.logRefusals();
         }
@@ -207,9 +216,11 @@
         Log.write("members-clash", "two processes use the name " + name + ": " + reason);
     }
 
+    /** The incarnation stored by this or an earlier process; 0 if there is none. */
     private long readStoredIncarnation() {
         try {
-            return incarnationFile == null || !Files.exists(incarnationFile) ? 0 : Long.parseLong(Files.readString(incarnationFile).trim());
+            return incarnationFile == null || !Files.exists(incarnationFile) ? 0
+                : Long.parseLong(Files.readString(incarnationFile).trim());
         } catch (IOException | NumberFormatException e) {
             Log.write("members", "cannot read the incarnation that was kept: " + e);
             return 0;
@@ -230,7 +241,8 @@
             Files.createDirectories(incarnationFile.getParent());
             Path temporaryFile = incarnationFile.resolveSibling("incarnation.part");
             Files.writeString(temporaryFile, storedIncarnation + "\n", StandardCharsets.US_ASCII);
-            Files.move(temporaryFile, incarnationFile, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+            Files.move(temporaryFile, incarnationFile, StandardCopyOption.ATOMIC_MOVE,
+                StandardCopyOption.REPLACE_EXISTING);
         } catch (IOException e) {
             Log.error("members", e); // the next process learns its incarnation from the other members
         }
@@ -259,17 +271,20 @@
         }));
     }
 
+    /** Describes a new member list for the log. */
     private String describeListChange(Config newConfig) {
         GroupAssignment assignment = newConfig.peerGroups().assignment();
         String names = PeerGroups.abbreviate(newConfig.peers().names());
         if (assignment.isSingleGroup() && config.peerGroups().assignment().isSingleGroup()) {
             return "the member list is now " + names;
         }
-        long added = newConfig.peers().names().stream().filter(name -> !config.peers().contains(name)).count();
+        long added = newConfig.peers().names().stream().filter(name -> !config.peers().contains(name))
+            .count();
         int ownGroup = assignment.groupOf(newConfig.name());
         return "the member list now has " + assignment.memberCount() + " names, " + added + " added and "
-            + (config.peers().size() + added - assignment.memberCount()) + " removed, in " + assignment.groupCount()
-            + (assignment.isSingleGroup() ? " group" : " groups") + "; own group is " + assignment.label(ownGroup) + " of "
+            + (config.peers().size() + added - assignment.memberCount()) + " removed, in "
+            + assignment.groupCount() + (assignment.isSingleGroup() ? " group" : " groups")
+            + "; own group is " + assignment.label(ownGroup) + " of "
             + assignment.memberNames(ownGroup).size() + ": " + names;
     }
 
@@ -278,8 +293,8 @@
      * the request table.
      */
     void stopSpending() {
-        if (publishedBudgetService != null) {
-            publishedBudgetService.stopSpending();
+        if (sharedBudgetService != null) {
+            sharedBudgetService.stopSpending();
         }
     }
 
@@ -297,8 +312,8 @@
 
     /** The console's answer to BUDGETS: a summary line, then a line per budget. */
     CompletableFuture<String> describeBudgets() {
-        return CompletableFuture.supplyAsync(() -> budgetService == null || handedOver ? "400 no budgets are shared"
-            : budgetService.consoleAnswer(), eventLoop);
+        return CompletableFuture.supplyAsync(() -> budgetService == null || handedOver
+            ? "400 no budgets are shared" : budgetService.consoleAnswer(), eventLoop);
     }
 
     /** Hands the name over to the next process: it closes the socket without announcing a departure. */
@@ -339,7 +354,8 @@
 
     /** The console's answer to GROUPS: a summary line, then a line per group. */
     CompletableFuture<String> describeGroups() {
-        return answerOnEventLoop(() -> CompletableFuture.completedFuture(MembershipText.groupsAnswer(membership.groupStatuses(nowMicros()))));
+        return answerOnEventLoop(() -> CompletableFuture.completedFuture(
+            MembershipText.groupsAnswer(membership.groupStatuses(nowMicros()))));
     }
 
     /**
@@ -362,9 +378,10 @@
                 membership.findMember(nowMicros(), name);
                 scheduleTick();
             }
-            return lookup.thenApply(status -> status == null ? "400 no answer of group " + assignment.label(group)
-                + ": GROUPS tells whether it is heard" : "200 group=" + assignment.label(group)
-                + System.lineSeparator() + MembershipText.memberLine(status));
+            return lookup.thenApply(status -> status == null
+                ? "400 no answer of group " + assignment.label(group) + ": GROUPS tells whether it is heard"
+                : "200 group=" + assignment.label(group) + System.lineSeparator()
+                    + MembershipText.memberLine(status));
         });
     }
 
--- a/proxy/src/main/java/dockrelay/proxy/OperatorOverrides.java
+++ b/proxy/src/main/java/dockrelay/proxy/OperatorOverrides.java
@@ -37,7 +37,7 @@
 
     private final Path folder;
     private final Map<String, StoredOverride> overridesById = new ConcurrentHashMap<>();
-    private final Set<String> unreadableFiles = new HashSet<>(); // unreadable files that have been logged
+    private final Set<String> unreadableFiles = new HashSet<>(); // names of files already logged
     private final Set<String> knownIds = ConcurrentHashMap.newKeySet();
     private final Set<String> unlistedIds = new LinkedHashSet<>(); // unlisted last; event loop only
 
@@ -105,7 +105,8 @@
             Files.createDirectories(folder);
             String fileName = FILE_NAME_PREFIX + URLEncoder.encode(id, StandardCharsets.UTF_8);
             Path temporaryFile = Files.createTempFile(folder, "new-", null);
-            Files.writeString(temporaryFile, (override.detached ? "out " : "in ") + override.changedAtMicros + "\n");
+            Files.writeString(temporaryFile,
+                (override.detached ? "out " : "in ") + override.changedAtMicros + "\n");
             Files.move(temporaryFile, folder.resolve(fileName), StandardCopyOption.ATOMIC_MOVE,
                 StandardCopyOption.REPLACE_EXISTING);
         }
@@ -121,8 +122,8 @@
         }
         try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, FILE_NAME_PREFIX + "*")) {
             for (Path file : files) {
-                String id = URLDecoder.decode(file.getFileName().toString().substring(FILE_NAME_PREFIX.length()),
-                    StandardCharsets.UTF_8);
+                String id = URLDecoder.decode(file.getFileName().toString()
+                    .substring(FILE_NAME_PREFIX.length()), StandardCharsets.UTF_8);
                 StoredOverride override = readOverride(file);
                 if (override != null && !override.equals(overridesById.put(id, override))) {
                     changedIds.add(id);
@@ -162,7 +163,8 @@
         }
         Backend backend = listedBackend.backend();
         Phase phase = override.detached && backend.phase() == Phase.READY ? Phase.DRAINING : backend.phase();
-        long startedAt = override.detached ? backend.startedAt() : Math.max(backend.startedAt(), override.changedAtMicros);
+        long startedAt = override.detached ? backend.startedAt()
+            : Math.max(backend.startedAt(), override.changedAtMicros);
         return new RequestTable.ListedBackend(id, new Backend(backend.id(), backend.zone(), backend.kind(),
             backend.cell(), phase, backend.weight(), startedAt), listedBackend.address());
     }
--- a/proxy/src/main/java/dockrelay/proxy/PeerGroups.java
+++ b/proxy/src/main/java/dockrelay/proxy/PeerGroups.java
@@ -34,7 +34,8 @@
                 "make peers an object {NAME: \"HOST:PORT\", ...}, or remove peer_groups");
         }
         if (!(entry instanceof Map<?, ?> entryMap)) {
-            throw malformed(CONFIG_KEY, entry, "an object {\"size\": NUMBER, \"zones\": {ZONE: [NAME, ...], ...}}");
+            throw malformed(CONFIG_KEY, entry,
+                "an object {\"size\": NUMBER, \"zones\": {ZONE: [NAME, ...], ...}}");
         }
         entryMap.forEach((key, value) -> {
             if (!"size".equals(key) && !"zones".equals(key)) {
@@ -51,7 +52,8 @@
         if (value instanceof Number number && number.doubleValue() == number.intValue()) {
             return number.intValue();
         }
-        throw malformed(SIZE_KEY, value, "a whole number of " + GroupAssignment.MIN_GROUP_SIZE + " to " + GroupAssignment.MAX_GROUP_SIZE);
+        throw malformed(SIZE_KEY, value, "a whole number of " + GroupAssignment.MIN_GROUP_SIZE + " to "
+            + GroupAssignment.MAX_GROUP_SIZE);
     }
 
     private static Map<String, List<String>> readZones(Object value, PeerDirectory peers) {
@@ -80,7 +82,8 @@
         return namesByZone;
     }
 
-    private static PeerGroups create(int targetSize, Map<String, List<String>> namesByZone, PeerDirectory peers) {
+    private static PeerGroups create(int targetSize, Map<String, List<String>> namesByZone,
+                                     PeerDirectory peers) {
         GroupAssignment assignment;
         try {
             assignment = GroupAssignment.of(namesByZone, targetSize);
@@ -101,8 +104,8 @@
         }));
         if (assignment.memberCount() < peers.size()) {
             throw new PeerGroupsException(Code.UNPLACED, ZONES_KEY, "incomplete without "
-                + abbreviate(peers.names().stream()
-                .filter(name -> assignment.groupOf(name) < 0).toList()), "put each peer into exactly one zone");
+                + abbreviate(peers.names().stream().filter(name -> assignment.groupOf(name) < 0).toList()),
+                "put each peer into exactly one zone");
         }
         return new PeerGroups(targetSize, namesByZone, assignment);
     }
--- a/proxy/src/main/java/dockrelay/proxy/PeerTransport.java
+++ b/proxy/src/main/java/dockrelay/proxy/PeerTransport.java
@@ -22,7 +22,7 @@
  * protocols start with a byte that is not valid in text.
  */
 final class PeerTransport {
-    private static final int MAX_MESSAGE_BYTES = 256;
+    private static final int MAX_BALANCER_MESSAGE_BYTES = 256;
     /**
      * Receive limit per window; the kernel drops the datagrams beyond it once the socket buffer is
      * full.
@@ -51,13 +51,15 @@
      * Creates the transport without opening the socket. The receiver may be null: only balancer
      * messages are handled.
      */
-    PeerTransport(EventLoop eventLoop, Config config, RequestTable requestTable, DatagramReceiver protocolReceiver) {
+    PeerTransport(EventLoop eventLoop, Config config, RequestTable requestTable,
+                  DatagramReceiver protocolReceiver) {
         this.eventLoop = eventLoop;
         this.config = config;
         this.requestTable = requestTable;
         this.protocolReceiver = protocolReceiver;
     }
 
+    /** Creates a transport for balancer messages only, and binds its socket. */
     PeerTransport(EventLoop eventLoop, Config config, RequestTable requestTable) {
         this(eventLoop, config, requestTable, null);
         channel = bootstrap().bind(config.peerListenAddress()).syncUninterruptibly().channel();
@@ -95,7 +97,8 @@
                 channel = bind.channel();
                 onOpen.run();
             } else if (!closed) {
-                Log.write("peers", "cannot bind " + config.peerListenAddress() + " yet, retrying: " + bind.cause());
+                Log.write("peers", "cannot bind " + config.peerListenAddress() + " yet, retrying: "
+                    + bind.cause());
                 eventLoop.schedule(() -> open(retryMillis, onOpen), retryMillis, TimeUnit.MILLISECONDS);
             } else {
                 bind.channel().close();
@@ -108,19 +111,23 @@
         receivedInWindow = 0;
         socketChannel.config().setAutoRead(true);
         if (socketChannel.isOpen()) {
-            eventLoop.schedule(() -> startReceiveWindow(socketChannel), RECEIVE_WINDOW_MILLIS, TimeUnit.MILLISECONDS);
+            eventLoop.schedule(() -> startReceiveWindow(socketChannel), RECEIVE_WINDOW_MILLIS,
+                TimeUnit.MILLISECONDS);
         }
     }
 
     private void handleDatagram(ChannelHandlerContext context, DatagramPacket packet) {
-        int senderIndex = config.peers().indexOf(packet.sender()); // peers are identified by their source address only
+        // peers are identified by their source address only
+        int senderIndex = config.peers().indexOf(packet.sender());
         ByteBuf content = packet.content();
-        if (protocolReceiver != null && ++receivedInWindow >= MAX_DATAGRAMS_PER_WINDOW + MAX_DATAGRAMS_PER_MEMBER * config.groupMemberNames().size()) {
+        if (protocolReceiver != null && ++receivedInWindow
+            >= MAX_DATAGRAMS_PER_WINDOW + MAX_DATAGRAMS_PER_MEMBER * config.groupMemberNames().size()) {
             context.channel().config().setAutoRead(false);
         }
         if (protocolReceiver != null && content.isReadable()
-            && (senderIndex < 0 || GroupedMembership.isMembershipDatagram(content.getByte(content.readerIndex()))
-            || BudgetNode.isBudgetDatagram(content.getByte(content.readerIndex())))) {
+            && (senderIndex < 0
+                || GroupedMembership.isMembershipDatagram(content.getByte(content.readerIndex()))
+                || BudgetNode.isBudgetDatagram(content.getByte(content.readerIndex())))) {
             protocolReceiver.receive(config.peers().nameAt(senderIndex), content);
         } else if (senderIndex >= 0 && exchangesBalancerMessages()) {
             String message = content.toString(StandardCharsets.UTF_8);
@@ -168,14 +175,15 @@
         Channel openChannel = channel;
         if (openChannel == null) {
             return;
-        } else if (bytes.readableBytes() > MAX_MESSAGE_BYTES) {
+        } else if (bytes.readableBytes() > MAX_BALANCER_MESSAGE_BYTES) {
             Log.write("peers", "dropped a message of " + bytes.readableBytes() + " bytes: it is too long");
         } else if (config.peerBroadcastAddress() != null) {
             openChannel.writeAndFlush(new DatagramPacket(bytes, config.peerBroadcastAddress()));
         } else {
             for (int i = 0; i < config.peers().size(); i++) {
                 if (i != config.settings().me()) {
-                    openChannel.write(new DatagramPacket(bytes.retainedDuplicate(), config.peers().address(i)));
+                    openChannel.write(
+                        new DatagramPacket(bytes.retainedDuplicate(), config.peers().address(i)));
                 }
             }
             openChannel.flush();
--- a/proxy/src/main/java/dockrelay/proxy/UpgradeOverlapDetector.java
+++ b/proxy/src/main/java/dockrelay/proxy/UpgradeOverlapDetector.java
@@ -32,7 +32,7 @@
 
     /**
      * Publishes the number of descriptors that this process holds, and returns that of the other
-     * process; -1 if no other process runs.
+     * process; -1 if no other process runs, 0 if the number is unknown.
      */
     int exchangeDescriptorCounts(int openDescriptors) throws IOException {
         if (ownSlot < 0) {
--- a/proxy/src/test/java/dockrelay/proxy/ConsoleTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/ConsoleTest.java
@@ -106,10 +106,12 @@
         discovery.push(FakeDiscovery.listJson(4, false, Fakes.entryJson("s-1", backend1.port(), "left")));
         discovery.push(FakeDiscovery.listJson(5, false, Fakes.entryJson("s-1", backend1.port(), "active")));
         discovery.push(FakeDiscovery.listJson(6, false, Fakes.entryJson("s-3", backend2.port(), "active")));
-        Fakes.await("the last list is applied", () -> Fakes.callConsole(proxy, "ATTACH s-3\n").startsWith("200 "));
+        Fakes.await("the last list is applied", () ->
+            Fakes.callConsole(proxy, "ATTACH s-3\n").startsWith("200 "));
         sendRequests(30);
         assertEquals(0, backend1.requests.size());
-        assertTrue(Fakes.callConsole(proxy, "ATTACH s-1\n").startsWith("200 "), "one ATTACH undoes two DETACHes");
+        assertTrue(Fakes.callConsole(proxy, "ATTACH s-1\n").startsWith("200 "),
+            "one ATTACH undoes two DETACHes");
         Fakes.await("the backend is used again", () -> {
             try {
                 sendRequests(5);
@@ -174,14 +176,17 @@
     }
 
     @Test
-    void attachedBackendCountsAsStartedUnlessDiscoveryReportsLaterStart(@TempDir Path stateFolder) throws Exception {
+    void attachedBackendCountsAsStartedUnlessDiscoveryReportsLaterStart(
+        @TempDir Path stateFolder) throws Exception {
         OperatorOverrides overrides = new OperatorOverrides(stateFolder);
         overrides.markListed("s-1");
         assertFalse(overrides.attach("s-1"), "it was not detached");
         assertEquals(0, overrides.applyOverride("s-1", listedBackend(Phase.READY, 0)).backend().startedAt());
         assertTrue(overrides.detach("s-1"));
-        assertEquals(Phase.DRAINING, overrides.applyOverride("s-1", listedBackend(Phase.READY, 0)).backend().phase());
-        assertEquals(Phase.GONE, overrides.applyOverride("s-1", listedBackend(Phase.GONE, 0)).backend().phase());
+        assertEquals(Phase.DRAINING,
+            overrides.applyOverride("s-1", listedBackend(Phase.READY, 0)).backend().phase());
+        assertEquals(Phase.GONE,
+            overrides.applyOverride("s-1", listedBackend(Phase.GONE, 0)).backend().phase());
         long attachedAfter = System.currentTimeMillis() * 1_000;
         assertTrue(overrides.attach("s-1"));
         for (OperatorOverrides reader : List.of(overrides, new OperatorOverrides(stateFolder))) {
@@ -189,7 +194,8 @@
             assertEquals(Phase.READY, attached.phase());
             assertTrue(attached.startedAt() >= attachedAfter, "started at the time of the ATTACH");
             long laterStart = Long.MAX_VALUE;
-            assertEquals(laterStart, reader.applyOverride("s-1", listedBackend(Phase.READY, laterStart)).backend().startedAt());
+            assertEquals(laterStart,
+                reader.applyOverride("s-1", listedBackend(Phase.READY, laterStart)).backend().startedAt());
         }
     }
 
--- a/proxy/src/test/java/dockrelay/proxy/MembershipServiceTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/MembershipServiceTest.java
@@ -47,7 +47,8 @@
         return config(ownNumber, port, ports, "");
     }
 
-    private static Config config(int ownNumber, int port, List<Integer> ports, String zones) throws Exception {
+    private static Config config(int ownNumber, int port, List<Integer> ports, String zones)
+        throws Exception {
         StringBuilder peers = new StringBuilder();
         for (int i = 0; i < ports.size(); i++) {
             peers.append(i == 0 ? "" : ",").append("\"n" + i + "\":\"127.0.0.1:" + ports.get(i) + "\"");
@@ -55,7 +56,7 @@
         return Config.parse("{\"name\":\"n" + ownNumber + "\",\"listen\":\"127.0.0.1:0\","
             + "\"discovery\":\"127.0.0.1:1\","
             + "\"seed\":\"" + ownNumber + "\",\"peer_listen\":\"127.0.0.1:" + port + "\",\"peers\":{" + peers
-                + "},"
+            + "},"
             + (zones.isEmpty() ? "" : "\"peer_groups\":{\"zones\":{" + zones + "}},")
             + "\"settings\":{\"Balancers\":" + ports.size() + ",\"Permissions\":{\"Peers\":true},"
             + "\"Services\":[{\"Name\":\"look\",\"Aim\":1.0,\"HardLimit\":5.0}]}}");
@@ -136,7 +137,8 @@
         assertEquals(List.of(0, 1, 2, 3, 4), fleets.stream().map(fleet -> fleet.get().me()).toList());
         assertTrue(fleets.stream().mapToDouble(fleet -> fleet.get().share()).sum() < 1 + 1e-9);
         MembershipService n0 = members.get(0);
-        assertTrue(consoleAnswer(n0).contains("\nn1 present") && !consoleAnswer(n0).contains("\nn2 "), consoleAnswer(n0));
+        assertTrue(consoleAnswer(n0).contains("\nn1 present") && !consoleAnswer(n0).contains("\nn2 "),
+            consoleAnswer(n0));
         String groups = n0.describeGroups().join();
         assertTrue(groups.startsWith("200 groups=3 fresh=3\na/1 fresh of=2 present=2 left=0 gone=0 "
             + "counted=2 ") && groups.contains("\nc/1 fresh of=1 "), groups);
@@ -155,8 +157,8 @@
         List<Integer> ports = freePorts(2);
         try (DatagramSocket n1 = new DatagramSocket(ports.get(1), InetAddress.getLoopbackAddress())) {
             n1.setSoTimeout(20_000);
-            MembershipService n0 = startMember(config(0, ports.get(0), ports, "\"a\":[\"n0\"],\"b\":[\"n1\"]"), null,
-                new AtomicReference<>());
+            MembershipService n0 = startMember(config(0, ports.get(0), ports,
+                "\"a\":[\"n0\"],\"b\":[\"n1\"]"), null, new AtomicReference<>());
             awaitAnswer(n0, " groups=2 ");
             n0.transport().broadcast("11 11");
             n0.configure(config(0, ports.get(0), ports));
@@ -178,8 +180,10 @@
     @Test
     void reportsNameConflict() throws Exception {
         List<Integer> ports = freePorts(3);
-        MembershipService n0 = startMember(config(0, ports.get(0), ports), folder.resolve("a"), new AtomicReference<>());
-        MembershipService n1 = startMember(config(1, ports.get(1), ports), folder.resolve("b"), new AtomicReference<>());
+        MembershipService n0 = startMember(config(0, ports.get(0), ports), folder.resolve("a"),
+            new AtomicReference<>());
+        MembershipService n1 = startMember(config(1, ports.get(1), ports), folder.resolve("b"),
+            new AtomicReference<>());
         awaitAnswer(n0, "present=2 of=3");
         List<Integer> swappedPorts = List.of(ports.get(0), ports.get(2), ports.get(1));
         MembershipService duplicate = startMember(config(1, ports.get(2), swappedPorts), folder.resolve("c"),
@@ -198,19 +202,24 @@
     void appliesNewPeersAndKeepsIncarnation() throws Exception {
         List<Integer> ports = freePorts(3);
         List<Integer> twoPorts = ports.subList(0, 2);
-        MembershipService n0 = startMember(config(0, ports.get(0), twoPorts), folder.resolve("n0"), new AtomicReference<>());
-        MembershipService n1 = startMember(config(1, ports.get(1), twoPorts), folder.resolve("n1"), new AtomicReference<>());
+        MembershipService n0 = startMember(config(0, ports.get(0), twoPorts), folder.resolve("n0"),
+            new AtomicReference<>());
+        MembershipService n1 = startMember(config(1, ports.get(1), twoPorts), folder.resolve("n1"),
+            new AtomicReference<>());
         awaitAnswer(n0, "present=2 of=2 agreement=all");
         n0.configure(config(0, ports.get(0), ports));
         awaitAnswer(n0, "present=2 of=3", "other-list");
         n1.configure(config(1, ports.get(1), ports));
-        MembershipService n2 = startMember(config(2, ports.get(2), ports), folder.resolve("n2"), new AtomicReference<>());
+        MembershipService n2 = startMember(config(2, ports.get(2), ports), folder.resolve("n2"),
+            new AtomicReference<>());
         awaitAnswer(n0, "present=3 of=3 agreement=all");
         long storedIncarnation = Long.parseLong(Files.readString(folder.resolve("n2/incarnation")).trim());
         n2.handOver().join();
-        MembershipService restarted = startMember(config(2, ports.get(2), ports), folder.resolve("n2"), new AtomicReference<>());
+        MembershipService restarted = startMember(config(2, ports.get(2), ports), folder.resolve("n2"),
+            new AtomicReference<>());
         awaitAnswer(restarted, "present=3 of=3 agreement=all");
-        assertTrue(Long.parseLong(Files.readString(folder.resolve("n2/incarnation")).trim()) > storedIncarnation);
+        assertTrue(Long.parseLong(Files.readString(folder.resolve("n2/incarnation")).trim())
+            > storedIncarnation);
         awaitAnswer(n0, "n2 present", "present=3 of=3 agreement=all");
         String error = assertThrows(IllegalArgumentException.class, () -> config(7, ports.get(0), twoPorts))
             .getMessage();
--- a/proxy/src/test/java/dockrelay/proxy/PeerGroupsTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/PeerGroupsTest.java
@@ -20,7 +20,8 @@
 
 /** The grouping of peers that a configuration results in, and the error messages of invalid groupings. */
 class PeerGroupsTest {
-    private static final String SIX_PEERS_IN_ZONES = "{\"a\":[\"n0\",\"n1\",\"n2\"],\"b\":[\"n3\",\"n4\"],\"c\":[\"n5\"]}";
+    private static final String SIX_PEERS_IN_ZONES =
+        "{\"a\":[\"n0\",\"n1\",\"n2\"],\"b\":[\"n3\",\"n4\"],\"c\":[\"n5\"]}";
     @TempDir
     Path folder;
     private Path configFile;
@@ -65,14 +66,16 @@
         Config config = config(3, 6, "{\"zones\":" + SIX_PEERS_IN_ZONES + "}");
         assertEquals(3, config.peerGroups().assignment().groupCount());
         assertEquals(List.of("n3", "n4"), config.groupMemberNames());
-        assertEquals("b/1", config.peerGroups().assignment().label(config.peerGroups().assignment().groupOf("n3")));
+        assertEquals("b/1", config.peerGroups().assignment().label(
+            config.peerGroups().assignment().groupOf("n3")));
     }
 
     /** The order of the names in the file does not affect the groups. */
     @Test
     void detectsChangedZonesAndSizes() {
         PeerGroups original = config(0, 6, "{\"zones\":" + SIX_PEERS_IN_ZONES + "}").peerGroups();
-        String explicitDefaultSize = "{\"size\":" + GroupAssignment.DEFAULT_GROUP_SIZE + ",\"zones\":" + SIX_PEERS_IN_ZONES + "}";
+        String explicitDefaultSize = "{\"size\":" + GroupAssignment.DEFAULT_GROUP_SIZE + ",\"zones\":"
+            + SIX_PEERS_IN_ZONES + "}";
         assertTrue(original.hasSameGroups(config(4, 6, explicitDefaultSize).peerGroups()));
         for (String changed : List.of("", "{\"size\":40,\"zones\":" + SIX_PEERS_IN_ZONES + "}",
             "{\"zones\":{\"a\":[\"n0\",\"n1\",\"n2\",\"n3\"],\"b\":[\"n4\"],\"c\":[\"n5\"]}}")) {
@@ -106,7 +109,8 @@
         put each peer into exactly one zone
         """)
     void errorsNameFileKeyValueAndAllowedValues(String peerGroups, String expectedError) throws Exception {
-        assertEquals(configFile + ": " + expectedError, readError(configJson(0, peersJson(3), peerGroupsJson(peerGroups), "")));
+        assertEquals(configFile + ": " + expectedError,
+            readError(configJson(0, peersJson(3), peerGroupsJson(peerGroups), "")));
     }
 
     private String readError(String configText) throws Exception {
@@ -118,17 +122,21 @@
     void errorsAbbreviateLongLists() throws Exception {
         assertEquals(configFile + ": G-TOO_MANY: peers: number of names is 16385; allowed are 1 to 16384",
             readError(configJson(0, peersJson(16_385), "", "")));
-        String unplaced = readError(configJson(0, peersJson(5_700), peerGroupsJson("{\"zones\":{\"a\":[\"n0\"]}}"), ""));
+        String unplaced = readError(configJson(0, peersJson(5_700),
+            peerGroupsJson("{\"zones\":{\"a\":[\"n0\"]}}"), ""));
         assertTrue(unplaced.contains("n12] and 5687 more; put each peer into exactly one zone"), unplaced);
         String missingOwnName = readError(configJson(5_700, peersJson(5_700), "", ""));
         assertTrue(missingOwnName.endsWith("n11] and 5688 more"), missingOwnName);
-        String withoutNames = readError(configJson(0, "[\"127.0.0.1:7\"]", peerGroupsJson("{\"size\":64}"), ""));
-        assertTrue(withoutNames.contains(": G-SHAPE: peer_groups is set although peers has no names"), withoutNames);
+        String withoutNames = readError(configJson(0, "[\"127.0.0.1:7\"]", peerGroupsJson("{\"size\":64}"),
+            ""));
+        assertTrue(withoutNames.contains(": G-SHAPE: peer_groups is set although peers has no names"),
+            withoutNames);
     }
 
-    private static Config configWithBudgets(int ownNumber, int count, String groups, String budgets, String tenants) {
-        return Fakes.parseConfig(configJson(ownNumber, peersJson(count), peerGroupsJson(groups) + "\"budgets\":{" + budgets + "},",
-            tenants));
+    private static Config configWithBudgets(int ownNumber, int count, String groups, String budgets,
+                                            String tenants) {
+        return Fakes.parseConfig(configJson(ownNumber, peersJson(count), peerGroupsJson(groups)
+            + "\"budgets\":{" + budgets + "},", tenants));
     }
 
     /**
@@ -141,26 +149,31 @@
         String tenants = "{\"Name\":\"t\",\"QuotaRps\":100},{\"Name\":\"small\",\"QuotaRps\":7}";
         Config singleGroup = configWithBudgets(0, 6, "", extraBudget, tenants);
         assertEquals(singleGroup.budgets(), singleGroup.groupBudgets());
-        assertEquals(List.of("extra", "tenant/t", "tenant/small"), singleGroup.budgets().stream().map(Budget::name)
-            .toList());
+        assertEquals(List.of("extra", "tenant/t", "tenant/small"),
+            singleGroup.budgets().stream().map(Budget::name).toList());
         long rate = 0, burst = 0;
         for (int memberNumber : new int[] {0, 3, 5}) { // one member of each group
-            List<Budget> groupBudgets = configWithBudgets(memberNumber, 6, "{\"zones\":" + SIX_PEERS_IN_ZONES + "}", extraBudget, tenants).groupBudgets();
+            List<Budget> groupBudgets = configWithBudgets(memberNumber, 6,
+                "{\"zones\":" + SIX_PEERS_IN_ZONES + "}", extraBudget, tenants).groupBudgets();
             assertEquals(List.of("extra", "tenant/t"), groupBudgets.stream().map(Budget::name).toList(),
                 "a tenant quota that is too small to divide is left to the balancer");
             rate += groupBudgets.get(0).rate();
             burst += groupBudgets.get(0).burst();
         }
-        assertTrue(rate <= 20 * Budget.MICROTOKENS_PER_TOKEN && rate > 19.99 * Budget.MICROTOKENS_PER_TOKEN, "" + rate);
-        assertTrue(burst <= 40 * Budget.MICROTOKENS_PER_TOKEN && burst > 39.99 * Budget.MICROTOKENS_PER_TOKEN, "" + burst);
+        assertTrue(rate <= 20 * Budget.MICROTOKENS_PER_TOKEN && rate > 19.99 * Budget.MICROTOKENS_PER_TOKEN,
+            "" + rate);
+        assertTrue(burst <= 40 * Budget.MICROTOKENS_PER_TOKEN
+            && burst > 39.99 * Budget.MICROTOKENS_PER_TOKEN, "" + burst);
     }
 
     /** Otherwise each group would lease the minimum burst, and the sum would exceed the budget. */
     @Test
     void rejectsBudgetTooSmallToDivide() throws Exception {
         String budgets = "\"budgets\":{\"extra\":{\"per_second\":20,\"burst\":11}},";
-        assertEquals(configFile + ": B-BURST: budget extra: burst of 11.0 is too small for 3 groups with a total "
+        assertEquals(configFile
+            + ": B-BURST: budget extra: burst of 11.0 is too small for 3 groups with a total "
             + "of 6 peers, the smallest with 1; the minimum here is 12",
-            readError(configJson(0, peersJson(6), peerGroupsJson("{\"zones\":" + SIX_PEERS_IN_ZONES + "}") + budgets, "")));
+            readError(configJson(0, peersJson(6), peerGroupsJson("{\"zones\":" + SIX_PEERS_IN_ZONES + "}")
+            + budgets, "")));
     }
 }
--- a/proxy/src/test/java/dockrelay/proxy/PeersProcessTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/PeersProcessTest.java
@@ -51,7 +51,8 @@
             consolePort = consoleSocket.getLocalPort();
             peerPort = peerSocket.getLocalPort();
         }
-        discovery.setFirstList(FakeDiscovery.listJson(2, true, Fakes.entryJson("s-1", backend.port(), "active")));
+        discovery.setFirstList(FakeDiscovery.listJson(2, true,
+            Fakes.entryJson("s-1", backend.port(), "active")));
     }
 
     @AfterEach
@@ -65,9 +66,9 @@
 
     /** Writes the configuration, with these keys before all others. */
     private void writeConfig(String keys) throws IOException {
-        Files.writeString(folder.resolve("config.json"), Fakes.configJson(port, discovery.port(), 1024, "", "")
-            .replaceFirst("\\{", "{" + keys).replaceFirst("\"Permissions\":\\{",
-                "\"Permissions\":{\"Peers\":true,"));
+        Files.writeString(folder.resolve("config.json"),
+            Fakes.configJson(port, discovery.port(), 1024, "", "").replaceFirst("\\{", "{" + keys)
+                .replaceFirst("\"Permissions\":\\{", "\"Permissions\":{\"Peers\":true,"));
     }
 
     /** Configuration keys for n0, which is this process, and for peers that do not run. */
@@ -204,7 +205,8 @@
         awaitLog("reload: " + file + ": G-SIZE: peer_groups.size is 20; allowed are 32 to 128; what was in "
             + "force stays so");
         assertTrue(callConsole("MEMBERS").contains(" groups=1 group=1 "));
-        writeConfig(peersJson(4, "\"peer_groups\":{\"zones\":{\"a\":[\"n1\",\"n2\"],\"b\":[\"n0\",\"n3\"]}},"));
+        writeConfig(peersJson(4,
+            "\"peer_groups\":{\"zones\":{\"a\":[\"n1\",\"n2\"],\"b\":[\"n0\",\"n3\"]}},"));
         reload();
         awaitLog("members: the member list now has 4 names, 1 added and 0 removed, in 2 groups; own group is "
             + "b/1 of 2: [n0, n1, n2, n3]");
@@ -235,7 +237,7 @@
         String members = callConsole("MEMBERS");
         assertTrue(members.contains(" counted=5700 ") && members.contains(" groups=" + GROUP_COUNT + " "),
             members);
-        assertTrue(members.lines().count() <= 1 + GroupAssignment.MAX_GROUP_SIZE, 
+        assertTrue(members.lines().count() <= 1 + GroupAssignment.MAX_GROUP_SIZE,
             "members of the own group only: " + members);
         assertEquals(1 + GROUP_COUNT, callConsole("GROUPS").lines().count());
         writeConfig(peersJson(5_699, ""));
@@ -260,7 +262,8 @@
     /** An invalid grouping at the start ends the process with the error message. */
     @Test
     void startFailsOnInvalidGroups() throws Exception {
-        writeConfig(peersJson(3, "\"peer_groups\":{\"zones\":{\"a\":[\"n0\",\"n1\"],\"b\":[\"n1\",\"n2\"]}},"));
+        writeConfig(peersJson(3,
+            "\"peer_groups\":{\"zones\":{\"a\":[\"n0\",\"n1\"],\"b\":[\"n1\",\"n2\"]}},"));
         ProcessBuilder builder = new ProcessBuilder(
             ProcessHandle.current().info().command().orElseThrow(), "-cp",
             System.getProperty("surefire.test.class.path", System.getProperty("java.class.path")),
--- a/proxy/src/test/java/dockrelay/proxy/UpgradeTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/UpgradeTest.java
@@ -23,14 +23,16 @@
 /** An upgrade: two processes of one proxy share a listening socket that neither of them owns. */
 class UpgradeTest {
     private final FakeDiscovery discovery = new FakeDiscovery();
-    private final FakeBackend backend = new FakeBackend(request -> Fakes.httpResponse("200 OK", "", "a rate"));
+    private final FakeBackend backend =
+        new FakeBackend(request -> Fakes.httpResponse("200 OK", "", "a rate"));
     private ServerSocketChannel listener;
     @TempDir
     private Path folder;
 
     @BeforeEach
     void start() throws IOException {
-        discovery.setFirstList(FakeDiscovery.listJson(2, true, Fakes.entryJson("s-1", backend.port(), "active")));
+        discovery.setFirstList(FakeDiscovery.listJson(2, true,
+            Fakes.entryJson("s-1", backend.port(), "active")));
         listener = ServerSocketChannel.open()
             .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
     }
@@ -44,7 +46,8 @@
 
     private Proxy startProxy() throws IOException {
         Proxy proxy = new Proxy(Fakes.config(discovery.port(), 1024),
-            new ProcessEnvironment(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), folder, listener));
+            new ProcessEnvironment(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), folder,
+            listener));
         assertTrue(Fakes.callConsole(proxy, "PING\n").startsWith("200 "),
             "the proxy serves once discovery lists a backend");
         return proxy;
@@ -68,7 +71,8 @@
                 Fakes.callConsole(first, "PING\n").startsWith("400 "));
             try (FakeClient newClient = connectClient()) {
                 assertEquals(200, newClient.send(FakeClient.getRequest("2.0")).readStatus());
-                assertEquals(1, next.clientConnectionCount(), "the second process has accepted the connection");
+                assertEquals(1, next.clientConnectionCount(),
+                    "the second process has accepted the connection");
                 for (FakeClient accepted : new FakeClient[] {unused, idle}) {
                     String answer = accepted.send(FakeClient.getRequest("2.0")).readResponse();
                     assertTrue(answer.startsWith("HTTP/1.1 200"), answer);
