--- a/fleet/src/main/java/dockrelay/fleet/budget/BudgetException.java
+++ b/fleet/src/main/java/dockrelay/fleet/budget/BudgetException.java
@@ -1,16 +1,16 @@
 package dockrelay.fleet.budget;
 
-/** Something about a budget cannot be: what is wrong and where, and what an operator can do. */
+/** An invalid budget in the configuration. The message names the error, its place and the remedy. */
 public final class BudgetException extends IllegalArgumentException {
     private static final long serialVersionUID = 1L;
 
-    /** What an operator finds in docs/on-call.md. */
+    /** The error codes that docs/on-call.md explains. */
     public enum Code { NAME, RATE, BURST, TWICE, TOO_MANY, MEMBERS }
 
     private final Code code;
 
-    public BudgetException(Code code, String wrong, String remedy) {
-        super("B-" + code + ": " + wrong + "; " + remedy);
+    public BudgetException(Code code, String problem, String remedy) {
+        super("B-" + code + ": " + problem + "; " + remedy);
         this.code = code;
     }
 
--- a/fleet/src/main/java/dockrelay/fleet/budget/BudgetTiming.java
+++ b/fleet/src/main/java/dockrelay/fleet/budget/BudgetTiming.java
@@ -1,50 +1,53 @@
 package dockrelay.fleet.budget;
 
 /**
- * How fast budgets change hands, in microseconds of elapsed time. Clocks may differ by three hundredths: who
- * promises keeps to it for longer than who relies on it counts on it.
+ * The intervals and durations of the budget protocol, all derived from one period, in microseconds.
+ * The clocks of two processes may run up to 3 % apart; therefore whoever grants a vote or a lease
+ * honours it longer than whoever received it relies on it.
  */
-public record BudgetTiming(long period) {
+public record BudgetTiming(long periodMicros) {
     public static final BudgetTiming DEFAULT = new BudgetTiming(200_000);
-    private static final double RELIED = 0.94, WAITED = 1.07;
+    private static final double RELIED_FRACTION = 0.94, EXPIRY_FACTOR = 1.07;
 
-    /** Between the keeper's words to those who have promised it their vote. */
-    long renewal() {
-        return 2 * period;
+    /** Interval at which the coordinator renews its votes. */
+    long renewalInterval() {
+        return 2 * periodMicros;
     }
 
-    /** How long a vote is promised. */
-    long promise() {
-        return 10 * period;
+    /** How long a voter keeps a vote that it granted. */
+    long voteDuration() {
+        return 10 * periodMicros;
     }
 
-    /** ... and how long it is counted on, from the moment at which it was asked for. */
-    long promiseRelied() {
-        return (long) (promise() * RELIED);
+    /**
+     * How long the coordinator relies on a vote, counted from the moment at which it sent the request.
+     */
+    long reliedVoteDuration() {
+        return (long) (voteDuration() * RELIED_FRACTION);
     }
 
-    /** Promises of the process before, or of anybody, are over after this. */
-    long promiseOver() {
-        return (long) (promise() * WAITED);
+    /** After this time every vote that was granted before has expired, on any clock. */
+    long maxVoteDuration() {
+        return (long) (voteDuration() * EXPIRY_FACTOR);
     }
 
-    /** How long a part is lent. */
-    public long lease() {
-        return 25 * period;
+    /** How long the coordinator leases a share. */
+    public long leaseDuration() {
+        return 25 * periodMicros;
     }
 
-    /** ... and how long its holder counts on it, from the moment at which it asked. */
-    long leaseRelied() {
-        return (long) (lease() * RELIED);
+    /** How long the holder relies on a lease, counted from the moment at which it sent the request. */
+    long reliedLeaseDuration() {
+        return (long) (leaseDuration() * RELIED_FRACTION);
     }
 
-    /** Parts that nobody tells of are back after this. */
-    public long leaseOver() {
-        return (long) (lease() * WAITED);
+    /** After this time every lease that was granted before has expired, on any clock. */
+    public long maxLeaseDuration() {
+        return (long) (leaseDuration() * EXPIRY_FACTOR);
     }
 
-    /** How long votes are waited for. */
-    long canvass() {
-        return 2 * period;
+    /** How long a candidate waits for votes. */
+    long electionTimeout() {
+        return 2 * periodMicros;
     }
 }
--- a/proxy/src/main/java/dockrelay/proxy/PeerDirectory.java
+++ b/proxy/src/main/java/dockrelay/proxy/PeerDirectory.java
@@ -5,22 +5,25 @@
 import java.util.List;
 import java.util.Map;
 
-/** The peers of a configuration, in its order: addresses, and names where it gives them, found both ways. */
+/**
+ * The configured peers in their order: addresses and, if configured, names, with lookup in both
+ * directions.
+ */
 final class PeerDirectory {
     private final List<String> names;
     private final List<InetSocketAddress> addresses;
-    private final Map<String, Integer> byName = new HashMap<>();
-    private final Map<InetSocketAddress, Integer> byAddress = new HashMap<>();
+    private final Map<String, Integer> indexByName = new HashMap<>();
+    private final Map<InetSocketAddress, Integer> indexByAddress = new HashMap<>();
 
-    /** There are as many names as addresses, or none. */
+    /** Takes as many names as addresses, or no names. */
     PeerDirectory(List<String> names, List<InetSocketAddress> addresses) {
         this.names = List.copyOf(names);
         this.addresses = List.copyOf(addresses);
         for (int i = 0; i < this.names.size(); i++) {
-            byName.put(this.names.get(i), i);
+            indexByName.put(this.names.get(i), i);
         }
         for (int i = 0; i < this.addresses.size(); i++) {
-            byAddress.putIfAbsent(this.addresses.get(i), i);
+            indexByAddress.putIfAbsent(this.addresses.get(i), i);
         }
     }
 
@@ -28,32 +31,32 @@
         return addresses.size();
     }
 
-    /** Empty where nobody is named. */
+    /** The names; empty if the configuration lists addresses only. */
     List<String> names() {
         return names;
     }
 
-    /** Whose address this is, by its place; below 0 where it is nobody's. */
-    int at(InetSocketAddress address) {
-        return byAddress.getOrDefault(address, -1);
+    /** The index of the peer at this address, the first one if several share it; -1 if there is none. */
+    int indexOf(InetSocketAddress address) {
+        return indexByAddress.getOrDefault(address, -1);
     }
 
-    /** Null where nobody has the place, or nobody is named. */
-    String name(int place) {
-        return place < 0 || place >= names.size() ? null : names.get(place);
+    /** The name at this index; null if the index is out of range or the peers have no names. */
+    String nameAt(int index) {
+        return index < 0 || index >= names.size() ? null : names.get(index);
     }
 
-    InetSocketAddress address(int place) {
-        return addresses.get(place);
+    InetSocketAddress address(int index) {
+        return addresses.get(index);
     }
 
-    /** Null where nobody has the name. */
+    /** The address of the peer of this name; null if there is none. */
     InetSocketAddress address(String name) {
-        Integer place = byName.get(name);
-        return place == null ? null : addresses.get(place);
+        Integer index = indexByName.get(name);
+        return index == null ? null : addresses.get(index);
     }
 
-    boolean names(String name) {
-        return byName.containsKey(name);
+    boolean contains(String name) {
+        return indexByName.containsKey(name);
     }
 }
--- a/proxy/src/main/java/dockrelay/proxy/PeerTransport.java
+++ b/proxy/src/main/java/dockrelay/proxy/PeerTransport.java
@@ -17,54 +17,67 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Datagrams between the proxies, where the settings allow them. They may be lost; nobody waits for one. The
- * module's messages are text, the members' begin with a byte that no text has.
+ * The datagram socket between the proxies, if the settings permit peers. Delivery is best effort,
+ * without retransmission. Messages of the balancer are text; those of the membership and budget
+ * protocols start with a byte that is not valid in text.
  */
 final class PeerTransport {
-    private static final int LONGEST = 256;
-    /** So many datagrams are read in so long; what is beyond is the system's to drop. */
-    private static final long WINDOW_MILLIS = 50;
-    private static final int MOST = 100, MOST_EACH = 10;
-
-    /** Takes what a peer sent, by the name that its address has here; null where it has none. */
-    interface Receiver {
-        void receive(String from, ByteBuf content);
+    private static final int MAX_BALANCER_MESSAGE_BYTES = 256;
+    /**
+     * Receive limit per window; the kernel drops the datagrams beyond it once the socket buffer is
+     * full.
+     */
+    private static final long RECEIVE_WINDOW_MILLIS = 50;
+    private static final int MAX_DATAGRAMS_PER_WINDOW = 100, MAX_DATAGRAMS_PER_MEMBER = 10;
+
+    /** Receives datagrams of the membership and budget protocols. */
+    interface DatagramReceiver {
+        /**
+         * Takes a datagram; the name is the one configured for its source address, null if there is
+         * none.
+         */
+        void receive(String senderName, ByteBuf content);
     }
 
-    private final EventLoop loop;
-    private final RequestTable table;
-    private final Receiver members;
+    private final EventLoop eventLoop;
+    private final RequestTable requestTable;
+    private final DatagramReceiver protocolReceiver;
     private volatile Config config;
     private volatile Channel channel;
-    private int read;
+    private int receivedInWindow;
     private boolean closed;
 
-    /** Without a receiver of members' datagrams there are the module's messages only. */
-    PeerTransport(EventLoop loop, Config config, RequestTable table, Receiver members) {
-        this.loop = loop;
+    /**
+     * Creates the transport without opening the socket. The receiver may be null: only balancer
+     * messages are handled.
+     */
+    PeerTransport(EventLoop eventLoop, Config config, RequestTable requestTable,
+                  DatagramReceiver protocolReceiver) {
+        this.eventLoop = eventLoop;
         this.config = config;
-        this.table = table;
-        this.members = members;
+        this.requestTable = requestTable;
+        this.protocolReceiver = protocolReceiver;
     }
 
-    PeerTransport(EventLoop loop, Config config, RequestTable table) {
-        this(loop, config, table, null);
+    /** Creates a transport for balancer messages only, and binds its socket. */
+    PeerTransport(EventLoop eventLoop, Config config, RequestTable requestTable) {
+        this(eventLoop, config, requestTable, null);
         channel = bootstrap().bind(config.peerListenAddress()).syncUninterruptibly().channel();
     }
 
     private Bootstrap bootstrap() {
-        return new Bootstrap().group(loop).channel(NioDatagramChannel.class)
+        return new Bootstrap().group(eventLoop).channel(NioDatagramChannel.class)
             .handler(new SimpleChannelInboundHandler<DatagramPacket>() {
                 @Override
                 public void channelActive(ChannelHandlerContext context) {
-                    if (members != null) {
-                        openWindow(context.channel());
+                    if (protocolReceiver != null) {
+                        startReceiveWindow(context.channel());
                     }
                 }
 
                 @Override
                 protected void channelRead0(ChannelHandlerContext context, DatagramPacket packet) {
-                    taken(context, packet);
+                    handleDatagram(context, packet);
                 }
 
                 @Override
@@ -74,99 +87,115 @@
             });
     }
 
-    /** Opens the socket as soon as nobody else has it: in an upgrade the process before may. */
-    void open(long retryMillis, Runnable opened) {
-        bootstrap().bind(config.peerListenAddress()).addListener((ChannelFutureListener) done -> {
-            if (done.isSuccess() && !closed) {
-                channel = done.channel();
-                opened.run();
+    /**
+     * Binds the socket and retries while the address is in use, as by the old process during an
+     * upgrade.
+     */
+    void open(long retryMillis, Runnable onOpen) {
+        bootstrap().bind(config.peerListenAddress()).addListener((ChannelFutureListener) bind -> {
+            if (bind.isSuccess() && !closed) {
+                channel = bind.channel();
+                onOpen.run();
             } else if (!closed) {
-                Log.write("peers", "cannot listen at " + config.peerListenAddress() + " yet: " + done.cause());
-                loop.schedule(() -> open(retryMillis, opened), retryMillis, TimeUnit.MILLISECONDS);
+                Log.write("peers", "cannot bind " + config.peerListenAddress() + " yet, retrying: "
+                    + bind.cause());
+                eventLoop.schedule(() -> open(retryMillis, onOpen), retryMillis, TimeUnit.MILLISECONDS);
             } else {
-                done.channel().close();
+                bind.channel().close();
             }
         });
     }
 
-    /** Guards against a flood that costs requests their time. */
-    private void openWindow(Channel here) {
-        read = 0;
-        here.config().setAutoRead(true);
-        if (here.isOpen()) {
-            loop.schedule(() -> openWindow(here), WINDOW_MILLIS, TimeUnit.MILLISECONDS);
+    /** Starts a new receive window. The limit keeps a flood of datagrams from delaying requests. */
+    private void startReceiveWindow(Channel socketChannel) {
+        receivedInWindow = 0;
+        socketChannel.config().setAutoRead(true);
+        if (socketChannel.isOpen()) {
+            eventLoop.schedule(() -> startReceiveWindow(socketChannel), RECEIVE_WINDOW_MILLIS,
+                TimeUnit.MILLISECONDS);
         }
     }
 
-    private void taken(ChannelHandlerContext context, DatagramPacket packet) {
-        int from = config.peers().at(packet.sender()); // the address is all that tells who it is
+    private void handleDatagram(ChannelHandlerContext context, DatagramPacket packet) {
+        // peers are identified by their source address only
+        int senderIndex = config.peers().indexOf(packet.sender());
         ByteBuf content = packet.content();
-        if (members != null && ++read >= MOST + MOST_EACH * config.groupMemberNames().size()) {
+        if (protocolReceiver != null && ++receivedInWindow
+            >= MAX_DATAGRAMS_PER_WINDOW + MAX_DATAGRAMS_PER_MEMBER * config.groupMemberNames().size()) {
             context.channel().config().setAutoRead(false);
         }
-        if (members != null && content.isReadable()
-            && (from < 0 || GroupedMembership.isMembershipDatagram(content.getByte(content.readerIndex()))
-            || BudgetNode.ours(content.getByte(content.readerIndex())))) {
-            members.receive(config.peers().name(from), content);
-        } else if (from >= 0 && toldToAll()) {
+        if (protocolReceiver != null && content.isReadable()
+            && (senderIndex < 0
+                || GroupedMembership.isMembershipDatagram(content.getByte(content.readerIndex()))
+                || BudgetNode.isBudgetDatagram(content.getByte(content.readerIndex())))) {
+            protocolReceiver.receive(config.peers().nameAt(senderIndex), content);
+        } else if (senderIndex >= 0 && exchangesBalancerMessages()) {
             String message = content.toString(StandardCharsets.UTF_8);
-            table.eventLoop().execute(() -> table.deliverPeerMessage(from, message));
+            requestTable.eventLoop().execute(() -> requestTable.deliverPeerMessage(senderIndex, message));
         }
     }
 
     /**
-     * The module tells each other proxy what each tenant asks of it, and hears as much: that is not for a
-     * fleet of more than one group, where the bytes would grow with tenants and with proxies.
+     * Whether balancer messages are exchanged. The balancer reports the demand of each tenant to every
+     * other proxy, so the traffic grows with the number of tenants and of proxies. Fleets of several
+     * groups therefore go without.
      */
-    private boolean toldToAll() {
-        return config.peerGroups() == null || config.peerGroups().grouping().isSingleGroup();
+    private boolean exchangesBalancerMessages() {
+        return config.peerGroups() == null || config.peerGroups().assignment().isSingleGroup();
     }
 
-    /** Goes by another list of peers. */
-    void configure(Config next) {
-        config = next;
+    /** Applies a new list of peers. */
+    void configure(Config newConfig) {
+        config = newConfig;
     }
 
-    /** Sends to one of them; what cannot be sent is lost. */
-    void send(String to, ByteBuf content) {
-        Channel here = channel;
-        InetSocketAddress address = config.peers().address(to);
-        if (here == null || address == null) {
+    /**
+     * Sends to the peer of this name; the datagram is dropped if the socket is not open or the name is
+     * unknown.
+     */
+    void send(String peerName, ByteBuf content) {
+        Channel openChannel = channel;
+        InetSocketAddress address = config.peers().address(peerName);
+        if (openChannel == null || address == null) {
             content.release();
         } else {
-            here.writeAndFlush(new DatagramPacket(content, address), here.voidPromise());
+            openChannel.writeAndFlush(new DatagramPacket(content, address), openChannel.voidPromise());
         }
     }
 
-    /** Tells every other proxy, in a fleet of one group: a longer message than may be sent is left out. */
+    /**
+     * Sends a balancer message to every other proxy of a single-group fleet; messages that are too long
+     * are dropped.
+     */
     void broadcast(String message) {
-        if (!toldToAll()) {
+        if (!exchangesBalancerMessages()) {
             return;
         }
         ByteBuf bytes = Unpooled.copiedBuffer(message, StandardCharsets.UTF_8);
-        Channel here = channel;
-        if (here == null) {
+        Channel openChannel = channel;
+        if (openChannel == null) {
             return;
-        } else if (bytes.readableBytes() > LONGEST) {
-            Log.write("peers", "a message of " + bytes.readableBytes() + " bytes was left out");
+        } else if (bytes.readableBytes() > MAX_BALANCER_MESSAGE_BYTES) {
+            Log.write("peers", "dropped a message of " + bytes.readableBytes() + " bytes: it is too long");
         } else if (config.peerBroadcastAddress() != null) {
-            here.writeAndFlush(new DatagramPacket(bytes, config.peerBroadcastAddress()));
+            openChannel.writeAndFlush(new DatagramPacket(bytes, config.peerBroadcastAddress()));
         } else {
             for (int i = 0; i < config.peers().size(); i++) {
                 if (i != config.settings().me()) {
-                    here.write(new DatagramPacket(bytes.retainedDuplicate(), config.peers().address(i)));
+                    openChannel.write(
+                        new DatagramPacket(bytes.retainedDuplicate(), config.peers().address(i)));
                 }
             }
-            here.flush();
+            openChannel.flush();
         }
     }
 
-    /** Gives the socket free for the next process. */
+    /** Closes the socket, so that the next process can bind its address. */
     void close() {
         closed = true;
-        Channel here = channel;
-        if (here != null) {
-            here.close();
+        Channel openChannel = channel;
+        if (openChannel != null) {
+            openChannel.close();
         }
     }
 }
