--- a/proxy/src/main/java/dockrelay/proxy/BackendRegistry.java
+++ b/proxy/src/main/java/dockrelay/proxy/BackendRegistry.java
@@ -16,28 +16,29 @@
 import java.util.function.ToLongFunction;
 
 /**
- * The list as discovery has it, by its names: what the operators say is laid over when it is told. The number
- * that the module knows a backend by is made of the name alone, as all proxies order the backends by it and
- * must order them alike. Two names that fall together are told apart by the next free number, in the order in
- * which they were listed; each keeps its number while it is listed, also when the other one leaves, as its
- * connections and what was seen of it go by that. A proxy that starts then gives it its own: until it is
- * listed anew it stands elsewhere in the order there, which moves a window by one backend at the most.
+ * The list of backends as received from discovery, keyed by name; operators' changes are overlaid when
+ * members are passed on. The balancer identifies a backend by a number that is derived from its name alone,
+ * because all proxies must order the backends in the same way. If two names collide, the later one gets the
+ * next free number. A member keeps its number while it is listed, even after the other one has left,
+ * because its connections and statistics are keyed by the number. A proxy that starts at that time computes
+ * the original number instead; until the backend is listed again, its position in that proxy's order
+ * differs, which shifts a subset by at most one backend.
  */
 final class BackendRegistry {
     private final OperatorOverrides operators;
     private final ToLongFunction<String> numbers;
     private final IntFunction<LongObjectMap<ListedBackend>> maps;
-    private final Map<String, Long> apart = new HashMap<>(); // those whose own number was another's
+    private final Map<String, Long> apart = new HashMap<>(); // names whose own number was already taken
     private final EntryReader entries = new EntryReader();
-    private final Set<String> withheld = new HashSet<>(); // ready by the list, but not by the operators
+    private final Set<String> withheld = new HashSet<>(); // ready in the list, but detached by operators
     private LongObjectMap<ListedBackend> known;
-    private int ready; // by the list
+    private int ready; // number of backends that the list reports as ready
 
     BackendRegistry(OperatorOverrides operators) {
         this(operators, EntryReader::number, BackendRegistry::newIdMap);
     }
 
-    /** With other numbers of names, and with other maps. */
+    /** For tests: with other numbers for names and other maps. */
     BackendRegistry(OperatorOverrides operators, ToLongFunction<String> numbers, IntFunction<LongObjectMap<ListedBackend>> maps) {
         this.operators = operators;
         this.numbers = numbers;
@@ -45,19 +46,19 @@
         this.known = maps.apply(0);
     }
 
-    /** A map for so many: a few places more than that, of a few bytes each. */
+    /** Creates a map for this many entries. A high load factor saves memory. */
     static <T> LongObjectMap<T> newIdMap(int size) {
         float filled = 0.8f;
         return new LongObjectHashMap<>((int) (size / filled) + LongObjectHashMap.DEFAULT_CAPACITY, filled);
     }
 
-    /** The number that a name has, or would have if nobody else had it. */
+    /** The number assigned to a name, or the hash of the name if it has not been reassigned. */
     private long id(String name) {
         Long other = apart.isEmpty() ? null : apart.get(name);
         return other == null ? numbers.applyAsLong(name) : other;
     }
 
-    /** Null where it is not known. */
+    /** Returns the member with this name, or null. */
     ListedBackend get(String name) {
         ListedBackend member = known.get(id(name));
         return member != null && member.name().equals(name) ? member : null;
@@ -67,12 +68,12 @@
         return known.size();
     }
 
-    /** Whether any is there that may be sent to. */
+    /** Whether any backend may receive requests. */
     boolean anyReady() {
         return ready > withheld.size();
     }
 
-    /** As it is to be told now that the operators have said something of it; null where it is not known. */
+    /** Returns the member with the operators' changes applied, or null if it is not listed. */
     ListedBackend operated(String name) {
         ListedBackend member = get(name);
         return member == null ? null : overlaid(member);
@@ -93,30 +94,34 @@
     }
 
     /**
-     * What is kept of an entry as soon as it is read, so that no list is ever there as it was written: a
-     * member where the entry says all, else the entry, which has to be laid over what is known in its turn.
+     * Converts an entry as soon as it is parsed, so that a list is never held in its textual form. Returns
+     * a member if the entry is complete, otherwise the entry itself, which is merged with the known state
+     * when its turn comes.
      */
     Object read(Map<?, ?> entry) {
         try {
             return EntryReader.whole(entry) ? member(entry) : entry;
         } catch (RuntimeException e) {
-            return entry; // it is told of when it is taken
+            return entry; // the error is logged when the entry is applied
         }
     }
 
-    /** Takes entries in at once, as they are to be told; a full list drops whom it does not name. */
+    /**
+     * Applies entries at once and returns the members to pass on. A full list removes all members that it
+     * does not name.
+     */
     List<ListedBackend> take(List<?> entries, boolean full) {
         Taking taking = new Taking(entries, full);
         List<ListedBackend> told = taking.named(entries.size());
         while (!taking.done()) {
-            taking.next(Integer.MAX_VALUE); // whom a full list does not name the module finds itself
+            taking.next(Integer.MAX_VALUE); // the balancer itself determines what a full list leaves out
         }
         return told;
     }
 
     /**
-     * The same as little at a time as the caller has time for: nothing else may be taken in meanwhile. Those
-     * that stand near each other in the order of all come together, in whatever order they are said.
+     * Applies entries incrementally, in steps of the caller's choice; no other update may be applied
+     * meanwhile. Entries are sorted so that neighbours in the common order are applied together.
      */
     Taking takingInParts(List<?> entries, boolean full) {
         Taking taking = new Taking(entries, full);
@@ -124,17 +129,20 @@
         return taking;
     }
 
-    /** A list, or changes, on the way in: first those named, then those that a full list leaves out. */
+    /**
+     * An update that is being applied: first the entries it names, then the members that a full list leaves
+     * out.
+     */
     final class Taking {
-        /** So many are looked at, to be sorted or compared, in the time in which one is taken in. */
+        /** This many entries can be sorted or compared in the time it takes to apply one. */
         private static final int LOOKED_AT = 16;
 
-        private final LongObjectMap<ListedBackend> named; // by a full list so far; null where changes are said
+        private final LongObjectMap<ListedBackend> named; // members named by a full list so far; null for a change
         private final List<ListedBackend> leftOut = new ArrayList<>();
         private List<?> entries;
-        private RingOrder order; // while they are sorted
+        private RingOrder order; // while entries are being sorted
         private Iterator<ListedBackend> uncompared;
-        private boolean leaving; // the entries are those left out
+        private boolean leaving; // whether the entries are the members left out
         private int at;
 
         private Taking(List<?> entries, boolean full) {
@@ -146,7 +154,7 @@
             return order == null && at == entries.size() && (named == null || leaving);
         }
 
-        /** What is to be told next, of at most so many; there may be nothing for a while. */
+        /** Returns at most {@code most} members to pass on next; the result may be empty for some calls. */
         List<ListedBackend> next(int most) {
             int looked = (int) Math.min(Integer.MAX_VALUE, (long) most * LOOKED_AT);
             List<ListedBackend> told = List.of();
@@ -158,7 +166,7 @@
                 told = leaving ? left(most) : named(most);
             }
             if (leaving && done()) {
-                known = named; // the same by now, in a table of its size
+                known = named; // has the same content, in a table of fitting size
             }
             return told;
         }
@@ -170,7 +178,7 @@
             }
         }
 
-        /** Nothing is put or removed in between: the walk goes on where it was. */
+        /** The map is not modified meanwhile, so the iterator stays valid from step to step. */
         private void compare(int looked) {
             uncompared = uncompared == null ? known.values().iterator() : uncompared;
             for (int i = 0; uncompared.hasNext() && i < looked; i++) {
@@ -195,7 +203,8 @@
                 try {
                     member = numbered(item instanceof ListedBackend read ? read : member((Map<?, ?>) item));
                 } catch (RuntimeException e) {
-                    Log.error("discovery", e); // guards against one bad entry hiding all the others
+                    // one bad entry must not prevent the others from being applied
+                    Log.error("discovery", e);
                     continue;
                 }
                 long id = member.backend().id();
@@ -210,7 +219,7 @@
             return told;
         }
 
-        /** Whom a full list leaves out is gone, also where it still answers. */
+        /** Members that a full list leaves out are gone, even if they still answer. */
         private List<ListedBackend> left(int most) {
             int end = (int) Math.min(entries.size(), at + (long) most);
             List<ListedBackend> told = new ArrayList<>(end - at);
@@ -245,8 +254,8 @@
     }
 
     /**
-     * Gives one another number where its own is somebody else's, and the one that it has by now where it was
-     * read before an earlier word was taken in whole.
+     * Assigns another number if the member's own one is taken, and the current number if the member was
+     * parsed before an earlier update had been applied completely.
      */
     private ListedBackend numbered(ListedBackend member) {
         long number = id(member.name());
--- a/proxy/src/main/java/dockrelay/proxy/Backoff.java
+++ b/proxy/src/main/java/dockrelay/proxy/Backoff.java
@@ -3,8 +3,8 @@
 import java.util.SplittableRandom;
 
 /**
- * Waits between tries that fail: bounded by a figure that doubles up to a most, and anywhere below it (full
- * jitter), as proxies that were killed together would else call together.
+ * Exponential backoff with full jitter: each wait is uniformly distributed between 0 and a bound that
+ * doubles up to a maximum. Without jitter, proxies that were killed together would retry in step.
  */
 final class Backoff {
     private final long first, most;
@@ -18,14 +18,14 @@
         this.bound = first;
     }
 
-    /** How long to wait this time. */
+    /** Returns the next wait and doubles the bound. */
     long next() {
         long wait = random.nextLong(bound + 1);
         bound = Math.min(most, bound * 2);
         return wait;
     }
 
-    /** A try went well. */
+    /** Resets the bound after a success. */
     void reset() {
         bound = first;
     }
--- a/proxy/src/main/java/dockrelay/proxy/Config.java
+++ b/proxy/src/main/java/dockrelay/proxy/Config.java
@@ -24,9 +24,9 @@
 import java.util.stream.Collectors;
 
 /**
- * What the proxy is told at its start. Times are in microseconds. Where {@code peers} is an object, its names
- * are the members of the deployment, this proxy's own among them, in groups; a plain list of addresses names
- * nobody, and groups are null.
+ * The configuration of a proxy, read at its start. If {@code peers} is an object, its keys are the names of
+ * the deployment's members, this proxy included, arranged in groups; if it is a plain list of addresses,
+ * the peers have no names and groups are null.
  */
 record Config(String name, InetSocketAddress listen, InetSocketAddress discovery, long seed, int sockets,
               int memory, KnownList known, Settings settings, long connectTimeoutMicros, long connectionIdle,
@@ -35,12 +35,15 @@
               List<String> retiredMembers, Set<String> streamingClasses) {
     private static final double MICROS = 1_000_000;
 
-    /** Whatever is wrong is told in one line, with the file. */
+    /** Reads the configuration. Any error is reported in one line that names the file. */
     static Config read(Path file) throws ConfigException {
         return read(file, true);
     }
 
-    /** Beside a process that runs: it has a list of its own, and no room for another one. */
+    /**
+     * Reads the configuration for a reload. Skips the list of known backends: the running process has its
+     * own and no memory for a second one.
+     */
     static Config readAgain(Path file) throws ConfigException {
         return read(file, false);
     }
@@ -57,13 +60,16 @@
         return read(new ByteArrayInputStream(text.getBytes(StandardCharsets.UTF_8)), true);
     }
 
-    /** As it comes: a file that names all backends and tenants is larger than what is kept of it. */
+    /**
+     * Streams the input, because a file that names all backends and tenants is larger than what is kept of
+     * it.
+     */
     private static Config read(InputStream in, boolean starts) throws IOException {
         Map<String, Object> top = new LinkedHashMap<>();
         KnownList known = new KnownList();
         try (JsonParser parser = new JsonFactory().createParser(in)) {
             if (parser.nextToken() != JsonToken.START_OBJECT) {
-                throw new SettingException("the whole", parser.currentToken() == null ? ""
+                throw new SettingException("the configuration", parser.currentToken() == null ? ""
                     : Json.readValue(parser), "one JSON object");
             }
             while (parser.nextToken() == JsonToken.FIELD_NAME) {
@@ -88,7 +94,7 @@
         Map<?, ?> settings = map(top, "settings");
         Map<?, ?> allowed = map(settings, "Permissions");
         PeerDirectory peers = peers(top);
-        // What belongs to peers is not even loaded where there are none: each start would pay for it.
+        // Without peers, the classes for peers are not even loaded, because that would lengthen each start.
         PeerGroups groups = peers.names().isEmpty() && !top.containsKey(PeerGroups.CONFIG_KEY) ? null
             : PeerGroups.read(top, peers);
         Settings read = SettingsReader.read(settings);
@@ -106,7 +112,7 @@
             list(top, "retired").stream().map(String.class::cast).toList(), streaming(settings));
     }
 
-    /** The classes whose answers flow for as long as they will. */
+    /** Names of the service classes whose responses may be streamed without a time limit. */
     private static Set<String> streaming(Map<?, ?> settings) {
         return list(settings, "Services").stream().map(Map.class::cast)
             .filter(service -> Boolean.TRUE.equals(service.get("Streaming")))
@@ -121,7 +127,7 @@
         }
     }
 
-    /** A whole number that has to be at least this. */
+    /** Reads an integer that must be at least {@code least}; {@code fallback} if the key is missing. */
     private static int within(Map<?, ?> from, String path, String key, int fallback, int least) {
         Object value = from.get(key);
         if (value == null) {
@@ -148,17 +154,17 @@
         return new PeerDirectory(names, result);
     }
 
-    /** The names of the own group, its own among them. */
+    /** Names of the members of this proxy's own group, this proxy included. */
     List<String> groupMemberNames() {
         return peerGroups.namesInGroupOf(name);
     }
 
-    /** The own group's parts of the budgets; all of them where there is one group. */
+    /** This group's shares of the budgets; the whole budgets if there is only one group. */
     List<Budget> groupBudgets() {
         return BudgetConfigReader.groupShares(budgets, groupMemberNames().size(), peerGroups);
     }
 
-    /** Whether the proxies are to know of each other. */
+    /** Whether the proxies track each other's membership. */
     boolean membership() {
         return settings.limits().peers() && peerListenAddress != null && peerGroups != null;
     }
@@ -171,13 +177,16 @@
         }
     }
 
-    /** An address written as host:port; only literal hosts, as there are no names to look up. */
+    /**
+     * Parses an address written as host:port. Only literal IP addresses are accepted, because names are not
+     * resolved.
+     */
     static InetSocketAddress address(String text) {
         int colon = text.lastIndexOf(':');
         InetSocketAddress address =
             new InetSocketAddress(text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
         if (address.isUnresolved()) {
-            throw new IllegalArgumentException("no address: " + text);
+            throw new IllegalArgumentException("not an IP address: " + text);
         }
         return address;
     }
@@ -202,6 +211,6 @@
         if (from.get(key) instanceof String value) {
             return value;
         }
-        throw new SettingException(key, from.get(key), "a text");
+        throw new SettingException(key, from.get(key), "a string");
     }
 }
--- a/proxy/src/main/java/dockrelay/proxy/Counters.java
+++ b/proxy/src/main/java/dockrelay/proxy/Counters.java
@@ -8,39 +8,42 @@
 import java.util.Map;
 
 /**
- * What the parts of a proxy have done: each event is counted, and now and then one line of the log tells what
- * was counted since the line before. All on the event loop's thread.
+ * Counts events of the proxy and writes them to the log as one line per period, with the counts since the
+ * previous line. Used on the event loop's thread only.
  */
 final class Counters {
-    /** The events by the names they have in the log. */
+    /** Events, under their names in the log (in lower case). */
     enum Count {
-        /** Clients' connections taken. */
+        /** Client connections accepted. */
         ACCEPTED,
-        /** Requests that were not proper, by an answer of 4xx or 5xx. */
+        /** Malformed requests, answered with 4xx or 5xx. */
         IMPROPER,
-        /** Clients' connections ended because no request arrived whole in time. */
+        /** Client connections closed because no complete request arrived in time. */
         LATE,
-        /** Answers that ended a client's connection because most are in use. */
+        /** Responses that closed the client's connection because most connections were in use. */
         CROWDED,
-        /** Clients' connections closed to make room. */
+        /** Client connections closed to make room for others. */
         EVICTED,
-        /** Requests passed to the module, and how they were answered; GONE where the client did not wait. */
+        /**
+         * Requests passed to the balancer, and how they ended; GONE if the client closed its connection
+         * first.
+         */
         TAKEN, SERVED, REFUSED, FAILED, OVERDUE, GONE,
-        /** Connections opened to backends, and requests written to a kept one. */
+        /** Connections opened to backends, and requests sent on a reused connection. */
         CONNECTS, REUSED,
-        /** Answers passed on as they came, as they are long; and request bodies. */
+        /** Responses, and request bodies, streamed instead of buffered because they are long. */
         STREAMED, UPLOADED,
-        /** Answers of backends that could not be read beyond doubt. */
+        /** Responses of backends that could not be parsed unambiguously. */
         UNREADABLE,
-        /** Attempts by their outcome, where that was not a good answer. */
+        /** Attempts that did not succeed, by outcome. */
         ERROR, REJECTED, TIMEOUT, CONNECT_FAILURE, RESET, CANCELLED, NOT_SENT,
-        /** Calls to discovery, those that ended without a list, and those given up while they waited. */
+        /** Calls to discovery, those that ended without a list, and those abandoned before an answer. */
         DISCOVERY_CALLS, DISCOVERY_FAILURES, DISCOVERY_ABANDONED,
         /** Answers and watches of discovery that ended in the middle of an object. */
         DISCOVERY_BROKEN
     }
 
-    /** A figure of this moment that goes with the line. */
+    /** A value that is sampled when the line is written. */
     interface Gauge {
         long now();
     }
@@ -52,7 +55,7 @@
         counted.merge(count, 1L, Long::sum);
     }
 
-    /** What was counted since the line before. */
+    /** The number of these events since the previous line. */
     long of(Count count) {
         return counted.getOrDefault(count, 0L);
     }
@@ -61,7 +64,7 @@
         gauges.put(name, gauge);
     }
 
-    /** The counts that are not zero, then the gauges; counting starts anew. */
+    /** Formats the counts that are not zero, followed by the gauges, and resets the counts. */
     String formatAndReset() {
         List<String> words = new ArrayList<>();
         counted.forEach((count, number) -> words.add(count.name().toLowerCase(Locale.ROOT) + "=" + number));
--- a/proxy/src/main/java/dockrelay/proxy/Discovery.java
+++ b/proxy/src/main/java/dockrelay/proxy/Discovery.java
@@ -16,17 +16,24 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The watch on the list of backends. Where lists are pushed it is opened at once, where discovery is asked
- * when the module first says so; from then on it is opened anew whenever it ends, in the time that {@link
- * DiscoveryTimeouts} sums up, whatever the module waits for: it is only told of failures.
+ * Keeps a watch on the list of backends. If lists are pushed, the watch is opened at once; if discovery is
+ * polled, it is opened when the balancer first asks for it. Afterwards it is reopened whenever it ends,
+ * within the times in {@link DiscoveryTimeouts} and independently of the balancer, which is only notified
+ * of failures.
  */
 final class Discovery implements DiscoveryWatch.Listener, ListApplier.Sink {
     private static final long FIRST_BACKOFF_MILLIS = 50;
-    /** Pushed lists count from the moment at which the agent has them: well within a drain's grace. */
+    /**
+     * A pushed list counts as known as soon as the local agent has it, so retries have to stay well within
+     * the grace period of a drain.
+     */
     private static final long MOST_BACKOFF_MILLIS = 500;
-    /** Watches in a row that lag behind for good: versions are counted anew then, not late. */
+    /**
+     * After this many consecutive watches with an older version, discovery has restarted its version
+     * numbers and is not merely behind.
+     */
     private static final int MOST_BEHIND = 5;
-    /** Tries that go on beside each other: one that is slow without end gives its place to the next. */
+    /** Maximum number of concurrent calls; a call that stays unanswered is replaced by the next one. */
     private static final int MOST_BESIDE = 3;
 
     private final Bootstrap bootstrap;
@@ -39,20 +46,20 @@
     private final Counters counters;
     private volatile boolean anyReady;
     private long version = -1;
-    private final CallPacing pacing; // where discovery is asked
-    private final Backoff pushedBackoff; // where lists are pushed, by an agent of this host's own
+    private final CallPacing pacing; // if discovery is polled
+    private final Backoff pushedBackoff; // if lists are pushed by an agent on this host
     private final CountDownLatch listed = new CountDownLatch(1);
     private final List<DiscoveryWatch> trying = new ArrayList<>();
-    /** Of broken answers, that are not applied yet. */
+    /** Updates of truncated answers that have not been applied yet. */
     private final Set<ListParser.Update> removalsOnly = Collections.newSetFromMap(new IdentityHashMap<>());
-    private DiscoveryWatch watch; // the one that has answered; null while there is none
-    private DiscoveryWatch standby; // connected for the next call; null while there is none
-    private DiscoveryWatch lastSender; // whose first object has come
+    private DiscoveryWatch watch; // the connection that has been answered, or null
+    private DiscoveryWatch standby; // connected in advance for the next call, or null
+    private DiscoveryWatch lastSender; // whose first object has been received
     private long triedAt;
     private long confirmedAt = System.nanoTime(); // when discovery last sent a change or a heartbeat
     private int calls;
-    private int round, behind; // a timer of an earlier round means nothing
-    private boolean callBesideWatch; // is due, as the watch has stopped in the middle of an object
+    private int round, behind; // timers of an earlier round are ignored
+    private boolean callBesideWatch; // is due because the watch has stalled in the middle of an object
     private boolean following, closed;
 
     Discovery(Bootstrap template, EventLoop loop, Config config, RequestTable table, OperatorOverrides operators,
@@ -62,7 +69,8 @@
         counters.registerGauge("list-unconfirmed-ms",
             () -> TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - confirmedAt));
         this.listing = new BackendRegistry(operators);
-        // Not by execute: what is executed from within the loop may run before the next look at the sockets.
+        // Not execute(): a task submitted from within the loop might run before the next poll of the
+        // sockets.
         this.applier = new ListApplier(listing, task -> loop.schedule(task, 0, TimeUnit.NANOSECONDS), this);
         this.asked = config.settings().mustSubscribe();
         long within = TimeUnit.MICROSECONDS.toMillis(config.settings().rules().subscribeWithin());
@@ -76,8 +84,8 @@
     }
 
     /**
-     * Hands on the list that the proxy last had, as the first the module hears, and starts to watch. A
-     * successor takes over from a process of this proxy that still runs.
+     * Passes the cached list to the balancer as its first list, and starts to watch. A successor takes over
+     * from a process of the same proxy that is still running.
      */
     void start(KnownList cached, boolean successor) {
         version = cached.version();
@@ -90,22 +98,25 @@
         }
     }
 
-    /** Waits on another thread for the first word of discovery itself; it may be away. */
+    /**
+     * Blocks another thread until the first list arrives from discovery, which may be down. Returns whether
+     * it arrived in time.
+     */
     boolean awaitList(long millis) throws InterruptedException {
         return listed.await(millis, TimeUnit.MILLISECONDS);
     }
 
     void close() {
         closed = true;
-        dropAll("this process ends");
+        dropAll("the process is stopping");
     }
 
-    /** Whether any backend is known that may be sent to; any thread may ask. */
+    /** Whether any known backend may receive requests. Thread-safe. */
     boolean anyReady() {
         return anyReady;
     }
 
-    /** The operators have changed what holds for this backend. */
+    /** Applies an operator's change to a backend. */
     void operated(String name) {
         RequestTable.ListedBackend member = listing.operated(name);
         if (member != null) {
@@ -119,36 +130,42 @@
         anyReady = listing.anyReady();
     }
 
-    /** The module wants to follow the list; when the proxies of a large fleet begin to is not its to say. */
+    /**
+     * Called when the balancer wants to follow the list. In a large fleet it does not decide when to begin:
+     * {@link CallPacing} does.
+     */
     void subscribe() {
         if (!pacing.decidesFirstCall()) {
             follow();
         }
     }
 
-    /** Follows the list from the version at hand, from now on; no more is needed where that is so already. */
+    /** Starts to follow the list from the current version, unless that has already happened. */
     private void follow() {
         if (!following) {
             renew();
         }
     }
 
-    /** Goes on at another address, and asks there for the whole list: its versions may be counted anew. */
+    /**
+     * Switches to another address and requests the whole list there, because its version numbers may be
+     * unrelated.
+     */
     void move(InetSocketAddress to) {
         if (!to.equals(address)) {
-            Log.write("discovery", "moves from " + address + " to " + to);
+            Log.write("discovery", "address changed from " + address + " to " + to);
             address = to;
             version = -1;
             resetWaits();
             following = true;
-            dropAll("discovery has moved");
+            dropAll("the address of discovery has changed");
             attemptIn(asked ? pacing.afterMove() : 0);
         }
     }
 
     private void abandon(DiscoveryWatch call, String why) {
         counters.increment(Count.DISCOVERY_ABANDONED);
-        Log.write("discovery", call.describe() + ", is given up: " + why);
+        Log.write("discovery", call.describe() + ", abandoned: " + why);
         call.close();
     }
 
@@ -162,11 +179,11 @@
         }
     }
 
-    /** Asks at once, in place of whatever there is. */
+    /** Replaces all open calls and the watch by a new call at once. */
     private void renew() {
         if (!closed) {
             following = true;
-            dropAll("asked anew");
+            dropAll("replaced by a new call");
             attempt();
         }
     }
@@ -174,7 +191,7 @@
     private void attempt() {
         triedAt = System.nanoTime();
         if (trying.size() >= MOST_BESIDE) {
-            abandon(trying.remove(0), "too many at once");
+            abandon(trying.remove(0), "too many concurrent calls");
         }
         DiscoveryWatch call = standby == null ? new DiscoveryWatch(bootstrap, address, this) : standby;
         standby = null;
@@ -186,7 +203,10 @@
         connectIn(unanswered - DiscoveryTimeouts.LATE_CONNECTION);
     }
 
-    /** Connects for the call after this one, which is made at once then if this one is not answered. */
+    /**
+     * Connects in advance for the next call, so that it can be sent at once if the current one is not
+     * answered.
+     */
     private void connectIn(long millis) {
         int mine = round;
         loop.schedule(() -> {
@@ -208,7 +228,10 @@
         }
     }
 
-    /** The next attempt, unless one is answered before, or is about to: a long list takes its time. */
+    /**
+     * Schedules the next call, unless a call is answered before. Postpones it while data is arriving,
+     * because a long list takes time to transfer.
+     */
     private void attemptIn(long millis) {
         int mine = ++round;
         loop.schedule(() -> {
@@ -223,7 +246,7 @@
     @Override
     public void ended(DiscoveryWatch ended, String why) {
         if (ended == standby) {
-            standby = null; // the next call connects anew
+            standby = null; // the next call opens its own connection
             return;
         }
         boolean tried = trying.remove(ended);
@@ -235,7 +258,7 @@
             counters.increment(Count.DISCOVERY_FAILURES);
         }
         Log.write("discovery", ended.describe() + (wasWatch ? ", the watch ended: " : ", failed: ") + why
-            + "; others under way: " + trying.size());
+            + "; other pending calls: " + trying.size());
         watch = wasWatch ? null : watch;
         if (ended.isBroken()) {
             counters.increment(Count.DISCOVERY_BROKEN);
@@ -268,7 +291,7 @@
 
     private long pushedWaitAfter(DiscoveryWatch ended, boolean wasWatch) {
         if (wasWatch) {
-            // A silence is late enough as it is.
+            // A silence was detected late already, so there is no further wait.
             return ended.ending() == Ending.SILENT ? 0 : pushedBackoff.next();
         }
         return DiscoveryTimeouts.after(sinceAttempt(), pushedBackoff.next());
@@ -279,8 +302,8 @@
     }
 
     /**
-     * Applies what a broken answer has said of backends that drain or are gone: that only takes away. All
-     * else waits for a whole answer, and so does the version.
+     * Applies the removals and drains of a truncated answer, which can only take backends out of use.
+     * Everything else, the version included, waits for a complete answer.
      */
     private void applyRemovals(ListParser.Update partial) {
         if (partial == null || partial.version() <= version) {
@@ -294,7 +317,10 @@
         }
     }
 
-    /** One that lags behind catches up; else another one is asked, and in the end the whole list. */
+    /**
+     * Handles a version older than the current one: a discovery that is only behind catches up; otherwise
+     * calls again, and finally requests the whole list.
+     */
     private void lookAgain() {
         int mine = round;
         behind++;
@@ -306,26 +332,29 @@
         }, asked ? pacing.whileBehind() : DiscoveryTimeouts.TOLD, TimeUnit.MILLISECONDS);
     }
 
-    /** The first that answers is the watch, and those beside it are not needed any more. */
+    /**
+     * The first call that is answered becomes the watch; concurrent calls are abandoned. Returns whether
+     * the watch is new.
+     */
     private boolean adopt(DiscoveryWatch by) {
         confirmedAt = System.nanoTime();
         if (by == watch && trying.isEmpty()) {
-            round += callBesideWatch ? 1 : 0; // it goes on, and needs none
+            round += callBesideWatch ? 1 : 0; // it continues, so no further call is needed
             callBesideWatch = false;
             return false;
         }
         callBesideWatch = false;
         boolean isNew = by != watch;
         if (isNew) {
-            Log.write("discovery", by.describe() + ", is answered");
+            Log.write("discovery", by.describe() + ", answered");
             pacing.answered(by.answerMillis());
             trying.remove(by);
         }
-        trying.forEach(call -> abandon(call, "another one was answered"));
+        trying.forEach(call -> abandon(call, "another call was answered"));
         trying.clear();
         dropStandby();
         if (isNew && watch != null) {
-            watch.close(); // it had stopped in the middle of an object
+            watch.close(); // it had stalled in the middle of an object
         }
         watch = by;
         round++;
@@ -337,7 +366,7 @@
         boolean alone = by == watch ? trying.isEmpty() : trying.size() == 1 && trying.contains(by);
         if (!closed && alone) {
             long wait = asked ? pacing.afterBrokenAnswer() : pushedBackoff.next();
-            Log.write("discovery", by.describe() + ", has stopped; the next call is due in " + wait + " ms");
+            Log.write("discovery", by.describe() + ", stalled; the next call is due in " + wait + " ms");
             callBesideWatch = by == watch;
             attemptIn(wait);
         }
@@ -346,7 +375,7 @@
     @Override
     public void heartbeat(DiscoveryWatch by) {
         if (adopt(by)) {
-            Log.write("discovery", "nothing new since version " + version);
+            Log.write("discovery", "no changes since version " + version);
         }
     }
 
@@ -361,16 +390,17 @@
         adopt(by);
         boolean first = by != lastSender;
         lastSender = by;
-        if (received < version) { // what is newer stands
+        if (received < version) { // the newer version stays in force
             if (first) {
-                Log.write("discovery", "version " + received + " is older than " + version + ", which stands");
+                Log.write("discovery", "version " + received + " is older than " + version
+                    + ", which is kept");
                 lookAgain();
             }
             return;
         }
         behind = 0;
         resetWaits();
-        version = received; // whoever is asked next need not send it again
+        version = received; // the next call need not fetch it again
         applier.apply(update);
         if (applier.isFull()) {
             by.flow(false);
@@ -380,7 +410,7 @@
     @Override
     public void applied(ListParser.Update update) {
         if (removalsOnly.remove(update)) {
-            Log.write("discovery", "removals of a broken answer, entries " + update.entries().size());
+            Log.write("discovery", "removals of a truncated answer, entries " + update.entries().size());
             return;
         }
         Log.write("discovery", (update.full() ? "list of version " : "changes to version ") + update.version()
--- a/proxy/src/main/java/dockrelay/proxy/DiscoveryWatch.java
+++ b/proxy/src/main/java/dockrelay/proxy/DiscoveryWatch.java
@@ -27,9 +27,10 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One watch on the list: a connection, the call made on it, and its answer taken apart into objects. The
- * connection comes up at once, the call is made when it is asked for. Nothing here ends a call that waits for
- * its answer: discovery may be busy with other callers. Once it has answered it must not fall silent.
+ * One watch on the list: a connection, the call made on it, and its answer, which is parsed into objects.
+ * The connection is opened by the constructor, the call is made on request. An unanswered call does not
+ * time out here, because discovery may be busy with other callers; once it has answered, it must not fall
+ * silent.
  */
 final class DiscoveryWatch {
     private static final int LONGEST_READ = 16 << 10;
@@ -38,33 +39,33 @@
     private static final int STALL_CHECK_MILLIS = DiscoveryTimeouts.STALL / STALL_CHECKS;
     private static final long LATENESS_NANOS = TimeUnit.MILLISECONDS.toNanos(DiscoveryTimeouts.LATENESS);
 
-    /** Receives what a watch sends, on the event loop. */
+    /** Receives the events of a watch, on the event loop. */
     interface Listener {
-        /** Between two objects: nothing has changed, as far as discovery knows. */
+        /** A heartbeat between two objects: nothing has changed. */
         void heartbeat(DiscoveryWatch watch);
 
-        /** Half an object has come, and nothing more for a while. */
+        /** An incomplete object has made no progress for {@link DiscoveryTimeouts#STALL} ms. */
         void stalled(DiscoveryWatch watch);
 
-        /** What is to be kept of one entry, as soon as it has come. */
+        /** Converts an entry, as soon as it is parsed, to what is to be kept of it. */
         Object read(Map<?, ?> entry);
 
-        /** One object, however it is laid out, with its entries as they were read. */
+        /** A complete object, with its entries as {@link #read} converted them. */
         void received(DiscoveryWatch watch, ListParser.Update update);
 
-        /** It is over, once. */
+        /** The watch has ended; called at most once. */
         void ended(DiscoveryWatch watch, String why);
     }
 
     /** How a call or a watch ended. */
     enum Ending {
-        /** By discovery, in good order. */
+        /** Discovery closed it in good order. */
         CLOSED,
-        /** By a reset, or it never came up. */
+        /** The connection was reset or never came up. */
         BROKEN_CONNECTION,
-        /** The call was answered by an error. */
+        /** The call was answered with an error status. */
         REFUSED,
-        /** It only ceased to speak. */
+        /** Nothing more was received. */
         SILENT
     }
 
@@ -73,24 +74,24 @@
     private final String host;
     private int number; // 0 until the call is made
     private long version, calledAt;
-    private long answeredAt; // 0 until the head of a good answer has come
+    private long answeredAt; // 0 until the header of a 200 answer has been received
     private long withinSince, movedAt = Long.MIN_VALUE / 2;
     private String why = "connection closed";
     private Ending ending = Ending.CLOSED;
     private boolean ended;
-    private boolean within; // an object of which more is to come
-    private boolean complete; // an object or a heartbeat has come whole
+    private boolean within; // whether an incomplete object has been received
+    private boolean complete; // whether a complete object or a heartbeat has been received
     private boolean checksForStall, readSinceCheck;
     private final ListParser parser;
 
-    /** Connects, and no more. */
+    /** Opens the connection without making a call. */
     DiscoveryWatch(Bootstrap template, InetSocketAddress address, Listener listener) {
         this.listener = listener;
         this.parser = new ListParser(listener::read, this::received);
         this.host = address.getHostString() + ":" + address.getPort();
         ChannelFuture connecting = template.clone()
             .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, DiscoveryTimeouts.CONNECT)
-            // Requests have their turn between two parts of a long list.
+            // Lets requests be processed between two parts of a long list.
             .option(ChannelOption.RECVBUF_ALLOCATOR,
                 new FixedRecvByteBufAllocator(LONGEST_READ).maxMessagesPerRead(1))
             .handler(new ChannelInitializer<Channel>() {
@@ -110,7 +111,7 @@
         });
     }
 
-    /** Asks for what is newer than this version, as soon as the connection is up; numbered from 1 on. */
+    /** Requests the changes since this version as soon as the connection is up; call numbers start at 1. */
     void call(long after, int callNumber) {
         version = after;
         number = callNumber;
@@ -127,10 +128,10 @@
         channel.writeAndFlush(request);
     }
 
-    /** Which call this is and how old, for the log. */
+    /** Number and age of the call, for the log. */
     String describe() {
         if (number == 0) {
-            return "a connection without a call";
+            return "standby connection";
         }
         long age = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - calledAt);
         return "call " + number + (version < 0 ? "" : " after version " + version) + ", " + age + " ms old"
@@ -138,7 +139,7 @@
             + (within ? ", in the middle of an object" : "");
     }
 
-    /** How long discovery took from the call to the head of its answer. */
+    /** Time from the call to the header of its answer, in milliseconds. */
     long answerMillis() {
         return TimeUnit.NANOSECONDS.toMillis(answeredAt - calledAt);
     }
@@ -151,27 +152,33 @@
         return ending;
     }
 
-    /** Whether it was cut: in the middle of an object, or of an answer of which nothing else has come. */
+    /** Whether it ended in the middle of an object, or after a header without any complete object. */
     boolean isBroken() {
         return within || answeredAt != 0 && !complete;
     }
 
-    /** What has come of an object that is not whole; null where that says nothing. */
+    /** The received part of an incomplete object; null if it contains nothing usable. */
     ListParser.Update partial() {
         return parser.partial();
     }
 
-    /** Whether a part of an object that is not whole has come a moment ago. */
+    /**
+     * Whether part of an incomplete object has been parsed within the last {@link
+     * DiscoveryTimeouts#LATENESS} ms.
+     */
     boolean moves() {
         return within && System.nanoTime() - movedAt < LATENESS_NANOS;
     }
 
-    /** Whether more of it is read: while what it said is being applied, what comes next waits where it is. */
+    /**
+     * Turns reading on or off. Backpressure: while received updates are being applied, further data stays
+     * in the socket buffer.
+     */
     void flow(boolean on) {
         channel.config().setAutoRead(on);
     }
 
-    /** Ends it; the listener receives nothing more of it. */
+    /** Closes the connection; the listener receives no further events. */
     void close() {
         ended = true;
         channel.close();
@@ -192,13 +199,13 @@
         }
     }
 
-    /** The answer's head, and its body as bytes for the next one. */
+    /** Handles the header of the answer and passes the body on as bytes. */
     private final class Answer extends SimpleChannelInboundHandler<HttpObject> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, HttpObject part) {
             if (part instanceof HttpResponse response && response.status().code() != 200) {
                 ending = Ending.REFUSED;
-                why = "answered " + response.status().code();
+                why = "status " + response.status().code();
                 context.close();
                 return;
             }
@@ -224,8 +231,8 @@
                     listener.heartbeat(DiscoveryWatch.this);
                 }
                 if (within && System.nanoTime() - withinSince > SILENT_NANOS) {
-                    ending = Ending.SILENT; // blanks count for nothing in there, however many come
-                    why = "half an object for " + DiscoveryTimeouts.SILENT + " ms";
+                    ending = Ending.SILENT; // whitespace within an object is no progress
+                    why = "incomplete object for " + DiscoveryTimeouts.SILENT + " ms";
                     context.close();
                 }
                 if (part instanceof LastHttpContent) {
@@ -236,8 +243,9 @@
     }
 
     /**
-     * Half an object counts as known as soon as it is written, so its rest is not waited for long. Checks are
-     * counted, and not time: where this process itself was held up it had no chance to read what had come.
+     * An incomplete object counts as known as soon as discovery has written it, so its rest is not awaited
+     * for long. Counts checks instead of elapsed time: while this process itself was delayed, it could not
+     * read what had arrived.
      */
     private void checkForStall(int quietChecks) {
         channel.eventLoop().schedule(() -> {
@@ -257,6 +265,7 @@
         return bytes.forEachByte(next -> Character.isWhitespace(next)) < 0;
     }
 
+    /** Feeds the bytes of the body to the parser. */
     private final class Objects extends SimpleChannelInboundHandler<ByteBuf> {
         private final byte[] bytes = new byte[LONGEST_READ];
 
@@ -269,7 +278,8 @@
                 parser.feed(bytes, length);
             }
             if (parser.read() > before) {
-                withinSince = movedAt = System.nanoTime(); // a long list takes its time, as long as it moves
+                // a long list may take its time as long as it makes progress
+                withinSince = movedAt = System.nanoTime();
             }
         }
 
@@ -282,7 +292,7 @@
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
             boolean silent = cause instanceof ReadTimeoutException;
             ending = silent ? Ending.SILENT : Ending.BROKEN_CONNECTION;
-            why = silent ? "silent for " + DiscoveryTimeouts.SILENT + " ms" : cause.toString();
+            why = silent ? "no data for " + DiscoveryTimeouts.SILENT + " ms" : cause.toString();
             context.close();
         }
     }
--- a/proxy/src/main/java/dockrelay/proxy/Endpoint.java
+++ b/proxy/src/main/java/dockrelay/proxy/Endpoint.java
@@ -5,7 +5,7 @@
 import java.net.SocketAddress;
 import java.net.UnknownHostException;
 
-/** Where a backend listens, as a list of very many keeps it: four bytes and a port, and nothing else. */
+/** Compact IPv4 address and port of a backend, which saves memory when a list has very many entries. */
 final class Endpoint extends SocketAddress {
     private static final long serialVersionUID = 1;
     private static final int PARTS = 4;
@@ -18,7 +18,10 @@
         this.port = port;
     }
 
-    /** An address written as host:port; what is not four plain numbers and a port is kept as it was. */
+    /**
+     * Parses an address written as host:port. Returns an Endpoint for a dotted IPv4 address and a general
+     * socket address for anything else.
+     */
     static SocketAddress of(String text) {
         int at = 0, host = 0, part = 0, digits = 0;
         for (int i = 0; i < text.length(); i++) {
@@ -38,7 +41,7 @@
         return at == PARTS && digits > 0 && part < 1 << 16 ? new Endpoint(host, part) : Config.address(text);
     }
 
-    /** What a socket connects to. */
+    /** Converts a stored address to one that a socket can connect to. */
     static SocketAddress toInetSocketAddress(SocketAddress kept) {
         return kept instanceof Endpoint endpoint ? endpoint.toInetSocketAddress() : kept;
     }
@@ -48,7 +51,7 @@
         try {
             return new InetSocketAddress(InetAddress.getByAddress(bytes), port);
         } catch (UnknownHostException e) {
-            throw new IllegalStateException(e); // four bytes are an address
+            throw new IllegalStateException(e); // cannot happen: the array has four bytes
         }
     }
 
--- a/proxy/src/main/java/dockrelay/proxy/EntryReader.java
+++ b/proxy/src/main/java/dockrelay/proxy/EntryReader.java
@@ -10,23 +10,23 @@
 import java.util.Objects;
 
 /**
- * Makes a member of an entry of the list as soon as that is read, so that no list is ever there as it was
- * written: neither what discovery says nor what the configuration says was known.
+ * Converts entries of the list to members as soon as each is parsed, so that a whole list is never held in
+ * its textual form: neither one from discovery nor the known list of the configuration.
  */
 final class EntryReader {
-    /** What an entry says where it says all; what a change leaves out stays as it was. */
+    /** Keys of a complete entry. A change may leave some out, whose values then stay the same. */
     private static final List<String> KEYS = List.of("zone", "kind", "addr", "cell", "weight", "started_ms");
-    /** Zones and kinds are few: words past so many are not shared. */
+    /** There are few zones and kinds; beyond this number of distinct strings, no more are shared. */
     private static final int MOST_WORDS = 1_000;
 
     private final Map<String, String> words = new HashMap<>();
 
-    /** Whether it says all, so that nothing is needed of what was known before. */
+    /** Whether the entry is complete, so that no earlier state is needed. */
     static boolean whole(Map<?, ?> entry) {
         return entry.keySet().containsAll(KEYS);
     }
 
-    /** Whether an entry, as it was read, says that its backend drains or is gone. */
+    /** Whether a parsed entry says that its backend drains or is gone. */
     static boolean isRemoval(Object entry) {
         return entry instanceof ListedBackend member ? member.backend().phase() != Phase.READY
             : entry instanceof Map<?, ?> said && phase(said) != Phase.READY;
@@ -36,11 +36,14 @@
         return switch (String.valueOf(entry.get("state"))) {
             case "active" -> Phase.READY;
             case "left" -> Phase.GONE;
-            default -> Phase.DRAINING; // an unknown word gets the most caution
+            default -> Phase.DRAINING; // unknown states get the most cautious treatment
         };
     }
 
-    /** What a name's number is by itself: all proxies order the backends by it and must order them alike. */
+    /**
+     * The hash of a backend's name. All proxies must compute the same value, because it determines the
+     * common order of the backends.
+     */
     static long number(String name) {
         long hash = 0xcbf29ce484222325L; // FNV-1a
         for (int i = 0; i < name.length(); i++) {
@@ -49,18 +52,18 @@
         return hash;
     }
 
-    /** What is kept of an entry of a first list: a member, or the entry where it says too little. */
+    /** Converts an entry of an initial list to a member; returns the entry itself if it is incomplete. */
     Object first(Map<?, ?> entry) {
         try {
             return whole(entry) ? member(entry, null, number(Config.text(entry, "id"))) : entry;
         } catch (RuntimeException e) {
-            return entry; // it is told of when it is taken
+            return entry; // the error is logged when the entry is applied
         }
     }
 
     /**
-     * An entry of this number, and what was known of it, null where it was not. What a change leaves
-     * out stays as it was, and what is as it was is the same object.
+     * Merges an entry into the previous state of the member, null if there was none. Values that a change
+     * leaves out stay the same, and an unchanged member is returned as the same object.
      */
     ListedBackend member(Map<?, ?> entry, ListedBackend before, long number) {
         Backend old = before == null ? new Backend(number, "", "", 0, Phase.GONE, 1, 0) : before.backend();
@@ -77,8 +80,8 @@
     }
 
     /**
-     * As equals of the record, which the platform makes at its first call: 30 ms in the middle of service,
-     * with the first change that a proxy is told.
+     * Replaces the record's generated equals, whose implementation the JDK links at the first call: that
+     * took 30 ms in the middle of service, at the first change that a proxy received.
      */
     private static boolean same(Backend one, Backend other) {
         return one.id() == other.id() && one.zone().equals(other.zone()) && one.kind().equals(other.kind())
@@ -86,6 +89,7 @@
             && Double.compare(one.weight(), other.weight()) == 0 && one.startedAt() == other.startedAt();
     }
 
+    /** Returns an equal string that is shared between entries, to save memory. */
     private String shared(String word) {
         return words.size() < MOST_WORDS ? words.computeIfAbsent(word, same -> same)
             : words.getOrDefault(word, word);
--- a/proxy/src/main/java/dockrelay/proxy/KnownList.java
+++ b/proxy/src/main/java/dockrelay/proxy/KnownList.java
@@ -9,18 +9,19 @@
 import java.util.Map;
 
 /**
- * The list that a proxy last had, as its configuration says it. It is read entry by entry, as one of 86,000
- * would not fit the heap as it is written; whoever starts with it takes it, and it is not kept after that.
+ * The last known list of backends, as stored in the configuration. It is parsed entry by entry, because the
+ * text of a list of 86,000 backends would not fit into the heap. The list can be taken once and is not kept
+ * afterwards.
  */
 final class KnownList {
     private long version = -1;
     private List<Object> entries = List.of();
 
-    /** One that names nobody. */
+    /** An empty list. */
     KnownList() {
     }
 
-    /** The value at the parser's current token; what is no object, or no list in it, names nobody. */
+    /** Reads the value at the parser's current token. A value of another type yields an empty list. */
     static KnownList read(JsonParser parser) throws IOException {
         KnownList known = new KnownList();
         if (parser.currentToken() != JsonToken.START_OBJECT) {
@@ -51,12 +52,12 @@
         return entries;
     }
 
-    /** Below 0 where it has none. */
+    /** Version of the list; negative if there is none. */
     long version() {
         return version;
     }
 
-    /** The entries, as {@link BackendRegistry#take} takes them; none the next time. */
+    /** Returns the entries for {@link BackendRegistry#take} and drops them; a second call returns an empty list. */
     List<Object> take() {
         List<Object> taken = entries;
         entries = List.of();
--- a/proxy/src/main/java/dockrelay/proxy/ListApplier.java
+++ b/proxy/src/main/java/dockrelay/proxy/ListApplier.java
@@ -9,23 +9,31 @@
 import java.util.concurrent.Executor;
 
 /**
- * Applies what discovery says, in its order, a batch in each turn of the event loop, so that requests have
- * theirs in between: a long list in many of them, and many short changes that wait in one. What is short and
- * comes by itself is applied at once, and so is the first list of all, as nothing can be served before it.
+ * Applies updates from discovery in order, one batch per turn of the event loop, so that requests are
+ * processed in between: a long list takes many turns, and many short changes share one. A single short
+ * update is applied at once, and so is the very first list, because nothing can be served before it.
  */
 final class ListApplier {
-    /** In a batch: 2 to 4 ms of the loop at the most where all have changed (ListProbe, 86,000 backends). */
+    /**
+     * Maximum entries per batch: at most 2 to 4 ms of the event loop if all entries have changed
+     * (ListProbe, 86,000 backends).
+     */
     static final int BATCH = 256;
-    /** Changes that wait at the most, or little more, and are applied together: sorted they cost least. */
+    /**
+     * Approximate maximum of pending changes. They are applied together, because applying them in sorted
+     * order is cheapest.
+     */
     static final int MOST_WAITING = 16 * BATCH;
 
-    /** Hears what is to be told, and when all of an update was. */
+    /** Receives the changed members, and is notified when an update has been applied completely. */
     interface Sink {
+        /** Passes on changed members. */
         void tell(ListUpdateType scope, List<ListedBackend> members);
 
+        /** Called once for each update, in order. */
         void applied(ListParser.Update update);
 
-        /** Nothing is left to be applied. */
+        /** All pending updates have been applied. */
         void idle();
     }
 
@@ -33,24 +41,24 @@
     private final Executor nextTurn;
     private final Sink sink;
     private final Deque<ListParser.Update> waiting = new ArrayDeque<>();
-    private final List<ListParser.Update> current = new ArrayList<>(); // those that are being applied
+    private final List<ListParser.Update> current = new ArrayList<>(); // updates that are being applied
     private BackendRegistry.Taking taking;
     private int weightWaiting;
-    private boolean busy; // this turn has had its batch
+    private boolean busy; // whether this turn has processed its batch
 
-    /** The executor runs a task in a later turn of the loop, after what has come meanwhile. */
+    /** The executor must run a task in a later turn of the event loop, after pending socket events. */
     ListApplier(BackendRegistry listing, Executor nextTurn, Sink sink) {
         this.listing = listing;
         this.nextTurn = nextTurn;
         this.sink = sink;
     }
 
-    /** Whether so much waits that no more should be read for now. */
+    /** Whether so many changes are pending that reading should pause. */
     boolean isFull() {
         return weightWaiting >= MOST_WAITING;
     }
 
-    /** Applies it at once, or begins to, or does so once what came before is applied. */
+    /** Applies the update at once, or queues it behind those that are being applied. */
     void apply(ListParser.Update update) {
         waiting.add(update);
         weightWaiting += weight(update);
@@ -72,7 +80,7 @@
         }
     }
 
-    /** The next update, or as many changes as may be applied together. */
+    /** Takes the next update, or as many changes as may be applied together. */
     private List<Object> next() {
         ListParser.Update update = take();
         List<Object> entries = update.entries();
@@ -95,7 +103,7 @@
         return update;
     }
 
-    /** What changes nothing takes its place as well. */
+    /** Updates without entries count as well, so that they cannot pile up without limit. */
     private static int weight(ListParser.Update update) {
         return 1 + update.entries().size();
     }
@@ -104,7 +112,7 @@
         try {
             sink.tell(scope, members);
         } catch (RuntimeException e) {
-            Log.error("discovery", e); // guards against one bad batch holding up all that comes after it
+            Log.error("discovery", e); // one bad batch must not hold up the following ones
         }
     }
 
--- a/proxy/src/main/java/dockrelay/proxy/ListParser.java
+++ b/proxy/src/main/java/dockrelay/proxy/ListParser.java
@@ -15,20 +15,23 @@
 import java.util.function.Function;
 
 /**
- * Takes what discovery says apart as its bytes come, however the objects are laid out. Of a list no more than
- * one entry is ever there as it was written: what the reader makes of each is all that is kept.
+ * Incremental parser of the JSON objects that discovery sends, independent of their layout. Only one entry
+ * of a list is held in parsed JSON form at a time; of the others only the reader's result is kept.
  */
 final class ListParser {
     private static final JsonFactory JSON = new JsonFactory();
-    /** The key under which a list has its entries. */
+    /** The key of the entries in a list. */
     static final String ENTRIES = "servers";
     private static final String VERSION = "version";
-    /** One entry, and what stands between two, is not longer than that. */
+    /** Maximum size of an entry, including the bytes between two entries. */
     private static final int LONGEST_ENTRY = 1 << 20;
-    /** Three times what the operators expect; without a bound a list without end would take all memory. */
+    /**
+     * Three times the fleet size that operators expect. Without a bound, an endless list would exhaust the
+     * heap.
+     */
     private static final int MOST_ENTRIES = 1 << 18;
 
-    /** What was said at once: a list in whole, or what has changed; each entry as the reader made it. */
+    /** One object from discovery: a full list or changes, with each entry as converted by the reader. */
     record Update(long version, boolean full, List<Object> entries) {
     }
 
@@ -36,12 +39,14 @@
     private final Consumer<Update> taker;
     private final JsonParser parser;
     private final ByteArrayFeeder feeder;
-    private final Deque<Object> open = new ArrayDeque<>(); // of a value that is not whole, the inmost first
-    private final Deque<String> names = new ArrayDeque<>(); // under which these are kept, one for each map
-    private Map<?, ?> spare; // an entry's that was read
-    private Map<String, Object> top; // of an object that is not whole, all but its entries
+    // containers of the incomplete value, innermost first
+    private final Deque<Object> open = new ArrayDeque<>();
+    // pending keys of the open maps, innermost first
+    private final Deque<String> names = new ArrayDeque<>();
+    private Map<?, ?> spare; // the map of a converted entry, reused for the next one
+    private Map<String, Object> top; // fields of the incomplete object except its entries
     private List<Object> entries;
-    private String name; // the top's, of the value to come
+    private String name; // key of the top-level value that follows
     private boolean listing, named;
     private long since, read;
 
@@ -51,19 +56,19 @@
         try {
             parser = JSON.createNonBlockingByteArrayParser();
         } catch (IOException e) {
-            throw new IllegalStateException(e); // it reads nothing yet
+            throw new IllegalStateException(e); // cannot happen: nothing is read here
         }
         feeder = (ByteArrayFeeder) parser.getNonBlockingInputFeeder();
     }
 
-    /** How many entries and objects were read whole: it moves while a list does. */
+    /** Number of values and objects parsed completely. It increases while a list makes progress. */
     long read() {
         return read;
     }
 
     /**
-     * What has come so far of an object that is not whole, as changes; null where there is none, or where its
-     * version has not come.
+     * The received part of an incomplete object, as a change; null if there is none or its version has not
+     * been received yet.
      */
     Update partial() {
         if (top == null || !(top.get(VERSION) instanceof Number)) {
@@ -72,7 +77,7 @@
         return new Update((long) Config.numberOrDefault(top, VERSION, -1), false, new ArrayList<>(entries));
     }
 
-    /** Takes the next bytes; false once the taker wants no more. */
+    /** Parses the next bytes. */
     void feed(byte[] bytes, int length) throws IOException {
         since += length;
         feeder.feedInput(bytes, 0, length);
@@ -81,18 +86,18 @@
             take(token);
         }
         if (top != null && since > LONGEST_ENTRY) {
-            throw new IOException("an entry of more than " + LONGEST_ENTRY + " bytes");
+            throw new IOException("entry exceeds " + LONGEST_ENTRY + " bytes");
         }
     }
 
     private void take(JsonToken token) throws IOException {
         if (named && token.isStructEnd()) {
-            throw new IOException("a name without a value"); // this parser lets it pass
+            throw new IOException("field name without a value"); // the JSON parser does not reject this
         }
         named = token == JsonToken.FIELD_NAME;
         if (top == null) {
             if (token != JsonToken.START_OBJECT) {
-                throw new IOException("not an object");
+                throw new IOException("top-level value is not an object");
             }
             top = new LinkedHashMap<>();
             entries = new ArrayList<>();
@@ -111,7 +116,7 @@
             name = parser.currentName();
         } else if (!listing && token == JsonToken.START_ARRAY && ENTRIES.equals(name)) {
             listing = true;
-            entries.clear(); // said twice, the last one holds
+            entries.clear(); // if the key is repeated, the last value applies
         } else if (token == JsonToken.START_OBJECT || token == JsonToken.START_ARRAY) {
             opens(token);
         } else {
@@ -128,7 +133,7 @@
         }
     }
 
-    /** Within a value that is an object or an array. */
+    /** Handles a token within an object or array. */
     private void nested(JsonToken token) throws IOException {
         if (token == JsonToken.FIELD_NAME) {
             names.push(parser.currentName());
@@ -146,7 +151,7 @@
         }
     }
 
-    /** Keeps a value in the one that it is in. */
+    /** Adds a value to the innermost open container. */
     @SuppressWarnings("unchecked")
     private void keep(Object value) {
         if (open.peek() instanceof List<?> list) {
@@ -156,12 +161,12 @@
         }
     }
 
-    /** A value of the top's, or an entry. */
+    /** Handles a complete top-level value or a complete entry. */
     private void whole(Object value) throws IOException {
         if (!listing) {
             top.put(name, value);
         } else if (entries.size() >= MOST_ENTRIES) {
-            throw new IOException("a list of more than " + MOST_ENTRIES + " entries");
+            throw new IOException("list exceeds " + MOST_ENTRIES + " entries");
         } else {
             entries.add(value instanceof Map<?, ?> entry ? made(entry) : value);
         }
@@ -172,7 +177,7 @@
         Object made = reader.apply(entry);
         if (made != entry) {
             entry.clear();
-            spare = entry; // what the reader has no use for serves for the next one
+            spare = entry; // reused for the next entry
         }
         return made;
     }
@@ -190,7 +195,7 @@
             case VALUE_TRUE -> Boolean.TRUE;
             case VALUE_FALSE -> Boolean.FALSE;
             case VALUE_NULL -> null;
-            default -> throw new IOException("unexpected " + token);
+            default -> throw new IOException("unexpected token " + token);
         };
     }
 }
--- a/proxy/src/main/java/dockrelay/proxy/Main.java
+++ b/proxy/src/main/java/dockrelay/proxy/Main.java
@@ -2,12 +2,15 @@
 
 import java.io.IOException;
 
-/** Starts the proxy. */
+/** Entry point of the proxy. */
 public final class Main {
     private Main() {
     }
 
-    /** {@code serve} is the real proxy, {@code rehearse} a start of it for the build's archive of classes. */
+    /**
+     * {@code serve} runs the proxy; {@code rehearse} starts and stops it once, so that the build can record
+     * the loaded classes in the class-data archive.
+     */
     public static void main(String[] args) throws IOException {
         String command = args.length == 1 ? args[0] : "";
         switch (command) {
--- a/proxy/src/main/java/dockrelay/proxy/ProcessEnvironment.java
+++ b/proxy/src/main/java/dockrelay/proxy/ProcessEnvironment.java
@@ -8,15 +8,16 @@
 import java.util.Map;
 
 /**
- * What a process is given beside its configuration; each may be null. The folder outlives the process where
- * another takes its place, and the listener is the clients' socket where the platform holds it.
+ * What the platform provides to the process besides its configuration; each component may be null. The
+ * folder persists across restarts and is shared with a successor process. The listener is the listening
+ * socket for clients, if the platform holds it.
  */
 record ProcessEnvironment(InetSocketAddress console, Path folder, ServerSocketChannel listener) {
-    /** A process on its own. */
+    /** A process without any platform services. */
     static final ProcessEnvironment NONE = new ProcessEnvironment(null, null, null);
     private static final String STANDARD_INPUT = "0";
 
-    /** Reads the environment; what is set and cannot be used fails the start. */
+    /** Reads the environment variables. An invalid value makes the start fail. */
     static ProcessEnvironment read(Config config, Map<String, String> environment) throws IOException {
         String console = environment.get("PROXY_CONSOLE");
         String folder = environment.get("TMPDIR");
@@ -31,6 +32,7 @@
         if (channel instanceof ServerSocketChannel listener && listener.getLocalAddress() != null) {
             return listener;
         }
-        throw new IOException("PROXY_SOCKET_FD is " + descriptor + ", which is no listening socket at 0");
+        throw new IOException("PROXY_SOCKET_FD is " + descriptor
+            + "; only 0 (standard input) as a listening socket is supported");
     }
 }
--- a/proxy/src/main/java/dockrelay/proxy/Proxy.java
+++ b/proxy/src/main/java/dockrelay/proxy/Proxy.java
@@ -27,39 +27,49 @@
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 
-/** The real proxy: start, wiring and shutdown. One event loop thread owns the module and all sockets. */
+/**
+ * Start, wiring and shutdown of the proxy. A single event loop thread owns the balancer and all sockets.
+ */
 public final class Proxy {
-    /** Descriptors that are neither clients' nor backends': the runtime's files, listener, discovery. */
+    /**
+     * File descriptors used neither for clients nor for backends: files of the JVM, listener, discovery.
+     */
     private static final int SPARE_DESCRIPTORS = 32;
     /**
-     * Clients hold a third of all descriptors for their requests; the rest of this share is for those who
-     * hold one for nothing until they are sent away. Backends have about one for each request in hand.
+     * A third of all descriptors covers the requests of clients; the rest of this share is for idle client
+     * connections until they are closed. Backends use about one descriptor for each request in flight.
      */
     private static final double CLIENTS_SHARE = 0.65;
-    /** Holds a burst of new connections while the loop is busy for a moment. */
+    /** Queues a burst of new connections while the event loop is busy. */
     private static final int BACKLOG = 1024;
-    /** After SIGTERM new connections go on coming for up to 0.4 s; none is turned away. */
+    /** After SIGTERM new connections keep arriving for up to 0.4 s, and none may be refused. */
     static final long ACCEPT_AFTER_STOP_MILLIS = 550;
-    /** Two processes notice each other and each other's changes within this. */
+    /** Interval at which two processes of the same proxy detect each other and each other's changes. */
     private static final long LOOK_MILLIS = 100;
-    /** After the warm-up: the next process is to serve within 6 s of its start, discovery or not. */
+    /**
+     * Wait after the warm-up: the successor has to serve within 6 s of its start, even if discovery is
+     * down.
+     */
     private static final long LIST_MILLIS = 1_000;
     /**
-     * Where lists are pushed, what the agent has counts from the first moment: no request is taken before it
-     * has told its list. A restart has to be ready within 10 s, counted from a moment before this program's
-     * first line, with discovery down as well: what was known has to do then.
+     * If lists are pushed, the agent's list counts as known from the first moment, so no request is
+     * accepted before it has arrived. A restarted process has to be ready within 10 s, counted from shortly
+     * before its first instruction, even if discovery is down; then it serves by the cached list.
      */
     private static final long PUSHED_LIST_UPGRADE_MILLIS = 3_000, READY_MILLIS = 8_500;
-    /** SIGKILL follows SIGTERM after the longest deadline, of this at most, and 0.7 s: some of it is kept. */
+    /**
+     * SIGKILL follows SIGTERM after the longest deadline (at most this value) plus 0.7 s, of which a margin
+     * is kept.
+     */
     private static final long LONGEST_DEADLINE_MICROS = 3_000_000;
     private static final long LAST_CHANCE_MILLIS = 450;
     private static final long COUNTERS_MILLIS = 5_000;
-    /** How late the loop runs is looked at so often: each event waits as long as such a look does. */
+    /** Interval of the lateness measurement, kept long because every event has to wait while it runs. */
     private static final long LATENESS_MILLIS = 50;
-    /** Longer than any request may take: what is not over by then never will be. */
+    /** Longer than any request may take: whatever has not finished by then never will. */
     private static final long LONGEST_SHUTDOWN_SECONDS = 10;
 
-    /** About when this process began. */
+    /** Approximate start time of the process. */
     private static final long STARTED = System.nanoTime();
 
     private static final String REHEARSAL = "{\"name\":\"rehearsal\",\"listen\":\"127.0.0.1:0\","
@@ -79,9 +89,9 @@
     private final OperatorOverrides operators;
     private final Console console;
     private final UpgradeOverlapDetector succession;
-    private MembershipService members; // null where the configuration names none
+    private MembershipService members; // null if the configuration names no members
     private volatile boolean accepting, stopping;
-    private volatile boolean beside; // the console's thread sets it
+    private volatile boolean beside; // set by the console's thread
     private volatile int held;
     private final int room;
     private final boolean shared;
@@ -97,8 +107,9 @@
     }
 
     /**
-     * Begun at this time of the nano clock. Who sets the mark first settles whether it ever listens: from
-     * then on there may be requests to answer, and it has to be asked to stop.
+     * Creates a proxy whose process started at {@code begun} ({@link System#nanoTime}). The first thread to
+     * set {@code settled} decides whether the proxy ever listens: once it listens there may be requests to
+     * answer, so that it has to be stopped in order.
      */
     private Proxy(Config config, ProcessEnvironment platform, long begun, AtomicBoolean settled) throws IOException {
         LongSupplier clock = clock();
@@ -142,10 +153,12 @@
                 : new NioServerSocketChannel())
             .option(ChannelOption.SO_BACKLOG, BACKLOG).option(ChannelOption.SO_REUSEADDR, true)
             .childOption(ChannelOption.TCP_NODELAY, true).childOption(ChannelOption.ALLOCATOR, buffers);
-        // One accept at a time: of a batch the last ones would be open before room is made for them.
+        // Accepts one connection at a time: with batches, the last ones would be open before room is made
+        // for them.
         listening.option(ChannelOption.RECVBUF_ALLOCATOR, new ServerChannelRecvByteBufAllocator());
-        // Warm first: clients come before healthz says 200 where the front has not noticed a restart, and
-        // what is taken beside the warm-up is answered too late. A refused connection loses nothing.
+        // Warms up before listening: if the front load balancer has not noticed a restart, it sends clients
+        // before healthz answers 200, and requests accepted during the warm-up would be answered too late.
+        // A refused connection loses no request.
         WarmUp.run(config, buffers);
         if (!config.settings().mustSubscribe()) {
             long taken = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - begun);
@@ -163,21 +176,25 @@
             members.join();
         }
         loop.execute(this::count);
-        Log.write("start", config.name() + " listens at " + config.listen() + (shared ? ", shared" : ""));
+        Log.write("start", config.name() + " listening at " + config.listen()
+            + (shared ? ", inherited socket" : ""));
     }
 
-    /** Guards against taking clients over with an old list while the process before has a new one. */
+    /**
+     * Waits for the first list, to avoid serving clients by an outdated list while the predecessor has a
+     * newer one.
+     */
     private void awaitList(long millis) {
         try {
             if (!discovery.awaitList(millis)) {
-                Log.write("start", "no list of discovery's yet: what was known before has to do");
+                Log.write("start", "no list from discovery yet; serving by the cached list");
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** Writes the counters to the log, and with them the most that the loop was late. */
+    /** Schedules the log line of the counters and the measurement of the loop's maximum lateness. */
     private void count() {
         counters.registerGauge("loop-late-ms", () -> latest);
         counters.registerGauge("heap-mb", () -> {
@@ -197,7 +214,7 @@
         }, COUNTERS_MILLIS, COUNTERS_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    /** Runs the proxy that PROXY_CONFIG describes until it is told to end. */
+    /** Runs the proxy configured by PROXY_CONFIG until it is asked to stop. */
     public static void main() {
         CompletableFuture<Proxy> started = new CompletableFuture<>();
         AtomicBoolean settled = new AtomicBoolean(), failed = new AtomicBoolean();
@@ -205,19 +222,19 @@
             if (!failed.get()) {
                 end(started, settled);
             }
-            Runtime.getRuntime().halt(failed.get() ? 1 : 0); // asked to end, it ends well
+            Runtime.getRuntime().halt(failed.get() ? 1 : 0); // a requested stop exits with status 0
         }, "stop"));
         try {
             String named = System.getenv("PROXY_CONFIG");
             if (named == null) {
-                throw new SettingException("PROXY_CONFIG", null, "the configuration's file");
+                throw new SettingException("PROXY_CONFIG", null, "the path of the configuration file");
             }
             Path file = Path.of(named);
             Signals.onHangUp(() -> started.thenAccept(proxy -> proxy.reload(file)));
             Config config = Config.read(file);
             started.complete(new Proxy(config, ProcessEnvironment.read(config, System.getenv()), STARTED, settled));
         } catch (EndedException e) {
-            return; // the other thread ends the process
+            return; // the shutdown thread ends the process
         } catch (ConfigException | SettingException e) {
             fail(started, failed, e, () -> Log.write("start", e.getMessage()));
         } catch (IOException | RuntimeException e) {
@@ -233,15 +250,18 @@
         System.exit(1);
     }
 
-    /** Asked to end before it listened. */
+    /** The process was asked to stop before it listened. */
     private static final class EndedException extends RuntimeException {
         private static final long serialVersionUID = 1;
     }
 
-    /** Before it listens there is nothing to serve out; from then on the start is over soon. */
+    /**
+     * Stops the process. Before it listens there are no requests to finish; afterwards the start completes
+     * soon.
+     */
     private static void end(CompletableFuture<Proxy> started, AtomicBoolean settled) {
         if (settled.compareAndSet(false, true)) {
-            Log.write("stop", "asked to end before it listened");
+            Log.write("stop", "asked to stop before listening");
             return;
         }
         try {
@@ -253,8 +273,10 @@
         }
     }
 
-    /** Reads the configuration again; what cannot be read changes nothing. Only discovery and peers can
-     * move. */
+    /**
+     * Reads the configuration again; if that fails, nothing changes. Only the address of discovery and the
+     * peers can change.
+     */
     void reload(Path file) {
         try {
             Config next = Config.readAgain(file);
@@ -265,7 +287,7 @@
                 Log.write("reload", file + ": no members are named, or Peers is false: those that were in"
                     + " force stay so until a restart");
             } else if (next.membership()) {
-                Log.write("reload", file + ": members are named: they are taken up by a restart");
+                Log.write("reload", file + ": members are named: they take effect at a restart");
             }
         } catch (ConfigException e) {
             Log.write("reload", e.getMessage() + "; what was in force stays so");
@@ -275,14 +297,17 @@
     }
 
     /**
-     * Starts and ends a proxy that nobody uses, so that the build can archive the classes a start takes:
-     * a proxy that was killed is back sooner when the runtime finds them ready-made.
+     * Starts and stops an unused proxy, so that the build can archive the classes that a start loads.
+     * Classes from the archive shorten the restart after a kill.
      */
     public static void runClassArchiveTraining() throws IOException {
         new Proxy(Config.parse(REHEARSAL)).stop();
     }
 
-    /** Real time in microseconds: the wall clock as it stood at the start, carried on by the steady one. */
+    /**
+     * Wall-clock time in microseconds: taken once at the start and advanced by the monotonic clock, so that
+     * it never jumps.
+     */
     private static LongSupplier clock() {
         long wall = System.currentTimeMillis() * 1000;
         long start = System.nanoTime();
@@ -297,7 +322,7 @@
         return console.address();
     }
 
-    /** How many connections of clients there are. */
+    /** The number of open client connections. */
     int clientConnectionCount() {
         return clients.connectionCount();
     }
@@ -314,7 +339,7 @@
         return stopping;
     }
 
-    /** How many requests are in hand, or have attempts out still. */
+    /** The number of requests in flight, including those with attempts that are still running. */
     int inFlightRequestCount() {
         return table.inFlightCount();
     }
@@ -323,12 +348,15 @@
         return !stopping && discovery.anyReady();
     }
 
-    /** Lays what the operators said over what the module and the pool go by, at once. */
+    /** Applies an operator's change to a backend, for the balancer and the connection pool, at once. */
     private CompletableFuture<Void> enforce(String backend) {
         return CompletableFuture.runAsync(() -> discovery.operated(backend), loop);
     }
 
-    /** What is known of the other proxies is the module's to go by, and grows old while the loop is busy. */
+    /**
+     * Passes the membership of the fleet to the balancer. Its age includes the time it waits for a busy
+     * event loop.
+     */
     private void told(FleetView fleet) {
         long at = System.nanoTime();
         loop.execute(() -> table.updateFleetView(new FleetView(fleet.proxies(), fleet.me(), fleet.share(),
@@ -336,14 +364,15 @@
             fleet.agreement(), (System.nanoTime() - at) / 1000, fleet.countsAge())));
     }
 
-    /** Takes up what another process of this proxy has changed. */
+    /** Applies changes made by another process of the same proxy. */
     private void lookAround() {
         operators.refresh().forEach(this::enforce);
         try {
             int others = succession.exchangeDescriptorCounts(held);
             if (others >= 0 != beside) {
                 beside = others >= 0;
-                Log.write("console", beside ? "another process of this proxy runs beside" : "alone again");
+                Log.write("console", beside ? "another process of this proxy is running"
+                    : "the other process of this proxy has ended");
             }
             loop.execute(() -> {
                 int left = others < 0 ? room : room - SPARE_DESCRIPTORS - others;
@@ -352,14 +381,14 @@
                 held = clients.connectionCount() + pool.connectionCount();
             });
         } catch (IOException e) {
-            Log.error("console", e); // it goes on with the places it has
+            Log.error("console", e); // keeps its current connection limits
         }
     }
 
-    /** Answers all that comes and all that was taken, then ends; returns once that is done. */
+    /** Stops accepting, answers all accepted requests and shuts down. Blocks until that is done. */
     void stop() {
         loop.execute(() -> {
-            Log.write("stop", "asked to end with " + table.inFlightCount() + " requests in hand");
+            Log.write("stop", "asked to stop with " + table.inFlightCount() + " requests in flight");
             stopping = true;
             if (members != null) {
                 members.stopSpending();
@@ -373,16 +402,16 @@
         });
         try {
             boolean done = finished.await(LONGEST_SHUTDOWN_SECONDS, TimeUnit.SECONDS);
-            Log.write("stop", done ? "done" : "gave up waiting");
+            Log.write("stop", done ? "done" : "timed out waiting for requests to finish");
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
     /**
-     * Leaves new connections to the next process where there is one, else takes them for as long as they may
-     * come, and keeps those there are for as long as time allows: each ends with its next answer, and one
-     * that a request may be on its way to is not closed under it.
+     * Leaves new connections to the successor process if there is one, otherwise accepts them as long as
+     * they may arrive. Open connections are kept as long as time allows: each is closed with its next
+     * response, and a connection on which a request may be on its way is not closed.
      */
     private void serveOut() {
         long left = TimeUnit.MICROSECONDS.toMillis(Math.min(longestDeadline, LONGEST_DEADLINE_MICROS))
@@ -401,7 +430,7 @@
         loop.schedule(clients::closeIdle, left, TimeUnit.MILLISECONDS);
     }
 
-    /** The last answers are on their way: the loop writes them out before it ends. */
+    /** The last responses are being written; the event loop flushes them before it ends. */
     private void finish() {
         discovery.close();
         if (members != null) {
--- a/proxy/src/main/java/dockrelay/proxy/RingOrder.java
+++ b/proxy/src/main/java/dockrelay/proxy/RingOrder.java
@@ -8,9 +8,9 @@
 import java.util.function.ToLongFunction;
 
 /**
- * Sorts members, or entries, by where they stand in the order that all proxies have in common, as little at
- * a time as the caller has time for. It goes by the upper bits of their places; what is equal there stays in
- * its order, as does what is said of one name.
+ * Sorts members or entries by their position in the ring order that all proxies share, in steps of the
+ * caller's choice. Uses only the top bits of the positions; the sort is stable, so updates of the same name
+ * keep their order.
  */
 final class RingOrder {
     private static final int PARTS = 1 << Byte.SIZE;
@@ -18,7 +18,7 @@
     private final List<?> items;
     private final ToLongFunction<String> numbers;
     private final byte[] parts;
-    private final int[] ends = new int[PARTS + 1]; // of the parts, by how many there are
+    private final int[] ends = new int[PARTS + 1]; // ends of the buckets in the sorted array
     private int at;
 
     RingOrder(List<?> items, ToLongFunction<String> numbers) {
@@ -27,12 +27,13 @@
         this.parts = new byte[items.size()];
     }
 
-    /** Looks at some more of them; returns whether that was all. */
+    /** Processes at most {@code most} further items; returns whether all have been processed. */
     boolean look(int most) {
         for (int end = (int) Math.min(parts.length, at + (long) most); at < end; at++) {
             Object item = items.get(at);
             Object name = item instanceof ListedBackend member ? member.name()
-                : item instanceof Map<?, ?> entry ? entry.get("id") : null; // a bad one is told of later
+                // a bad entry is reported when it is applied
+                : item instanceof Map<?, ?> entry ? entry.get("id") : null;
             long position = name instanceof String text
                 ? Balancer.ringPosition(numbers.applyAsLong(text)) : 0;
             parts[at] = (byte) (position >>> Long.SIZE - Byte.SIZE);
@@ -41,7 +42,7 @@
         return at == parts.length;
     }
 
-    /** All of them, once all were looked at. */
+    /** Returns all items in sorted order; call it after all items have been processed. */
     List<Object> sorted() {
         for (int part = 0; part < PARTS; part++) {
             ends[part + 1] += ends[part];
--- a/proxy/src/main/java/dockrelay/proxy/Signals.java
+++ b/proxy/src/main/java/dockrelay/proxy/Signals.java
@@ -2,12 +2,15 @@
 
 import java.lang.reflect.Proxy;
 
-/** Signals other than the ones that end a program. The JDK's only way is one the compiler warns of. */
+/**
+ * Handles SIGHUP. The JDK only offers the internal class sun.misc.Signal, which is accessed by reflection
+ * to avoid compiler warnings.
+ */
 final class Signals {
     private Signals() {
     }
 
-    /** Runs this on a thread of its own at each SIGHUP, which would end the program otherwise. */
+    /** Runs the action on a separate thread at each SIGHUP, which would terminate the process otherwise. */
     static void onHangUp(Runnable action) {
         try {
             Class<?> signal = Class.forName("sun.misc.Signal");
@@ -19,7 +22,7 @@
                 });
             signal.getMethod("handle", signal, handler).invoke(null, hangUpSignal(), told);
         } catch (ReflectiveOperationException e) {
-            throw new IllegalStateException("cannot take SIGHUP", e);
+            throw new IllegalStateException("cannot install a handler for SIGHUP", e);
         }
     }
 
--- a/proxy/src/main/java/dockrelay/proxy/WarmUp.java
+++ b/proxy/src/main/java/dockrelay/proxy/WarmUp.java
@@ -54,14 +54,17 @@
 import java.util.function.LongSupplier;
 
 /**
- * Takes made-up requests through a second set of the proxy's own parts: over sockets in a folder of this
- * process where there can be such ones, as the code of sockets is to be warm too, else in memory.
- * Guards against the first seconds of service: unloaded classes and interpreted code took whole cores then.
+ * Sends synthetic requests through a second instance of the proxy's components: over Unix domain sockets in
+ * a temporary folder if possible, so that the socket code is compiled as well, otherwise in memory. Without
+ * it, class loading and interpreted code use whole cores in the first seconds of service.
  */
 final class WarmUp {
-    /** Past the light compiler's threshold for what each connection runs through, and no more. */
+    /**
+     * Enough connections to exceed the C1 compiler's threshold for code that runs once per connection, and
+     * no more.
+     */
     static final int REQUESTS = 240;
-    /** Connections come and go as well. */
+    /** Few requests per connection, so that opening and closing connections is warmed up as well. */
     static final int REQUESTS_EACH = 2;
     private static final int CLIENTS = 8;
     private static final int BACKENDS = 8;
@@ -76,7 +79,7 @@
     private int asked, answered;
     private volatile boolean failed;
 
-    /** What the channels are, and where clients and backends meet the proxy. */
+    /** Channel types and addresses of the client side and the backend side. */
     private record Transport(IoHandlerFactory handlers, Class<? extends Channel> channel,
                              Class<? extends ServerChannel> server, SocketAddress front, SocketAddress back) {
         static Transport memory() {
@@ -97,13 +100,13 @@
         this.transport = transport;
     }
 
-    /** Only $TMPDIR can be written to in service. */
+    /** Uses TMPDIR, the only writable folder in service. */
     static void run(Config config, ByteBufAllocator buffers) {
         String folder = System.getenv("TMPDIR");
         run(config, buffers, Path.of(folder == null ? System.getProperty("java.io.tmpdir") : folder));
     }
 
-    /** Returns whether it ran over sockets, in a folder below this one. */
+    /** Runs the warm-up in a temporary folder below {@code parent}. Returns whether it ran over sockets. */
     static boolean run(Config config, ByteBufAllocator buffers, Path parent) {
         Path folder = null;
         boolean warm = false;
@@ -111,7 +114,7 @@
             folder = Files.createTempDirectory(parent, "warm");
             warm = meet(folder.resolve("trial")) && run(config, buffers, Transport.sockets(folder));
         } catch (IOException | RuntimeException e) {
-            Log.error("warm-up", e); // no place for sockets: it goes on without
+            Log.error("warm-up", e); // falls back to the in-memory transport
         } finally {
             delete(folder);
         }
@@ -121,7 +124,10 @@
         return warm;
     }
 
-    /** Whether two such sockets meet at all: where they do not, waiting for it would delay the start. */
+    /**
+     * Whether two Unix domain sockets can connect here. If not, waiting for the warm-up to time out would
+     * delay the start.
+     */
     private static boolean meet(Path name) throws IOException {
         try (ServerSocketChannel server = ServerSocketChannel.open(StandardProtocolFamily.UNIX);
              SocketChannel client = SocketChannel.open(StandardProtocolFamily.UNIX)) {
@@ -148,7 +154,7 @@
             Files.deleteIfExists(folder.resolve("back"));
             Files.deleteIfExists(folder);
         } catch (IOException e) {
-            Log.error("warm-up", e); // two names in a private folder are left over
+            Log.error("warm-up", e); // at most two files are left over in a private folder
         }
     }
 
@@ -162,7 +168,7 @@
             Thread.currentThread().interrupt();
             return true;
         } catch (RuntimeException e) {
-            Log.error("warm-up", e); // a cold proxy serves as well, only slower at first
+            Log.error("warm-up", e); // not fatal: a cold proxy is only slower at first
             return false;
         } finally {
             group.shutdownGracefully(0, 1_000, TimeUnit.MILLISECONDS);
@@ -202,7 +208,7 @@
         }
     }
 
-    /** Without a listener nothing would ever be over. */
+    /** Ends the warm-up if a listener could not be bound, since it would never complete. */
     private void listens(Future<?> bound) {
         if (!bound.isSuccess()) {
             failed = true;
@@ -222,7 +228,7 @@
             }).bind(transport.back).addListener(this::listens);
     }
 
-    /** A client that asks again once it is answered. */
+    /** A client that sends its next request after each response. */
     private final class Asking extends SimpleChannelInboundHandler<FullHttpResponse> {
         private int here;
 
@@ -252,12 +258,13 @@
                 context.close();
                 asking.connect(transport.front);
             } else if (answered < REQUESTS) {
-                loop.execute(() -> ask(context)); // a socket's answer never comes from within the asking
+                // over a socket, a response never arrives within the call that sends the request
+                loop.execute(() -> ask(context));
             }
         }
     }
 
-    /** A backend that answers at once, and now and then does not. */
+    /** A backend that answers at once, except for every 50th request. */
     private static final class Answering extends SimpleChannelInboundHandler<FullHttpRequest> {
         private int count;
 
@@ -275,7 +282,7 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            context.close(); // the loser of two copies is called off
+            context.close(); // expected: the losing attempt of a redundant pair is cancelled
         }
     }
 }
--- a/proxy/src/test/java/dockrelay/proxy/BackendRemoval.java
+++ b/proxy/src/test/java/dockrelay/proxy/BackendRemoval.java
@@ -11,8 +11,8 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /**
- * Two backends, of which discovery removes one, and proxies as processes that know both: who still sends to
- * the removed one, which goes on answering?
+ * Fixture with two backends, one of which discovery removes while it still answers, and proxy processes
+ * that know both. Records the requests that still reach the removed backend.
  */
 final class BackendRemoval implements AutoCloseable {
     static final long GRACE_MILLIS = 1_500;
@@ -29,7 +29,7 @@
     final String bothEntries = keptEntry + "," + Fakes.entryJson("s-removed", removed.port(), "active");
     final String removedEntry = Fakes.entryJson("s-removed", removed.port(), "left");
 
-    /** So many proxies, each with a folder of its own in this one. */
+    /** Creates proxies that are not started yet, each with its own subfolder. */
     void addProxies(int count, Path folder) throws IOException {
         for (int i = 0; i < count; i++) {
             proxies.add(new ProxyProcess(folder.resolve("n" + i)));
@@ -37,8 +37,8 @@
     }
 
     /**
-     * Sends requests to each proxy until a moment of the nano clock. Checks that each proxy serves, and that
-     * nothing arrives at the removed backend after another moment.
+     * Sends requests to each proxy until {@code until} ({@link System#nanoTime}). Checks that each proxy
+     * serves requests, and that none reaches the removed backend after {@code stopped}.
      */
     void assertNoneArrivesAfter(long stopped, long until, Object hint) throws Exception {
         List<SequentialClient> clients = new ArrayList<>();
@@ -46,10 +46,10 @@
             clients.add(new SequentialClient(proxy, stopped, until));
         }
         for (SequentialClient client : clients) {
-            assertTrue(client.servedCount() > 0, "each proxy still serves");
+            assertTrue(client.servedCount() > 0, "each proxy serves requests after the removal");
         }
         assertEquals(0, arrivedAtRemoved.stream().filter(at -> at > stopped).count(),
-            "requests at the removed backend after the grace; " + hint);
+            "requests at the removed backend after the grace period; " + hint);
     }
 
     @Override
--- a/proxy/src/test/java/dockrelay/proxy/BackoffTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/BackoffTest.java
@@ -6,13 +6,15 @@
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
 
+/** Tests the bounds and the jitter of the exponential backoff. */
 class BackoffTest {
     @Test
     void waitsStayBelowABoundThatDoublesAndStartsAnew() {
         Backoff backoff = new Backoff(50, 1_000, 7);
         for (int i = 0; i < 40; i++) {
             long wait = backoff.next();
-            assertTrue(wait >= 0 && wait <= Math.min(1_000, 50L << Math.min(i, 10)), i + ": " + wait);
+            assertTrue(wait >= 0 && wait <= Math.min(1_000, 50L << Math.min(i, 10)), i + ": wait in ms is "
+                + wait);
         }
         backoff.reset();
         assertTrue(backoff.next() <= 50);
@@ -22,7 +24,7 @@
     void seedsSpreadTheFirstWaitOverAllOfItsBound() {
         long[] waits = LongStream.range(0, 200).map(seed -> new Backoff(1_000, 1_000, seed).next())
             .sorted().toArray();
-        assertTrue(waits[0] < 100 && waits[199] > 900, waits[0] + " to " + waits[199]);
+        assertTrue(waits[0] < 100 && waits[199] > 900, waits[0] + " ms shortest, longest " + waits[199]);
         assertEquals(new Backoff(1_000, 1_000, 3).next(), new Backoff(1_000, 1_000, 3).next());
     }
 }
--- a/proxy/src/test/java/dockrelay/proxy/BrokenAnswerTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/BrokenAnswerTest.java
@@ -10,7 +10,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** After an answer that ended in the middle, proxies of a fleet went on for seconds without the list. */
+/**
+ * Guards against proxies that wait for seconds to call again after an answer from discovery was truncated.
+ */
 class BrokenAnswerTest {
     private static final int PROXIES = 16;
     private static final long COUNTED_MILLIS = 4_000;
@@ -36,7 +38,7 @@
             proxy.start(discovery.door().port(), removal.bothEntries, "\"Me\":" + number++ + "," + SETTINGS);
         }
         removal.proxies.forEach(ProxyProcess::awaitServing);
-        Fakes.await("all proxies watch", () -> discovery.watches() == PROXIES);
+        Fakes.await("a watch from each proxy", () -> discovery.watches() == PROXIES);
     }
 
     @ParameterizedTest
@@ -49,6 +51,6 @@
         long stopped = cutAt
             + TimeUnit.MILLISECONDS.toNanos(BackendRemoval.GRACE_MILLIS + BackendRemoval.SLACK_MILLIS);
         removal.assertNoneArrivesAfter(stopped, cutAt + TimeUnit.MILLISECONDS.toNanos(COUNTED_MILLIS),
-            "proxies that watch: " + discovery.watches());
+            "proxies with a watch: " + discovery.watches());
     }
 }
--- a/proxy/src/test/java/dockrelay/proxy/CallPacingTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/CallPacingTest.java
@@ -13,15 +13,15 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The calls of whole fleets on a virtual clock. Times are in milliseconds. */
+/** Simulates the calls of whole fleets on a virtual clock. Times are in milliseconds. */
 class CallPacingTest {
     private static final long ASK_WITHIN = 10_000, GRACE = 1_500;
     private static final long END = 40_000;
     private static final int SEEDS = 50;
-    /** One call at discovery, and all of a fleet together at the most. */
+    /** Service time of one call, and the maximum service time for a whole fleet. */
     private static final long CALL_TIME = 200, MAX_WHOLE_FLEET = 3_500;
 
-    /** By when the last proxy has to have its list, where nothing was written before. */
+    /** Deadline for the last proxy to have its list, if no part of it was sent before. */
     private static long limit(Trigger trigger) {
         return (trigger == Trigger.MOVE ? DiscoveryTimeouts.TOLD_MOVED : DiscoveryTimeouts.TOLD) + GRACE;
     }
@@ -29,11 +29,14 @@
     private static void assertInTime(Scenario scenario, long limit) {
         for (long seed = 1; seed <= SEEDS; seed++) {
             long last = new DiscoveryModel(scenario, seed).play(END).lastAnswer();
-            assertTrue(last <= limit, scenario + ", seed " + seed + ": the last list after " + last + " ms");
+            assertTrue(last <= limit, scenario + ", seed " + seed + ": last proxy has its list after "
+                + last + " ms");
         }
     }
 
-    /** With discovery that could serve the whole fleet in this time, if each proxy called once. */
+    /**
+     * {@code wholeFleet} is the time in which discovery can serve the whole fleet if each proxy calls once.
+     */
     @ParameterizedTest
     @CsvSource({"OUTAGE,24,4000", "OUTAGE,100,5000", "START,24,4000", "START,100,5000", "SILENCE,24,4000",
         "SILENCE,100,5000", "MOVE,24,4000", "MOVE,100,5000", "START_MOST,24,4000", "START_MOST,100,5000",
@@ -45,7 +48,7 @@
         assertInTime(new Scenario(trigger, fleet, wholeFleet), limit(trigger));
     }
 
-    /** However long it was down, and whether calls were refused or left waiting meanwhile. */
+    /** For outages of any length, whether calls were refused or timed out meanwhile. */
     @ParameterizedTest
     @ValueSource(longs = {100, 1_000, 2_000, 4_000, 8_000, 12_000, 15_000, 20_000, 25_000, 30_000})
     void afterAnOutageAllHaveTheListInTime(long outage) {
@@ -60,7 +63,7 @@
         }
     }
 
-    /** What was written before the cut counts at once. */
+    /** The part sent before the cut counts as known at once. */
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 2})
     void aProxyWhoseAnswersAreCutHasTheNextOneWithinTheGrace(int furtherCuts) {
@@ -80,7 +83,7 @@
         assertInTime(new Scenario(Trigger.RESET, fleet, 1_300), GRACE);
     }
 
-    /** It is there, and may have had more to say. */
+    /** Discovery is up, and may have had more to send. */
     @Test
     void aProxyWhoseWatchIsClosedHasTheNextListWithinTheGrace() {
         for (int fleet : new int[] {1, 2, 8, 9, 16, 24, 50, 100}) {
@@ -88,7 +91,7 @@
         }
     }
 
-    /** A slow discovery cannot serve all at once, but serves them in the end. */
+    /** A slow discovery cannot serve all proxies at once, but serves each in time. */
     @ParameterizedTest
     @ValueSource(ints = {16, 24, 50, 100})
     void aFleetWhoseAnswersAreAllCutDoesNotOverrunASlowDiscovery(int fleet) {
@@ -96,7 +99,7 @@
         assertInTime(new Scenario(Trigger.CUT, fleet, wholeFleet), limit(Trigger.CUT));
     }
 
-    /** A few that start are no crowd: they have room beside all others. */
+    /** A few starting proxies do not overload discovery and need not wait for their slots. */
     @Test
     void theProxiesOfARollingRestartCallWithoutMuchDelay() {
         int fleet = 100, group = 10;
@@ -104,17 +107,18 @@
         for (int i = 0; i < fleet; i++) {
             sum += new CallPacing(fleet, i, ASK_WITHIN, i).firstCall();
         }
-        assertTrue(sum / fleet <= DiscoveryTimeouts.MOST_APART, sum / fleet + " ms in the mean");
+        assertTrue(sum / fleet <= DiscoveryTimeouts.MOST_APART, sum / fleet + " ms mean wait of the fleet");
         for (int first = 0; first < fleet; first += group) {
             long ofGroup = 0;
             for (int i = first; i < first + group; i++) {
                 ofGroup += new CallPacing(fleet, i, ASK_WITHIN, i).firstCall();
             }
-            assertTrue(ofGroup / group <= DiscoveryTimeouts.MOST_APART, "group " + first + ": " + ofGroup);
+            assertTrue(ofGroup / group <= DiscoveryTimeouts.MOST_APART, "sum of waits in group " + first
+                + ": " + ofGroup);
         }
     }
 
-    /** A handful of proxies does not wait for an interval. */
+    /** A small fleet does not wait for an interval. */
     @Test
     void aSmallFleetBacksOffExponentially() {
         CallPacing pacing = new CallPacing(8, 0, ASK_WITHIN, 3);
@@ -124,12 +128,13 @@
             long wait = pacing.afterFailure(0, true);
             assertTrue(wait <= Math.min(DiscoveryTimeouts.FIRST_APART << Math.min(i, 10),
                 DiscoveryTimeouts.MOST_APART),
-                i + ": " + wait);
+                i + ": wait in ms is " + wait);
         }
-        assertEquals(0, pacing.afterFailure(DiscoveryTimeouts.MOST_APART, true), "counted from its begin");
+        assertEquals(0, pacing.afterFailure(DiscoveryTimeouts.MOST_APART, true),
+            "the wait counts from the start of the call");
     }
 
-    /** A call that is refused by chance now and then is not one of a crowd; many in a row are. */
+    /** A single refusal does not indicate overload; many in a row do. */
     @Test
     void aCallThatIsRefusedAtOnceIsRepeatedSoonButNotForEver() {
         CallPacing pacing = new CallPacing(100, 0, ASK_WITHIN, 3);
@@ -139,12 +144,14 @@
         assertTrue(pacing.afterFailure(15, true) >= CallPacing.MAX_FIRST_INTERVAL / 2);
         pacing.reset();
         assertTrue(pacing.afterFailure(DiscoveryModel.MAX_WAIT, true)
-            >= CallPacing.MAX_FIRST_INTERVAL / 2 - DiscoveryModel.MAX_WAIT, "it had waited");
+            >= CallPacing.MAX_FIRST_INTERVAL / 2 - DiscoveryModel.MAX_WAIT,
+            "a call refused after a wait is repeated after an interval");
         pacing.reset();
-        assertTrue(pacing.afterFailure(15, true) <= DiscoveryTimeouts.FIRST_APART, "anew after an answer");
+        assertTrue(pacing.afterFailure(15, true) <= DiscoveryTimeouts.FIRST_APART,
+            "an answer resets the backoff");
     }
 
-    /** A connection that ends before its time has lost an answer; a refusal has not. */
+    /** A connection that ends early has lost an answer; a refusal has not. */
     @Test
     void aCallWhoseConnectionEndsBeforeAnAnswerIsRepeatedAtOnce() {
         CallPacing pacing = new CallPacing(100, 99, ASK_WITHIN, 3);
@@ -152,7 +159,7 @@
         assertTrue(pacing.afterFailure(1_000, true) >= CallPacing.MAX_FIRST_INTERVAL / 2 - 1_000);
     }
 
-    /** Where discovery resets the calls that have waited too long, a reset is no lost answer. */
+    /** If discovery resets calls that have waited too long, a reset does not indicate a lost answer. */
     @Test
     void callsWhoseConnectionsEndOneAfterAnotherWaitForAnInterval() {
         CallPacing pacing = new CallPacing(100, 99, ASK_WITHIN, 3);
@@ -161,10 +168,10 @@
             assertTrue(pacing.afterFailure(1_000, false) >= CallPacing.MAX_FIRST_INTERVAL / 2 - 1_000);
         }
         pacing.answered(50);
-        assertTrue(pacing.afterFailure(1_000, false) <= 2 * CallPacing.JITTER, "anew after an answer");
+        assertTrue(pacing.afterFailure(1_000, false) <= 2 * CallPacing.JITTER, "an answer resets the state");
     }
 
-    /** An older list is seen by all who call at once; they do not ask again all at once. */
+    /** All proxies that call receive the older list; they must not call again at the same time. */
     @Test
     void proxiesThatFindDiscoveryBehindDoNotAskAgainTogether() {
         int fleet = 100;
@@ -174,7 +181,7 @@
             CallPacing pacing = new CallPacing(fleet, i, ASK_WITHIN, i);
             pacing.answered(callTime);
             asked[i] = pacing.whileBehind();
-            assertTrue(asked[i] <= DiscoveryTimeouts.TOLD, "in time: " + asked[i]);
+            assertTrue(asked[i] <= DiscoveryTimeouts.TOLD, "called too late, after ms: " + asked[i]);
         }
         Arrays.sort(asked);
         long served = 0, longestWait = 0;
@@ -182,27 +189,27 @@
             served = Math.max(served, at) + callTime;
             longestWait = Math.max(longestWait, served - at);
         }
-        assertTrue(longestWait < DiscoveryModel.MAX_WAIT, "the longest wait: " + longestWait);
+        assertTrue(longestWait < DiscoveryModel.MAX_WAIT, "longest time in the queue in ms: " + longestWait);
         assertEquals(DiscoveryTimeouts.TOLD, new CallPacing(8, 0, ASK_WITHIN, 3).whileBehind());
     }
 
-    /** Answers that are always cut must not make a proxy call without end. */
+    /** A proxy must back off if all answers are truncated. */
     @Test
     void answersThatAreAlwaysCutAreAskedForLessAndLess() {
         CallPacing pacing = new CallPacing(100, 0, ASK_WITHIN, 3);
         for (int i = 0; i < 100; i++) {
             long wait = pacing.afterBrokenAnswer();
             long bound = Math.min(CallPacing.JITTER << Math.min(i, 10), DiscoveryTimeouts.MOST_APART);
-            assertTrue(wait <= bound, i + ": " + wait);
+            assertTrue(wait <= bound, i + ": wait in ms is " + wait);
         }
         long sum = 0;
         for (int i = 0; i < 100; i++) {
             sum += pacing.afterBrokenAnswer();
         }
-        assertTrue(sum / 100 > DiscoveryTimeouts.MOST_APART / 4, sum / 100 + " ms in the mean");
+        assertTrue(sum / 100 > DiscoveryTimeouts.MOST_APART / 4, sum / 100 + " ms mean wait");
     }
 
-    /** Settings that want a call sooner than that are kept. */
+    /** A shorter limit in the settings is respected. */
     @Test
     void noWaitIsMuchLongerThanTheSettingsAllow() {
         CallPacing pacing = new CallPacing(100, 0, 1_000, 3);
@@ -212,13 +219,14 @@
         }
     }
 
-    /** While calls are answered late or never the interval grows, but not for ever. */
+    /** While calls are answered late or never, the interval grows, but only up to a bound. */
     @ParameterizedTest
     @EnumSource(value = Trigger.class, names = {"START", "RESET", "SILENCE", "CUT"})
     void aFleetThatDiscoveryCannotServeInTimeCallsLessAndLess(Trigger trigger) {
         for (long seed = 1; seed <= SEEDS; seed++) {
             DiscoveryModel model = new DiscoveryModel(new Scenario(trigger, 100, 10_000), seed).play(120_000);
-            assertTrue(model.lastAnswer() <= 120_000, seed + ": the last list after " + model.lastAnswer());
+            assertTrue(model.lastAnswer() <= 120_000,
+                seed + ": last proxy has its list after ms " + model.lastAnswer());
         }
     }
 }
--- a/proxy/src/test/java/dockrelay/proxy/CrowdedDiscovery.java
+++ b/proxy/src/test/java/dockrelay/proxy/CrowdedDiscovery.java
@@ -9,12 +9,12 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Discovery with one queue for all its callers, which other callers keep full. A call that finds no room is
- * refused at once, one that is let in is answered after the whole wait. Every second call of a caller finds
- * room. It refuses a caller and not a call: with a refusal all calls of that caller that wait are over.
+ * A discovery service whose single queue is kept full by other callers. Every second call of a caller is
+ * queued and answered after the whole wait; the others are refused at once. A refusal applies to the
+ * caller: it also ends all of that caller's queued calls.
  */
 final class CrowdedDiscovery implements AutoCloseable {
-    /** How long a call waits that has found room while it is crowded. */
+    /** Time that a queued call waits while discovery is crowded. */
     static final long QUEUE_MILLIS = 2_000;
     private static final long HEARTBEAT_MILLIS = 500;
     private final List<Door> doors = new ArrayList<>();
@@ -25,7 +25,7 @@
         this.list = list;
     }
 
-    /** The whole list as it is from now on. */
+    /** Replaces the full list that later calls receive. */
     void publish(String whole) {
         list = whole;
     }
@@ -34,7 +34,7 @@
         crowded = true;
     }
 
-    /** The address of one caller. */
+    /** Opens an address for one caller. */
     Door door() {
         Door door = new Door();
         doors.add(door);
@@ -48,7 +48,7 @@
         }
     }
 
-    /** One caller's address; the calls that wait for an answer there. */
+    /** The address of one caller, with its calls that wait for an answer. */
     final class Door extends Fakes.FakeServer {
         private final List<Socket> waiting = new ArrayList<>();
         private int callsInCrowd, answered;
@@ -60,7 +60,7 @@
             }
             connection.getOutputStream().write(("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                 + FakeDiscovery.chunk(list)).getBytes(StandardCharsets.UTF_8));
-            while (!connection.isClosed()) { // until the proxy ends the watch: the write fails then
+            while (!connection.isClosed()) { // ends when the proxy closes the watch and the write fails
                 pause();
                 connection.getOutputStream().write(FakeDiscovery.chunk("").getBytes(StandardCharsets.UTF_8));
             }
--- a/proxy/src/test/java/dockrelay/proxy/CrowdedDiscoveryTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/CrowdedDiscoveryTest.java
@@ -13,17 +13,15 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Most proxies of a fleet were killed at once and started again while discovery had more callers than it
- * could serve. Some of them had no list ten seconds later and went on sending to servers that were gone by
- * then. A call that discovery had let in waited up to two seconds for its turn, but the proxy took one that
- * was not answered within 1.5 s for dead and made a second call beside it. Discovery refused that one, and
- * with it the first: "call 6 after version 0, 1516 ms old, failed: answered 503" and "call 7 after version
- * 0, 15 ms old, failed: answered 503" have the same time of day in the log. With all proxies doing so no
- * call was answered for ten seconds, though ten a second were let in.
+ * Guards against proxies that end their own queued calls. While discovery was overloaded, a call waited up
+ * to 2 s in its queue, but a proxy took a call that was unanswered for 1.5 s for dead and made a second
+ * one. Discovery refused that one and the queued first call with it (in the log both fail with status 503
+ * at the same time of day). With all restarted proxies doing so, no call was answered for 10 s although ten
+ * a second were queued, and requests went on to backends that were gone.
  */
 class CrowdedDiscoveryTest {
     private static final int PROXIES = 4;
-    /** After that no request may reach a removed backend, however crowded discovery was. */
+    /** After this time no request may reach a removed backend, however crowded discovery was. */
     private static final long STOPPED_MILLIS =
         DiscoveryTimeouts.TOLD + BackendRemoval.GRACE_MILLIS + BackendRemoval.SLACK_MILLIS;
     private static final String SETTINGS = "\"Discovery\":\"ask\",\"Obligations\":{\"AskWithin\":10.0,"
@@ -67,7 +65,7 @@
         long until = stopped + TimeUnit.SECONDS.toNanos(1);
         removal.assertNoneArrivesAfter(stopped, until, "discovery is crowded");
         for (int i = 0; i < PROXIES; i++) {
-            assertEquals(1, doors.get(i).answered(), "calls of n" + i + " that were answered\n"
+            assertEquals(1, doors.get(i).answered(), "answered calls of proxy n" + i + "\n"
                 + removal.proxies.get(i).readLog());
         }
     }
--- a/proxy/src/test/java/dockrelay/proxy/CuttingDiscovery.java
+++ b/proxy/src/test/java/dockrelay/proxy/CuttingDiscovery.java
@@ -10,29 +10,29 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /**
- * Discovery that answers each call at once, but ends watches in the middle of what it has to say, and the
- * next answers of the same caller too.
+ * A discovery service that answers each call at once, but cuts watches in the middle of an object, and
+ * optionally the next answers to the same caller too.
  */
 final class CuttingDiscovery implements AutoCloseable {
     private static final long HEARTBEAT_MILLIS = 500;
     private static final int NO_LINGER_SECONDS = 0;
     private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-    /** How a connection ends; one that stalls stays open and silent. */
+    /** How a connection ends; STALL keeps it open without sending anything. */
     enum End { CLOSE, RESET, STALL }
 
     private final List<Door> doors = new CopyOnWriteArrayList<>();
     private final Set<Socket> stalled = ConcurrentHashMap.newKeySet();
     private volatile String answer;
-    private volatile int length; // of what is said of an answer that is cut
+    private volatile int length; // bytes sent of a truncated answer
     private volatile End end;
 
-    /** The first thing that it says to each caller. */
+    /** {@code answer} is the first object sent to each caller. */
     CuttingDiscovery(String answer) {
         this.answer = answer;
     }
 
-    /** The address of one caller. */
+    /** Opens an address for one caller. */
     Door door() {
         Door door = new Door();
         doors.add(door);
@@ -44,8 +44,8 @@
     }
 
     /**
-     * Says so many bytes of this on each watch and ends it; so it does with the next answers, as many as
-     * given, of each caller, and then it answers in whole.
+     * Sends the first {@code bytes} bytes of the change on each watch and ends it. The next {@code
+     * furtherAnswers} answers to each caller are truncated in the same way; later ones are complete.
      */
     void cutAll(String change, int bytes, End how, int furtherAnswers) throws IOException {
         end = how;
@@ -85,7 +85,7 @@
         }
     }
 
-    /** One caller's address. */
+    /** The address of one caller. */
     final class Door extends Fakes.FakeServer {
         private final List<Socket> watches = new CopyOnWriteArrayList<>();
         private volatile int answersToCut;
@@ -99,14 +99,14 @@
                 answersToCut--;
                 cut(connection, HEAD);
                 while (connection.getInputStream().read() >= 0) {
-                    continue; // until the proxy has enough of it, where it stalls
+                    continue; // until the proxy closes the stalled connection
                 }
                 return;
             }
             write(connection, HEAD + FakeDiscovery.chunk(answer));
             watches.add(connection);
             try {
-                while (true) { // until the watch ends: the write fails then
+                while (true) { // ends when the proxy closes the watch and the write fails
                     Thread.sleep(HEARTBEAT_MILLIS);
                     if (stalled.contains(connection)) {
                         continue;
--- a/proxy/src/test/java/dockrelay/proxy/DiscoveryCollapseTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/DiscoveryCollapseTest.java
@@ -11,16 +11,16 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * After an outage of discovery a large fleet stayed without a list for ten seconds and more, and went on
- * sending to servers that were gone. Discovery could serve some 19 calls a second; each proxy that waited
- * for a list made about one a second. A call that had waited for two seconds failed and was made again at
- * once, but kept its place in discovery's queue, so that discovery served callers that had gone: of 828
- * calls begun in the last eleven seconds of a day none was answered. With one call of each proxy in five
- * seconds, all else equal, all 39 calls of the three seconds after the outage were answered.
+ * Guards against congestion collapse of discovery. After an outage, a large fleet had no list for more than
+ * 10 s and sent requests to backends that were gone: discovery could serve about 19 calls a second, and
+ * each proxy without a list made about one a second. A call that timed out after 2 s was repeated at once
+ * but kept its place in the queue, so discovery only served callers that had given up: none of 828 calls in
+ * 11 s was answered. With one call per proxy every 5 s, all 39 calls in the 3 s after the outage were
+ * answered.
  */
 class DiscoveryCollapseTest {
     private static final int PROXIES = 16;
-    /** It can serve all proxies within 3.4 s, but not one call a second of each. */
+    /** Discovery can serve all proxies within 3.4 s, but not one call a second from each. */
     private static final long CALL_MILLIS = 210;
     private static final long OUTAGE_MILLIS = 6_000;
     private static final String SETTINGS = "\"Discovery\":\"ask\",\"Balancers\":" + PROXIES
@@ -45,7 +45,7 @@
             proxy.start(discovery.door().port(), removal.bothEntries, "\"Me\":" + number++ + "," + SETTINGS);
         }
         removal.proxies.forEach(ProxyProcess::awaitServing);
-        Fakes.await("all proxies watch", () -> discovery.watches() == PROXIES);
+        Fakes.await("a watch from each proxy", () -> discovery.watches() == PROXIES);
     }
 
     @Test
@@ -57,7 +57,7 @@
         long stopped = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(
             DiscoveryTimeouts.TOLD + BackendRemoval.GRACE_MILLIS + BackendRemoval.SLACK_MILLIS);
         removal.assertNoneArrivesAfter(stopped, stopped + TimeUnit.SECONDS.toNanos(1),
-            "proxies that watch: " + discovery.watches());
+            "proxies with a watch: " + discovery.watches());
         assertEquals(PROXIES, discovery.watches());
     }
 }
--- a/proxy/src/test/java/dockrelay/proxy/DiscoveryModel.java
+++ b/proxy/src/test/java/dockrelay/proxy/DiscoveryModel.java
@@ -9,8 +9,8 @@
 import java.util.SplittableRandom;
 
 /**
- * The calls of a whole fleet on a virtual clock, to a discovery that serves one call after another, also
- * those that have failed by then for having waited too long. Times are in milliseconds.
+ * Simulates the calls of a whole fleet on a virtual clock, to a discovery service that serves one call at a
+ * time, including those that have timed out in its queue. Times are in milliseconds.
  */
 final class DiscoveryModel {
     static final long MAX_WAIT = 2_000;
@@ -18,31 +18,33 @@
     private static final long START_SPREAD = 500;
     private static final long NETWORK = 1;
 
-    /** What makes proxies call. */
+    /** The event that makes proxies call. */
     enum Trigger {
-        /** Discovery is down, and comes back with changes; all watches were reset, or closed. */
+        /**
+         * Discovery was down and comes back with changes; all watches were reset, or closed in good order.
+         */
         OUTAGE, OUTAGE_CLOSED,
-        /** All start within half a second; seven in ten. */
+        /** All proxies, or seven in ten, start within half a second. */
         START, START_MOST,
-        /** All watches fall silent within a heartbeat; counted from the silence. */
+        /** All watches fall silent within one heartbeat interval; times count from the silence. */
         SILENCE,
-        /** Discovery moves, and all are notified at once. */
+        /** Discovery moves, and all proxies are notified at once. */
         MOVE,
         /** All watches are reset between two objects. */
         RESET,
-        /** All watches are closed between two objects; that of one proxy alone. */
+        /** All watches, or that of a single proxy, are closed between two objects. */
         CLOSED, CLOSED_ONE,
-        /** All watches break in the middle of an object; that of one proxy alone. */
+        /** All watches, or that of a single proxy, break in the middle of an object. */
         CUT, CUT_ONE
     }
 
-    /** How calls fail that discovery does not take: down or with a full queue. */
+    /** How calls fail while discovery is down: refused at once, or timed out. */
     enum Away { REFUSES, LETS_WAIT }
 
     /**
-     * One fleet and its discovery, which needs so long to serve each proxy once; with so many calls waiting
-     * it refuses what comes on top. The outage counts where that is the trigger. So many answers to each
-     * proxy are cut before one comes whole.
+     * A fleet and its discovery service. {@code wholeFleet} is the time to serve each proxy once; calls
+     * beyond {@code maxQueue} pending ones are refused; {@code outage} only applies to the outage triggers;
+     * {@code cutAnswers} answers to each proxy are truncated before a complete one.
      */
     record Scenario(Trigger trigger, int fleet, long wholeFleet, long outage, Away away, int maxQueue,
                     int cutAnswers) {
@@ -82,10 +84,10 @@
         }
     }
 
-    /** One proxy's calls, as {@link Discovery} makes them. */
+    /** The calls of one proxy, scheduled as in {@link Discovery}. */
     private final class Caller {
         final CallPacing pacing;
-        final List<Call> open = new ArrayList<>(); // calls that wait
+        final List<Call> open = new ArrayList<>(); // unanswered calls
         long beganAt, answeredAt = -1;
         int round, answersToCut;
 
@@ -119,7 +121,7 @@
             }
         }
 
-        /** It refuses a caller and not a call: all that this one has waiting are over. */
+        /** A refusal applies to the caller: all its queued calls fail. */
         private void refuse() {
             List.copyOf(open).forEach(each -> fail(each, true));
         }
@@ -169,7 +171,7 @@
         events.add(new Event(now + wait, order++, action));
     }
 
-    /** One call at a time, each for as long as any other. */
+    /** Serves one call at a time, each for the same time. */
     private void serve() {
         if (!serving && !queue.isEmpty()) {
             serving = true;
@@ -182,7 +184,7 @@
         }
     }
 
-    /** Plays it until that time after the trigger. */
+    /** Runs the simulation until this time after the trigger. */
     DiscoveryModel play(long until) {
         boolean outage = scenario.trigger == Trigger.OUTAGE || scenario.trigger == Trigger.OUTAGE_CLOSED;
         downUntil = outage ? scenario.outage : 0;
@@ -191,7 +193,7 @@
             case START_MOST -> Math.max(1, scenario.fleet * 7 / 10);
             default -> scenario.fleet;
         };
-        // One alone may be any of them: its slot may be the last one.
+        // A single proxy may be any of them, also the one with the last slot.
         int first = affected == 1 ? random.nextInt(scenario.fleet) : 0;
         for (int i = 0; i < affected; i++) {
             Caller caller = new Caller(first + i, random.nextLong());
@@ -208,7 +210,7 @@
 
     private long firstWait(CallPacing pacing) {
         if (scenario.trigger != Trigger.MOVE && !scenario.trigger.name().startsWith("START")) {
-            pacing.answered(scenario.callTime()); // it had a watch before
+            pacing.answered(scenario.callTime()); // from the watch that it had before
         }
         return switch (scenario.trigger) {
             case OUTAGE, RESET -> pacing.afterEnd(false);
@@ -221,13 +223,15 @@
         };
     }
 
-    /** In a small fleet the module makes the first call, within a fifth of the time for asking. */
+    /**
+     * In a small fleet the balancer requests the first call, within a fifth of the time allowed for calls.
+     */
     private long firstCall(CallPacing pacing) {
         return pacing.decidesFirstCall() ? pacing.firstCall()
             : Math.min(pacing.firstCall(), random.nextLong(ASK_WITHIN / 5));
     }
 
-    /** How long after the trigger, or after discovery's return, the last proxy has its list. */
+    /** Time from the trigger, or from the end of the outage, until the last proxy has its list. */
     long lastAnswer() {
         long last = 0;
         for (Caller caller : callers) {
@@ -236,7 +240,7 @@
         return last - downUntil;
     }
 
-    /** How many calls were begun from one time after the trigger to the other. */
+    /** Number of calls started between two times after the trigger. */
     long offered(long from, long to) {
         return offered.stream().filter(at -> at >= downUntil + from && at < downUntil + to).count();
     }
--- a/proxy/src/test/java/dockrelay/proxy/DiscoveryTimeoutsTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/DiscoveryTimeoutsTest.java
@@ -5,9 +5,12 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** All that may lie between discovery's return and the list fits into the time in which it counts as told. */
+/**
+ * Checks that all delays between the return of discovery and the list add up to less than the time after
+ * which changes count as known.
+ */
 class DiscoveryTimeoutsTest {
-    /** How a call ends while discovery is away, and how long that takes. */
+    /** How a call ends while discovery is down, and after how many milliseconds. */
     private enum Away {
         REFUSED(1), TURNED_AWAY(1_000), NO_CONNECTION(DiscoveryTimeouts.CONNECT),
         NOTHING_SAID(Integer.MAX_VALUE);
@@ -20,8 +23,9 @@
     }
 
     /**
-     * Tries as Discovery makes them: the next begins ANSWER after one that has no answer, or after a drawn
-     * wait where one has failed. Returns when the first one begins at or after this time.
+     * Simulates the calls of Discovery: the next one starts ANSWER ms after a call without an answer, or
+     * after a random wait if the call failed. Returns the start of the first call at or after the given
+     * time.
      */
     private static long firstTryFrom(long back, Away away, SplittableRandom random) {
         Backoff backoff = new Backoff(DiscoveryTimeouts.FIRST_APART, DiscoveryTimeouts.MOST_APART,
@@ -44,18 +48,18 @@
             for (int i = 0; i < 20_000; i++) {
                 long back = 1 + random.nextLong(30_000);
                 long begins = firstTryFrom(back, away, random);
-                // That one has no answer, and the connection beside it comes up late.
+                // This call has no answer, and the connection beside it comes up late.
                 long asked = begins + DiscoveryTimeouts.BESIDE + DiscoveryTimeouts.LATE_CONNECTION;
                 assertTrue(asked + DiscoveryTimeouts.call() - back <= DiscoveryTimeouts.TOLD,
-                    away + ": asked " + (asked - back) + " ms after discovery was back");
+                    away + ": called " + (asked - back) + " ms after discovery came back");
             }
         }
     }
 
     @Test
     void eachOfTheSumsLeavesTimeForTheCall() {
-        assertTrue(DiscoveryTimeouts.call() >= 900, DiscoveryTimeouts.call() + " ms");
+        assertTrue(DiscoveryTimeouts.call() >= 900, DiscoveryTimeouts.call() + " ms left for the call");
         assertTrue(DiscoveryTimeouts.MOST_APART >= DiscoveryTimeouts.BESIDE,
-            "a slow call is not given up for a wait");
+            "a slow call must not be abandoned because of a shorter maximum wait");
     }
 }
--- a/proxy/src/test/java/dockrelay/proxy/DiscoveryWatchTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/DiscoveryWatchTest.java
@@ -22,14 +22,17 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Watches that fall silent, stop in the middle, lag behind or are laid out otherwise: real sockets. */
+/**
+ * Tests watches that fall silent, break, return older versions or use another JSON layout, over real
+ * sockets.
+ */
 class DiscoveryWatchTest {
     private static final String ASKED = "\"Discovery\":\"ask\",\"Obligations\":{\"AskWithin\":0.2},";
 
-    /** How a watch goes wrong once it has told the first list. */
+    /** How a watch fails after it has sent the first list. */
     private enum Fault { SILENT, HALF_DEAD, CUT_SHORT, BLANKS_IN_THE_MIDDLE, ENDS_IN_THE_MIDDLE }
 
-    /** Each watch does what its number says; the first one goes wrong. */
+    /** A discovery service whose first watch fails; later ones work, except as the fault requires. */
     private static final class Odd extends Fakes.FakeServer {
         private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
         final List<String> asked = new CopyOnWriteArrayList<>();
@@ -58,11 +61,12 @@
                 if (fault == Fault.ENDS_IN_THE_MIDDLE) {
                     return;
                 }
-                while (fault == Fault.BLANKS_IN_THE_MIDDLE) { // until the other side has enough of it
+                while (fault == Fault.BLANKS_IN_THE_MIDDLE) { // until the proxy closes the connection
                     out.write(chunk("\n").getBytes(StandardCharsets.UTF_8));
                     pause();
                 }
-            } else if (number > 1 || fault != Fault.HALF_DEAD) { // its host takes connections and no more
+            // a hung host accepts connections but sends nothing
+            } else if (number > 1 || fault != Fault.HALF_DEAD) {
                 out.write((HEAD + chunk(then)).getBytes(StandardCharsets.UTF_8));
             }
             while (connection.getInputStream().read() >= 0) {
@@ -102,7 +106,7 @@
 
     private void awaitServedBy(String body) throws IOException {
         try (FakeClient client = new FakeClient(proxy)) {
-            Fakes.await("answers of " + body, () -> {
+            Fakes.await("a response of backend " + body, () -> {
                 try {
                     return client.send(FakeClient.getRequest("4.0")).readResponse().endsWith(body);
                 } catch (IOException e) {
@@ -127,7 +131,7 @@
         }
     }
 
-    /** What it went on to say is not known, and discovery is away from then on. */
+    /** The rest of the truncated change is unknown, and discovery is down from then on. */
     @ParameterizedTest
     @ValueSource(strings = {"", ASKED})
     void removalsOfABrokenAnswerAreInForceWithoutItsRest(String mode) throws Exception {
@@ -152,7 +156,7 @@
             for (int i = 0; i < 20; i++) {
                 awaitServedBy("two");
             }
-            assertEquals(before, one.requests.size(), "it drains by what was said");
+            assertEquals(before, one.requests.size(), "requests at the draining backend");
             discovery.setFirstList(FakeDiscovery.listJson(8, true, Fakes.entryJson("s-1", one.port(), "active")));
             discovery.rejecting = false;
             awaitServedBy("one");
@@ -166,11 +170,11 @@
         try (Odd discovery = new Odd(Fault.SILENT, indented, "")) {
             proxy = new Proxy(Fakes.config(discovery.port(), 1024));
             awaitServedBy("two");
-            assertEquals(1, discovery.asked.size(), "one watch is enough");
+            assertEquals(1, discovery.asked.size(), "calls");
         }
     }
 
-    /** A list is longer than what is read of it at a time, and than any one object may be in memory. */
+    /** The list is longer than the read buffer and than the maximum size of an entry. */
     @Test
     void aLongListIsTakenInWhole() throws Exception {
         String[] entries = new String[40_000];
@@ -184,7 +188,7 @@
             try (Odd discovery = new Odd(Fault.SILENT, list, "")) {
                 proxy = new Proxy(Fakes.config(0, discovery.port(), 1024, "", mode));
                 awaitServedBy("one");
-                assertEquals(1, discovery.asked.size(), "no other watch beside the one that moves");
+                assertEquals(1, discovery.asked.size(), "calls, while the first one makes progress");
                 proxy.stop();
                 proxy = null;
             }
@@ -195,19 +199,19 @@
     void anOlderVersionDoesNotTakeTheNewerOnesPlace() throws Exception {
         try (Odd discovery = new Odd(Fault.ENDS_IN_THE_MIDDLE, list(7, one), list(6, two))) {
             proxy = new Proxy(Fakes.config(discovery.port(), 1024));
-            Fakes.await("a second watch", () -> discovery.asked.size() > 1);
-            Fakes.await("what it says has come", () -> {
+            Fakes.await("a second call", () -> discovery.asked.size() > 1);
+            Fakes.await("service by the backend of the newer list", () -> {
                 try (FakeClient client = new FakeClient(proxy)) {
                     return client.send(FakeClient.getRequest("4.0")).readResponse().endsWith("one");
                 } catch (IOException e) {
                     throw new IllegalStateException(e);
                 }
             });
-            assertTrue(two.requests.isEmpty(), "the older list named another backend");
+            assertTrue(two.requests.isEmpty(), "the backend of the older list received a request");
         }
     }
 
-    /** Where a try says nothing another one begins beside it, and once one speaks there is one alone. */
+    /** A second call starts beside an unanswered one; once one is answered, only that one remains. */
     @Test
     void whereDiscoveryIsAskedATryThatSaysNothingDoesNotHoldUpTheNext() throws Exception {
         CountDownLatch speak = new CountDownLatch(1);
@@ -226,19 +230,19 @@
             discovery.setFirstList(list(9, two));
             proxy = new Proxy(Fakes.config(0, discovery.port(), 1024, "",
                 "\"Discovery\":\"ask\",\"Obligations\":{\"AskWithin\":10.0},"));
-            Fakes.await("two tries at once", () -> discovery.openConnections.size() == 2);
+            Fakes.await("two concurrent calls", () -> discovery.openConnections.size() == 2);
             speak.countDown();
             awaitServedBy("two");
-            Fakes.await("one watch", () -> discovery.openConnections.size() == 1);
+            Fakes.await("a single remaining watch", () -> discovery.openConnections.size() == 1);
         }
     }
 
-    /** Blank lines alone say that nothing has changed: that is a watch, and no reason for another one. */
+    /** Heartbeats alone keep a watch alive, so no second call is made. */
     @Test
     void aWatchWithNothingNewIsAWatch() throws Exception {
         FakeDiscovery discovery = new FakeDiscovery();
         try (discovery) {
-            discovery.setFirstList(""); // and blank lines from then on, until it is told of a change
+            discovery.setFirstList(""); // then only heartbeats until a change is pushed
             Thread beats = new Thread(() -> {
                 while (!Thread.currentThread().isInterrupted()) {
                     try {
@@ -251,19 +255,22 @@
             });
             proxy = new Proxy(Fakes.config(0, discovery.port(), 1024,
                 Fakes.entryJson("s-1", one.port(), "active"), ASKED));
-            Fakes.await("a watch", () -> discovery.requests.size() == 1);
+            Fakes.await("a call", () -> discovery.requests.size() == 1);
             beats.start();
             awaitServedBy("one");
             long since = System.nanoTime();
             long longer = (DiscoveryTimeouts.SILENT + DiscoveryTimeouts.BESIDE) * 1_000_000L;
-            Fakes.await("more than a silence has passed", () -> System.nanoTime() - since > longer);
+            Fakes.await("the silence timeout to pass", () -> System.nanoTime() - since > longer);
             assertEquals(1, discovery.requests.size());
             beats.interrupt();
             beats.join();
         }
     }
 
-    /** The known list names one, the agent's another one: the first request has to go to the latter. */
+    /**
+     * The cached list and the agent's list name different backends: the first request has to use the
+     * agent's.
+     */
     @ParameterizedTest
     @ValueSource(strings = {"", "\"Discovery\":\"push\","})
     void nothingIsTakenBeforeThePushedListIsThere(String mode) throws Exception {
@@ -274,8 +281,8 @@
             Config config = Fakes.config(0, discovery.port(), 1024, known, mode);
             FutureTask<Proxy> starting = new FutureTask<>(() -> new Proxy(config));
             new Thread(starting).start();
-            Fakes.await("some calls that failed", () -> discovery.requests.size() > 5);
-            assertFalse(starting.isDone(), "it serves by a list that it kept");
+            Fakes.await("several failed calls", () -> discovery.requests.size() > 5);
+            assertFalse(starting.isDone(), "started to serve by the cached list");
             discovery.setFirstList(list(9, two));
             discovery.rejecting = false;
             proxy = starting.get();
@@ -287,11 +294,11 @@
     @Test
     void allThatLiesBetweenASilenceAndTheNewListFitsIntoTheTimeItMayTake() {
         assertTrue(DiscoveryTimeouts.SILENT > DiscoveryTimeouts.HEARTBEAT,
-            "a heartbeat that is on time is no silence");
+            "the silence timeout must exceed the heartbeat interval");
         assertTrue(DiscoveryTimeouts.CONNECT > DiscoveryTimeouts.LATE_CONNECTION,
-            "a late connection is taken");
+            "the connect timeout must exceed the delay of a late connection");
         assertTrue(DiscoveryTimeouts.BESIDE > DiscoveryTimeouts.LATE_CONNECTION,
-            "it has time to answer before another one");
-        assertTrue(DiscoveryTimeouts.call() >= 500, DiscoveryTimeouts.call() + " ms are left for the call");
+            "a late connection must be up before another one is opened");
+        assertTrue(DiscoveryTimeouts.call() >= 500, DiscoveryTimeouts.call() + " ms left for the call");
     }
 }
--- a/proxy/src/test/java/dockrelay/proxy/KnownListTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/KnownListTest.java
@@ -22,7 +22,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What the configuration says was known is never there as it is written, however many it names. */
+/**
+ * Checks that the known list of the configuration is never held in its textual form, however long it is.
+ */
 class KnownListTest {
     private static final int MANY = 86_000;
 
@@ -39,9 +41,9 @@
         assertEquals(9, known.version());
         assertInstanceOf(RequestTable.ListedBackend.class, entries.get(0));
         assertInstanceOf(RequestTable.ListedBackend.class, entries.get(1));
-        assertEquals(Map.of("id", "s-3"), entries.get(2), "what says too little is judged when it is taken");
+        assertEquals(Map.of("id", "s-3"), entries.get(2), "an incomplete entry stays unconverted");
         assertEquals(7L, entries.get(3));
-        assertTrue(known.take().isEmpty(), "it is kept for nobody");
+        assertTrue(known.take().isEmpty(), "entries can be taken only once");
 
         BackendRegistry listing = new BackendRegistry(new OperatorOverrides(null));
         listing.take(entries, true);
@@ -50,7 +52,7 @@
         assertEquals(first, listing.read(Map.of("id", "s-1", "zone", first.backend().zone(), "kind",
             first.backend().kind(), "addr", "127.0.0.1:81", "cell", first.backend().cell(), "weight",
             first.backend().weight(), "started_ms", first.backend().startedAt() / 1000, "state", "active")),
-            "discovery's word for it is the same object");
+            "an unchanged entry from discovery must yield an equal member");
     }
 
     @Test
@@ -71,7 +73,10 @@
         assertTrue(Config.readAgain(file).known().take().isEmpty());
     }
 
-    /** As a process with the heap that `run` has: it starts with them, serves, and lives through a reload. */
+    /**
+     * Starts a process with the heap size of the deployment's run command: it has to serve and to survive a
+     * reload.
+     */
     @Test
     void aStartWithAllBackendsOfALargeFleetKnownFitsTheHeap(@TempDir Path folder) throws Exception {
         int port;
@@ -88,11 +93,11 @@
             Files.writeString(file, Fakes.configJson(port, away.port(), 1024, all, ""));
             Process process = start(file, folder);
             try {
-                Fakes.await("it serves", () -> !process.isAlive() || answers(port));
+                Fakes.await("the proxy to serve, or to exit", () -> !process.isAlive() || answers(port));
                 assertTrue(process.isAlive(), () -> log(folder));
                 Files.writeString(file, Fakes.configJson(port, next.port(), 1024, all, ""));
                 new ProcessBuilder("kill", "-HUP", Long.toString(process.pid())).start().waitFor();
-                Fakes.await("the next discovery's list is there", () -> !process.isAlive()
+                Fakes.await("the list of the new discovery address, or exit", () -> !process.isAlive()
                     || log(folder).contains("list of version 2, entries 1"));
                 assertTrue(process.isAlive() && answers(port), () -> log(folder));
                 assertFalse(log(folder).contains("OutOfMemory"), () -> log(folder));
--- a/proxy/src/test/java/dockrelay/proxy/ListApplierTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/ListApplierTest.java
@@ -20,13 +20,16 @@
 import java.util.function.ToLongFunction;
 import org.junit.jupiter.api.Test;
 
-/** Long lists a batch a turn: turns are the test's own, what each costs is counted. */
+/**
+ * Tests that long lists are applied one batch per turn. The test runs the turns and counts the work in
+ * each.
+ */
 class ListApplierTest {
     private static final int BATCH = ListApplier.BATCH;
     private static final int NAMES = 1_500;
     private static final int[] SIZES = {2_000, 4_000, 8_000};
 
-    /** One that is told, and holds what it was told as the pool and the module do. */
+    /** Receives the members and keeps them as the connection pool and the balancer do. */
     private static final class Told implements ListApplier.Sink {
         final OperatorOverrides operators = new OperatorOverrides(null);
         final BackendRegistry listing;
@@ -49,7 +52,7 @@
         @Override
         public void tell(ListUpdateType scope, List<ListedBackend> members) {
             if (failing > 0 && --failing == 0) {
-                throw new IllegalStateException("a fault of whoever is told");
+                throw new IllegalStateException("simulated failure of the sink");
             }
             scopes.add(scope);
             most = Math.max(most, members.size());
@@ -81,7 +84,7 @@
             return turned;
         }
 
-        /** What the listing has, by names. */
+        /** The members in the registry, by name. */
         Map<String, Backend> listed() {
             Map<String, Backend> listed = new TreeMap<>();
             for (int i = 0; i < NAMES; i++) {
@@ -107,7 +110,9 @@
         return entry;
     }
 
-    /** Entries as they are when they are read, which is before what was said before is applied in whole. */
+    /**
+     * Converts entries as the parser does: possibly before earlier updates have been applied completely.
+     */
     private static Update update(Told by, long version, boolean full, List<Map<String, Object>> entries) {
         List<Object> read = new ArrayList<>();
         entries.forEach(entry -> read.add(by.listing.read(entry)));
@@ -125,7 +130,7 @@
     private static Told listed(int count) {
         Told told = new Told();
         told.applier.apply(update(told, 1, true, entries(0, count, "active")));
-        assertEquals(List.of(ListUpdateType.FULL), told.scopes, "nothing can be served before the first list");
+        assertEquals(List.of(ListUpdateType.FULL), told.scopes, "the first list must be applied at once");
         told.turn();
         told.scopes.clear();
         told.most = 0;
@@ -139,14 +144,16 @@
             told.applier.apply(update(told, 2, true, entries(0, size, "active")));
             int turns = told.turn() + 1;
             assertEquals(BATCH, told.most);
-            assertTrue(turns <= size / BATCH + 2 * (size / (16 * BATCH)) + 6, turns + " turns of " + size);
+            assertTrue(turns <= size / BATCH + 2 * (size / (16 * BATCH)) + 6, turns + " turns for entries: "
+                + size);
             told.applier.apply(update(told, 3, false, entries(0, size / 7, "left")));
             told.turn();
             told.applier.apply(update(told, 4, true, entries(size, 2 * size, "active")));
             told.turn();
             assertEquals(BATCH, told.most);
             assertEquals(size, told.holds.size());
-            assertFalse(told.scopes.contains(ListUpdateType.FULL), "of which the module would walk over all");
+            assertFalse(told.scopes.contains(ListUpdateType.FULL),
+                "a full scope makes the balancer scan all its backends in one turn");
             assertEquals(List.of(1L, 2L, 3L, 4L), told.applied);
         }
     }
@@ -165,7 +172,10 @@
         assertEquals(3, told.idle);
     }
 
-    /** As fast as it is read: a turn has as much to do with many short ones as with a long one. */
+    /**
+     * Many short changes that arrive faster than they are applied take about as many turns as one long
+     * list.
+     */
     @Test
     void manyShortChangesAreToldABatchATurn() {
         for (int size : SIZES) {
@@ -173,13 +183,13 @@
             for (int i = 0; i < size; i++) {
                 told.applier.apply(update(told, 2 + i, false, entries(i, i + 1, "leaving")));
             }
-            assertEquals(1, told.scopes.size(), "the first at once, the others in later turns");
+            assertEquals(1, told.scopes.size(), "only the first change is applied at once");
             assertEquals(2 * size > ListApplier.MOST_WAITING, told.applier.isFull());
             int turns = told.turn();
             assertEquals(BATCH, told.most);
             int together = size / ListApplier.MOST_WAITING + 1;
-            assertTrue(turns <= size / BATCH + 4 * together + 2, turns + " turns of " + size);
-            assertTrue(told.scopes.size() <= size / BATCH + together + 1, told.scopes.size() + " words");
+            assertTrue(turns <= size / BATCH + 4 * together + 2, turns + " turns for entries: " + size);
+            assertTrue(told.scopes.size() <= size / BATCH + together + 1, told.scopes.size() + " batches");
             assertFalse(told.applier.isFull());
             assertEquals(size + 1, told.applied.size());
             assertTrue(told.holds.values().stream().allMatch(each -> each.phase() == Phase.DRAINING));
@@ -213,7 +223,7 @@
         assertEquals(Phase.DRAINING, told.listing.get("s-998").backend().phase());
     }
 
-    /** Left out by a list that is being applied: what an operator says of one does not bring it back. */
+    /** An operator's change must not restore a member that the list in progress leaves out. */
     @Test
     void whatAnOperatorSaysMeanwhileBringsNobodyBack() throws Exception {
         Told told = listed(1_000);
@@ -226,7 +236,7 @@
         for (int i = 500; i < 1_000; i++) {
             ListedBackend member = told.listing.operated("s-" + i);
             assertEquals(member != null, told.holds.containsKey(EntryReader.number("s-" + i)),
-                "told as long as it is held, and no longer");
+                "a member must be passed on exactly while the sink holds it");
         }
         told.turn();
         assertEquals(500, told.holds.size());
@@ -243,7 +253,9 @@
         assertEquals(List.of(1L, 2L, 3L), told.applied);
     }
 
-    /** One that has taken all in at once, and what it was told a batch at a time, as it is in the end. */
+    /**
+     * Applies random updates in batches to the first recorder and at once to the second, and returns both.
+     */
     private static Told[] played(int seed, ToLongFunction<String> numbers) {
         Random random = new Random(seed);
         Told told = new Told(numbers), atOnce = new Told(numbers);
@@ -256,7 +268,7 @@
                     String[] states = {"active", "active", "active", "leaving", "left"};
                     String state = states[random.nextInt(states.length)];
                     some.add(random.nextInt(5) > 0 ? entry(i, state, 1 + random.nextInt(2))
-                        : Map.of("id", "s-" + i, "state", state)); // what it leaves out stays as it was
+                        : Map.of("id", "s-" + i, "state", state)); // omitted values stay the same
                 }
             }
             told.applier.apply(update(told, version, full, some));
@@ -270,19 +282,23 @@
         return new Told[] {told, atOnce};
     }
 
-    /** Lists and changes at random, said in the middle of each other. */
+    /** Random lists and changes that arrive while others are being applied. */
     @Test
     void inTheEndAllHoldWhatOneWhoTakesAllInAtOnceHolds() {
         for (int seed = 1; seed <= 40; seed++) {
             Told[] both = played(seed, EntryReader::number);
-            assertTrue(both[1].holds.equals(both[0].holds), "held alike, seed " + seed);
-            assertTrue(both[1].listed().equals(both[0].listed()), "listed alike, seed " + seed);
+            assertTrue(both[1].holds.equals(both[0].holds), "different members at the sinks, seed " + seed);
+            assertTrue(both[1].listed().equals(both[0].listed()),
+                "different members in the registries, seed " + seed);
             assertEquals(both[1].listing.size(), both[0].listing.size(), "seed " + seed);
             assertEquals(both[1].listing.anyReady(), both[0].listing.anyReady(), "seed " + seed);
         }
     }
 
-    /** Who has which number then goes by the order; that each is known by one, and told by it, does not. */
+    /**
+     * Numbers depend on the order of the updates here, but each member must have exactly one, which is also
+     * the one passed on.
+     */
     @Test
     void namesThatFallTogetherAreToldApartAlsoWhereTheyAreReadEarly() {
         for (int seed = 1; seed <= 40; seed++) {
@@ -290,7 +306,8 @@
             Map<Long, Backend> listed = new TreeMap<>();
             told.listed().values().forEach(backend -> listed.put(backend.id(), backend));
             assertEquals(told.listing.size(), listed.size(), "seed " + seed);
-            assertTrue(listed.equals(told.holds), "held as listed, seed " + seed);
+            assertTrue(listed.equals(told.holds), "members at the sink differ from the registry, seed "
+                + seed);
         }
     }
 }
--- a/proxy/src/test/java/dockrelay/proxy/ListCrossingTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/ListCrossingTest.java
@@ -18,12 +18,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Lists and reloads that come while a backend drains and still has requests. */
+/** Tests lists and reloads that arrive while a backend drains and still has requests. */
 class ListCrossingTest {
     private static final String SERVED = Fakes.httpResponse("200 OK", "", "served"),
         LATE = Fakes.httpResponse("200 OK", "", "late"),
         HEALTH = "GET /healthz HTTP/1.1\r\nHost: app\r\n\r\n";
-    /** In seconds: the time in which a request may be held, however slow the machine is. */
+    /** Deadline of the held requests in seconds, long enough for a slow machine. */
     private static final String PATIENCE = "60.0";
     private static final int SOCKETS = 1024, SOME = 4, ROUNDS = 10, LONG = 3_000, LONGER = 20_000;
 
@@ -69,7 +69,7 @@
         return entry.replace("\"cell\":1,", "\"cell\":64,");
     }
 
-    /** With room for more than the request that it has: it would be sent to if it did not drain. */
+    /** An entry with spare capacity: the backend would receive further requests if it did not drain. */
     private String first(String state) {
         return roomy(Fakes.entryJson("s-1", draining.port(), state));
     }
@@ -82,18 +82,18 @@
         return roomy(Fakes.entryJson("s-2", staying.port(), "active"));
     }
 
-    /** Told last, so that what it serves shows that all before was taken. */
+    /** Listed last: once it serves, all earlier updates have been applied. */
     private String last() {
         return roomy(Fakes.entryJson("s-3", newest.port(), "active"));
     }
 
-    /** A proxy with one request that the only backend has in hand. */
+    /** Starts a proxy with one request in flight at its only backend. */
     private FakeClient held() throws Exception {
         discovery.setFirstList(FakeDiscovery.listJson(1, true, first("active")));
         proxy = new Proxy(Fakes.parseConfig(Fakes.configJson(0, discovery.port(), SOCKETS, "", "")
             .replace("\"HardLimit\":5.0", "\"HardLimit\":60.0")),
             new ProcessEnvironment(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), marks, null));
-        Fakes.await("healthz 200", () -> {
+        Fakes.await("status 200 of healthz", () -> {
             try (FakeClient client = new FakeClient(proxy)) {
                 return client.send(HEALTH).readStatus() == 200;
             } catch (IOException e) {
@@ -102,11 +102,11 @@
         });
         FakeClient waits = new FakeClient(proxy);
         waits.send(FakeClient.postRequest("put", PATIENCE));
-        Fakes.await("it has the request", () -> draining.requests.size() == 1);
+        Fakes.await("the request at the backend", () -> draining.requests.size() == 1);
         return waits;
     }
 
-    /** The same, and the backend drains from then on. */
+    /** The same, after the backend has started to drain. */
     private FakeClient drained() throws Exception {
         FakeClient waits = held();
         discovery.push(FakeDiscovery.listJson(2, false, leaving(), active()));
@@ -114,9 +114,9 @@
         return waits;
     }
 
-    /** This one is known. */
+    /** Waits until this backend serves, and so is known. */
     private void awaitServed(FakeBackend by) {
-        Fakes.await("it serves", () -> {
+        Fakes.await("a response of the backend", () -> {
             try (FakeClient client = new FakeClient(proxy)) {
                 return client.send(FakeClient.getRequest("1.0")).readStatus() == 200 && !by.requests.isEmpty();
             } catch (IOException e) {
@@ -125,18 +125,23 @@
         });
     }
 
-    /** The last one is known; no request is sent for it, which might go to whoever is there before. */
+    /**
+     * Waits until the last backend is known, without sending a request, which might go to an earlier
+     * backend.
+     */
     private void awaitLast() {
-        Fakes.await("the last one is known", () -> Fakes.callConsole(proxy, "ATTACH s-3\n").startsWith("200 "));
+        Fakes.await("the last backend to be known", () ->
+            Fakes.callConsole(proxy, "ATTACH s-3\n").startsWith("200 "));
     }
 
-    /** All others have something in hand, so that whoever may be sent to is. */
+    /** Occupies all other backends, so that any backend that may receive requests gets some. */
     private void assertNothingNew() throws IOException {
         int served = 0;
         for (int round = 0; round < ROUNDS; round++) {
             served += takenByOthers();
         }
-        assertTrue(served > SOME * ROUNDS / 2, served + " served"); // it may shed some, as these take long
+        // some may be shed, because these requests take long
+        assertTrue(served > SOME * ROUNDS / 2, served + " requests served");
     }
 
     private int takenByOthers() throws IOException {
@@ -146,15 +151,16 @@
         for (int i = 0; i < SOME; i++) {
             clients.add(new FakeClient(proxy).send(FakeClient.postRequest("put", PATIENCE)));
         }
-        Fakes.await("all are in hand, or turned away", () -> staying.requests.size() + newest.requests.size()
+        Fakes.await("each request to be in flight or rejected", () -> staying.requests.size()
+            + newest.requests.size()
             + draining.requests.size() + clients.stream().filter(ListCrossingTest::answered).count()
             == before + 1 + SOME);
-        assertEquals(1, draining.requests.size(), "nothing new");
+        assertEquals(1, draining.requests.size(), "requests at the draining backend");
         held.countDown();
         int served = 0;
         for (FakeClient client : clients) {
             int status = client.readStatus();
-            assertTrue(status == 200 || status == 503, "answered by " + status);
+            assertTrue(status == 200 || status == 503, "unexpected status " + status);
             served += status == 200 ? 1 : 0;
             client.close();
         }
@@ -169,15 +175,15 @@
         }
     }
 
-    /** What is under way ends there, and nothing new comes. */
+    /** Checks that the request in flight finishes at the backend and that no other request reaches it. */
     private void assertDrains(FakeClient waits) throws IOException {
         assertNothingNew();
         released.countDown();
         String answer = waits.readResponse();
         assertEquals("late", answer.substring(answer.length() - 4), answer);
         waits.close();
-        Fakes.await("its connection is closed", () -> draining.openConnections.isEmpty());
-        assertEquals(1, draining.requests.size(), "nothing new, and nothing twice");
+        Fakes.await("the connection of the draining backend to close", () -> draining.openConnections.isEmpty());
+        assertEquals(1, draining.requests.size(), "requests at the draining backend, without retries");
     }
 
     @Test
@@ -189,7 +195,7 @@
         assertDrains(waits);
     }
 
-    /** The same with no word of a drain before: it is gone, also where it still answers. */
+    /** The same without a drain before: the backend is gone, even though it still answers. */
     @Test
     void aWholeListThatLeavesOutABackendThatServedLeavesItsRequestsAlone() throws Exception {
         FakeClient waits = held();
@@ -198,7 +204,7 @@
         assertDrains(waits);
     }
 
-    /** These and many that nothing is sent to: it is applied in many turns. */
+    /** A list of these entries followed by many draining backends; it is applied in many turns. */
     private String longList(int length, String... first) {
         List<String> all = new ArrayList<>(List.of(first));
         for (int i = 0; i < length; i++) {
@@ -207,7 +213,7 @@
         return FakeDiscovery.listJson(2, true, all.toArray(new String[0]));
     }
 
-    /** What is said right behind it counts after it. */
+    /** A change sent right after the list must apply after it. */
     @Test
     void aDrainToldBehindALongListStands() throws Exception {
         FakeClient waits = held();
@@ -218,7 +224,10 @@
         assertDrains(waits);
     }
 
-    /** A read brings some 130 changes and a turn applies 256 entries, so that more waits than may. */
+    /**
+     * A read contains about 130 changes and a turn applies 256 entries, so that pending changes exceed the
+     * maximum.
+     */
     @Test
     void whatIsSaidFasterThanItIsAppliedWaitsInItsOrder() throws Exception {
         FakeClient waits = held();
@@ -234,7 +243,7 @@
         assertDrains(waits);
     }
 
-    /** And what a long list leaves out is gone, in the turns after those that it names. */
+    /** Members that a long list leaves out are gone, in the turns after those for the members it names. */
     @Test
     void aLongListThatLeavesOutABackendThatServedLeavesItsRequestsAlone() throws Exception {
         FakeClient waits = held();
@@ -244,7 +253,7 @@
         assertDrains(waits);
     }
 
-    /** From the reload to the new address's first list goes by what the old one said. */
+    /** Until the first list from the new address arrives, the last state from the old one applies. */
     @Test
     void aReloadBetweenADrainAndItsEndKeepsIt(@TempDir Path folder) throws Exception {
         FakeClient waits = drained();
@@ -253,7 +262,7 @@
             Path file = folder.resolve("config.json");
             Files.writeString(file, Fakes.configJson(0, other.port(), SOCKETS, "", ""));
             proxy.reload(file);
-            Fakes.await("asked at the new address, in vain", () -> !other.requests.isEmpty());
+            Fakes.await("a failed call to the new address", () -> !other.requests.isEmpty());
             assertNothingNew();
             other.setFirstList(FakeDiscovery.listJson(1, true, leaving(), active(), last()));
             other.rejecting = false;
--- a/proxy/src/test/java/dockrelay/proxy/ListParserTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/ListParserTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Objects of discovery's, taken apart as their bytes come. */
+/** Tests parsing of discovery's JSON objects from arbitrary fragments. */
 class ListParserTest {
     private final List<ListParser.Update> updates = new ArrayList<>();
     private final List<Map<?, ?>> read = new ArrayList<>();
@@ -33,7 +33,7 @@
         }
     }
 
-    /** What the reader of whole texts makes of the same. */
+    /** Parses the same text with the non-incremental reader. */
     private static ListParser.Update whole(String text) throws IOException {
         try (JsonParser json = new JsonFactory().createParser(text)) {
             json.nextToken();
@@ -59,10 +59,10 @@
             expected.add(whole(text));
         }
         assertEquals(expected, updates);
-        assertEquals(4, read.size(), "objects among the entries");
+        assertEquals(4, read.size(), "objects passed to the reader");
     }
 
-    /** Nothing of an entry that the reader has made something of is left in the next one. */
+    /** The reused map of a converted entry must not leak values into the next one. */
     @Test
     void whatTheReaderMakesStandsForItsEntry() throws IOException {
         List<ListParser.Update> made = new ArrayList<>();
@@ -89,7 +89,7 @@
             feed((i > 0 ? "," : "") + entry, 10_000);
         }
         assertEquals(6_000, read.size());
-        assertTrue(parser.read() >= 6_000, "it moves");
+        assertTrue(parser.read() >= 6_000, "the progress counter must count the entries");
         feed(",{\"id\":\"", 100);
         assertThrows(IOException.class, () -> {
             for (int i = 0; i < 2_000; i++) {
--- a/proxy/src/test/java/dockrelay/proxy/ListProbe.java
+++ b/proxy/src/test/java/dockrelay/proxy/ListProbe.java
@@ -20,9 +20,9 @@
 import java.util.Locale;
 
 /**
- * Measures what a list of so many backends costs one proxy: its bytes taken apart, taken in, told to the pool
- * and the module, on one thread. It is no test: it prints processor time of that thread (a pause is the most
- * of it in one turn of the loop), the time that the collector took, and memory.
+ * Measures the cost of a list of backends for one proxy: parsing, applying, and passing it to the
+ * connection pool and the balancer, on one thread. Not a test: prints the CPU time of that thread, the
+ * maximum CPU time of one event loop turn (the pause), garbage collection time, and memory.
  */
 final class ListProbe implements Balancer.Actions, ListApplier.Sink {
     private static final int FEED = 8192;
@@ -67,7 +67,9 @@
     public void idle() {
     }
 
-    /** What one turn of the loop takes; the first one feeds bytes, the others apply what they said. */
+    /**
+     * Records the CPU time of one turn: the first one parses bytes, the others apply the parsed entries.
+     */
     private long turn(long before) {
         long took = processor() - before;
         worst = Math.max(worst, took);
@@ -81,7 +83,7 @@
             number % 40, state, startedMillis);
     }
 
-    /** Feeds entries as they would come; what it takes to write them is not counted. */
+    /** Generates and feeds entries; the time to generate them is not counted. */
     private long feed(boolean full, int from, int count, int step, String state, long startedMillis)
         throws IOException {
         long spent = 0;
@@ -130,7 +132,10 @@
         System.out.println(String.format(Locale.ROOT, what, figures));
     }
 
-    /** Of this thread; the collector's comes on top, the compiler's is in it where it compiles in between. */
+    /**
+     * CPU time of this thread; excludes the garbage collector, and includes JIT compilation in the
+     * foreground.
+     */
     private static long processor() {
         return ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime();
     }
@@ -151,14 +156,14 @@
         double before = used();
         long collected = collected();
         long spent = feed(true, 0, size, 1, "active", 0);
-        print("size %d: whole list %.0f ms, longest pause %.1f ms, collector %d ms", size, millis(spent),
+        print("size %d: full list %.0f ms, longest pause %.1f ms, collector %d ms", size, millis(spent),
             millis(worst), collected() - collected);
         double after = used();
-        print("  heap %.1f MB before, %.1f MB with it, %.0f bytes a backend", before, after,
+        print("  heap %.1f MB before, %.1f MB after, %.0f bytes per backend", before, after,
             (after - before) * 1048576 / size);
         worst = 0;
         spent = feed(true, 0, size, 1, "active", 0);
-        print("  whole list again %.0f ms, longest pause %.1f ms", millis(spent), millis(worst));
+        print("  full list again %.0f ms, longest pause %.1f ms", millis(spent), millis(worst));
         for (int round = 0; round < 2; round++) {
             collected = collected();
             worst = 0;
@@ -171,16 +176,17 @@
                     request();
                 }
             }
-            print("  one change: mean %.4f ms, worst %.3f ms, collector %d ms in all%s",
+            print("  single change: mean %.4f ms, worst %.3f ms, collector %d ms in total%s",
                 millis(spent) / CHANGES, millis(worst), collected() - collected,
                 round == 0 ? " (cold code)" : "");
         }
         worst = 0;
         spent = feed(false, 0, size / 7, 7, "left", 0);
-        print("  a zone, %d at once: %.1f ms, longest pause %.1f ms", size / 7, millis(spent), millis(worst));
+        print("  a zone removed, %d backends in one change: %.1f ms, longest pause %.1f ms", size / 7,
+            millis(spent), millis(worst));
         worst = 0;
         spent = feed(false, 0, size / 7, 7, "active", System.currentTimeMillis());
-        print("  and back, cold: %.1f ms, longest pause %.1f ms", millis(spent), millis(worst));
+        print("  a zone restored, cold: %.1f ms, longest pause %.1f ms", millis(spent), millis(worst));
         for (String state : new String[] {"leaving", "left", "active"}) {
             worst = 0;
             spent = 0;
@@ -190,18 +196,19 @@
                     request();
                 }
             }
-            print("  one by one %s: %.1f ms in all, mean %.4f ms, worst %.3f ms", state, millis(spent),
+            print("  single changes to %s: %.1f ms in total, mean %.4f ms, worst %.3f ms", state,
+                millis(spent),
                 millis(spent) / (size / 7), millis(worst));
         }
         long start = processor();
         for (int i = 0; i < REQUESTS; i++) {
             request();
         }
-        print("  a request %.2f us; the log's line %d characters; heap %.1f MB", (processor() - start)
+        print("  one request %.2f us; status line %d characters; heap %.1f MB", (processor() - start)
             / 1e3 / REQUESTS, table.balancerStatus().length(), used());
     }
 
-    /** Sizes, each of which is best measured by a process of its own. */
+    /** Arguments: numbers of backends; each is best measured in a process of its own. */
     public static void main(String[] args) throws Exception {
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         for (String size : args) {
--- a/proxy/src/test/java/dockrelay/proxy/ListingTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/ListingTest.java
@@ -21,7 +21,9 @@
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
 
-/** Names and numbers of the backends, and what a list costs: counted, never timed. */
+/**
+ * Tests the names and numbers of backends, and the cost of lists by counting operations instead of time.
+ */
 class ListingTest {
     private static final int[] SIZES = {500, 1_000, 2_000};
 
@@ -33,7 +35,7 @@
         entry.put("id", name);
         entry.put("state", state);
         entry.put("addr", "10.0.0.1:80");
-        entry.put("zone", new String("z1")); // as a parser makes it: another object for each
+        entry.put("zone", new String("z1")); // a distinct object for each entry, as a parser creates it
         entry.put("kind", new String("k1"));
         entry.put("cell", 3L);
         entry.put("weight", 1.0);
@@ -58,31 +60,33 @@
         long first = id(listing, "s-1", "active");
         assertEquals(first, id(listing, "s-1", "left"));
         assertEquals(0, listing.size());
-        assertNull(listing.get("s-1"), "it is forgotten with the backend");
+        assertNull(listing.get("s-1"), "a backend that has left must not be listed");
         assertEquals(first, id(listing, "s-1", "active"));
-        assertEquals(first, id(new BackendRegistry(operators), "s-1", "active"), "at all proxies");
+        assertEquals(first, id(new BackendRegistry(operators), "s-1", "active"),
+            "the number must be the same at all proxies");
         assertNotEquals(first, id(listing, "s-2", "active"));
     }
 
-    /** All names have the same number here. */
+    /** All names have the same hash here. */
     @Test
     void namesThatFallTogetherAreToldApartAndKeepTheirNumbers() {
         BackendRegistry narrow = new BackendRegistry(operators, name -> 7, BackendRegistry::newIdMap);
         List<ListedBackend> told = narrow.take(entries(3), true);
         assertEquals(List.of(7L, 8L, 9L), told.stream().map(member -> member.backend().id()).toList());
         assertEquals(List.of(7L, 8L, 9L), narrow.take(entries(3), true).stream()
-            .map(member -> member.backend().id()).toList(), "said again");
+            .map(member -> member.backend().id()).toList(), "a repeated list must keep the numbers");
         id(narrow, "s-0", "left");
-        assertEquals(8, id(narrow, "s-1", "active"), "the second keeps its own when the first has left");
+        assertEquals(8, id(narrow, "s-1", "active"),
+            "the second name keeps its number after the first has left");
         assertEquals(8, narrow.get("s-1").backend().id());
-        assertEquals(7, id(narrow, "s-0", "active"), "and the first gets its own back");
+        assertEquals(7, id(narrow, "s-0", "active"), "the first name gets its number back");
         id(narrow, "s-1", "left");
         assertNull(narrow.get("s-1"));
         assertEquals("s-2", narrow.get("s-2").name());
         assertEquals(8, id(narrow, "s-1", "active"));
         narrow.take(entries(1), true);
         assertEquals(1, narrow.size());
-        assertNull(narrow.get("s-2"), "a full list drops whom it does not name");
+        assertNull(narrow.get("s-2"), "a full list must remove members it does not name");
     }
 
     @Test
@@ -92,7 +96,7 @@
         assertSame(read, first);
         assertSame(first, listing.read(entry("s-1", "active")));
         Map<String, Object> drained = Map.of("id", "s-1", "state", "leaving");
-        assertSame(drained, listing.read(drained), "it has to wait for its turn");
+        assertSame(drained, listing.read(drained), "an incomplete entry stays unconverted");
         ListedBackend then = listing.take(List.of(listing.read(drained)), false).get(0);
         assertEquals(Phase.DRAINING, then.backend().phase());
         assertEquals(first.address(), then.address());
@@ -100,13 +104,14 @@
         assertSame(first.backend().zone(), ((ListedBackend) listing.read(entry("s-9", "active"))).backend().zone());
     }
 
-    /** In each thing that an entry says by itself: none may pass for the one known before. */
+    /** Each value of an entry must be compared: no changed entry may pass for the previous one. */
     @Test
     void whatDiffersInAnythingIsAnotherObject() {
         Map<String, Object> others = Map.of("state", "leaving", "addr", "10.0.0.2:80", "zone", "z2", "kind",
             "k2", "cell", 4L, "weight", 2.0, "started_ms", 1L);
         ListedBackend known = listing.take(List.of(entry("s-1", "active")), true).get(0);
-        assertEquals(others.size() + 1, entry("s-1", "active").size(), "all but its name");
+        assertEquals(others.size() + 1, entry("s-1", "active").size(),
+            "the test must vary each value except the name");
         others.forEach((key, value) -> {
             Map<String, Object> other = entry("s-1", "active");
             other.put(key, value);
@@ -131,7 +136,7 @@
         assertEquals(List.of("s-1", "s-3"), listing.take(read, true).stream().map(ListedBackend::name).toList());
     }
 
-    /** The same name twice in a list: the later one holds, laid over the earlier one. */
+    /** If a list repeats a name, the later entry is merged into the earlier one. */
     @Test
     void theLaterEntryOfANameHolds() {
         listing.take(List.of(entry("s-1", "active"), Map.of("id", "s-1", "state", "leaving")), true);
@@ -148,21 +153,21 @@
         assertTrue(listing.anyReady());
         operators.detach("s-1");
         listing.operated("s-1");
-        assertFalse(listing.anyReady(), "the one that is ready is out");
+        assertFalse(listing.anyReady(), "the only ready backend is detached");
         listing.take(List.of(entry("s-1", "active")), false);
-        assertFalse(listing.anyReady(), "whatever the list says");
+        assertFalse(listing.anyReady(), "a detached backend is not ready, whatever the list says");
         listing.take(List.of(entry("s-1", "left")), false);
         listing.take(List.of(entry("s-2", "active")), false);
         assertTrue(listing.anyReady());
         listing.take(List.of(entry("s-1", "active"), entry("s-2", "left")), false);
-        assertFalse(listing.anyReady(), "it stays out over its coming back");
+        assertFalse(listing.anyReady(), "a backend that returns to the list stays detached");
         operators.attach("s-1");
         listing.operated("s-1");
         assertTrue(listing.anyReady());
         listing.take(List.of(), true);
         assertFalse(listing.anyReady());
         operators.detach("s-1");
-        assertNull(listing.operated("s-1"), "not listed");
+        assertNull(listing.operated("s-1"), "a backend that is not listed must not be passed on");
         assertFalse(listing.anyReady());
     }
 
@@ -172,16 +177,16 @@
         listing.take(List.of(), true);
         long left = entries(2_000).stream().filter(entry -> operators.isKnown((String) entry.get("id")))
             .count();
-        assertEquals(1_000, left, "names of those that left are forgotten in the end");
+        assertEquals(1_000, left, "known names of backends that have left");
         listing.take(entries(1), false);
         listing.take(entries(3_000).subList(1_000, 3_000), false);
         listing.take(entries(3_000).subList(1_000, 3_000).stream().peek(entry -> entry.put("state", "left"))
             .toList(), false);
-        assertTrue(operators.isKnown("s-0"), "it is back, whoever leaves");
+        assertTrue(operators.isKnown("s-0"), "a listed name must stay known when others leave");
         assertFalse(operators.isKnown("s-1500"));
     }
 
-    /** A map that counts what it is asked, and each walk over all as all. */
+    /** Counts operations of a map; an iteration counts as many as there are entries. */
     private static final class Counted extends LongObjectHashMap<ListedBackend> {
         private final long[] steps;
 
@@ -233,7 +238,10 @@
         }
     }
 
-    /** Steps and bytes that something costs at each size, of a listing that has as many. */
+    /**
+     * Map operations and allocated bytes of an action for each size, in a registry of that size if {@code
+     * listed}, else in an empty one.
+     */
     private static long[][] costs(boolean listed, Consumer<BackendRegistry> what) {
         long[][] costs = new long[2][SIZES.length];
         for (int i = 0; i < SIZES.length; i++) {
@@ -244,7 +252,7 @@
             }, size -> new Counted(size, steps));
             if (listed) {
                 each.take(entries(SIZES[i]), true);
-                what.accept(each); // tables that grow by the way are not the change's
+                what.accept(each); // excludes the cost of tables that grow
             }
             long before = steps[0];
             long bytes = allocated();
@@ -270,7 +278,7 @@
         for (boolean listed : new boolean[] {false, true}) {
             Consumer<BackendRegistry> whole = each ->
                 each.take(all.subList(0, Math.max(SIZES[0], each.size())), true);
-            costs(listed, whole); // what is loaded on the way is not the list's
+            costs(listed, whole); // excludes the cost of class loading
             for (long[] counts : costs(true, whole)) {
                 assertGrows(counts, 4.4);
             }
--- a/proxy/src/test/java/dockrelay/proxy/ProcessTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/ProcessTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Signals to a process of its own: at each of its stages, and more than one. */
+/** Sends signals to a proxy process in each of its phases, also repeatedly. */
 class ProcessTest {
     private final FakeBackend backend = new FakeBackend(request -> Fakes.httpResponse("200 OK", "", "one"));
     private final FakeDiscovery discovery = new FakeDiscovery();
@@ -43,18 +43,18 @@
         assertEquals(0, process.awaitEnd(), process.readLog());
     }
 
-    /** Before the list is there it takes no request, and has nothing to serve out. */
+    /** Before the list has arrived, the process accepts no requests and has none to finish. */
     @Test
     void askedToEndWhileItStartsItEndsWithoutListening() throws Exception {
         discovery.rejecting = true;
         start();
-        Fakes.await("it waits for its list", () -> discovery.requests.size() > 1);
+        Fakes.await("repeated calls for the list", () -> discovery.requests.size() > 1);
         process.signal("TERM");
         assertEndsWell();
-        assertTrue(process.readLog().contains("stop: asked to end before it listened"));
+        assertTrue(process.readLog().contains("stop: asked to stop before listening"));
     }
 
-    /** A backend hangs, a client reads nothing, the signal comes twice, and a reload in between. */
+    /** With a hanging backend, a client that reads nothing, a repeated signal and a reload in between. */
     @Test
     void askedToEndTwiceItAnswersWhatItHasAndEndsInTime() throws Exception {
         backend.responder = request ->
@@ -66,7 +66,7 @@
             assertEquals(200, resting.send(FakeClient.getRequest("4.0")).readStatus());
             hanging.send(FakeClient.postRequest("put", "1.0"));
             deaf.send(FakeClient.postRequest("put", "1.0"));
-            Fakes.await("both are out", () -> backend.requests.stream()
+            Fakes.await("both requests at the backend", () -> backend.requests.stream()
                 .filter(request -> request.startsWith("POST /put")).count() == 2);
             process.signal("TERM");
             process.configure("not a configuration");
@@ -78,7 +78,7 @@
         }
     }
 
-    /** A reload in the middle of an outage asks at the new address, and a broken one changes nothing. */
+    /** A reload during an outage calls the new address; an invalid configuration changes nothing. */
     @Test
     void aReloadWhileDiscoveryIsAwayIsTakenUp() throws Exception {
         start();
@@ -92,10 +92,10 @@
             }
             process.configure("{\"name\":");
             process.signal("HUP");
-            Fakes.await("it says so", () -> process.readLog().contains("reload: "));
+            Fakes.await("the error in the log", () -> process.readLog().contains("reload: "));
             process.configure(next.port(), "", "");
             process.signal("HUP");
-            Fakes.await("the new list is in force", () -> {
+            Fakes.await("a response of the backend in the new list", () -> {
                 try (FakeClient client = process.connectClient()) {
                     return client.send(FakeClient.getRequest("4.0")).readResponse().endsWith("other");
                 } catch (IOException e) {
--- a/proxy/src/test/java/dockrelay/proxy/ProxyProcess.java
+++ b/proxy/src/test/java/dockrelay/proxy/ProxyProcess.java
@@ -14,9 +14,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/**
- * The proxy as a process of its own at an address of its own, started and killed as often as a test wants.
- */
+/** A proxy in a separate process at its own address, which a test can start and kill repeatedly. */
 final class ProxyProcess implements AutoCloseable {
     private static final AtomicInteger MADE = new AtomicInteger();
     private static final int LOW_BYTE = 250;
@@ -24,14 +22,14 @@
     private static final String CONFIGURATION = "config.json";
 
     private final Path folder;
-    /** Its own, so that no other test can take the port while the process is down. */
+    /** A loopback address of its own, so that no other test can take the port while the process is down. */
     private final String host;
-    /** Its own too, as the platform gives each: proxies of one seed would make their calls in step. */
+    /** Differs between processes, as in a deployment: proxies with the same seed would call in step. */
     private final String seed;
     private final int port;
     private Process process;
 
-    /** The folder is the process's own: its configuration and its log are kept there. */
+    /** The folder holds the configuration and the log of this process only. */
     ProxyProcess(Path folder) throws IOException {
         this.folder = Files.createDirectories(folder);
         int number = MADE.getAndIncrement();
@@ -43,7 +41,8 @@
     }
 
     /**
-     * Writes the configuration: this list and these further settings, as {@link Fakes#text} lays them out.
+     * Writes the configuration with this list and these additional settings, in the format of {@link
+     * Fakes#text}.
      */
     void configure(int discoveryPort, String known, String settings) throws IOException {
         configure(Fakes.configJson(port, discoveryPort, 1024, known, settings)
@@ -51,12 +50,12 @@
             .replaceFirst("\"seed\":\"[0-9a-f]*\"", "\"seed\":\"" + seed + "\""));
     }
 
-    /** Writes this in place of the configuration. */
+    /** Overwrites the configuration with this text. */
     void configure(String text) throws IOException {
         Files.writeString(folder.resolve(CONFIGURATION), text);
     }
 
-    /** Starts with a configuration like that. */
+    /** Writes the configuration and starts the process. */
     void start(int discoveryPort, String known, String settings) throws IOException {
         configure(discoveryPort, known, settings);
         ProcessBuilder builder = new ProcessBuilder(
@@ -71,7 +70,7 @@
     }
 
     void awaitServing() {
-        Fakes.await("it serves", () -> {
+        Fakes.await("the proxy to serve", () -> {
             try (Fakes.FakeClient client = connectClient()) {
                 return client.send(Fakes.FakeClient.getRequest("4.0")).readStatus() == 200;
             } catch (IOException e) {
@@ -92,18 +91,18 @@
         }
     }
 
-    /** Sends a signal by its name, such as TERM. */
+    /** Sends a signal, given by its name, such as TERM. */
     void signal(String name) throws IOException, InterruptedException {
         new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor();
     }
 
-    /** Waits until it has ended by itself, and returns its exit status. */
+    /** Waits until the process exits and returns its exit status. */
     int awaitEnd() throws InterruptedException {
-        assertTrue(process.waitFor(PATIENCE_SECONDS, TimeUnit.SECONDS), "it ends");
+        assertTrue(process.waitFor(PATIENCE_SECONDS, TimeUnit.SECONDS), "the process did not exit in time");
         return process.exitValue();
     }
 
-    /** Kills it with SIGKILL and waits until it is gone. */
+    /** Kills the process with SIGKILL and waits for its end. */
     void kill() throws InterruptedException {
         process.destroyForcibly().waitFor();
     }
--- a/proxy/src/test/java/dockrelay/proxy/QueueingDiscovery.java
+++ b/proxy/src/test/java/dockrelay/proxy/QueueingDiscovery.java
@@ -13,8 +13,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Discovery that serves the calls of all its callers one after another, in the order in which they came. A
- * call that has waited too long fails, but takes its time in the queue all the same: nobody takes it out.
+ * A discovery service that serves all calls one after another in order of arrival. A call that waits too
+ * long fails, but stays in the queue and still takes its service time.
  */
 final class QueueingDiscovery implements AutoCloseable {
     private static final long MAX_WAIT_MILLIS = 2_000;
@@ -28,7 +28,7 @@
     private volatile String list;
     private volatile boolean down;
 
-    /** Each call takes it so long. */
+    /** {@code callMillis} is the service time of each call. */
     QueueingDiscovery(String list, long callMillis) {
         this.list = list;
         this.callMillis = callMillis;
@@ -36,14 +36,14 @@
         server.start();
     }
 
-    /** The address of one caller. */
+    /** Opens an address for one caller. */
     Door door() {
         Door door = new Door();
         doors.add(door);
         return door;
     }
 
-    /** All watches end, and calls fail after a wait. */
+    /** Ends all watches; from now on calls time out. */
     void goDown() throws IOException {
         down = true;
         for (Door door : doors) {
@@ -53,7 +53,7 @@
         }
     }
 
-    /** Back again with this list. */
+    /** Ends the outage; calls receive this list. */
     void comeBack(String whole) {
         list = whole;
         down = false;
@@ -68,14 +68,15 @@
             long servedAt = System.nanoTime();
             while (true) {
                 CountDownLatch served = queue.take();
-                // By the clock: what a busy machine adds to a sleep must not make discovery slower.
+                // Measured by the clock, so that the overhead of a sleep on a busy machine does not slow
+                // discovery down.
                 servedAt = Math.max(System.nanoTime() - MAX_LAG_NANOS, servedAt)
                     + TimeUnit.MILLISECONDS.toNanos(callMillis);
                 TimeUnit.NANOSECONDS.sleep(servedAt - System.nanoTime());
                 served.countDown();
             }
         } catch (InterruptedException e) {
-            return; // closed
+            return; // closed by the test
         }
     }
 
@@ -87,7 +88,7 @@
         }
     }
 
-    /** One caller's address. */
+    /** The address of one caller. */
     final class Door extends Fakes.FakeServer {
         private final List<Socket> watches = new CopyOnWriteArrayList<>();
 
@@ -104,7 +105,7 @@
                 watches.add(connection);
                 write(connection, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                     + FakeDiscovery.chunk(list));
-                while (!down) { // until the proxy ends the watch: the write fails then
+                while (!down) { // ends when the proxy closes the watch and the write fails
                     Thread.sleep(HEARTBEAT_MILLIS);
                     write(connection, FakeDiscovery.chunk(""));
                 }
--- a/proxy/src/test/java/dockrelay/proxy/SlowDiscoveryTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/SlowDiscoveryTest.java
@@ -7,12 +7,17 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** A fleet went on offering a slow discovery more calls than it can serve, for many seconds. */
+/**
+ * Guards against a fleet that keeps sending more calls than a slow discovery can serve, for many seconds.
+ */
 class SlowDiscoveryTest {
     private static final int FLEET = 100, SEEDS = 20;
     private static final long SETTLED = 5_000, MEASURED = 5_000;
 
-    /** With a discovery that needs so long to serve the fleet; after a few seconds it is not overrun. */
+    /**
+     * {@code wholeFleet} is the time that discovery needs to serve the whole fleet once. After a few
+     * seconds the fleet must not call more often than that.
+     */
     @ParameterizedTest
     @CsvSource({"START,10000", "RESET,10000", "CUT,10000", "SILENCE,10000", "START,20000", "RESET,20000",
         "CUT,20000", "SILENCE,20000"})
--- a/proxy/src/test/java/dockrelay/proxy/StartTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/StartTest.java
@@ -16,7 +16,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A proxy that was killed is away until it has started: what each start costs, all pay in a mass restart. */
+/**
+ * Checks the cost of a start: a killed proxy is unavailable until it has started, and in a mass restart
+ * this applies to all proxies.
+ */
 class StartTest {
     @Test
     void theWarmUpEndsSoonAfterTheCompilerHasTakenWhatEachConnectionRunsThrough() throws IOException {
@@ -25,8 +28,8 @@
         Matcher scaled = Pattern.compile(" -XX:CompileThresholdScaling=([0-9.]+) ").matcher(run());
         threshold *= scaled.find() ? Double.parseDouble(scaled.group(1)) : 1;
         int connections = WarmUp.REQUESTS / WarmUp.REQUESTS_EACH;
-        assertTrue(connections > threshold, "below the threshold nothing is compiled");
-        assertTrue(connections <= 2 * threshold, "what comes after it warms nothing up");
+        assertTrue(connections > threshold, "code below the threshold is not compiled");
+        assertTrue(connections <= 2 * threshold, "connections far beyond the threshold have no effect");
     }
 
     private static String run() throws IOException {
@@ -34,23 +37,29 @@
             .filter(line -> line.startsWith("run = ")).findFirst().orElseThrow();
     }
 
-    /** Over channels in memory the code of sockets stays cold, and the first seconds of service with it. */
+    /**
+     * Over in-memory channels the socket code would remain cold, and so would the first seconds of service.
+     */
     @Test
     void theWarmUpRunsOverSocketsAndLeavesNoFileBehind(@TempDir Path folder) throws IOException {
-        assertTrue(WarmUp.run(Fakes.config(1, 1024), PooledByteBufAllocator.DEFAULT, folder), "over sockets");
+        assertTrue(WarmUp.run(Fakes.config(1, 1024), PooledByteBufAllocator.DEFAULT, folder),
+            "the warm-up must run over sockets");
         try (Stream<Path> files = Files.list(folder)) {
             assertEquals(0, files.count());
         }
     }
 
-    /** Where there can be no such sockets it runs all the same, in memory. */
+    /** Where Unix domain sockets are not possible, the warm-up runs in memory. */
     @Test
     void aFolderThatTakesNoSocketsDoesNotKeepItFromRunning(@TempDir Path folder) {
         Path missing = folder.resolve("missing");
         assertFalse(WarmUp.run(Fakes.config(1, 1024), PooledByteBufAllocator.DEFAULT, missing));
     }
 
-    /** In the background the compiler gets no turn on a busy core, and all the warm-up is interpreted. */
+    /**
+     * With background compilation, the compiler gets no CPU time on a busy core and the whole warm-up runs
+     * interpreted.
+     */
     @Test
     void runIsOneProcessThatCompilesInTheForeground() throws IOException {
         String run = run();
