--- a/proxy/src/test/java/dockrelay/proxy/StopTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/StopTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** After SIGTERM, on the connections that stay open. */
+/** Tests the connections that stay open after SIGTERM. */
 class StopTest {
     private final FakeBackend backend = new FakeBackend(request -> Fakes.httpResponse("200 OK", "", "one"));
     private final FakeDiscovery discovery = new FakeDiscovery();
@@ -31,7 +31,7 @@
         backend.close();
     }
 
-    /** One has been used, one never was, and of one request only a part has come. */
+    /** One connection has been used, one is unused, and one has received part of a request. */
     @Test
     void whatStaysOpenIsAnsweredAlsoOnceNothingNewIsTaken() throws Exception {
         try (FakeClient used = new FakeClient(proxy); FakeClient fresh = new FakeClient(proxy);
@@ -39,11 +39,11 @@
             assertEquals(200, used.send(FakeClient.getRequest("4.0")).readStatus());
             String request = FakeClient.getRequest("4.0");
             half.send(request.substring(0, 20));
-            Fakes.await("three connections", () -> proxy.clientConnectionCount() == 3);
+            Fakes.await("three client connections", () -> proxy.clientConnectionCount() == 3);
             int port = proxy.listenAddress().getPort();
             Thread stopping = new Thread(proxy::stop);
             stopping.start();
-            Fakes.await("nothing new is taken", () -> {
+            Fakes.await("new connections to be refused", () -> {
                 try {
                     new Socket(InetAddress.getLoopbackAddress(), port).close();
                     return false;
