--- a/proxy/src/main/java/dockrelay/proxy/BackendRegistry.java
+++ b/proxy/src/main/java/dockrelay/proxy/BackendRegistry.java
@@ -25,72 +25,76 @@
  * differs, which shifts a subset by at most one backend.
  */
 final class BackendRegistry {
-    private final OperatorOverrides operators;
-    private final ToLongFunction<String> numbers;
-    private final IntFunction<LongObjectMap<ListedBackend>> maps;
-    private final Map<String, Long> apart = new HashMap<>(); // names whose own number was already taken
-    private final EntryReader entries = new EntryReader();
-    private final Set<String> withheld = new HashSet<>(); // ready in the list, but detached by operators
-    private LongObjectMap<ListedBackend> known;
-    private int ready; // number of backends that the list reports as ready
+    private final OperatorOverrides overrides;
+    private final ToLongFunction<String> nameHash;
+    private final IntFunction<LongObjectMap<ListedBackend>> mapFactory;
+    // names whose own number was already taken
+    private final Map<String, Long> reassignedIds = new HashMap<>();
+    private final EntryReader entryReader = new EntryReader();
+    // ready in the list, but detached by operators
+    private final Set<String> detachedReadyNames = new HashSet<>();
+    private LongObjectMap<ListedBackend> backendsById;
+    private int readyCount; // number of backends that the list reports as ready
 
-    BackendRegistry(OperatorOverrides operators) {
-        this(operators, EntryReader::number, BackendRegistry::newIdMap);
+    BackendRegistry(OperatorOverrides overrides) {
+        this(overrides, EntryReader::hashOfName, BackendRegistry::newIdMap);
     }
 
     /** For tests: with other numbers for names and other maps. */
-    BackendRegistry(OperatorOverrides operators, ToLongFunction<String> numbers, IntFunction<LongObjectMap<ListedBackend>> maps) {
-        this.operators = operators;
-        this.numbers = numbers;
-        this.maps = maps;
-        this.known = maps.apply(0);
+    BackendRegistry(OperatorOverrides overrides, ToLongFunction<String> nameHash,
+        IntFunction<LongObjectMap<ListedBackend>> mapFactory) {
+        this.overrides = overrides;
+        this.nameHash = nameHash;
+        this.mapFactory = mapFactory;
+        this.backendsById = mapFactory.apply(0);
     }
 
     /** Creates a map for this many entries. A high load factor saves memory. */
-    static <T> LongObjectMap<T> newIdMap(int size) {
-        float filled = 0.8f;
-        return new LongObjectHashMap<>((int) (size / filled) + LongObjectHashMap.DEFAULT_CAPACITY, filled);
+    static <T> LongObjectMap<T> newIdMap(int entryCount) {
+        float loadFactor = 0.8f;
+        return new LongObjectHashMap<>((int) (entryCount / loadFactor) + LongObjectHashMap.DEFAULT_CAPACITY,
+            loadFactor);
     }
 
     /** The number assigned to a name, or the hash of the name if it has not been reassigned. */
-    private long id(String name) {
-        Long other = apart.isEmpty() ? null : apart.get(name);
-        return other == null ? numbers.applyAsLong(name) : other;
+    private long idOf(String name) {
+        Long reassignedId = reassignedIds.isEmpty() ? null : reassignedIds.get(name);
+        return reassignedId == null ? nameHash.applyAsLong(name) : reassignedId;
     }
 
     /** Returns the member with this name, or null. */
     ListedBackend get(String name) {
-        ListedBackend member = known.get(id(name));
-        return member != null && member.name().equals(name) ? member : null;
+        ListedBackend listedBackend = backendsById.get(idOf(name));
+        return listedBackend != null && listedBackend.name().equals(name) ? listedBackend : null;
     }
 
     int size() {
-        return known.size();
+        return backendsById.size();
     }
 
     /** Whether any backend may receive requests. */
-    boolean anyReady() {
-        return ready > withheld.size();
+    boolean isAnyBackendReady() {
+        return readyCount > detachedReadyNames.size();
     }
 
     /** Returns the member with the operators' changes applied, or null if it is not listed. */
-    ListedBackend operated(String name) {
-        ListedBackend member = get(name);
-        return member == null ? null : overlaid(member);
+    ListedBackend getWithOverride(String name) {
+        ListedBackend listedBackend = get(name);
+        return listedBackend == null ? null : applyOverride(listedBackend);
     }
 
-    private ListedBackend overlaid(ListedBackend member) {
-        ListedBackend told = operators.applyOverride(member.name(), member);
-        if (isReady(member) && !isReady(told)) {
-            withheld.add(member.name());
+    private ListedBackend applyOverride(ListedBackend listedBackend) {
+        ListedBackend overridden = overrides.applyOverride(listedBackend.name(), listedBackend);
+        if (isReady(listedBackend) && !isReady(overridden)) {
+            detachedReadyNames.add(listedBackend.name());
         } else {
-            withheld.remove(member.name());
+            detachedReadyNames.remove(listedBackend.name());
         }
-        return told;
+        return overridden;
     }
 
-    private static boolean isReady(ListedBackend member) {
-        return member.backend().phase() == Phase.READY;
+    private static boolean isReady(ListedBackend listedBackend) {
+        return listedBackend.backend().phase() == Phase.READY;
     }
 
     /**
@@ -98,9 +102,9 @@
      * a member if the entry is complete, otherwise the entry itself, which is merged with the known state
      * when its turn comes.
      */
-    Object read(Map<?, ?> entry) {
+    Object readEntry(Map<?, ?> entry) {
         try {
-            return EntryReader.whole(entry) ? member(entry) : entry;
+            return EntryReader.isComplete(entry) ? readBackend(entry) : entry;
         } catch (RuntimeException e) {
             return entry; // the error is logged when the entry is applied
         }
@@ -110,172 +114,180 @@
      * Applies entries at once and returns the members to pass on. A full list removes all members that it
      * does not name.
      */
-    List<ListedBackend> take(List<?> entries, boolean full) {
-        Taking taking = new Taking(entries, full);
-        List<ListedBackend> told = taking.named(entries.size());
-        while (!taking.done()) {
-            taking.next(Integer.MAX_VALUE); // the balancer itself determines what a full list leaves out
+    List<ListedBackend> applyUpdate(List<?> entries, boolean full) {
+        UpdateApplication application = new UpdateApplication(entries, full);
+        List<ListedBackend> updated = application.applyNamed(entries.size());
+        while (!application.isDone()) {
+            // the balancer itself determines what a full list leaves out
+            application.applyNext(Integer.MAX_VALUE);
         }
-        return told;
+        return updated;
     }
 
     /**
      * Applies entries incrementally, in steps of the caller's choice; no other update may be applied
      * meanwhile. Entries are sorted so that neighbours in the common order are applied together.
      */
-    Taking takingInParts(List<?> entries, boolean full) {
-        Taking taking = new Taking(entries, full);
-        taking.order = new RingOrder(entries, numbers);
-        return taking;
+    UpdateApplication startUpdate(List<?> entries, boolean full) {
+        UpdateApplication application = new UpdateApplication(entries, full);
+        application.sorter = new RingPositionSorter(entries, nameHash);
+        return application;
     }
 
     /**
      * An update that is being applied: first the entries it names, then the members that a full list leaves
      * out.
      */
-    final class Taking {
+    final class UpdateApplication {
         /** This many entries can be sorted or compared in the time it takes to apply one. */
-        private static final int LOOKED_AT = 16;
+        private static final int SCANS_PER_ENTRY = 16;
 
-        private final LongObjectMap<ListedBackend> named; // members named by a full list so far; null for a change
-        private final List<ListedBackend> leftOut = new ArrayList<>();
+        // members named by a full list so far; null for a change
+        private final LongObjectMap<ListedBackend> namedBackends;
+        private final List<ListedBackend> omittedBackends = new ArrayList<>();
         private List<?> entries;
-        private RingOrder order; // while entries are being sorted
-        private Iterator<ListedBackend> uncompared;
-        private boolean leaving; // whether the entries are the members left out
-        private int at;
+        private RingPositionSorter sorter; // while entries are being sorted
+        private Iterator<ListedBackend> remainingBackends;
+        private boolean removingOmitted; // whether the entries are the members left out
+        private int position;
 
-        private Taking(List<?> entries, boolean full) {
+        private UpdateApplication(List<?> entries, boolean full) {
             this.entries = entries;
-            this.named = full ? maps.apply(entries.size()) : null;
+            this.namedBackends = full ? mapFactory.apply(entries.size()) : null;
         }
 
-        boolean done() {
-            return order == null && at == entries.size() && (named == null || leaving);
+        boolean isDone() {
+            return sorter == null && position == entries.size() && (namedBackends == null || removingOmitted);
         }
 
         /** Returns at most {@code most} members to pass on next; the result may be empty for some calls. */
-        List<ListedBackend> next(int most) {
-            int looked = (int) Math.min(Integer.MAX_VALUE, (long) most * LOOKED_AT);
-            List<ListedBackend> told = List.of();
-            if (order != null) {
-                sort(looked);
-            } else if (at == entries.size()) {
-                compare(looked);
+        List<ListedBackend> applyNext(int maxEntries) {
+            int maxScans = (int) Math.min(Integer.MAX_VALUE, (long) maxEntries * SCANS_PER_ENTRY);
+            List<ListedBackend> updated = List.of();
+            if (sorter != null) {
+                sortStep(maxScans);
+            } else if (position == entries.size()) {
+                compareStep(maxScans);
             } else {
-                told = leaving ? left(most) : named(most);
+                updated = removingOmitted ? removeOmitted(maxEntries) : applyNamed(maxEntries);
             }
-            if (leaving && done()) {
-                known = named; // has the same content, in a table of fitting size
+            if (removingOmitted && isDone()) {
+                backendsById = namedBackends; // has the same content, in a table of fitting size
             }
-            return told;
+            return updated;
         }
 
-        private void sort(int looked) {
-            if (order.look(looked)) {
-                entries = order.sorted();
-                order = null;
+        private void sortStep(int maxScans) {
+            if (sorter.classifyNext(maxScans)) {
+                entries = sorter.sorted();
+                sorter = null;
             }
         }
 
         /** The map is not modified meanwhile, so the iterator stays valid from step to step. */
-        private void compare(int looked) {
-            uncompared = uncompared == null ? known.values().iterator() : uncompared;
-            for (int i = 0; uncompared.hasNext() && i < looked; i++) {
-                ListedBackend member = uncompared.next();
-                if (!named.containsKey(member.backend().id())) {
-                    leftOut.add(member);
+        private void compareStep(int maxScans) {
+            remainingBackends = remainingBackends == null ? backendsById.values().iterator()
+                : remainingBackends;
+            for (int i = 0; remainingBackends.hasNext() && i < maxScans; i++) {
+                ListedBackend listedBackend = remainingBackends.next();
+                if (!namedBackends.containsKey(listedBackend.backend().id())) {
+                    omittedBackends.add(listedBackend);
                 }
             }
-            if (!uncompared.hasNext()) {
-                leaving = true;
-                order = new RingOrder(leftOut, numbers);
-                at = 0;
+            if (!remainingBackends.hasNext()) {
+                removingOmitted = true;
+                sorter = new RingPositionSorter(omittedBackends, nameHash);
+                position = 0;
             }
         }
 
-        private List<ListedBackend> named(int most) {
-            int end = (int) Math.min(entries.size(), at + (long) most);
-            List<ListedBackend> told = new ArrayList<>(end - at);
-            while (at < end) {
-                Object item = entries.get(at++);
-                ListedBackend member;
+        private List<ListedBackend> applyNamed(int maxEntries) {
+            int end = (int) Math.min(entries.size(), position + (long) maxEntries);
+            List<ListedBackend> updated = new ArrayList<>(end - position);
+            while (position < end) {
+                Object entry = entries.get(position++);
+                ListedBackend listedBackend;
                 try {
-                    member = numbered(item instanceof ListedBackend read ? read : member((Map<?, ?>) item));
+                    listedBackend = assignId(entry instanceof ListedBackend readBackend ? readBackend
+                        : readBackend((Map<?, ?>) entry));
                 } catch (RuntimeException e) {
                     // one bad entry must not prevent the others from being applied
                     Log.error("discovery", e);
                     continue;
                 }
-                long id = member.backend().id();
-                put(id, member);
-                if (named != null && known.get(id) == null) {
-                    named.remove(id);
-                } else if (named != null) {
-                    named.put(id, member);
+                long id = listedBackend.backend().id();
+                store(id, listedBackend);
+                if (namedBackends != null && backendsById.get(id) == null) {
+                    namedBackends.remove(id);
+                } else if (namedBackends != null) {
+                    namedBackends.put(id, listedBackend);
                 }
-                told.add(overlaid(member));
+                updated.add(applyOverride(listedBackend));
             }
-            return told;
+            return updated;
         }
 
         /** Members that a full list leaves out are gone, even if they still answer. */
-        private List<ListedBackend> left(int most) {
-            int end = (int) Math.min(entries.size(), at + (long) most);
-            List<ListedBackend> told = new ArrayList<>(end - at);
-            while (at < end) {
-                ListedBackend member = (ListedBackend) entries.get(at++);
-                Backend was = member.backend();
-                ListedBackend gone = new ListedBackend(member.name(), new Backend(was.id(), was.zone(), was.kind(),
-                    was.cell(), Phase.GONE, was.weight(), was.startedAt()), member.address());
-                put(was.id(), gone);
-                told.add(overlaid(gone));
+        private List<ListedBackend> removeOmitted(int maxEntries) {
+            int end = (int) Math.min(entries.size(), position + (long) maxEntries);
+            List<ListedBackend> updated = new ArrayList<>(end - position);
+            while (position < end) {
+                ListedBackend listedBackend = (ListedBackend) entries.get(position++);
+                Backend previous = listedBackend.backend();
+                ListedBackend gone = new ListedBackend(listedBackend.name(),
+                    new Backend(previous.id(), previous.zone(), previous.kind(),
+                    previous.cell(), Phase.GONE, previous.weight(), previous.startedAt()),
+                    listedBackend.address());
+                store(previous.id(), gone);
+                updated.add(applyOverride(gone));
             }
-            return told;
+            return updated;
         }
     }
 
-    private void put(long id, ListedBackend member) {
-        operators.markListed(member.name());
-        if (member.backend().phase() == Phase.GONE) {
-            ListedBackend before = known.remove(id);
-            forget(before == null ? member : before);
+    private void store(long id, ListedBackend listedBackend) {
+        overrides.markListed(listedBackend.name());
+        if (listedBackend.backend().phase() == Phase.GONE) {
+            ListedBackend previous = backendsById.remove(id);
+            forget(previous == null ? listedBackend : previous);
         } else {
-            ListedBackend before = known.put(id, member);
-            ready += (isReady(member) ? 1 : 0) - (before != null && isReady(before) ? 1 : 0);
+            ListedBackend previous = backendsById.put(id, listedBackend);
+            readyCount += (isReady(listedBackend) ? 1 : 0) - (previous != null && isReady(previous) ? 1 : 0);
         }
     }
 
-    private void forget(ListedBackend member) {
-        ready -= isReady(member) ? 1 : 0;
-        withheld.remove(member.name());
-        apart.remove(member.name());
-        operators.markUnlisted(member.name());
+    private void forget(ListedBackend listedBackend) {
+        readyCount -= isReady(listedBackend) ? 1 : 0;
+        detachedReadyNames.remove(listedBackend.name());
+        reassignedIds.remove(listedBackend.name());
+        overrides.markUnlisted(listedBackend.name());
     }
 
     /**
      * Assigns another number if the member's own one is taken, and the current number if the member was
      * parsed before an earlier update had been applied completely.
      */
-    private ListedBackend numbered(ListedBackend member) {
-        long number = id(member.name());
-        ListedBackend there = known.get(number);
-        if (member.backend().id() == number && (there == null || there.name().equals(member.name()))) {
-            return member;
+    private ListedBackend assignId(ListedBackend listedBackend) {
+        long id = idOf(listedBackend.name());
+        ListedBackend occupant = backendsById.get(id);
+        if (listedBackend.backend().id() == id && (occupant == null
+            || occupant.name().equals(listedBackend.name()))) {
+            return listedBackend;
         }
-        while (known.get(number) != null && !known.get(number).name().equals(member.name())) {
-            number++;
+        while (backendsById.get(id) != null && !backendsById.get(id).name().equals(listedBackend.name())) {
+            id++;
         }
-        Backend as = member.backend();
-        if (as.phase() != Phase.GONE) {
-            apart.put(member.name(), number);
+        Backend state = listedBackend.backend();
+        if (state.phase() != Phase.GONE) {
+            reassignedIds.put(listedBackend.name(), id);
         }
-        return new ListedBackend(member.name(), new Backend(number, as.zone(), as.kind(), as.cell(), as.phase(),
-            as.weight(), as.startedAt()), member.address());
+        return new ListedBackend(listedBackend.name(), new Backend(id, state.zone(), state.kind(),
+            state.cell(), state.phase(),
+            state.weight(), state.startedAt()), listedBackend.address());
     }
 
-    private ListedBackend member(Map<?, ?> entry) {
-        String name = Config.text(entry, "id");
-        return entries.member(entry, get(name), id(name));
+    private ListedBackend readBackend(Map<?, ?> entry) {
+        String name = Config.requireString(entry, "id");
+        return entryReader.mergeEntry(entry, get(name), idOf(name));
     }
 }
--- a/proxy/src/main/java/dockrelay/proxy/Backoff.java
+++ b/proxy/src/main/java/dockrelay/proxy/Backoff.java
@@ -7,26 +7,26 @@
  * doubles up to a maximum. Without jitter, proxies that were killed together would retry in step.
  */
 final class Backoff {
-    private final long first, most;
+    private final long firstBoundMillis, maxBoundMillis;
     private final SplittableRandom random;
-    private long bound;
+    private long boundMillis;
 
-    Backoff(long first, long most, long seed) {
-        this.first = first;
-        this.most = most;
+    Backoff(long firstBoundMillis, long maxBoundMillis, long seed) {
+        this.firstBoundMillis = firstBoundMillis;
+        this.maxBoundMillis = maxBoundMillis;
         this.random = new SplittableRandom(seed);
-        this.bound = first;
+        this.boundMillis = firstBoundMillis;
     }
 
     /** Returns the next wait and doubles the bound. */
-    long next() {
-        long wait = random.nextLong(bound + 1);
-        bound = Math.min(most, bound * 2);
-        return wait;
+    long nextWait() {
+        long waitMillis = random.nextLong(boundMillis + 1);
+        boundMillis = Math.min(maxBoundMillis, boundMillis * 2);
+        return waitMillis;
     }
 
     /** Resets the bound after a success. */
     void reset() {
-        bound = first;
+        boundMillis = firstBoundMillis;
     }
 }
--- a/proxy/src/main/java/dockrelay/proxy/CallPacing.java
+++ b/proxy/src/main/java/dockrelay/proxy/CallPacing.java
@@ -27,16 +27,16 @@
      * Share of each proxy of the fleet in the first interval, which is capped at the maximum first
      * interval.
      */
-    static final long INTERVAL_PER_PROXY = 250;
+    static final long INTERVAL_PER_PROXY_MILLIS = 250;
     /**
      * Shorter than {@link DiscoveryTimeouts#TOLD}, because a call and its wait in the queue have to fit in
      * as well.
      */
-    static final long MAX_FIRST_INTERVAL = DiscoveryTimeouts.TOLD - 1_250;
+    static final long MAX_FIRST_INTERVAL_MILLIS = DiscoveryTimeouts.DELIVERY_DEADLINE_MILLIS - 1_250;
     /** Maximum interval, as a multiple of the first interval. */
-    private static final int MAX_GROWTH = 8;
+    private static final int MAX_INTERVAL_FACTOR = 8;
     /** Factor from one interval to the next while calls fail after a wait. */
-    private static final double GROWTH = 2;
+    private static final double INTERVAL_GROWTH_FACTOR = 2;
     /**
      * Calls also wait during an outage, which must not delay the first call after its end: this many
      * failures do not lengthen the interval.
@@ -46,69 +46,72 @@
      * Maximum window over which calls are spread, as a fraction of the first interval, by reason for the
      * call.
      */
-    private static final double START_PART = 0.88, RESET_PART = 0.7, CLOSED_PART = 0.25, SILENT_PART = 0.75,
-        MOVED_PART = 0.7;
+    private static final double START_SPREAD_FRACTION = 0.88, RESET_SPREAD_FRACTION = 0.7,
+        CLOSED_SPREAD_FRACTION = 0.25, SILENCE_SPREAD_FRACTION = 0.75,
+        MOVE_SPREAD_FRACTION = 0.7;
     /**
      * This fraction of starting proxies calls almost at once: the queue has room for some, and a few
      * proxies do not overload discovery.
      */
-    private static final double PROMPT_SHARE = 0.25;
-    private static final long PROMPT = 250;
+    private static final double IMMEDIATE_START_FRACTION = 0.25;
+    private static final long IMMEDIATE_START_WINDOW_MILLIS = 250;
     /** Repeated calls are at least and at most this fraction of an interval apart. */
-    private static final double MIN_REPEAT_PART = 0.7, MAX_REPEAT_PART = 1.2;
+    private static final double MIN_REPEAT_FRACTION = 0.7, MAX_REPEAT_FRACTION = 1.2;
     /**
      * Multiples of these irrational steps, modulo 1, spread any range of proxy numbers evenly and
      * independently of each other.
      */
-    private static final double FIRST_STEP = (Math.sqrt(5) - 1) / 2, REPEAT_STEP = Math.sqrt(2) - 1;
+    private static final double FIRST_CALL_STEP = (Math.sqrt(5) - 1) / 2, REPEAT_CALL_STEP = Math.sqrt(2) - 1;
     /** A call that ends sooner than this was refused and did not occupy discovery. */
-    static final long REFUSED_WITHIN = 300;
+    static final long IMMEDIATE_REFUSAL_MILLIS = 300;
     /**
      * This many refusals in a row are retried soon; after that, calls are an interval apart like all
      * others.
      */
-    static final int MAX_QUICK_REPEATS = 2;
+    static final int MAX_QUICK_RETRIES = 2;
     /**
      * Discovery lets no call wait longer than about 2 s: a call that was cut off sooner was being answered.
      */
-    static final long WAITED_OUT = 1_800;
+    static final long MIN_QUEUE_TIMEOUT_MILLIS = 1_800;
     /**
      * If discovery can serve the calls of all proxies within the time that a call may wait, they need not
      * be spread.
      */
-    private static final long QUEUE_TIME = 500;
+    private static final long QUEUE_CAPACITY_MILLIS = 500;
     /** Keeps proxies whose watches were cut by the same fault from calling in the same millisecond. */
-    static final long JITTER = 100;
+    static final long JITTER_MILLIS = 100;
 
     private final SplittableRandom random;
-    private final Backoff refused;
-    private final Backoff broken;
-    private final int proxies;
+    private final Backoff refusalBackoff;
+    private final Backoff truncationBackoff;
+    private final int proxyCount;
     // this proxy's positions in the windows over which the fleet's calls are spread
-    private final double firstSlot, repeatSlot;
-    private final long firstInterval;
+    private final double firstCallSlot, repeatCallSlot;
+    private final long firstIntervalMillis;
     // whether the fleet is so large that its calls are spread over an interval
-    private final boolean shared;
-    private long fastestAnswer = Long.MAX_VALUE;
-    private int waitedInVain; // consecutive calls that failed after a wait
-    private int refusals; // consecutive calls refused at once
-    private boolean answerLost; // whether the previous call failed because its connection ended
+    private final boolean largeFleet;
+    private long fastestAnswerMillis = Long.MAX_VALUE;
+    private int failuresAfterWait; // consecutive calls that failed after a wait
+    private int immediateRefusals; // consecutive calls refused at once
+    private boolean previousAnswerLost; // whether the previous call failed because its connection ended
 
     /**
      * Creates the pacing for one proxy of a fleet, given the size of the fleet, the number of this proxy in
      * it, and the time within which the settings require a call, which caps the first interval (0 or less:
      * no cap).
      */
-    CallPacing(int proxies, int number, long askWithin, long seed) {
-        this.proxies = proxies;
-        this.firstSlot = number * FIRST_STEP % 1;
-        this.repeatSlot = number * REPEAT_STEP % 1;
-        long longest = askWithin <= 0 ? MAX_FIRST_INTERVAL : Math.min(askWithin, MAX_FIRST_INTERVAL);
-        firstInterval = Math.min(longest, proxies * INTERVAL_PER_PROXY);
-        shared = firstInterval > DiscoveryTimeouts.MOST_APART;
-        long maxBackoff = Math.min(longest, DiscoveryTimeouts.MOST_APART);
-        refused = new Backoff(Math.min(maxBackoff, DiscoveryTimeouts.FIRST_APART), maxBackoff, seed);
-        broken = new Backoff(Math.min(maxBackoff, JITTER), maxBackoff, seed);
+    CallPacing(int proxyCount, int proxyNumber, long subscribeWithinMillis, long seed) {
+        this.proxyCount = proxyCount;
+        this.firstCallSlot = proxyNumber * FIRST_CALL_STEP % 1;
+        this.repeatCallSlot = proxyNumber * REPEAT_CALL_STEP % 1;
+        long maxIntervalMillis = subscribeWithinMillis <= 0 ? MAX_FIRST_INTERVAL_MILLIS
+            : Math.min(subscribeWithinMillis, MAX_FIRST_INTERVAL_MILLIS);
+        firstIntervalMillis = Math.min(maxIntervalMillis, proxyCount * INTERVAL_PER_PROXY_MILLIS);
+        largeFleet = firstIntervalMillis > DiscoveryTimeouts.MAX_CALL_INTERVAL_MILLIS;
+        long maxBackoffMillis = Math.min(maxIntervalMillis, DiscoveryTimeouts.MAX_CALL_INTERVAL_MILLIS);
+        refusalBackoff = new Backoff(Math.min(maxBackoffMillis, DiscoveryTimeouts.FIRST_BACKOFF_MILLIS),
+            maxBackoffMillis, seed);
+        truncationBackoff = new Backoff(Math.min(maxBackoffMillis, JITTER_MILLIS), maxBackoffMillis, seed);
         random = new SplittableRandom(seed);
     }
 
@@ -116,37 +119,39 @@
      * Whether this class also schedules the first call, instead of the balancer, which knows of this proxy
      * alone.
      */
-    boolean decidesFirstCall() {
-        return shared;
+    boolean schedulesFirstCall() {
+        return largeFleet;
     }
 
     /**
      * Wait after the start of a process. In a small fleet: the latest time of the first call if the
      * balancer has not requested one by then.
      */
-    long firstCall() {
-        if (!shared) {
-            return DiscoveryTimeouts.MOST_APART;
+    long waitBeforeFirstCall() {
+        if (!largeFleet) {
+            return DiscoveryTimeouts.MAX_CALL_INTERVAL_MILLIS;
         }
-        double place = place(firstSlot);
-        return place < PROMPT_SHARE ? (long) (PROMPT * place / PROMPT_SHARE)
-            : (long) (firstInterval * START_PART * (place - PROMPT_SHARE) / (1 - PROMPT_SHARE));
+        double position = slotPosition(firstCallSlot);
+        return position < IMMEDIATE_START_FRACTION ? (long) (IMMEDIATE_START_WINDOW_MILLIS
+            * position / IMMEDIATE_START_FRACTION)
+            : (long) (firstIntervalMillis * START_SPREAD_FRACTION
+            * (position - IMMEDIATE_START_FRACTION) / (1 - IMMEDIATE_START_FRACTION));
     }
 
     /**
      * Wait of a process that takes over from one that still runs. The list it starts with stays valid
      * meanwhile, so a short spread is enough.
      */
-    long firstCallOfSuccessor() {
-        return spread(DiscoveryTimeouts.MOST_APART);
+    long waitBeforeFirstCallOfSuccessor() {
+        return randomWait(DiscoveryTimeouts.MAX_CALL_INTERVAL_MILLIS);
     }
 
     /**
      * Wait after an answer or a watch that ended in the middle of an object: discovery is answering and has
      * sent more than was received.
      */
-    long afterBrokenAnswer() {
-        return broken.next();
+    long waitAfterTruncatedAnswer() {
+        return truncationBackoff.nextWait();
     }
 
     /**
@@ -154,104 +159,114 @@
      * up and may have had more to send; if it was reset, discovery may be down, and all other watches with
      * it.
      */
-    long afterEnd(boolean closed) {
-        return shared ? spreadOverFleet(closed ? CLOSED_PART : RESET_PART) : broken.next();
+    long waitAfterWatchEnd(boolean closedInOrder) {
+        return largeFleet ? spreadOverFleet(closedInOrder ? CLOSED_SPREAD_FRACTION : RESET_SPREAD_FRACTION)
+            : truncationBackoff.nextWait();
     }
 
     /**
      * Wait after a watch has fallen silent. Part of the time after which the changes it misses count as
      * known has already passed.
      */
-    long afterSilence() {
-        return shared ? spreadOverFleet(SILENT_PART) : 0;
+    long waitAfterSilence() {
+        return largeFleet ? spreadOverFleet(SILENCE_SPREAD_FRACTION) : 0;
     }
 
     /**
      * Wait while discovery returns an older version than before. All proxies may have noticed that at once.
      */
-    long whileBehind() {
-        return DiscoveryTimeouts.TOLD - (shared ? spreadOverFleet(SILENT_PART) : 0);
+    long waitWhileOutdated() {
+        return DiscoveryTimeouts.DELIVERY_DEADLINE_MILLIS
+            - (largeFleet ? spreadOverFleet(SILENCE_SPREAD_FRACTION) : 0);
     }
 
     /**
      * Wait after discovery has moved to another address. All proxies are notified at once, and the new
      * instance may be slower.
      */
-    long afterMove() {
-        fastestAnswer = Long.MAX_VALUE;
-        return shared ? spreadOverFleet(MOVED_PART) : 0;
+    long waitAfterMove() {
+        fastestAnswerMillis = Long.MAX_VALUE;
+        return largeFleet ? spreadOverFleet(MOVE_SPREAD_FRACTION) : 0;
     }
 
     /**
      * How long a call may remain unanswered before it is taken for dead and another one starts beside it.
      * In a large fleet the second call also waits for its slot, because the first one may still be queued.
      */
-    long whileUnanswered() {
-        return shared ? Math.max(DiscoveryTimeouts.ANSWER, nextInterval()) : DiscoveryTimeouts.ANSWER;
+    long answerTimeout() {
+        return largeFleet ? Math.max(DiscoveryTimeouts.ANSWER_TIMEOUT_MILLIS, nextInterval())
+            : DiscoveryTimeouts.ANSWER_TIMEOUT_MILLIS;
     }
 
     /**
      * Wait after a failed call, counted from the start of that call, {@code sinceStart} ms ago. {@code
      * refusal} tells whether discovery refused the call or its connection ended.
      */
-    long afterFailure(long sinceStart, boolean refusal) {
-        boolean atOnce = sinceStart < REFUSED_WITHIN;
-        if (!refusal && !atOnce && sinceStart < WAITED_OUT && !answerLost) {
-            answerLost = true; // the next failure tells whether discovery drops queued calls this way
-            return afterBrokenAnswer();
+    long waitAfterFailure(long sinceStartMillis, boolean refused) {
+        boolean immediate = sinceStartMillis < IMMEDIATE_REFUSAL_MILLIS;
+        if (!refused && !immediate && sinceStartMillis < MIN_QUEUE_TIMEOUT_MILLIS && !previousAnswerLost) {
+            previousAnswerLost = true; // the next failure tells whether discovery drops queued calls this way
+            return waitAfterTruncatedAnswer();
         }
-        waitedInVain += atOnce && waitedInVain == 0 ? 0 : 1;
-        boolean quick = !shared || waitedInVain == 0 && refusals++ < MAX_QUICK_REPEATS;
-        long apart = quick ? Math.min(refused.next(), DiscoveryTimeouts.MOST_APART) : nextInterval();
-        return Math.max(0, apart - sinceStart);
+        failuresAfterWait += immediate && failuresAfterWait == 0 ? 0 : 1;
+        boolean retriesSoon = !largeFleet || failuresAfterWait == 0
+            && immediateRefusals++ < MAX_QUICK_RETRIES;
+        long intervalMillis = retriesSoon ? Math.min(refusalBackoff.nextWait(),
+            DiscoveryTimeouts.MAX_CALL_INTERVAL_MILLIS) : nextInterval();
+        return Math.max(0, intervalMillis - sinceStartMillis);
     }
 
     /** Interval between the starts of two consecutive calls. */
     private long nextInterval() {
-        int growing = Math.max(0, waitedInVain - FAILURES_BEFORE_GROWTH);
-        double grown = firstInterval * Math.min(MAX_GROWTH, Math.pow(GROWTH, growing));
-        long interval = neededByFleet() <= DiscoveryTimeouts.TOLD ? firstInterval : (long) grown;
-        double part = MIN_REPEAT_PART + (MAX_REPEAT_PART - MIN_REPEAT_PART) * place(repeatSlot);
-        return (long) (interval * part);
+        int growthSteps = Math.max(0, failuresAfterWait - FAILURES_BEFORE_GROWTH);
+        double grownMillis = firstIntervalMillis * Math.min(MAX_INTERVAL_FACTOR,
+            Math.pow(INTERVAL_GROWTH_FACTOR, growthSteps));
+        long intervalMillis = fleetServiceMillis() <= DiscoveryTimeouts.DELIVERY_DEADLINE_MILLIS
+            ? firstIntervalMillis : (long) grownMillis;
+        double fraction = MIN_REPEAT_FRACTION + (MAX_REPEAT_FRACTION - MIN_REPEAT_FRACTION)
+            * slotPosition(repeatCallSlot);
+        return (long) (intervalMillis * fraction);
     }
 
     /** The answer to a call has begun, this many milliseconds after the call. */
-    void answered(long afterMillis) {
-        fastestAnswer = Math.min(fastestAnswer, Math.max(1, afterMillis));
-        waitedInVain = 0;
-        answerLost = false;
+    void recordAnswer(long latencyMillis) {
+        fastestAnswerMillis = Math.min(fastestAnswerMillis, Math.max(1, latencyMillis));
+        failuresAfterWait = 0;
+        previousAnswerLost = false;
     }
 
     /** A complete object has been received. */
     void reset() {
-        waitedInVain = refusals = 0;
-        refused.reset();
-        broken.reset();
+        failuresAfterWait = immediateRefusals = 0;
+        refusalBackoff.reset();
+        truncationBackoff.reset();
     }
 
     /**
      * Spreads the calls over the time that discovery needs for all proxies beyond what fits into its queue.
      */
-    private long spreadOverFleet(double maxPart) {
-        long longest = (long) (firstInterval * maxPart);
-        long needed = neededByFleet() - QUEUE_TIME;
-        return (long) (Math.min(longest, Math.max(JITTER, needed)) * place(firstSlot));
+    private long spreadOverFleet(double maxFraction) {
+        long maxMillis = (long) (firstIntervalMillis * maxFraction);
+        long neededMillis = fleetServiceMillis() - QUEUE_CAPACITY_MILLIS;
+        return (long) (Math.min(maxMillis, Math.max(JITTER_MILLIS, neededMillis))
+            * slotPosition(firstCallSlot));
     }
 
     /** Upper bound of the time that discovery needs to serve each proxy once. */
-    private long neededByFleet() {
-        return fastestAnswer > Long.MAX_VALUE / proxies ? Long.MAX_VALUE : proxies * fastestAnswer;
+    private long fleetServiceMillis() {
+        return fastestAnswerMillis > Long.MAX_VALUE / proxyCount ? Long.MAX_VALUE : proxyCount
+            * fastestAnswerMillis;
     }
 
     /**
      * This proxy's position in an interval, from 0 to 1. Positions are evenly spread over any subset of the
      * fleet.
      */
-    private double place(double slot) {
-        return (slot + random.nextDouble() / proxies) % 1;
+    private double slotPosition(double slot) {
+        return (slot + random.nextDouble() / proxyCount) % 1;
     }
 
-    private long spread(long over) {
-        return random.nextLong(over + 1);
+    private long randomWait(long maxMillis) {
+        return random.nextLong(maxMillis + 1);
     }
 }
--- a/proxy/src/main/java/dockrelay/proxy/Config.java
+++ b/proxy/src/main/java/dockrelay/proxy/Config.java
@@ -28,12 +28,15 @@
  * the deployment's members, this proxy included, arranged in groups; if it is a plain list of addresses,
  * the peers have no names and groups are null.
  */
-record Config(String name, InetSocketAddress listen, InetSocketAddress discovery, long seed, int sockets,
-              int memory, KnownList known, Settings settings, long connectTimeoutMicros, long connectionIdle,
-              boolean sendsRetryAfter, InetSocketAddress console, InetSocketAddress peerListenAddress,
-              PeerDirectory peers, InetSocketAddress peerBroadcastAddress, PeerGroups peerGroups, List<Budget> budgets,
+record Config(String name, InetSocketAddress listenAddress, InetSocketAddress discoveryAddress, long seed,
+    int maxSockets,
+              int memoryMegabytes, KnownList knownList, Settings settings, long connectTimeoutMicros,
+              long connectionIdleMicros,
+              boolean sendsRetryAfter, InetSocketAddress consoleAddress, InetSocketAddress peerListenAddress,
+              PeerDirectory peers, InetSocketAddress peerBroadcastAddress, PeerGroups peerGroups,
+              List<Budget> budgets,
               List<String> retiredMembers, Set<String> streamingClasses) {
-    private static final double MICROS = 1_000_000;
+    private static final double MICROS_PER_SECOND = 1_000_000;
 
     /** Reads the configuration. Any error is reported in one line that names the file. */
     static Config read(Path file) throws ConfigException {
@@ -44,13 +47,13 @@
      * Reads the configuration for a reload. Skips the list of known backends: the running process has its
      * own and no memory for a second one.
      */
-    static Config readAgain(Path file) throws ConfigException {
+    static Config readForReload(Path file) throws ConfigException {
         return read(file, false);
     }
 
-    private static Config read(Path file, boolean starts) throws ConfigException {
+    private static Config read(Path file, boolean readsKnownList) throws ConfigException {
         try (InputStream in = Files.newInputStream(file)) {
-            return read(in, starts);
+            return read(in, readsKnownList);
         } catch (IOException | RuntimeException e) {
             throw new ConfigException(file, e);
         }
@@ -64,9 +67,9 @@
      * Streams the input, because a file that names all backends and tenants is larger than what is kept of
      * it.
      */
-    private static Config read(InputStream in, boolean starts) throws IOException {
-        Map<String, Object> top = new LinkedHashMap<>();
-        KnownList known = new KnownList();
+    private static Config read(InputStream in, boolean readsKnownList) throws IOException {
+        Map<String, Object> root = new LinkedHashMap<>();
+        KnownList knownList = new KnownList();
         try (JsonParser parser = new JsonFactory().createParser(in)) {
             if (parser.nextToken() != JsonToken.START_OBJECT) {
                 throw new SettingException("the configuration", parser.currentToken() == null ? ""
@@ -75,48 +78,51 @@
             while (parser.nextToken() == JsonToken.FIELD_NAME) {
                 String key = parser.currentName();
                 parser.nextToken();
-                if ("known".equals(key) && starts) {
-                    known = KnownList.read(parser);
+                if ("known".equals(key) && readsKnownList) {
+                    knownList = KnownList.read(parser);
                 } else if ("known".equals(key)) {
                     parser.skipChildren();
                 } else {
-                    top.put(key, Json.readValue(parser));
+                    root.put(key, Json.readValue(parser));
                 }
             }
         } catch (JsonProcessingException e) {
             throw new SettingException("line " + (e.getLocation() == null ? 1 : e.getLocation().getLineNr()),
                 e.getOriginalMessage(), "one JSON object");
         }
-        return of(top, known);
+        return fromJson(root, knownList);
     }
 
-    private static Config of(Map<?, ?> top, KnownList known) {
-        Map<?, ?> settings = map(top, "settings");
-        Map<?, ?> allowed = map(settings, "Permissions");
-        PeerDirectory peers = peers(top);
+    private static Config fromJson(Map<?, ?> root, KnownList knownList) {
+        Map<?, ?> settings = objectOrEmpty(root, "settings");
+        Map<?, ?> permissions = objectOrEmpty(settings, "Permissions");
+        PeerDirectory peers = peers(root);
         // Without peers, the classes for peers are not even loaded, because that would lengthen each start.
-        PeerGroups groups = peers.names().isEmpty() && !top.containsKey(PeerGroups.CONFIG_KEY) ? null
-            : PeerGroups.read(top, peers);
-        Settings read = SettingsReader.read(settings);
-        return new Config(text(top, "name"), address("listen", text(top, "listen")),
-            address("discovery", text(top, "discovery")),
-            seed(text(top, "seed")), within(map(top, "limits"), "limits.", "sockets", 1024, 34),
-            within(map(top, "limits"), "limits.", "memory_mb", 192, 16),
-            known, read,
-            (long) (numberOrDefault(allowed, "ConnectTimeout", 0.25) * MICROS),
-            (long) (numberOrDefault(allowed, "ConnIdle", 15) * MICROS),
-            !Boolean.FALSE.equals(allowed.get("RetryAfter")), maybe(top, "console"),
-            maybe(top, "peer_listen"), peers, maybe(top, "peers_all"), groups,
-            top.get("budgets") instanceof Map<?, ?> budgets ? BudgetConfigReader.read(budgets, read, groups)
+        PeerGroups groups = peers.names().isEmpty() && !root.containsKey(PeerGroups.CONFIG_KEY) ? null
+            : PeerGroups.read(root, peers);
+        Settings parsedSettings = SettingsReader.read(settings);
+        return new Config(requireString(root, "name"), parseAddress("listen", requireString(root, "listen")),
+            parseAddress("discovery", requireString(root, "discovery")),
+            seed(requireString(root, "seed")), intAtLeast(objectOrEmpty(root, "limits"), "limits.",
+            "sockets", 1024, 34),
+            intAtLeast(objectOrEmpty(root, "limits"), "limits.", "memory_mb", 192, 16),
+            knownList, parsedSettings,
+            (long) (numberOrDefault(permissions, "ConnectTimeout", 0.25) * MICROS_PER_SECOND),
+            (long) (numberOrDefault(permissions, "ConnIdle", 15) * MICROS_PER_SECOND),
+            !Boolean.FALSE.equals(permissions.get("RetryAfter")), optionalAddress(root, "console"),
+            optionalAddress(root, "peer_listen"), peers, optionalAddress(root, "peers_all"), groups,
+            root.get("budgets") instanceof Map<?, ?> budgets
+            ? BudgetConfigReader.read(budgets, parsedSettings, groups)
                 : List.of(),
-            list(top, "retired").stream().map(String.class::cast).toList(), streaming(settings));
+            listOrEmpty(root, "retired").stream().map(String.class::cast).toList(),
+            readStreamingClasses(settings));
     }
 
     /** Names of the service classes whose responses may be streamed without a time limit. */
-    private static Set<String> streaming(Map<?, ?> settings) {
-        return list(settings, "Services").stream().map(Map.class::cast)
+    private static Set<String> readStreamingClasses(Map<?, ?> settings) {
+        return listOrEmpty(settings, "Services").stream().map(Map.class::cast)
             .filter(service -> Boolean.TRUE.equals(service.get("Streaming")))
-            .map(service -> text(service, "Name")).collect(Collectors.toSet());
+            .map(service -> requireString(service, "Name")).collect(Collectors.toSet());
     }
 
     private static long seed(String text) {
@@ -128,30 +134,31 @@
     }
 
     /** Reads an integer that must be at least {@code least}; {@code fallback} if the key is missing. */
-    private static int within(Map<?, ?> from, String path, String key, int fallback, int least) {
-        Object value = from.get(key);
+    private static int intAtLeast(Map<?, ?> object, String pathPrefix, String key, int fallback, int min) {
+        Object value = object.get(key);
         if (value == null) {
             return fallback;
         }
-        if (value instanceof Number number && number.doubleValue() >= least
+        if (value instanceof Number number && number.doubleValue() >= min
             && number.doubleValue() <= Integer.MAX_VALUE && number.doubleValue() % 1 == 0) {
             return number.intValue();
         }
-        throw new SettingException(path + key, value, "a whole number of at least " + least);
+        throw new SettingException(pathPrefix + key, value, "a whole number of at least " + min);
     }
 
-    private static PeerDirectory peers(Map<?, ?> top) {
-        Map<?, ?> named = map(top, "peers");
+    private static PeerDirectory peers(Map<?, ?> root) {
+        Map<?, ?> addressesByName = objectOrEmpty(root, "peers");
         List<String> names = new ArrayList<>();
-        named.keySet().forEach(name -> names.add((String) name));
-        if (!named.isEmpty() && !named.containsKey(text(top, "name"))) {
-            throw new IllegalArgumentException("peers: its own name " + text(top, "name")
+        addressesByName.keySet().forEach(name -> names.add((String) name));
+        if (!addressesByName.isEmpty() && !addressesByName.containsKey(requireString(root, "name"))) {
+            throw new IllegalArgumentException("peers: its own name " + requireString(root, "name")
                 + " is not among them: " + PeerGroups.abbreviate(names));
         }
-        List<InetSocketAddress> result = new ArrayList<>();
-        named.forEach((name, value) -> result.add(address("peers." + name, value)));
-        list(top, "peers").forEach(value -> result.add(address("peers[" + result.size() + "]", value)));
-        return new PeerDirectory(names, result);
+        List<InetSocketAddress> addresses = new ArrayList<>();
+        addressesByName.forEach((name, value) -> addresses.add(parseAddress("peers." + name, value)));
+        listOrEmpty(root, "peers").forEach(value -> addresses.add(parseAddress("peers[" + addresses.size()
+            + "]", value)));
+        return new PeerDirectory(names, addresses);
     }
 
     /** Names of the members of this proxy's own group, this proxy included. */
@@ -165,13 +172,13 @@
     }
 
     /** Whether the proxies track each other's membership. */
-    boolean membership() {
+    boolean usesMembership() {
         return settings.limits().peers() && peerListenAddress != null && peerGroups != null;
     }
 
-    private static InetSocketAddress address(String key, Object value) {
+    private static InetSocketAddress parseAddress(String key, Object value) {
         try {
-            return address((String) value);
+            return parseAddress((String) value);
         } catch (RuntimeException e) {
             throw new SettingException(key, value, "HOST:PORT");
         }
@@ -181,7 +188,7 @@
      * Parses an address written as host:port. Only literal IP addresses are accepted, because names are not
      * resolved.
      */
-    static InetSocketAddress address(String text) {
+    static InetSocketAddress parseAddress(String text) {
         int colon = text.lastIndexOf(':');
         InetSocketAddress address =
             new InetSocketAddress(text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
@@ -191,26 +198,26 @@
         return address;
     }
 
-    private static InetSocketAddress maybe(Map<?, ?> from, String key) {
-        return from.get(key) instanceof String value ? address(key, value) : null;
+    private static InetSocketAddress optionalAddress(Map<?, ?> object, String key) {
+        return object.get(key) instanceof String value ? parseAddress(key, value) : null;
     }
 
-    static Map<?, ?> map(Map<?, ?> from, String key) {
-        return from.get(key) instanceof Map<?, ?> value ? value : Map.of();
+    static Map<?, ?> objectOrEmpty(Map<?, ?> object, String key) {
+        return object.get(key) instanceof Map<?, ?> value ? value : Map.of();
     }
 
-    static List<?> list(Map<?, ?> from, String key) {
-        return from.get(key) instanceof List<?> value ? value : List.of();
+    static List<?> listOrEmpty(Map<?, ?> object, String key) {
+        return object.get(key) instanceof List<?> value ? value : List.of();
     }
 
-    static double numberOrDefault(Map<?, ?> from, String key, double fallback) {
-        return from.get(key) instanceof Number value ? value.doubleValue() : fallback;
+    static double numberOrDefault(Map<?, ?> object, String key, double fallback) {
+        return object.get(key) instanceof Number value ? value.doubleValue() : fallback;
     }
 
-    static String text(Map<?, ?> from, String key) {
-        if (from.get(key) instanceof String value) {
+    static String requireString(Map<?, ?> object, String key) {
+        if (object.get(key) instanceof String value) {
             return value;
         }
-        throw new SettingException(key, from.get(key), "a string");
+        throw new SettingException(key, object.get(key), "a string");
     }
 }
--- a/proxy/src/main/java/dockrelay/proxy/Counters.java
+++ b/proxy/src/main/java/dockrelay/proxy/Counters.java
@@ -45,19 +45,19 @@
 
     /** A value that is sampled when the line is written. */
     interface Gauge {
-        long now();
+        long currentValue();
     }
 
-    private final Map<Count, Long> counted = new EnumMap<>(Count.class);
+    private final Map<Count, Long> counts = new EnumMap<>(Count.class);
     private final Map<String, Gauge> gauges = new LinkedHashMap<>();
 
     void increment(Count count) {
-        counted.merge(count, 1L, Long::sum);
+        counts.merge(count, 1L, Long::sum);
     }
 
     /** The number of these events since the previous line. */
-    long of(Count count) {
-        return counted.getOrDefault(count, 0L);
+    long countSinceLastLine(Count count) {
+        return counts.getOrDefault(count, 0L);
     }
 
     void registerGauge(String name, Gauge gauge) {
@@ -66,10 +66,10 @@
 
     /** Formats the counts that are not zero, followed by the gauges, and resets the counts. */
     String formatAndReset() {
-        List<String> words = new ArrayList<>();
-        counted.forEach((count, number) -> words.add(count.name().toLowerCase(Locale.ROOT) + "=" + number));
-        gauges.forEach((name, gauge) -> words.add(name + "=" + gauge.now()));
-        counted.clear();
-        return String.join(" ", words);
+        List<String> fields = new ArrayList<>();
+        counts.forEach((count, value) -> fields.add(count.name().toLowerCase(Locale.ROOT) + "=" + value));
+        gauges.forEach((name, gauge) -> fields.add(name + "=" + gauge.currentValue()));
+        counts.clear();
+        return String.join(" ", fields);
     }
 }
--- a/proxy/src/main/java/dockrelay/proxy/DiscoveryTimeouts.java
+++ b/proxy/src/main/java/dockrelay/proxy/DiscoveryTimeouts.java
@@ -10,45 +10,45 @@
      * Time after which a change that discovery has and could deliver counts as known to the proxy. Set by
      * the discovery protocol.
      */
-    static final int TOLD = 6_000;
+    static final int DELIVERY_DEADLINE_MILLIS = 6_000;
     /** The same time after SIGHUP has moved discovery to another address, counted from the signal. */
-    static final int TOLD_MOVED = 4_000;
+    static final int DELIVERY_DEADLINE_AFTER_MOVE_MILLIS = 4_000;
     /**
      * Interval of the empty lines that discovery sends while nothing changes, set by the discovery
      * protocol.
      */
-    static final int HEARTBEAT = 2_000;
+    static final int HEARTBEAT_INTERVAL_MILLIS = 2_000;
     /** Tolerance for a late heartbeat and for delays within this process. */
-    static final int LATENESS = 500;
+    static final int LATENESS_TOLERANCE_MILLIS = 500;
     /**
      * A watch without a byte for this long is broken. A hung host and an object that stops halfway look the
      * same.
      */
-    static final int SILENT = HEARTBEAT + LATENESS;
+    static final int SILENCE_TIMEOUT_MILLIS = HEARTBEAT_INTERVAL_MILLIS + LATENESS_TOLERANCE_MILLIS;
     /** If an incomplete object makes no progress for this long, another call is made beside it. */
-    static final int STALL = LATENESS;
+    static final int STALL_TIMEOUT_MILLIS = LATENESS_TOLERANCE_MILLIS;
     /** Maximum time that a connection may take to come up. */
-    static final int LATE_CONNECTION = 1_000;
+    static final int MAX_CONNECT_DELAY_MILLIS = 1_000;
     /** Connect timeout: a connection that has not come up by now never will. */
-    static final int CONNECT = LATE_CONNECTION + 200;
+    static final int CONNECT_TIMEOUT_MILLIS = MAX_CONNECT_DELAY_MILLIS + 200;
     /** If a call has no answer by then, another connection is opened beside it, without a call as yet. */
-    static final int BESIDE = 1_500;
+    static final int STANDBY_DELAY_MILLIS = 1_500;
     /**
      * A call that has no answer by then is taken for dead, and the next call is made on the standby
      * connection, which has had time to come up. Not sooner: a busy discovery queues calls, and refuses a
      * caller together with all its queued calls when it calls again in the meantime.
      */
-    static final int ANSWER = BESIDE + LATE_CONNECTION;
+    static final int ANSWER_TIMEOUT_MILLIS = STANDBY_DELAY_MILLIS + MAX_CONNECT_DELAY_MILLIS;
     /**
      * Maximum time between the starts of two calls while none is answered, however many failed, were
      * refused or were abandoned.
      */
-    static final int MOST_APART = 2_000;
+    static final int MAX_CALL_INTERVAL_MILLIS = 2_000;
     /**
      * Bound of the first wait after a failure. The wait is random, because proxies fail together and must
      * not retry in step.
      */
-    static final int FIRST_APART = 500;
+    static final int FIRST_BACKOFF_MILLIS = 500;
 
     private DiscoveryTimeouts() {
     }
@@ -57,33 +57,34 @@
      * The rest of a randomly drawn wait after a failure, {@code sinceStart} ms after the start of the
      * failed call.
      */
-    static long after(long sinceStart, long drawn) {
-        return Math.max(0, Math.min(drawn, MOST_APART) - sinceStart);
+    static long remainingWait(long sinceStartMillis, long drawnMillis) {
+        return Math.max(0, Math.min(drawnMillis, MAX_CALL_INTERVAL_MILLIS) - sinceStartMillis);
     }
 
     /**
      * From the last byte of a watch to a new connection that is up, including one call that was not
      * answered.
      */
-    static int silenced() {
-        return SILENT + BESIDE + LATE_CONNECTION;
+    static int reconnectMillisAfterSilence() {
+        return SILENCE_TIMEOUT_MILLIS + STANDBY_DELAY_MILLIS + MAX_CONNECT_DELAY_MILLIS;
     }
 
     /**
      * From the moment at which discovery can be reached again: one wait, one call that is not answered, one
      * late connection.
      */
-    static int reached() {
-        return MOST_APART + BESIDE + LATE_CONNECTION;
+    static int reconnectMillisAfterOutage() {
+        return MAX_CALL_INTERVAL_MILLIS + STANDBY_DELAY_MILLIS + MAX_CONNECT_DELAY_MILLIS;
     }
 
     /** From SIGHUP: one call that is not answered, one late connection. */
-    static int moved() {
-        return BESIDE + LATE_CONNECTION;
+    static int connectMillisAfterMove() {
+        return STANDBY_DELAY_MILLIS + MAX_CONNECT_DELAY_MILLIS;
     }
 
     /** The minimum time that these delays leave for the call itself. */
-    static int call() {
-        return Math.min(TOLD - Math.max(silenced(), reached()), TOLD_MOVED - moved());
+    static int minCallMillis() {
+        return Math.min(DELIVERY_DEADLINE_MILLIS - Math.max(reconnectMillisAfterSilence(),
+            reconnectMillisAfterOutage()), DELIVERY_DEADLINE_AFTER_MOVE_MILLIS - connectMillisAfterMove());
     }
 }
--- a/proxy/src/main/java/dockrelay/proxy/DiscoveryWatch.java
+++ b/proxy/src/main/java/dockrelay/proxy/DiscoveryWatch.java
@@ -33,32 +33,35 @@
  * silent.
  */
 final class DiscoveryWatch {
-    private static final int LONGEST_READ = 16 << 10;
-    private static final long SILENT_NANOS = TimeUnit.MILLISECONDS.toNanos(DiscoveryTimeouts.SILENT);
+    private static final int MAX_READ_BYTES = 16 << 10;
+    private static final long SILENCE_TIMEOUT_NANOS =
+        TimeUnit.MILLISECONDS.toNanos(DiscoveryTimeouts.SILENCE_TIMEOUT_MILLIS);
     private static final int STALL_CHECKS = 5;
-    private static final int STALL_CHECK_MILLIS = DiscoveryTimeouts.STALL / STALL_CHECKS;
-    private static final long LATENESS_NANOS = TimeUnit.MILLISECONDS.toNanos(DiscoveryTimeouts.LATENESS);
+    private static final int STALL_CHECK_INTERVAL_MILLIS =
+        DiscoveryTimeouts.STALL_TIMEOUT_MILLIS / STALL_CHECKS;
+    private static final long LATENESS_TOLERANCE_NANOS =
+        TimeUnit.MILLISECONDS.toNanos(DiscoveryTimeouts.LATENESS_TOLERANCE_MILLIS);
 
     /** Receives the events of a watch, on the event loop. */
     interface Listener {
         /** A heartbeat between two objects: nothing has changed. */
-        void heartbeat(DiscoveryWatch watch);
+        void heartbeatReceived(DiscoveryWatch watch);
 
         /** An incomplete object has made no progress for {@link DiscoveryTimeouts#STALL} ms. */
-        void stalled(DiscoveryWatch watch);
+        void watchStalled(DiscoveryWatch watch);
 
         /** Converts an entry, as soon as it is parsed, to what is to be kept of it. */
-        Object read(Map<?, ?> entry);
+        Object readEntry(Map<?, ?> entry);
 
         /** A complete object, with its entries as {@link #read} converted them. */
-        void received(DiscoveryWatch watch, ListParser.Update update);
+        void updateReceived(DiscoveryWatch watch, ListParser.Update update);
 
         /** The watch has ended; called at most once. */
-        void ended(DiscoveryWatch watch, String why);
+        void watchEnded(DiscoveryWatch watch, String reason);
     }
 
     /** How a call or a watch ended. */
-    enum Ending {
+    enum EndReason {
         /** Discovery closed it in good order. */
         CLOSED,
         /** The connection was reset or never came up. */
@@ -71,111 +74,113 @@
 
     private final Listener listener;
     private final Channel channel;
-    private final String host;
-    private int number; // 0 until the call is made
-    private long version, calledAt;
-    private long answeredAt; // 0 until the header of a 200 answer has been received
-    private long withinSince, movedAt = Long.MIN_VALUE / 2;
-    private String why = "connection closed";
-    private Ending ending = Ending.CLOSED;
+    private final String hostHeader;
+    private int callNumber; // 0 until the call is made
+    private long afterVersion, calledAtNanos;
+    private long answeredAtNanos; // 0 until the header of a 200 answer has been received
+    private long noProgressSinceNanos, lastProgressNanos = Long.MIN_VALUE / 2;
+    private String endMessage = "connection closed";
+    private EndReason endReason = EndReason.CLOSED;
     private boolean ended;
-    private boolean within; // whether an incomplete object has been received
-    private boolean complete; // whether a complete object or a heartbeat has been received
-    private boolean checksForStall, readSinceCheck;
+    private boolean insideObject; // whether an incomplete object has been received
+    private boolean anyObjectComplete; // whether a complete object or a heartbeat has been received
+    private boolean stallCheckScheduled, dataSinceStallCheck;
     private final ListParser parser;
 
     /** Opens the connection without making a call. */
     DiscoveryWatch(Bootstrap template, InetSocketAddress address, Listener listener) {
         this.listener = listener;
-        this.parser = new ListParser(listener::read, this::received);
-        this.host = address.getHostString() + ":" + address.getPort();
-        ChannelFuture connecting = template.clone()
-            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, DiscoveryTimeouts.CONNECT)
+        this.parser = new ListParser(listener::readEntry, this::passOnUpdate);
+        this.hostHeader = address.getHostString() + ":" + address.getPort();
+        ChannelFuture connectFuture = template.clone()
+            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, DiscoveryTimeouts.CONNECT_TIMEOUT_MILLIS)
             // Lets requests be processed between two parts of a long list.
             .option(ChannelOption.RECVBUF_ALLOCATOR,
-                new FixedRecvByteBufAllocator(LONGEST_READ).maxMessagesPerRead(1))
+                new FixedRecvByteBufAllocator(MAX_READ_BYTES).maxMessagesPerRead(1))
             .handler(new ChannelInitializer<Channel>() {
                 @Override
-                protected void initChannel(Channel made) {
-                    made.pipeline().addLast(new HttpClientCodec(), new Answer(), new Objects());
+                protected void initChannel(Channel newChannel) {
+                    newChannel.pipeline().addLast(new HttpClientCodec(), new ResponseHandler(),
+                        new BodyHandler());
                 }
             }).connect(address);
-        channel = connecting.channel();
-        connecting.addListener(done -> {
-            if (!done.isSuccess()) {
-                ending = Ending.BROKEN_CONNECTION;
-                end(String.valueOf(done.cause().getMessage()));
-            } else if (number > 0) {
-                writeCall();
+        channel = connectFuture.channel();
+        connectFuture.addListener(completed -> {
+            if (!completed.isSuccess()) {
+                endReason = EndReason.BROKEN_CONNECTION;
+                notifyEnded(String.valueOf(completed.cause().getMessage()));
+            } else if (callNumber > 0) {
+                writeRequest();
             }
         });
     }
 
     /** Requests the changes since this version as soon as the connection is up; call numbers start at 1. */
-    void call(long after, int callNumber) {
-        version = after;
-        number = callNumber;
-        calledAt = System.nanoTime();
+    void requestChanges(long version, int number) {
+        afterVersion = version;
+        callNumber = number;
+        calledAtNanos = System.nanoTime();
         if (channel.isActive()) {
-            writeCall();
+            writeRequest();
         }
     }
 
-    private void writeCall() {
-        String path = "/v1/servers?watch=1" + (version < 0 ? "" : "&after=" + version);
+    private void writeRequest() {
+        String path = "/v1/servers?watch=1" + (afterVersion < 0 ? "" : "&after=" + afterVersion);
         HttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, path);
-        request.headers().set(HttpHeaderNames.HOST, host);
+        request.headers().set(HttpHeaderNames.HOST, hostHeader);
         channel.writeAndFlush(request);
     }
 
     /** Number and age of the call, for the log. */
     String describe() {
-        if (number == 0) {
+        if (callNumber == 0) {
             return "standby connection";
         }
-        long age = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - calledAt);
-        return "call " + number + (version < 0 ? "" : " after version " + version) + ", " + age + " ms old"
-            + (answeredAt == 0 ? "" : ", answered after " + answerMillis() + " ms")
-            + (within ? ", in the middle of an object" : "");
+        long ageMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - calledAtNanos);
+        return "call " + callNumber + (afterVersion < 0 ? "" : " after version " + afterVersion) + ", "
+            + ageMillis + " ms old"
+            + (answeredAtNanos == 0 ? "" : ", answered after " + answerLatencyMillis() + " ms")
+            + (insideObject ? ", in the middle of an object" : "");
     }
 
     /** Time from the call to the header of its answer, in milliseconds. */
-    long answerMillis() {
-        return TimeUnit.NANOSECONDS.toMillis(answeredAt - calledAt);
+    long answerLatencyMillis() {
+        return TimeUnit.NANOSECONDS.toMillis(answeredAtNanos - calledAtNanos);
     }
 
     boolean isAnswered() {
-        return answeredAt != 0;
+        return answeredAtNanos != 0;
     }
 
-    Ending ending() {
-        return ending;
+    EndReason endReason() {
+        return endReason;
     }
 
     /** Whether it ended in the middle of an object, or after a header without any complete object. */
-    boolean isBroken() {
-        return within || answeredAt != 0 && !complete;
+    boolean isTruncated() {
+        return insideObject || answeredAtNanos != 0 && !anyObjectComplete;
     }
 
     /** The received part of an incomplete object; null if it contains nothing usable. */
-    ListParser.Update partial() {
-        return parser.partial();
+    ListParser.Update partialUpdate() {
+        return parser.partialUpdate();
     }
 
     /**
      * Whether part of an incomplete object has been parsed within the last {@link
      * DiscoveryTimeouts#LATENESS} ms.
      */
-    boolean moves() {
-        return within && System.nanoTime() - movedAt < LATENESS_NANOS;
+    boolean isProgressing() {
+        return insideObject && System.nanoTime() - lastProgressNanos < LATENESS_TOLERANCE_NANOS;
     }
 
     /**
      * Turns reading on or off. Backpressure: while received updates are being applied, further data stays
      * in the socket buffer.
      */
-    void flow(boolean on) {
-        channel.config().setAutoRead(on);
+    void setReading(boolean enabled) {
+        channel.config().setAutoRead(enabled);
     }
 
     /** Closes the connection; the listener receives no further events. */
@@ -184,58 +189,59 @@
         channel.close();
     }
 
-    private void received(ListParser.Update update) {
-        within = false;
-        complete = true;
+    private void passOnUpdate(ListParser.Update update) {
+        insideObject = false;
+        anyObjectComplete = true;
         if (!ended) {
-            listener.received(this, update);
+            listener.updateReceived(this, update);
         }
     }
 
-    private void end(String reason) {
+    private void notifyEnded(String reason) {
         if (!ended) {
             ended = true;
-            listener.ended(this, reason);
+            listener.watchEnded(this, reason);
         }
     }
 
     /** Handles the header of the answer and passes the body on as bytes. */
-    private final class Answer extends SimpleChannelInboundHandler<HttpObject> {
+    private final class ResponseHandler extends SimpleChannelInboundHandler<HttpObject> {
         @Override
-        protected void channelRead0(ChannelHandlerContext context, HttpObject part) {
-            if (part instanceof HttpResponse response && response.status().code() != 200) {
-                ending = Ending.REFUSED;
-                why = "status " + response.status().code();
+        protected void channelRead0(ChannelHandlerContext context, HttpObject message) {
+            if (message instanceof HttpResponse response && response.status().code() != 200) {
+                endReason = EndReason.REFUSED;
+                endMessage = "status " + response.status().code();
                 context.close();
                 return;
             }
-            if (part instanceof HttpResponse) {
-                answeredAt = System.nanoTime();
+            if (message instanceof HttpResponse) {
+                answeredAtNanos = System.nanoTime();
                 context.pipeline().addFirst(
-                    new ReadTimeoutHandler(DiscoveryTimeouts.SILENT, TimeUnit.MILLISECONDS));
+                    new ReadTimeoutHandler(DiscoveryTimeouts.SILENCE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
             }
-            if (part instanceof HttpContent content && !ended) {
-                boolean some = content.content().isReadable(), blank = isBlank(content.content());
-                if (some && !blank && !within) {
-                    within = true;
-                    withinSince = System.nanoTime();
+            if (message instanceof HttpContent content && !ended) {
+                boolean hasBytes = content.content().isReadable(),
+                    onlyWhitespace = isBlank(content.content());
+                if (hasBytes && !onlyWhitespace && !insideObject) {
+                    insideObject = true;
+                    noProgressSinceNanos = System.nanoTime();
                 }
-                readSinceCheck |= some && !blank;
+                dataSinceStallCheck |= hasBytes && !onlyWhitespace;
                 context.fireChannelRead(content.content().retain());
-                if (within && !checksForStall) {
-                    checksForStall = true;
-                    checkForStall(0);
+                if (insideObject && !stallCheckScheduled) {
+                    stallCheckScheduled = true;
+                    scheduleStallCheck(0);
                 }
-                if (some && blank && !within && !ended) {
-                    complete = true;
-                    listener.heartbeat(DiscoveryWatch.this);
+                if (hasBytes && onlyWhitespace && !insideObject && !ended) {
+                    anyObjectComplete = true;
+                    listener.heartbeatReceived(DiscoveryWatch.this);
                 }
-                if (within && System.nanoTime() - withinSince > SILENT_NANOS) {
-                    ending = Ending.SILENT; // whitespace within an object is no progress
-                    why = "incomplete object for " + DiscoveryTimeouts.SILENT + " ms";
+                if (insideObject && System.nanoTime() - noProgressSinceNanos > SILENCE_TIMEOUT_NANOS) {
+                    endReason = EndReason.SILENT; // whitespace within an object is no progress
+                    endMessage = "incomplete object for " + DiscoveryTimeouts.SILENCE_TIMEOUT_MILLIS + " ms";
                     context.close();
                 }
-                if (part instanceof LastHttpContent) {
+                if (message instanceof LastHttpContent) {
                     context.close();
                 }
             }
@@ -247,52 +253,53 @@
      * for long. Counts checks instead of elapsed time: while this process itself was delayed, it could not
      * read what had arrived.
      */
-    private void checkForStall(int quietChecks) {
+    private void scheduleStallCheck(int quietChecks) {
         channel.eventLoop().schedule(() -> {
-            boolean quiet = !readSinceCheck && channel.config().isAutoRead();
-            readSinceCheck = false;
-            checksForStall = within && !ended;
-            if (checksForStall && quiet && quietChecks + 1 == STALL_CHECKS) {
-                listener.stalled(this);
+            boolean quiet = !dataSinceStallCheck && channel.config().isAutoRead();
+            dataSinceStallCheck = false;
+            stallCheckScheduled = insideObject && !ended;
+            if (stallCheckScheduled && quiet && quietChecks + 1 == STALL_CHECKS) {
+                listener.watchStalled(this);
             }
-            if (checksForStall) {
-                checkForStall(quiet ? quietChecks + 1 : 0);
+            if (stallCheckScheduled) {
+                scheduleStallCheck(quiet ? quietChecks + 1 : 0);
             }
-        }, STALL_CHECK_MILLIS, TimeUnit.MILLISECONDS);
+        }, STALL_CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     private static boolean isBlank(ByteBuf bytes) {
-        return bytes.forEachByte(next -> Character.isWhitespace(next)) < 0;
+        return bytes.forEachByte(character -> Character.isWhitespace(character)) < 0;
     }
 
     /** Feeds the bytes of the body to the parser. */
-    private final class Objects extends SimpleChannelInboundHandler<ByteBuf> {
-        private final byte[] bytes = new byte[LONGEST_READ];
+    private final class BodyHandler extends SimpleChannelInboundHandler<ByteBuf> {
+        private final byte[] bytes = new byte[MAX_READ_BYTES];
 
         @Override
-        protected void channelRead0(ChannelHandlerContext context, ByteBuf part) throws IOException {
-            long before = parser.read();
-            while (part.isReadable() && !ended) {
-                int length = Math.min(bytes.length, part.readableBytes());
-                part.readBytes(bytes, 0, length);
+        protected void channelRead0(ChannelHandlerContext context, ByteBuf body) throws IOException {
+            long parsedBefore = parser.parsedValueCount();
+            while (body.isReadable() && !ended) {
+                int length = Math.min(bytes.length, body.readableBytes());
+                body.readBytes(bytes, 0, length);
                 parser.feed(bytes, length);
             }
-            if (parser.read() > before) {
+            if (parser.parsedValueCount() > parsedBefore) {
                 // a long list may take its time as long as it makes progress
-                withinSince = movedAt = System.nanoTime();
+                noProgressSinceNanos = lastProgressNanos = System.nanoTime();
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            end(why);
+            notifyEnded(endMessage);
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            boolean silent = cause instanceof ReadTimeoutException;
-            ending = silent ? Ending.SILENT : Ending.BROKEN_CONNECTION;
-            why = silent ? "no data for " + DiscoveryTimeouts.SILENT + " ms" : cause.toString();
+            boolean timedOut = cause instanceof ReadTimeoutException;
+            endReason = timedOut ? EndReason.SILENT : EndReason.BROKEN_CONNECTION;
+            endMessage = timedOut ? "no data for " + DiscoveryTimeouts.SILENCE_TIMEOUT_MILLIS + " ms"
+                : cause.toString();
             context.close();
         }
     }
--- a/proxy/src/main/java/dockrelay/proxy/Endpoint.java
+++ b/proxy/src/main/java/dockrelay/proxy/Endpoint.java
@@ -8,13 +8,13 @@
 /** Compact IPv4 address and port of a backend, which saves memory when a list has very many entries. */
 final class Endpoint extends SocketAddress {
     private static final long serialVersionUID = 1;
-    private static final int PARTS = 4;
-    private static final int LONGEST = 5;
+    private static final int IPV4_BYTES = 4;
+    private static final int MAX_PORT_DIGITS = 5;
 
-    private final int host, port;
+    private final int ipv4, port;
 
-    private Endpoint(int host, int port) {
-        this.host = host;
+    private Endpoint(int ipv4, int port) {
+        this.ipv4 = ipv4;
         this.port = port;
     }
 
@@ -22,32 +22,35 @@
      * Parses an address written as host:port. Returns an Endpoint for a dotted IPv4 address and a general
      * socket address for anything else.
      */
-    static SocketAddress of(String text) {
-        int at = 0, host = 0, part = 0, digits = 0;
+    static SocketAddress parse(String text) {
+        int partIndex = 0, ipv4 = 0, value = 0, digitCount = 0;
         for (int i = 0; i < text.length(); i++) {
-            char next = text.charAt(i);
-            boolean ends = next == (at < PARTS - 1 ? '.' : ':') && digits > 0 && part < 256 && at < PARTS;
-            if (ends) {
-                host = host << 8 | part;
-                at++;
-                part = 0;
-                digits = 0;
-            } else if (next >= '0' && next <= '9' && digits++ < (at < PARTS ? PARTS - 1 : LONGEST)) {
-                part = part * 10 + next - '0';
+            char character = text.charAt(i);
+            boolean endsPart = character == (partIndex < IPV4_BYTES - 1 ? '.' : ':') && digitCount > 0
+                && value < 256 && partIndex < IPV4_BYTES;
+            if (endsPart) {
+                ipv4 = ipv4 << 8 | value;
+                partIndex++;
+                value = 0;
+                digitCount = 0;
+            } else if (character >= '0' && character <= '9'
+                && digitCount++ < (partIndex < IPV4_BYTES ? IPV4_BYTES - 1 : MAX_PORT_DIGITS)) {
+                value = value * 10 + character - '0';
             } else {
-                return Config.address(text);
+                return Config.parseAddress(text);
             }
         }
-        return at == PARTS && digits > 0 && part < 1 << 16 ? new Endpoint(host, part) : Config.address(text);
+        return partIndex == IPV4_BYTES && digitCount > 0 && value < 1 << 16 ? new Endpoint(ipv4, value)
+            : Config.parseAddress(text);
     }
 
     /** Converts a stored address to one that a socket can connect to. */
-    static SocketAddress toInetSocketAddress(SocketAddress kept) {
-        return kept instanceof Endpoint endpoint ? endpoint.toInetSocketAddress() : kept;
+    static SocketAddress toInetSocketAddress(SocketAddress stored) {
+        return stored instanceof Endpoint endpoint ? endpoint.toInetSocketAddress() : stored;
     }
 
     private InetSocketAddress toInetSocketAddress() {
-        byte[] bytes = {(byte) (host >>> 24), (byte) (host >>> 16), (byte) (host >>> 8), (byte) host};
+        byte[] bytes = {(byte) (ipv4 >>> 24), (byte) (ipv4 >>> 16), (byte) (ipv4 >>> 8), (byte) ipv4};
         try {
             return new InetSocketAddress(InetAddress.getByAddress(bytes), port);
         } catch (UnknownHostException e) {
@@ -57,12 +60,12 @@
 
     @Override
     public boolean equals(Object other) {
-        return other instanceof Endpoint endpoint && endpoint.host == host && endpoint.port == port;
+        return other instanceof Endpoint endpoint && endpoint.ipv4 == ipv4 && endpoint.port == port;
     }
 
     @Override
     public int hashCode() {
-        return host * 31 + port;
+        return ipv4 * 31 + port;
     }
 
     @Override
--- a/proxy/src/main/java/dockrelay/proxy/KnownList.java
+++ b/proxy/src/main/java/dockrelay/proxy/KnownList.java
@@ -23,23 +23,23 @@
 
     /** Reads the value at the parser's current token. A value of another type yields an empty list. */
     static KnownList read(JsonParser parser) throws IOException {
-        KnownList known = new KnownList();
+        KnownList knownList = new KnownList();
         if (parser.currentToken() != JsonToken.START_OBJECT) {
             parser.skipChildren();
-            return known;
+            return knownList;
         }
         while (parser.nextToken() == JsonToken.FIELD_NAME) {
             String key = parser.currentName();
             JsonToken value = parser.nextToken();
             if ("version".equals(key) && value.isNumeric()) {
-                known.version = parser.getLongValue();
-            } else if (ListParser.ENTRIES.equals(key) && value == JsonToken.START_ARRAY) {
-                known.entries = entries(parser);
+                knownList.version = parser.getLongValue();
+            } else if (ListParser.ENTRIES_KEY.equals(key) && value == JsonToken.START_ARRAY) {
+                knownList.entries = entries(parser);
             } else {
                 parser.skipChildren();
             }
         }
-        return known;
+        return knownList;
     }
 
     private static List<Object> entries(JsonParser parser) throws IOException {
@@ -47,7 +47,7 @@
         List<Object> entries = new ArrayList<>();
         while (parser.nextToken() != JsonToken.END_ARRAY) {
             Object entry = Json.readValue(parser);
-            entries.add(entry instanceof Map<?, ?> map ? reader.first(map) : entry);
+            entries.add(entry instanceof Map<?, ?> map ? reader.readInitialEntry(map) : entry);
         }
         return entries;
     }
@@ -57,10 +57,13 @@
         return version;
     }
 
-    /** Returns the entries for {@link BackendRegistry#take} and drops them; a second call returns an empty list. */
-    List<Object> take() {
-        List<Object> taken = entries;
+    /**
+     * Returns the entries for {@link BackendRegistry#applyUpdate} and drops them; a second call returns an
+     * empty list.
+     */
+    List<Object> takeEntries() {
+        List<Object> takenEntries = entries;
         entries = List.of();
-        return taken;
+        return takenEntries;
     }
 }
--- a/proxy/src/main/java/dockrelay/proxy/ListApplier.java
+++ b/proxy/src/main/java/dockrelay/proxy/ListApplier.java
@@ -16,90 +16,93 @@
 final class ListApplier {
     /**
      * Maximum entries per batch: at most 2 to 4 ms of the event loop if all entries have changed
-     * (ListProbe, 86,000 backends).
+     * (BackendListBenchmark, 86,000 backends).
      */
-    static final int BATCH = 256;
+    static final int MAX_BATCH_ENTRIES = 256;
     /**
      * Approximate maximum of pending changes. They are applied together, because applying them in sorted
      * order is cheapest.
      */
-    static final int MOST_WAITING = 16 * BATCH;
+    static final int MAX_PENDING_CHANGES = 16 * MAX_BATCH_ENTRIES;
 
     /** Receives the changed members, and is notified when an update has been applied completely. */
     interface Sink {
         /** Passes on changed members. */
-        void tell(ListUpdateType scope, List<ListedBackend> members);
+        void updateBackends(ListUpdateType updateType, List<ListedBackend> listedBackends);
 
         /** Called once for each update, in order. */
-        void applied(ListParser.Update update);
+        void updateApplied(ListParser.Update update);
 
         /** All pending updates have been applied. */
-        void idle();
+        void allUpdatesApplied();
     }
 
-    private final BackendRegistry listing;
-    private final Executor nextTurn;
+    private final BackendRegistry registry;
+    private final Executor nextTurnExecutor;
     private final Sink sink;
-    private final Deque<ListParser.Update> waiting = new ArrayDeque<>();
-    private final List<ListParser.Update> current = new ArrayList<>(); // updates that are being applied
-    private BackendRegistry.Taking taking;
-    private int weightWaiting;
+    private final Deque<ListParser.Update> pendingUpdates = new ArrayDeque<>();
+    // updates that are being applied
+    private final List<ListParser.Update> updatesInProgress = new ArrayList<>();
+    private BackendRegistry.UpdateApplication updateApplication;
+    private int pendingWeight;
     private boolean busy; // whether this turn has processed its batch
 
     /** The executor must run a task in a later turn of the event loop, after pending socket events. */
-    ListApplier(BackendRegistry listing, Executor nextTurn, Sink sink) {
-        this.listing = listing;
-        this.nextTurn = nextTurn;
+    ListApplier(BackendRegistry registry, Executor nextTurnExecutor, Sink sink) {
+        this.registry = registry;
+        this.nextTurnExecutor = nextTurnExecutor;
         this.sink = sink;
     }
 
     /** Whether so many changes are pending that reading should pause. */
     boolean isFull() {
-        return weightWaiting >= MOST_WAITING;
+        return pendingWeight >= MAX_PENDING_CHANGES;
     }
 
     /** Applies the update at once, or queues it behind those that are being applied. */
     void apply(ListParser.Update update) {
-        waiting.add(update);
-        weightWaiting += weight(update);
+        pendingUpdates.add(update);
+        pendingWeight += weight(update);
         if (!busy) {
             busy = true;
-            begin();
+            startNextUpdate();
         }
     }
 
-    private void begin() {
-        List<Object> entries = next();
-        boolean full = current.get(0).full();
-        if (entries.size() <= BATCH && (!full || listing.size() <= BATCH) || listing.size() == 0) {
-            tell(full ? ListUpdateType.FULL : ListUpdateType.DELTA, listing.take(entries, full));
-            ended();
+    private void startNextUpdate() {
+        List<Object> entries = takeNextEntries();
+        boolean full = updatesInProgress.get(0).full();
+        if (entries.size() <= MAX_BATCH_ENTRIES && (!full || registry.size() <= MAX_BATCH_ENTRIES)
+            || registry.size() == 0) {
+            notifySink(full ? ListUpdateType.FULL : ListUpdateType.DELTA,
+                registry.applyUpdate(entries, full));
+            finishUpdates();
         } else {
-            taking = listing.takingInParts(entries, full);
-            nextTurn.execute(this::turn);
+            updateApplication = registry.startUpdate(entries, full);
+            nextTurnExecutor.execute(this::runTurn);
         }
     }
 
     /** Takes the next update, or as many changes as may be applied together. */
-    private List<Object> next() {
-        ListParser.Update update = take();
+    private List<Object> takeNextEntries() {
+        ListParser.Update update = pollUpdate();
         List<Object> entries = update.entries();
-        while (!update.full() && joins(entries.size())) {
+        while (!update.full() && canJoin(entries.size())) {
             entries = entries == update.entries() ? new ArrayList<>(entries) : entries;
-            entries.addAll(take().entries());
+            entries.addAll(pollUpdate().entries());
         }
         return entries;
     }
 
-    private boolean joins(int entries) {
-        ListParser.Update next = waiting.peek();
-        return next != null && !next.full() && entries + next.entries().size() <= MOST_WAITING;
+    private boolean canJoin(int entryCount) {
+        ListParser.Update next = pendingUpdates.peek();
+        return next != null && !next.full() && entryCount + next.entries().size() <= MAX_PENDING_CHANGES;
     }
 
-    private ListParser.Update take() {
-        ListParser.Update update = waiting.poll();
-        weightWaiting -= weight(update);
-        current.add(update);
+    private ListParser.Update pollUpdate() {
+        ListParser.Update update = pendingUpdates.poll();
+        pendingWeight -= weight(update);
+        updatesInProgress.add(update);
         return update;
     }
 
@@ -108,36 +111,36 @@
         return 1 + update.entries().size();
     }
 
-    private void tell(ListUpdateType scope, List<ListedBackend> members) {
+    private void notifySink(ListUpdateType updateType, List<ListedBackend> listedBackends) {
         try {
-            sink.tell(scope, members);
+            sink.updateBackends(updateType, listedBackends);
         } catch (RuntimeException e) {
             Log.error("discovery", e); // one bad batch must not hold up the following ones
         }
     }
 
-    private void turn() {
-        List<ListedBackend> members = taking.next(BATCH);
-        if (!members.isEmpty()) {
-            tell(ListUpdateType.DELTA, members);
+    private void runTurn() {
+        List<ListedBackend> listedBackends = updateApplication.applyNext(MAX_BATCH_ENTRIES);
+        if (!listedBackends.isEmpty()) {
+            notifySink(ListUpdateType.DELTA, listedBackends);
         }
-        if (taking.done()) {
-            taking = null;
-            ended();
+        if (updateApplication.isDone()) {
+            updateApplication = null;
+            finishUpdates();
         } else {
-            nextTurn.execute(this::turn);
+            nextTurnExecutor.execute(this::runTurn);
         }
     }
 
-    private void ended() {
-        current.forEach(sink::applied);
-        current.clear();
-        nextTurn.execute(() -> {
-            if (waiting.isEmpty()) {
+    private void finishUpdates() {
+        updatesInProgress.forEach(sink::updateApplied);
+        updatesInProgress.clear();
+        nextTurnExecutor.execute(() -> {
+            if (pendingUpdates.isEmpty()) {
                 busy = false;
-                sink.idle();
+                sink.allUpdatesApplied();
             } else {
-                begin();
+                startNextUpdate();
             }
         });
     }
--- a/proxy/src/main/java/dockrelay/proxy/ListParser.java
+++ b/proxy/src/main/java/dockrelay/proxy/ListParser.java
@@ -19,42 +19,42 @@
  * of a list is held in parsed JSON form at a time; of the others only the reader's result is kept.
  */
 final class ListParser {
-    private static final JsonFactory JSON = new JsonFactory();
+    private static final JsonFactory JSON_FACTORY = new JsonFactory();
     /** The key of the entries in a list. */
-    static final String ENTRIES = "servers";
-    private static final String VERSION = "version";
+    static final String ENTRIES_KEY = "servers";
+    private static final String VERSION_KEY = "version";
     /** Maximum size of an entry, including the bytes between two entries. */
-    private static final int LONGEST_ENTRY = 1 << 20;
+    private static final int MAX_ENTRY_BYTES = 1 << 20;
     /**
      * Three times the fleet size that operators expect. Without a bound, an endless list would exhaust the
      * heap.
      */
-    private static final int MOST_ENTRIES = 1 << 18;
+    private static final int MAX_ENTRIES = 1 << 18;
 
     /** One object from discovery: a full list or changes, with each entry as converted by the reader. */
     record Update(long version, boolean full, List<Object> entries) {
     }
 
-    private final Function<Map<?, ?>, Object> reader;
-    private final Consumer<Update> taker;
+    private final Function<Map<?, ?>, Object> entryReader;
+    private final Consumer<Update> updateConsumer;
     private final JsonParser parser;
     private final ByteArrayFeeder feeder;
     // containers of the incomplete value, innermost first
-    private final Deque<Object> open = new ArrayDeque<>();
+    private final Deque<Object> openContainers = new ArrayDeque<>();
     // pending keys of the open maps, innermost first
-    private final Deque<String> names = new ArrayDeque<>();
-    private Map<?, ?> spare; // the map of a converted entry, reused for the next one
-    private Map<String, Object> top; // fields of the incomplete object except its entries
+    private final Deque<String> pendingKeys = new ArrayDeque<>();
+    private Map<?, ?> reusableMap; // the map of a converted entry, reused for the next one
+    private Map<String, Object> topLevelFields; // fields of the incomplete object except its entries
     private List<Object> entries;
-    private String name; // key of the top-level value that follows
-    private boolean listing, named;
-    private long since, read;
+    private String topLevelKey; // key of the top-level value that follows
+    private boolean insideEntries, afterFieldName;
+    private long bytesSinceProgress, parsedValues;
 
-    ListParser(Function<Map<?, ?>, Object> reader, Consumer<Update> taker) {
-        this.reader = reader;
-        this.taker = taker;
+    ListParser(Function<Map<?, ?>, Object> entryReader, Consumer<Update> updateConsumer) {
+        this.entryReader = entryReader;
+        this.updateConsumer = updateConsumer;
         try {
-            parser = JSON.createNonBlockingByteArrayParser();
+            parser = JSON_FACTORY.createNonBlockingByteArrayParser();
         } catch (IOException e) {
             throw new IllegalStateException(e); // cannot happen: nothing is read here
         }
@@ -62,132 +62,133 @@
     }
 
     /** Number of values and objects parsed completely. It increases while a list makes progress. */
-    long read() {
-        return read;
+    long parsedValueCount() {
+        return parsedValues;
     }
 
     /**
      * The received part of an incomplete object, as a change; null if there is none or its version has not
      * been received yet.
      */
-    Update partial() {
-        if (top == null || !(top.get(VERSION) instanceof Number)) {
+    Update partialUpdate() {
+        if (topLevelFields == null || !(topLevelFields.get(VERSION_KEY) instanceof Number)) {
             return null;
         }
-        return new Update((long) Config.numberOrDefault(top, VERSION, -1), false, new ArrayList<>(entries));
+        return new Update((long) Config.numberOrDefault(topLevelFields, VERSION_KEY, -1), false,
+            new ArrayList<>(entries));
     }
 
     /** Parses the next bytes. */
     void feed(byte[] bytes, int length) throws IOException {
-        since += length;
+        bytesSinceProgress += length;
         feeder.feedInput(bytes, 0, length);
         for (JsonToken token = parser.nextToken(); token != JsonToken.NOT_AVAILABLE;
             token = parser.nextToken()) {
-            take(token);
+            handleToken(token);
         }
-        if (top != null && since > LONGEST_ENTRY) {
-            throw new IOException("entry exceeds " + LONGEST_ENTRY + " bytes");
+        if (topLevelFields != null && bytesSinceProgress > MAX_ENTRY_BYTES) {
+            throw new IOException("entry exceeds " + MAX_ENTRY_BYTES + " bytes");
         }
     }
 
-    private void take(JsonToken token) throws IOException {
-        if (named && token.isStructEnd()) {
+    private void handleToken(JsonToken token) throws IOException {
+        if (afterFieldName && token.isStructEnd()) {
             throw new IOException("field name without a value"); // the JSON parser does not reject this
         }
-        named = token == JsonToken.FIELD_NAME;
-        if (top == null) {
+        afterFieldName = token == JsonToken.FIELD_NAME;
+        if (topLevelFields == null) {
             if (token != JsonToken.START_OBJECT) {
                 throw new IOException("top-level value is not an object");
             }
-            top = new LinkedHashMap<>();
+            topLevelFields = new LinkedHashMap<>();
             entries = new ArrayList<>();
-        } else if (!open.isEmpty()) {
-            nested(token);
-        } else if (listing && token == JsonToken.END_ARRAY) {
-            listing = false;
-        } else if (!listing && token == JsonToken.END_OBJECT) {
-            Update update = new Update((long) Config.numberOrDefault(top, VERSION, -1),
-                Boolean.TRUE.equals(top.get("full")), entries);
-            top = null;
+        } else if (!openContainers.isEmpty()) {
+            handleNestedToken(token);
+        } else if (insideEntries && token == JsonToken.END_ARRAY) {
+            insideEntries = false;
+        } else if (!insideEntries && token == JsonToken.END_OBJECT) {
+            Update update = new Update((long) Config.numberOrDefault(topLevelFields, VERSION_KEY, -1),
+                Boolean.TRUE.equals(topLevelFields.get("full")), entries);
+            topLevelFields = null;
             entries = null;
-            moved();
-            taker.accept(update);
-        } else if (!listing && token == JsonToken.FIELD_NAME) {
-            name = parser.currentName();
-        } else if (!listing && token == JsonToken.START_ARRAY && ENTRIES.equals(name)) {
-            listing = true;
+            recordProgress();
+            updateConsumer.accept(update);
+        } else if (!insideEntries && token == JsonToken.FIELD_NAME) {
+            topLevelKey = parser.currentName();
+        } else if (!insideEntries && token == JsonToken.START_ARRAY && ENTRIES_KEY.equals(topLevelKey)) {
+            insideEntries = true;
             entries.clear(); // if the key is repeated, the last value applies
         } else if (token == JsonToken.START_OBJECT || token == JsonToken.START_ARRAY) {
-            opens(token);
+            openContainer(token);
         } else {
-            whole(scalar(token));
+            handleCompleteValue(readScalar(token));
         }
     }
 
-    private void opens(JsonToken token) {
+    private void openContainer(JsonToken token) {
         if (token == JsonToken.START_ARRAY) {
-            open.push(new ArrayList<>());
+            openContainers.push(new ArrayList<>());
         } else {
-            open.push(spare == null ? new LinkedHashMap<String, Object>() : spare);
-            spare = null;
+            openContainers.push(reusableMap == null ? new LinkedHashMap<String, Object>() : reusableMap);
+            reusableMap = null;
         }
     }
 
     /** Handles a token within an object or array. */
-    private void nested(JsonToken token) throws IOException {
+    private void handleNestedToken(JsonToken token) throws IOException {
         if (token == JsonToken.FIELD_NAME) {
-            names.push(parser.currentName());
+            pendingKeys.push(parser.currentName());
         } else if (token == JsonToken.START_OBJECT || token == JsonToken.START_ARRAY) {
-            opens(token);
+            openContainer(token);
         } else if (token != JsonToken.END_OBJECT && token != JsonToken.END_ARRAY) {
-            keep(scalar(token));
+            addToOpenContainer(readScalar(token));
         } else {
-            Object done = open.pop();
-            if (open.isEmpty()) {
-                whole(done);
+            Object completed = openContainers.pop();
+            if (openContainers.isEmpty()) {
+                handleCompleteValue(completed);
             } else {
-                keep(done);
+                addToOpenContainer(completed);
             }
         }
     }
 
     /** Adds a value to the innermost open container. */
     @SuppressWarnings("unchecked")
-    private void keep(Object value) {
-        if (open.peek() instanceof List<?> list) {
+    private void addToOpenContainer(Object value) {
+        if (openContainers.peek() instanceof List<?> list) {
             ((List<Object>) list).add(value);
         } else {
-            ((Map<String, Object>) open.peek()).put(names.pop(), value);
+            ((Map<String, Object>) openContainers.peek()).put(pendingKeys.pop(), value);
         }
     }
 
     /** Handles a complete top-level value or a complete entry. */
-    private void whole(Object value) throws IOException {
-        if (!listing) {
-            top.put(name, value);
-        } else if (entries.size() >= MOST_ENTRIES) {
-            throw new IOException("list exceeds " + MOST_ENTRIES + " entries");
+    private void handleCompleteValue(Object value) throws IOException {
+        if (!insideEntries) {
+            topLevelFields.put(topLevelKey, value);
+        } else if (entries.size() >= MAX_ENTRIES) {
+            throw new IOException("list exceeds " + MAX_ENTRIES + " entries");
         } else {
-            entries.add(value instanceof Map<?, ?> entry ? made(entry) : value);
+            entries.add(value instanceof Map<?, ?> entry ? convertEntry(entry) : value);
         }
-        moved();
+        recordProgress();
     }
 
-    private Object made(Map<?, ?> entry) {
-        Object made = reader.apply(entry);
-        if (made != entry) {
+    private Object convertEntry(Map<?, ?> entry) {
+        Object converted = entryReader.apply(entry);
+        if (converted != entry) {
             entry.clear();
-            spare = entry; // reused for the next entry
+            reusableMap = entry; // reused for the next entry
         }
-        return made;
+        return converted;
     }
 
-    private void moved() {
-        since = 0;
-        read++;
+    private void recordProgress() {
+        bytesSinceProgress = 0;
+        parsedValues++;
     }
 
-    private Object scalar(JsonToken token) throws IOException {
+    private Object readScalar(JsonToken token) throws IOException {
         return switch (token) {
             case VALUE_STRING -> parser.getText();
             case VALUE_NUMBER_INT -> parser.getLongValue();
--- a/proxy/src/main/java/dockrelay/proxy/Log.java
+++ b/proxy/src/main/java/dockrelay/proxy/Log.java
@@ -8,16 +8,16 @@
  * not use up the CPU.
  */
 final class Log {
-    private static final int LINES_EACH = 5;
-    private static final int LONGEST = 500;
+    private static final int MAX_LINES_PER_WINDOW = 5;
+    private static final int MAX_TEXT_CHARS = 500;
     private static final long WINDOW_NANOS = 1_000_000_000L;
     private static final Map<String, Window> WINDOWS = new HashMap<>();
 
     /** Lines of one kind in the current time window. */
     private static final class Window {
-        long since;
-        int lines;
-        long dropped;
+        long startedAtNanos;
+        int lineCount;
+        long suppressedLines;
     }
 
     private Log() {
@@ -27,18 +27,18 @@
     static synchronized void write(String kind, String text) {
         long now = System.nanoTime();
         Window window = WINDOWS.computeIfAbsent(kind, k -> new Window());
-        if (window.lines == 0 || now - window.since >= WINDOW_NANOS) {
-            if (window.dropped > 0) {
-                System.err.println(kind + ": " + window.dropped + " more lines suppressed");
+        if (window.lineCount == 0 || now - window.startedAtNanos >= WINDOW_NANOS) {
+            if (window.suppressedLines > 0) {
+                System.err.println(kind + ": " + window.suppressedLines + " more lines suppressed");
             }
-            window.since = now;
-            window.lines = 0;
-            window.dropped = 0;
+            window.startedAtNanos = now;
+            window.lineCount = 0;
+            window.suppressedLines = 0;
         }
-        if (window.lines++ < LINES_EACH) {
+        if (window.lineCount++ < MAX_LINES_PER_WINDOW) {
             System.err.println(kind + ": " + sanitize(text));
         } else {
-            window.dropped++;
+            window.suppressedLines++;
         }
     }
 
@@ -47,8 +47,8 @@
      * able to forge lines or fill the log.
      */
     static String sanitize(String text) {
-        String start = text.length() > LONGEST ? text.substring(0, LONGEST) + "..." : text;
-        return start.replaceAll("[^\\x20-\\x7e]", "?");
+        String truncated = text.length() > MAX_TEXT_CHARS ? text.substring(0, MAX_TEXT_CHARS) + "..." : text;
+        return truncated.replaceAll("[^\\x20-\\x7e]", "?");
     }
 
     /** Logs an exception with the place where it was thrown. */
--- a/proxy/src/main/java/dockrelay/proxy/ProcessEnvironment.java
+++ b/proxy/src/main/java/dockrelay/proxy/ProcessEnvironment.java
@@ -12,23 +12,25 @@
  * folder persists across restarts and is shared with a successor process. The listener is the listening
  * socket for clients, if the platform holds it.
  */
-record ProcessEnvironment(InetSocketAddress console, Path folder, ServerSocketChannel listener) {
+record ProcessEnvironment(InetSocketAddress consoleAddress, Path stateFolder, ServerSocketChannel listener) {
     /** A process without any platform services. */
-    static final ProcessEnvironment NONE = new ProcessEnvironment(null, null, null);
-    private static final String STANDARD_INPUT = "0";
+    static final ProcessEnvironment EMPTY = new ProcessEnvironment(null, null, null);
+    private static final String STANDARD_INPUT_DESCRIPTOR = "0";
 
     /** Reads the environment variables. An invalid value makes the start fail. */
     static ProcessEnvironment read(Config config, Map<String, String> environment) throws IOException {
-        String console = environment.get("PROXY_CONSOLE");
-        String folder = environment.get("TMPDIR");
-        String listener = environment.get("PROXY_SOCKET_FD");
-        return new ProcessEnvironment(console == null || console.isEmpty() ? config.console() : Config.address(console),
-            folder == null || folder.isEmpty() ? null : Path.of(folder).resolve("operators"),
-            listener == null || listener.isEmpty() ? null : inherited(listener));
+        String consoleText = environment.get("PROXY_CONSOLE");
+        String folderText = environment.get("TMPDIR");
+        String listenerDescriptor = environment.get("PROXY_SOCKET_FD");
+        return new ProcessEnvironment(consoleText == null || consoleText.isEmpty() ? config.consoleAddress()
+            : Config.parseAddress(consoleText),
+            folderText == null || folderText.isEmpty() ? null : Path.of(folderText).resolve("operators"),
+            listenerDescriptor == null || listenerDescriptor.isEmpty() ? null
+            : inheritedListener(listenerDescriptor));
     }
 
-    private static ServerSocketChannel inherited(String descriptor) throws IOException {
-        Channel channel = STANDARD_INPUT.equals(descriptor) ? System.inheritedChannel() : null;
+    private static ServerSocketChannel inheritedListener(String descriptor) throws IOException {
+        Channel channel = STANDARD_INPUT_DESCRIPTOR.equals(descriptor) ? System.inheritedChannel() : null;
         if (channel instanceof ServerSocketChannel listener && listener.getLocalAddress() != null) {
             return listener;
         }
--- a/proxy/src/main/java/dockrelay/proxy/Signals.java
+++ b/proxy/src/main/java/dockrelay/proxy/Signals.java
@@ -13,14 +13,16 @@
     /** Runs the action on a separate thread at each SIGHUP, which would terminate the process otherwise. */
     static void onHangUp(Runnable action) {
         try {
-            Class<?> signal = Class.forName("sun.misc.Signal");
-            Class<?> handler = Class.forName("sun.misc.SignalHandler");
-            Object told = Proxy.newProxyInstance(handler.getClassLoader(), new Class<?>[] {handler},
+            Class<?> signalClass = Class.forName("sun.misc.Signal");
+            Class<?> handlerClass = Class.forName("sun.misc.SignalHandler");
+            Object handlerProxy = Proxy.newProxyInstance(handlerClass.getClassLoader(),
+                new Class<?>[] {handlerClass},
                 (self, method, arguments) -> {
                     action.run();
                     return null;
                 });
-            signal.getMethod("handle", signal, handler).invoke(null, hangUpSignal(), told);
+            signalClass.getMethod("handle", signalClass, handlerClass).invoke(null, hangUpSignal(),
+                handlerProxy);
         } catch (ReflectiveOperationException e) {
             throw new IllegalStateException("cannot install a handler for SIGHUP", e);
         }
--- a/proxy/src/main/java/dockrelay/proxy/WarmUp.java
+++ b/proxy/src/main/java/dockrelay/proxy/WarmUp.java
@@ -63,75 +63,77 @@
      * Enough connections to exceed the C1 compiler's threshold for code that runs once per connection, and
      * no more.
      */
-    static final int REQUESTS = 240;
+    static final int TOTAL_REQUESTS = 240;
     /** Few requests per connection, so that opening and closing connections is warmed up as well. */
-    static final int REQUESTS_EACH = 2;
-    private static final int CLIENTS = 8;
-    private static final int BACKENDS = 8;
-    private static final long MOST_MILLIS = 3_000;
-    private static final long BUDGET = 1_000_000;
+    static final int REQUESTS_PER_CONNECTION = 2;
+    private static final int CLIENT_COUNT = 8;
+    private static final int BACKEND_COUNT = 8;
+    private static final long TIMEOUT_MILLIS = 3_000;
+    private static final long CONNECTION_TIMEOUT_MICROS = 1_000_000;
 
     private final Config config;
-    private final EventLoop loop;
+    private final EventLoop eventLoop;
     private final Transport transport;
-    private final CountDownLatch over = new CountDownLatch(1);
-    private Bootstrap asking;
-    private int asked, answered;
+    private final CountDownLatch finished = new CountDownLatch(1);
+    private Bootstrap clientBootstrap;
+    private int sentRequests, receivedResponses;
     private volatile boolean failed;
 
     /** Channel types and addresses of the client side and the backend side. */
-    private record Transport(IoHandlerFactory handlers, Class<? extends Channel> channel,
-                             Class<? extends ServerChannel> server, SocketAddress front, SocketAddress back) {
-        static Transport memory() {
+    private record Transport(IoHandlerFactory ioHandlerFactory, Class<? extends Channel> channelClass,
+                             Class<? extends ServerChannel> serverChannelClass, SocketAddress proxyAddress,
+                             SocketAddress backendAddress) {
+        static Transport inMemory() {
             return new Transport(LocalIoHandler.newFactory(), LocalChannel.class, LocalServerChannel.class,
                 new LocalAddress(WarmUp.class), new LocalAddress(WarmUp.class));
         }
 
-        static Transport sockets(Path folder) {
+        static Transport overSockets(Path folder) {
             return new Transport(NioIoHandler.newFactory(), NioDomainSocketChannel.class,
                 NioServerDomainSocketChannel.class, UnixDomainSocketAddress.of(folder.resolve("front")),
                 UnixDomainSocketAddress.of(folder.resolve("back")));
         }
     }
 
-    private WarmUp(Config config, EventLoop loop, Transport transport) {
+    private WarmUp(Config config, EventLoop eventLoop, Transport transport) {
         this.config = config;
-        this.loop = loop;
+        this.eventLoop = eventLoop;
         this.transport = transport;
     }
 
     /** Uses TMPDIR, the only writable folder in service. */
-    static void run(Config config, ByteBufAllocator buffers) {
+    static void run(Config config, ByteBufAllocator allocator) {
         String folder = System.getenv("TMPDIR");
-        run(config, buffers, Path.of(folder == null ? System.getProperty("java.io.tmpdir") : folder));
+        run(config, allocator, Path.of(folder == null ? System.getProperty("java.io.tmpdir") : folder));
     }
 
     /** Runs the warm-up in a temporary folder below {@code parent}. Returns whether it ran over sockets. */
-    static boolean run(Config config, ByteBufAllocator buffers, Path parent) {
+    static boolean run(Config config, ByteBufAllocator allocator, Path parent) {
         Path folder = null;
-        boolean warm = false;
+        boolean ranOverSockets = false;
         try {
             folder = Files.createTempDirectory(parent, "warm");
-            warm = meet(folder.resolve("trial")) && run(config, buffers, Transport.sockets(folder));
+            ranOverSockets = canConnect(folder.resolve("trial"))
+                && run(config, allocator, Transport.overSockets(folder));
         } catch (IOException | RuntimeException e) {
             Log.error("warm-up", e); // falls back to the in-memory transport
         } finally {
             delete(folder);
         }
-        if (!warm) {
-            run(config, buffers, Transport.memory());
+        if (!ranOverSockets) {
+            run(config, allocator, Transport.inMemory());
         }
-        return warm;
+        return ranOverSockets;
     }
 
     /**
      * Whether two Unix domain sockets can connect here. If not, waiting for the warm-up to time out would
      * delay the start.
      */
-    private static boolean meet(Path name) throws IOException {
+    private static boolean canConnect(Path socketPath) throws IOException {
         try (ServerSocketChannel server = ServerSocketChannel.open(StandardProtocolFamily.UNIX);
              SocketChannel client = SocketChannel.open(StandardProtocolFamily.UNIX)) {
-            UnixDomainSocketAddress address = UnixDomainSocketAddress.of(name);
+            UnixDomainSocketAddress address = UnixDomainSocketAddress.of(socketPath);
             server.bind(address).configureBlocking(false);
             client.configureBlocking(false);
             if (!client.connect(address)) {
@@ -141,7 +143,7 @@
                 return accepted != null;
             }
         } finally {
-            Files.deleteIfExists(name);
+            Files.deleteIfExists(socketPath);
         }
     }
 
@@ -158,12 +160,12 @@
         }
     }
 
-    private static boolean run(Config config, ByteBufAllocator buffers, Transport transport) {
-        EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, transport.handlers);
+    private static boolean run(Config config, ByteBufAllocator allocator, Transport transport) {
+        EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, transport.ioHandlerFactory);
         WarmUp warmUp = new WarmUp(config, group.next(), transport);
         try {
-            group.submit(() -> warmUp.start(buffers)).syncUninterruptibly();
-            return warmUp.over.await(MOST_MILLIS, TimeUnit.MILLISECONDS) && !warmUp.failed;
+            group.submit(() -> warmUp.start(allocator)).syncUninterruptibly();
+            return warmUp.finished.await(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS) && !warmUp.failed;
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             return true;
@@ -175,102 +177,109 @@
         }
     }
 
-    private void start(ByteBufAllocator buffers) {
+    private void start(ByteBufAllocator allocator) {
         LongSupplier clock = () -> System.nanoTime() / 1000;
-        Bootstrap template = new Bootstrap().group(loop).channel(transport.channel)
-            .option(ChannelOption.ALLOCATOR, buffers);
+        Bootstrap bootstrap = new Bootstrap().group(eventLoop).channel(transport.channelClass)
+            .option(ChannelOption.ALLOCATOR, allocator);
         Counters counters = new Counters();
-        BufferLimit bound = new BufferLimit(() -> 0, config.memory());
-        BackendConnectionPool pool = new BackendConnectionPool(template, loop, BACKENDS * CLIENTS, BUDGET, BUDGET, counters,
-            bound);
-        RequestTable table = new RequestTable(loop, pool, clock, config, counters);
-        table.attachBalancer(new RiqBalancer(config.settings(), config.seed(), table), () -> { }, message -> { });
-        listen(buffers);
-        List<RequestTable.ListedBackend> members = new ArrayList<>();
-        for (long id = 0; id < BACKENDS; id++) {
-            members.add(new RequestTable.ListedBackend(
-                new Backend(id, config.settings().zone(), "", 0, Phase.READY, 1, 0), transport.back));
+        BufferLimit bufferLimit = new BufferLimit(() -> 0, config.memoryMegabytes());
+        BackendConnectionPool pool = new BackendConnectionPool(bootstrap, eventLoop, BACKEND_COUNT
+            * CLIENT_COUNT, CONNECTION_TIMEOUT_MICROS, CONNECTION_TIMEOUT_MICROS, counters,
+            bufferLimit);
+        RequestTable table = new RequestTable(eventLoop, pool, clock, config, counters);
+        table.attachBalancer(new RiqBalancer(config.settings(), config.seed(), table), () -> { },
+            message -> { });
+        startBackend(allocator);
+        List<RequestTable.ListedBackend> listedBackends = new ArrayList<>();
+        for (long id = 0; id < BACKEND_COUNT; id++) {
+            listedBackends.add(new RequestTable.ListedBackend(
+                new Backend(id, config.settings().zone(), "", 0, Phase.READY, 1, 0),
+                transport.backendAddress));
         }
-        table.updateBackends(ListUpdateType.CACHED, members);
-        ServerBootstrap listening = new ServerBootstrap().group(loop).channel(transport.server)
-            .childOption(ChannelOption.ALLOCATOR, buffers);
-        new ClientFrontend(table, config.settings().classes(), CLIENTS * 2, () -> true, counters, bound)
-            .listen(listening, transport.front).addListener(this::listens);
-        asking = template.clone().handler(new ChannelInitializer<Channel>() {
+        table.updateBackends(ListUpdateType.CACHED, listedBackends);
+        ServerBootstrap serverBootstrap =
+            new ServerBootstrap().group(eventLoop).channel(transport.serverChannelClass)
+            .childOption(ChannelOption.ALLOCATOR, allocator);
+        new ClientFrontend(table, config.settings().classes(), CLIENT_COUNT * 2, () -> true, counters,
+            bufferLimit)
+            .listen(serverBootstrap, transport.proxyAddress).addListener(this::listenerBound);
+        clientBootstrap = bootstrap.clone().handler(new ChannelInitializer<Channel>() {
             @Override
             protected void initChannel(Channel channel) {
                 channel.pipeline().addLast(new HttpClientCodec(),
-                    new HttpObjectAggregator(BufferLimit.MAX_BUFFERED_MESSAGE_BYTES), new Asking());
+                    new HttpObjectAggregator(BufferLimit.MAX_BUFFERED_MESSAGE_BYTES), new RequestingClient());
             }
         });
-        for (int i = 0; i < CLIENTS; i++) {
-            asking.connect(transport.front);
+        for (int i = 0; i < CLIENT_COUNT; i++) {
+            clientBootstrap.connect(transport.proxyAddress);
         }
     }
 
     /** Ends the warm-up if a listener could not be bound, since it would never complete. */
-    private void listens(Future<?> bound) {
-        if (!bound.isSuccess()) {
+    private void listenerBound(Future<?> bindFuture) {
+        if (!bindFuture.isSuccess()) {
             failed = true;
-            over.countDown();
+            finished.countDown();
         }
     }
 
-    private void listen(ByteBufAllocator buffers) {
-        new ServerBootstrap().group(loop).channel(transport.server)
-            .childOption(ChannelOption.ALLOCATOR, buffers)
+    private void startBackend(ByteBufAllocator allocator) {
+        new ServerBootstrap().group(eventLoop).channel(transport.serverChannelClass)
+            .childOption(ChannelOption.ALLOCATOR, allocator)
             .childHandler(new ChannelInitializer<Channel>() {
                 @Override
                 protected void initChannel(Channel channel) {
                     channel.pipeline().addLast(new HttpServerCodec(),
-                        new HttpObjectAggregator(BufferLimit.MAX_BUFFERED_MESSAGE_BYTES), new Answering());
+                        new HttpObjectAggregator(BufferLimit.MAX_BUFFERED_MESSAGE_BYTES),
+                        new RespondingBackend());
                 }
-            }).bind(transport.back).addListener(this::listens);
+            }).bind(transport.backendAddress).addListener(this::listenerBound);
     }
 
     /** A client that sends its next request after each response. */
-    private final class Asking extends SimpleChannelInboundHandler<FullHttpResponse> {
-        private int here;
+    private final class RequestingClient extends SimpleChannelInboundHandler<FullHttpResponse> {
+        private int responsesOnConnection;
 
         @Override
         public void channelActive(ChannelHandlerContext context) {
-            ask(context);
+            sendRequest(context);
         }
 
-        private void ask(ChannelHandlerContext context) {
+        private void sendRequest(ChannelHandlerContext context) {
             List<ServiceClass> classes = config.settings().classes();
-            ServiceClass spec = classes.get(asked % classes.size());
+            ServiceClass serviceClass = classes.get(sentRequests % classes.size());
             HttpMethod method =
-                spec.idempotency() == Idempotency.IDEMPOTENT ? HttpMethod.GET : HttpMethod.POST;
+                serviceClass.idempotency() == Idempotency.IDEMPOTENT ? HttpMethod.GET : HttpMethod.POST;
             FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, method,
-                "/" + spec.name() + "/warm");
+                "/" + serviceClass.name() + "/warm");
             request.headers().set(HttpHeaderNames.HOST, "warm").set(HttpHeaderNames.CONTENT_LENGTH, 0)
-                .set(Headers.REQUEST_ID, "warm-" + asked++).set(Headers.SERVICE_CLASS, spec.name())
+                .set(Headers.REQUEST_ID, "warm-" + sentRequests++).set(Headers.SERVICE_CLASS,
+                serviceClass.name())
                 .set(Headers.TIMEOUT, "1.0").set(Headers.IDEMPOTENCY_KEY, "warm");
             context.writeAndFlush(request);
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpResponse response) {
-            if (++answered == REQUESTS) {
-                over.countDown();
-            } else if (++here == REQUESTS_EACH) {
+            if (++receivedResponses == TOTAL_REQUESTS) {
+                finished.countDown();
+            } else if (++responsesOnConnection == REQUESTS_PER_CONNECTION) {
                 context.close();
-                asking.connect(transport.front);
-            } else if (answered < REQUESTS) {
+                clientBootstrap.connect(transport.proxyAddress);
+            } else if (receivedResponses < TOTAL_REQUESTS) {
                 // over a socket, a response never arrives within the call that sends the request
-                loop.execute(() -> ask(context));
+                eventLoop.execute(() -> sendRequest(context));
             }
         }
     }
 
     /** A backend that answers at once, except for every 50th request. */
-    private static final class Answering extends SimpleChannelInboundHandler<FullHttpRequest> {
-        private int count;
+    private static final class RespondingBackend extends SimpleChannelInboundHandler<FullHttpRequest> {
+        private int requestCount;
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
-            if (++count % 50 == 0) {
+            if (++requestCount % 50 == 0) {
                 context.close();
                 return;
             }
--- a/proxy/src/test/java/dockrelay/proxy/BackoffTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/BackoffTest.java
@@ -9,22 +9,22 @@
 /** Tests the bounds and the jitter of the exponential backoff. */
 class BackoffTest {
     @Test
-    void waitsStayBelowABoundThatDoublesAndStartsAnew() {
+    void waitsStayBelowDoublingBoundUntilReset() {
         Backoff backoff = new Backoff(50, 1_000, 7);
         for (int i = 0; i < 40; i++) {
-            long wait = backoff.next();
+            long wait = backoff.nextWait();
             assertTrue(wait >= 0 && wait <= Math.min(1_000, 50L << Math.min(i, 10)), i + ": wait in ms is "
                 + wait);
         }
         backoff.reset();
-        assertTrue(backoff.next() <= 50);
+        assertTrue(backoff.nextWait() <= 50);
     }
 
     @Test
-    void seedsSpreadTheFirstWaitOverAllOfItsBound() {
-        long[] waits = LongStream.range(0, 200).map(seed -> new Backoff(1_000, 1_000, seed).next())
+    void seedsSpreadFirstWaitOverItsBound() {
+        long[] waits = LongStream.range(0, 200).map(seed -> new Backoff(1_000, 1_000, seed).nextWait())
             .sorted().toArray();
         assertTrue(waits[0] < 100 && waits[199] > 900, waits[0] + " ms shortest, longest " + waits[199]);
-        assertEquals(new Backoff(1_000, 1_000, 3).next(), new Backoff(1_000, 1_000, 3).next());
+        assertEquals(new Backoff(1_000, 1_000, 3).nextWait(), new Backoff(1_000, 1_000, 3).nextWait());
     }
 }
--- a/proxy/src/test/java/dockrelay/proxy/CallPacingTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/CallPacingTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dockrelay.proxy.DiscoveryModel.Away;
+import dockrelay.proxy.DiscoveryModel.OutageMode;
 import dockrelay.proxy.DiscoveryModel.Scenario;
 import dockrelay.proxy.DiscoveryModel.Trigger;
 import java.util.Arrays;
@@ -15,22 +15,25 @@
 
 /** Simulates the calls of whole fleets on a virtual clock. Times are in milliseconds. */
 class CallPacingTest {
-    private static final long ASK_WITHIN = 10_000, GRACE = 1_500;
-    private static final long END = 40_000;
-    private static final int SEEDS = 50;
+    private static final long SUBSCRIBE_WITHIN_MILLIS = 10_000, DRAIN_GRACE_MILLIS = 1_500;
+    private static final long SIMULATION_MILLIS = 40_000;
+    private static final int SEED_COUNT = 50;
     /** Service time of one call, and the maximum service time for a whole fleet. */
-    private static final long CALL_TIME = 200, MAX_WHOLE_FLEET = 3_500;
+    private static final long CALL_MILLIS = 200, MAX_FLEET_MILLIS = 3_500;
 
     /** Deadline for the last proxy to have its list, if no part of it was sent before. */
-    private static long limit(Trigger trigger) {
-        return (trigger == Trigger.MOVE ? DiscoveryTimeouts.TOLD_MOVED : DiscoveryTimeouts.TOLD) + GRACE;
-    }
-
-    private static void assertInTime(Scenario scenario, long limit) {
-        for (long seed = 1; seed <= SEEDS; seed++) {
-            long last = new DiscoveryModel(scenario, seed).play(END).lastAnswer();
-            assertTrue(last <= limit, scenario + ", seed " + seed + ": last proxy has its list after "
-                + last + " ms");
+    private static long deadlineMillis(Trigger trigger) {
+        return (trigger == Trigger.MOVE ? DiscoveryTimeouts.DELIVERY_DEADLINE_AFTER_MOVE_MILLIS
+            : DiscoveryTimeouts.DELIVERY_DEADLINE_MILLIS) + DRAIN_GRACE_MILLIS;
+    }
+
+    private static void assertAllListsBy(Scenario scenario, long deadlineMillis) {
+        for (long seed = 1; seed <= SEED_COUNT; seed++) {
+            long lastAnswerMillis = new DiscoveryModel(scenario,
+                seed).play(SIMULATION_MILLIS).lastAnswerMillis();
+            assertTrue(lastAnswerMillis <= deadlineMillis, scenario + ", seed " + seed
+                + ": last proxy has its list after "
+                + lastAnswerMillis + " ms");
         }
     }
 
@@ -44,20 +47,21 @@
         "OUTAGE_CLOSED,100,5000", "OUTAGE,50,5000", "START,50,5000", "SILENCE,50,5000",
         "MOVE,50,5000", "OUTAGE,16,3200", "START,16,3200", "RESET,16,3200", "OUTAGE,8,1600", "START,8,1600",
         "OUTAGE,1,200", "START,1,200", "SILENCE,1,200", "MOVE,1,200", "RESET,1,200"})
-    void allOfAFleetHaveTheListInTime(Trigger trigger, int fleet, long wholeFleet) {
-        assertInTime(new Scenario(trigger, fleet, wholeFleet), limit(trigger));
+    void wholeFleetHasListInTime(Trigger trigger, int fleetSize, long fleetMillis) {
+        assertAllListsBy(new Scenario(trigger, fleetSize, fleetMillis), deadlineMillis(trigger));
     }
 
     /** For outages of any length, whether calls were refused or timed out meanwhile. */
     @ParameterizedTest
     @ValueSource(longs = {100, 1_000, 2_000, 4_000, 8_000, 12_000, 15_000, 20_000, 25_000, 30_000})
-    void afterAnOutageAllHaveTheListInTime(long outage) {
-        for (Away away : Away.values()) {
-            for (int fleet : new int[] {1, 8, 9, 24, 50, 100}) {
-                long wholeFleet = Math.min(MAX_WHOLE_FLEET, CALL_TIME * fleet);
+    void wholeFleetHasListInTimeAfterOutage(long outageMillis) {
+        for (OutageMode outageMode : OutageMode.values()) {
+            for (int fleetSize : new int[] {1, 8, 9, 24, 50, 100}) {
+                long fleetMillis = Math.min(MAX_FLEET_MILLIS, CALL_MILLIS * fleetSize);
                 for (Trigger trigger : new Trigger[] {Trigger.OUTAGE, Trigger.OUTAGE_CLOSED}) {
-                    assertInTime(new Scenario(trigger, fleet, wholeFleet).withOutage(outage, away),
-                        limit(trigger));
+                    assertAllListsBy(new Scenario(trigger, fleetSize, fleetMillis).withOutage(outageMillis,
+                        outageMode),
+                        deadlineMillis(trigger));
                 }
             }
         }
@@ -66,167 +70,183 @@
     /** The part sent before the cut counts as known at once. */
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 2})
-    void aProxyWhoseAnswersAreCutHasTheNextOneWithinTheGrace(int furtherCuts) {
-        for (int fleet : new int[] {1, 2, 8, 9, 16, 24, 50, 100}) {
-            Scenario scenario = new Scenario(Trigger.CUT_ONE, fleet, Math.min(5_000, CALL_TIME * fleet));
-            assertInTime(scenario.withCutAnswers(furtherCuts), GRACE);
+    void truncatedAnswerIsReplacedWithinDrainGrace(int furtherTruncatedAnswers) {
+        for (int fleetSize : new int[] {1, 2, 8, 9, 16, 24, 50, 100}) {
+            Scenario scenario = new Scenario(Trigger.CUT_ONE, fleetSize,
+                Math.min(5_000, CALL_MILLIS * fleetSize));
+            assertAllListsBy(scenario.withTruncatedAnswers(furtherTruncatedAnswers), DRAIN_GRACE_MILLIS);
         }
     }
 
     @ParameterizedTest
     @ValueSource(ints = {1, 8, 16, 24, 50, 100})
-    void aFleetWhoseAnswersAreAllCutHasTheNextOnesWithinTheGraceOfAFastDiscovery(int fleet) {
-        assertInTime(new Scenario(Trigger.CUT, fleet, 1_300).withQueue(fleet), GRACE);
-        assertInTime(new Scenario(Trigger.CUT, fleet, 600).withQueue(fleet), GRACE);
-        assertInTime(new Scenario(Trigger.CLOSED, fleet, 1_000), GRACE);
-        assertInTime(new Scenario(Trigger.CUT, fleet, 600).withQueue(fleet).withCutAnswers(1), GRACE);
-        assertInTime(new Scenario(Trigger.RESET, fleet, 1_300), GRACE);
+    void fastDiscoveryReplacesAllTruncatedAnswersWithinDrainGrace(int fleetSize) {
+        assertAllListsBy(new Scenario(Trigger.CUT, fleetSize, 1_300).withMaxQueuedCalls(fleetSize),
+            DRAIN_GRACE_MILLIS);
+        assertAllListsBy(new Scenario(Trigger.CUT, fleetSize, 600).withMaxQueuedCalls(fleetSize),
+            DRAIN_GRACE_MILLIS);
+        assertAllListsBy(new Scenario(Trigger.CLOSED, fleetSize, 1_000), DRAIN_GRACE_MILLIS);
+        assertAllListsBy(new Scenario(Trigger.CUT, fleetSize,
+            600).withMaxQueuedCalls(fleetSize).withTruncatedAnswers(1), DRAIN_GRACE_MILLIS);
+        assertAllListsBy(new Scenario(Trigger.RESET, fleetSize, 1_300), DRAIN_GRACE_MILLIS);
     }
 
     /** Discovery is up, and may have had more to send. */
     @Test
-    void aProxyWhoseWatchIsClosedHasTheNextListWithinTheGrace() {
-        for (int fleet : new int[] {1, 2, 8, 9, 16, 24, 50, 100}) {
-            assertInTime(new Scenario(Trigger.CLOSED_ONE, fleet, Math.min(5_000, CALL_TIME * fleet)), GRACE);
+    void closedWatchIsReplacedWithinDrainGrace() {
+        for (int fleetSize : new int[] {1, 2, 8, 9, 16, 24, 50, 100}) {
+            assertAllListsBy(new Scenario(Trigger.CLOSED_ONE, fleetSize,
+                Math.min(5_000, CALL_MILLIS * fleetSize)), DRAIN_GRACE_MILLIS);
         }
     }
 
     /** A slow discovery cannot serve all proxies at once, but serves each in time. */
     @ParameterizedTest
     @ValueSource(ints = {16, 24, 50, 100})
-    void aFleetWhoseAnswersAreAllCutDoesNotOverrunASlowDiscovery(int fleet) {
-        long wholeFleet = Math.min(4_000, CALL_TIME * fleet);
-        assertInTime(new Scenario(Trigger.CUT, fleet, wholeFleet), limit(Trigger.CUT));
+    void truncatedAnswersDoNotOverloadSlowDiscovery(int fleetSize) {
+        long fleetMillis = Math.min(4_000, CALL_MILLIS * fleetSize);
+        assertAllListsBy(new Scenario(Trigger.CUT, fleetSize, fleetMillis), deadlineMillis(Trigger.CUT));
     }
 
     /** A few starting proxies do not overload discovery and need not wait for their slots. */
     @Test
-    void theProxiesOfARollingRestartCallWithoutMuchDelay() {
-        int fleet = 100, group = 10;
-        long sum = 0;
-        for (int i = 0; i < fleet; i++) {
-            sum += new CallPacing(fleet, i, ASK_WITHIN, i).firstCall();
+    void rollingRestartCallsWithLittleDelay() {
+        int fleetSize = 100, groupSize = 10;
+        long sumMillis = 0;
+        for (int i = 0; i < fleetSize; i++) {
+            sumMillis += new CallPacing(fleetSize, i, SUBSCRIBE_WITHIN_MILLIS, i).waitBeforeFirstCall();
         }
-        assertTrue(sum / fleet <= DiscoveryTimeouts.MOST_APART, sum / fleet + " ms mean wait of the fleet");
-        for (int first = 0; first < fleet; first += group) {
-            long ofGroup = 0;
-            for (int i = first; i < first + group; i++) {
-                ofGroup += new CallPacing(fleet, i, ASK_WITHIN, i).firstCall();
+        assertTrue(sumMillis / fleetSize <= DiscoveryTimeouts.MAX_CALL_INTERVAL_MILLIS, sumMillis / fleetSize
+            + " ms mean wait of the fleet");
+        for (int firstProxy = 0; firstProxy < fleetSize; firstProxy += groupSize) {
+            long groupSumMillis = 0;
+            for (int i = firstProxy; i < firstProxy + groupSize; i++) {
+                groupSumMillis += new CallPacing(fleetSize, i, SUBSCRIBE_WITHIN_MILLIS,
+                    i).waitBeforeFirstCall();
             }
-            assertTrue(ofGroup / group <= DiscoveryTimeouts.MOST_APART, "sum of waits in group " + first
-                + ": " + ofGroup);
+            assertTrue(groupSumMillis / groupSize <= DiscoveryTimeouts.MAX_CALL_INTERVAL_MILLIS,
+                "sum of waits in group " + firstProxy
+                + ": " + groupSumMillis);
         }
     }
 
     /** A small fleet does not wait for an interval. */
     @Test
-    void aSmallFleetBacksOffExponentially() {
-        CallPacing pacing = new CallPacing(8, 0, ASK_WITHIN, 3);
-        assertEquals(0, pacing.afterSilence());
-        assertEquals(0, pacing.afterMove());
+    void smallFleetBacksOffExponentially() {
+        CallPacing pacing = new CallPacing(8, 0, SUBSCRIBE_WITHIN_MILLIS, 3);
+        assertEquals(0, pacing.waitAfterSilence());
+        assertEquals(0, pacing.waitAfterMove());
         for (int i = 0; i < 100; i++) {
-            long wait = pacing.afterFailure(0, true);
-            assertTrue(wait <= Math.min(DiscoveryTimeouts.FIRST_APART << Math.min(i, 10),
-                DiscoveryTimeouts.MOST_APART),
+            long wait = pacing.waitAfterFailure(0, true);
+            assertTrue(wait <= Math.min(DiscoveryTimeouts.FIRST_BACKOFF_MILLIS << Math.min(i, 10),
+                DiscoveryTimeouts.MAX_CALL_INTERVAL_MILLIS),
                 i + ": wait in ms is " + wait);
         }
-        assertEquals(0, pacing.afterFailure(DiscoveryTimeouts.MOST_APART, true),
+        assertEquals(0, pacing.waitAfterFailure(DiscoveryTimeouts.MAX_CALL_INTERVAL_MILLIS, true),
             "the wait counts from the start of the call");
     }
 
     /** A single refusal does not indicate overload; many in a row do. */
     @Test
-    void aCallThatIsRefusedAtOnceIsRepeatedSoonButNotForEver() {
-        CallPacing pacing = new CallPacing(100, 0, ASK_WITHIN, 3);
-        for (int i = 0; i < CallPacing.MAX_QUICK_REPEATS; i++) {
-            assertTrue(pacing.afterFailure(15, true) <= DiscoveryTimeouts.FIRST_APART << i);
+    void immediateRefusalsAreRetriedSoonOnlyAFewTimes() {
+        CallPacing pacing = new CallPacing(100, 0, SUBSCRIBE_WITHIN_MILLIS, 3);
+        for (int i = 0; i < CallPacing.MAX_QUICK_RETRIES; i++) {
+            assertTrue(pacing.waitAfterFailure(15, true) <= DiscoveryTimeouts.FIRST_BACKOFF_MILLIS << i);
         }
-        assertTrue(pacing.afterFailure(15, true) >= CallPacing.MAX_FIRST_INTERVAL / 2);
+        assertTrue(pacing.waitAfterFailure(15, true) >= CallPacing.MAX_FIRST_INTERVAL_MILLIS / 2);
         pacing.reset();
-        assertTrue(pacing.afterFailure(DiscoveryModel.MAX_WAIT, true)
-            >= CallPacing.MAX_FIRST_INTERVAL / 2 - DiscoveryModel.MAX_WAIT,
+        assertTrue(pacing.waitAfterFailure(DiscoveryModel.MAX_QUEUE_MILLIS, true)
+            >= CallPacing.MAX_FIRST_INTERVAL_MILLIS / 2 - DiscoveryModel.MAX_QUEUE_MILLIS,
             "a call refused after a wait is repeated after an interval");
         pacing.reset();
-        assertTrue(pacing.afterFailure(15, true) <= DiscoveryTimeouts.FIRST_APART,
+        assertTrue(pacing.waitAfterFailure(15, true) <= DiscoveryTimeouts.FIRST_BACKOFF_MILLIS,
             "an answer resets the backoff");
     }
 
     /** A connection that ends early has lost an answer; a refusal has not. */
     @Test
-    void aCallWhoseConnectionEndsBeforeAnAnswerIsRepeatedAtOnce() {
-        CallPacing pacing = new CallPacing(100, 99, ASK_WITHIN, 3);
-        assertTrue(pacing.afterFailure(1_000, false) <= CallPacing.JITTER);
-        assertTrue(pacing.afterFailure(1_000, true) >= CallPacing.MAX_FIRST_INTERVAL / 2 - 1_000);
+    void lostConnectionIsRetriedAtOnce() {
+        CallPacing pacing = new CallPacing(100, 99, SUBSCRIBE_WITHIN_MILLIS, 3);
+        assertTrue(pacing.waitAfterFailure(1_000, false) <= CallPacing.JITTER_MILLIS);
+        assertTrue(pacing.waitAfterFailure(1_000, true) >= CallPacing.MAX_FIRST_INTERVAL_MILLIS / 2 - 1_000);
     }
 
     /** If discovery resets calls that have waited too long, a reset does not indicate a lost answer. */
     @Test
-    void callsWhoseConnectionsEndOneAfterAnotherWaitForAnInterval() {
-        CallPacing pacing = new CallPacing(100, 99, ASK_WITHIN, 3);
-        assertTrue(pacing.afterFailure(1_000, false) <= CallPacing.JITTER);
+    void repeatedLostConnectionsWaitForInterval() {
+        CallPacing pacing = new CallPacing(100, 99, SUBSCRIBE_WITHIN_MILLIS, 3);
+        assertTrue(pacing.waitAfterFailure(1_000, false) <= CallPacing.JITTER_MILLIS);
         for (int i = 0; i < 10; i++) {
-            assertTrue(pacing.afterFailure(1_000, false) >= CallPacing.MAX_FIRST_INTERVAL / 2 - 1_000);
+            assertTrue(pacing.waitAfterFailure(1_000, false) >= CallPacing.MAX_FIRST_INTERVAL_MILLIS / 2
+                - 1_000);
         }
-        pacing.answered(50);
-        assertTrue(pacing.afterFailure(1_000, false) <= 2 * CallPacing.JITTER, "an answer resets the state");
+        pacing.recordAnswer(50);
+        assertTrue(pacing.waitAfterFailure(1_000, false) <= 2 * CallPacing.JITTER_MILLIS,
+            "an answer resets the state");
     }
 
     /** All proxies that call receive the older list; they must not call again at the same time. */
     @Test
-    void proxiesThatFindDiscoveryBehindDoNotAskAgainTogether() {
-        int fleet = 100;
-        long callTime = 53;
-        long[] asked = new long[fleet];
-        for (int i = 0; i < fleet; i++) {
-            CallPacing pacing = new CallPacing(fleet, i, ASK_WITHIN, i);
-            pacing.answered(callTime);
-            asked[i] = pacing.whileBehind();
-            assertTrue(asked[i] <= DiscoveryTimeouts.TOLD, "called too late, after ms: " + asked[i]);
+    void proxiesSpreadCallsWhenDiscoveryIsOutdated() {
+        int fleetSize = 100;
+        long callMillis = 53;
+        long[] calledAtMillis = new long[fleetSize];
+        for (int i = 0; i < fleetSize; i++) {
+            CallPacing pacing = new CallPacing(fleetSize, i, SUBSCRIBE_WITHIN_MILLIS, i);
+            pacing.recordAnswer(callMillis);
+            calledAtMillis[i] = pacing.waitWhileOutdated();
+            assertTrue(calledAtMillis[i] <= DiscoveryTimeouts.DELIVERY_DEADLINE_MILLIS,
+                "called too late, after ms: "
+                + calledAtMillis[i]);
         }
-        Arrays.sort(asked);
-        long served = 0, longestWait = 0;
-        for (long at : asked) {
-            served = Math.max(served, at) + callTime;
-            longestWait = Math.max(longestWait, served - at);
+        Arrays.sort(calledAtMillis);
+        long servedUntilMillis = 0, maxQueueMillis = 0;
+        for (long callMoment : calledAtMillis) {
+            servedUntilMillis = Math.max(servedUntilMillis, callMoment) + callMillis;
+            maxQueueMillis = Math.max(maxQueueMillis, servedUntilMillis - callMoment);
         }
-        assertTrue(longestWait < DiscoveryModel.MAX_WAIT, "longest time in the queue in ms: " + longestWait);
-        assertEquals(DiscoveryTimeouts.TOLD, new CallPacing(8, 0, ASK_WITHIN, 3).whileBehind());
+        assertTrue(maxQueueMillis < DiscoveryModel.MAX_QUEUE_MILLIS, "longest time in the queue in ms: "
+            + maxQueueMillis);
+        assertEquals(DiscoveryTimeouts.DELIVERY_DEADLINE_MILLIS,
+            new CallPacing(8, 0, SUBSCRIBE_WITHIN_MILLIS, 3).waitWhileOutdated());
     }
 
     /** A proxy must back off if all answers are truncated. */
     @Test
-    void answersThatAreAlwaysCutAreAskedForLessAndLess() {
-        CallPacing pacing = new CallPacing(100, 0, ASK_WITHIN, 3);
+    void repeatedTruncationBacksOff() {
+        CallPacing pacing = new CallPacing(100, 0, SUBSCRIBE_WITHIN_MILLIS, 3);
         for (int i = 0; i < 100; i++) {
-            long wait = pacing.afterBrokenAnswer();
-            long bound = Math.min(CallPacing.JITTER << Math.min(i, 10), DiscoveryTimeouts.MOST_APART);
+            long wait = pacing.waitAfterTruncatedAnswer();
+            long bound = Math.min(CallPacing.JITTER_MILLIS << Math.min(i, 10),
+                DiscoveryTimeouts.MAX_CALL_INTERVAL_MILLIS);
             assertTrue(wait <= bound, i + ": wait in ms is " + wait);
         }
-        long sum = 0;
+        long sumMillis = 0;
         for (int i = 0; i < 100; i++) {
-            sum += pacing.afterBrokenAnswer();
+            sumMillis += pacing.waitAfterTruncatedAnswer();
         }
-        assertTrue(sum / 100 > DiscoveryTimeouts.MOST_APART / 4, sum / 100 + " ms mean wait");
+        assertTrue(sumMillis / 100 > DiscoveryTimeouts.MAX_CALL_INTERVAL_MILLIS / 4, sumMillis / 100
+            + " ms mean wait");
     }
 
     /** A shorter limit in the settings is respected. */
     @Test
-    void noWaitIsMuchLongerThanTheSettingsAllow() {
+    void waitsRespectConfiguredLimit() {
         CallPacing pacing = new CallPacing(100, 0, 1_000, 3);
         for (int i = 0; i < 100; i++) {
-            assertTrue(pacing.afterEnd(true) <= 1_000 && pacing.afterEnd(false) <= 1_000);
-            assertTrue(pacing.afterFailure(0, true) <= 1_000);
+            assertTrue(pacing.waitAfterWatchEnd(true) <= 1_000 && pacing.waitAfterWatchEnd(false) <= 1_000);
+            assertTrue(pacing.waitAfterFailure(0, true) <= 1_000);
         }
     }
 
     /** While calls are answered late or never, the interval grows, but only up to a bound. */
     @ParameterizedTest
     @EnumSource(value = Trigger.class, names = {"START", "RESET", "SILENCE", "CUT"})
-    void aFleetThatDiscoveryCannotServeInTimeCallsLessAndLess(Trigger trigger) {
-        for (long seed = 1; seed <= SEEDS; seed++) {
+    void overloadedDiscoveryReceivesFewerCalls(Trigger trigger) {
+        for (long seed = 1; seed <= SEED_COUNT; seed++) {
             DiscoveryModel model = new DiscoveryModel(new Scenario(trigger, 100, 10_000), seed).play(120_000);
-            assertTrue(model.lastAnswer() <= 120_000,
-                seed + ": last proxy has its list after ms " + model.lastAnswer());
+            assertTrue(model.lastAnswerMillis() <= 120_000,
+                seed + ": last proxy has its list after ms " + model.lastAnswerMillis());
         }
     }
 }
--- a/proxy/src/test/java/dockrelay/proxy/DiscoveryCollapseTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/DiscoveryCollapseTest.java
@@ -19,45 +19,47 @@
  * answered.
  */
 class DiscoveryCollapseTest {
-    private static final int PROXIES = 16;
+    private static final int PROXY_COUNT = 16;
     /** Discovery can serve all proxies within 3.4 s, but not one call a second from each. */
     private static final long CALL_MILLIS = 210;
     private static final long OUTAGE_MILLIS = 6_000;
-    private static final String SETTINGS = "\"Discovery\":\"ask\",\"Balancers\":" + PROXIES
+    private static final String SETTINGS = "\"Discovery\":\"ask\",\"Balancers\":" + PROXY_COUNT
         + ",\"Obligations\":{\"AskWithin\":10.0,\"DrainGrace\":1.5},";
 
-    private final BackendRemoval removal = new BackendRemoval();
+    private final RemovedBackendFixture fixture = new RemovedBackendFixture();
     private final QueueingDiscovery discovery =
-        new QueueingDiscovery(FakeDiscovery.listJson(1, true, removal.bothEntries), CALL_MILLIS);
+        new QueueingDiscovery(FakeDiscovery.listJson(1, true, fixture.bothEntries), CALL_MILLIS);
     @TempDir
-    private Path folder;
+    private Path tempFolder;
 
     @AfterEach
     void close() throws IOException {
-        removal.close();
+        fixture.close();
         discovery.close();
     }
 
     private void startAll() throws IOException {
-        removal.addProxies(PROXIES, folder);
-        int number = 0;
-        for (ProxyProcess proxy : removal.proxies) {
-            proxy.start(discovery.door().port(), removal.bothEntries, "\"Me\":" + number++ + "," + SETTINGS);
+        fixture.addProxies(PROXY_COUNT, tempFolder);
+        int proxyNumber = 0;
+        for (ProxyProcess proxy : fixture.proxies) {
+            proxy.start(discovery.addCaller().port(), fixture.bothEntries, "\"Me\":" + proxyNumber++ + ","
+                + SETTINGS);
         }
-        removal.proxies.forEach(ProxyProcess::awaitServing);
-        Fakes.await("a watch from each proxy", () -> discovery.watches() == PROXIES);
+        fixture.proxies.forEach(ProxyProcess::awaitServing);
+        Fakes.await("a watch from each proxy", () -> discovery.watchCount() == PROXY_COUNT);
     }
 
     @Test
-    void afterAnOutageAllProxiesHaveTheListInTimeThoughDiscoveryIsSlow() throws Exception {
+    void slowDiscoveryServesAllProxiesInTimeAfterOutage() throws Exception {
         startAll();
-        discovery.goDown();
+        discovery.startOutage();
         TimeUnit.MILLISECONDS.sleep(OUTAGE_MILLIS);
-        discovery.comeBack(FakeDiscovery.listJson(2, true, removal.keptEntry));
-        long stopped = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(
-            DiscoveryTimeouts.TOLD + BackendRemoval.GRACE_MILLIS + BackendRemoval.SLACK_MILLIS);
-        removal.assertNoneArrivesAfter(stopped, stopped + TimeUnit.SECONDS.toNanos(1),
-            "proxies with a watch: " + discovery.watches());
-        assertEquals(PROXIES, discovery.watches());
+        discovery.endOutage(FakeDiscovery.listJson(2, true, fixture.keptEntry));
+        long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(
+            DiscoveryTimeouts.DELIVERY_DEADLINE_MILLIS + RemovedBackendFixture.DRAIN_GRACE_MILLIS
+            + RemovedBackendFixture.TOLERANCE_MILLIS);
+        fixture.assertNoRequestsAfter(deadlineNanos, deadlineNanos + TimeUnit.SECONDS.toNanos(1),
+            "proxies with a watch: " + discovery.watchCount());
+        assertEquals(PROXY_COUNT, discovery.watchCount());
     }
 }
--- a/proxy/src/test/java/dockrelay/proxy/DiscoveryModel.java
+++ b/proxy/src/test/java/dockrelay/proxy/DiscoveryModel.java
@@ -13,10 +13,10 @@
  * time, including those that have timed out in its queue. Times are in milliseconds.
  */
 final class DiscoveryModel {
-    static final long MAX_WAIT = 2_000;
-    private static final long ASK_WITHIN = 10_000;
-    private static final long START_SPREAD = 500;
-    private static final long NETWORK = 1;
+    static final long MAX_QUEUE_MILLIS = 2_000;
+    private static final long SUBSCRIBE_WITHIN_MILLIS = 10_000;
+    private static final long START_SPREAD_MILLIS = 500;
+    private static final long NETWORK_DELAY_MILLIS = 1;
 
     /** The event that makes proxies call. */
     enum Trigger {
@@ -39,115 +39,121 @@
     }
 
     /** How calls fail while discovery is down: refused at once, or timed out. */
-    enum Away { REFUSES, LETS_WAIT }
+    enum OutageMode { REFUSES, TIMES_OUT }
 
     /**
      * A fleet and its discovery service. {@code wholeFleet} is the time to serve each proxy once; calls
      * beyond {@code maxQueue} pending ones are refused; {@code outage} only applies to the outage triggers;
      * {@code cutAnswers} answers to each proxy are truncated before a complete one.
      */
-    record Scenario(Trigger trigger, int fleet, long wholeFleet, long outage, Away away, int maxQueue,
-                    int cutAnswers) {
-        private static final long USUAL_OUTAGE = 8_000;
-        private static final int USUAL_QUEUE = 60;
+    record Scenario(Trigger trigger, int fleetSize, long fleetServiceMillis, long outageMillis,
+        OutageMode outageMode, int maxQueuedCalls,
+                    int truncatedAnswers) {
+        private static final long DEFAULT_OUTAGE_MILLIS = 8_000;
+        private static final int DEFAULT_MAX_QUEUED_CALLS = 60;
 
-        Scenario(Trigger trigger, int fleet, long wholeFleet) {
-            this(trigger, fleet, wholeFleet, USUAL_OUTAGE, Away.LETS_WAIT, USUAL_QUEUE, 0);
+        Scenario(Trigger trigger, int fleetSize, long fleetServiceMillis) {
+            this(trigger, fleetSize, fleetServiceMillis, DEFAULT_OUTAGE_MILLIS, OutageMode.TIMES_OUT,
+                DEFAULT_MAX_QUEUED_CALLS, 0);
         }
 
-        Scenario withOutage(long millis, Away how) {
-            return new Scenario(trigger, fleet, wholeFleet, millis, how, maxQueue, cutAnswers);
+        Scenario withOutage(long millis, OutageMode mode) {
+            return new Scenario(trigger, fleetSize, fleetServiceMillis, millis, mode, maxQueuedCalls,
+                truncatedAnswers);
         }
 
-        Scenario withQueue(int calls) {
-            return new Scenario(trigger, fleet, wholeFleet, outage, away, calls, cutAnswers);
+        Scenario withMaxQueuedCalls(int calls) {
+            return new Scenario(trigger, fleetSize, fleetServiceMillis, outageMillis, outageMode, calls,
+                truncatedAnswers);
         }
 
-        Scenario withCutAnswers(int answers) {
-            return new Scenario(trigger, fleet, wholeFleet, outage, away, maxQueue, answers);
+        Scenario withTruncatedAnswers(int answers) {
+            return new Scenario(trigger, fleetSize, fleetServiceMillis, outageMillis, outageMode,
+                maxQueuedCalls, answers);
         }
 
-        long callTime() {
-            return Math.max(1, wholeFleet / fleet);
+        long callMillis() {
+            return Math.max(1, fleetServiceMillis / fleetSize);
         }
     }
 
-    private record Event(long at, long order, Runnable action) {
+    private record Event(long timeMillis, long sequence, Runnable action) {
     }
 
     private static final class Call {
-        final long beganAt;
-        boolean over;
+        final long startMillis;
+        boolean finished;
 
-        Call(long beganAt) {
-            this.beganAt = beganAt;
+        Call(long startMillis) {
+            this.startMillis = startMillis;
         }
     }
 
-    /** The calls of one proxy, scheduled as in {@link Discovery}. */
+    /** The calls of one proxy, scheduled as in {@link DiscoveryClient}. */
     private final class Caller {
         final CallPacing pacing;
-        final List<Call> open = new ArrayList<>(); // unanswered calls
-        long beganAt, answeredAt = -1;
-        int round, answersToCut;
+        final List<Call> pendingCalls = new ArrayList<>(); // unanswered calls
+        long lastCallMillis, answeredAtMillis = -1;
+        int timerGeneration, answersToTruncate;
 
-        Caller(int number, long seed) {
-            pacing = new CallPacing(scenario.fleet, number, ASK_WITHIN, seed);
-            answersToCut = scenario.cutAnswers;
+        Caller(int proxyNumber, long seed) {
+            pacing = new CallPacing(scenario.fleetSize, proxyNumber, SUBSCRIBE_WITHIN_MILLIS, seed);
+            answersToTruncate = scenario.truncatedAnswers;
         }
 
-        void callIn(long wait) {
-            int mine = ++round;
-            after(wait, () -> {
-                if (mine == round && answeredAt < 0) {
-                    call();
+        void scheduleCall(long delayMillis) {
+            int generation = ++timerGeneration;
+            schedule(delayMillis, () -> {
+                if (generation == timerGeneration && answeredAtMillis < 0) {
+                    startCall();
                 }
             });
         }
 
-        private void call() {
-            beganAt = now;
-            offered.add(now);
-            Call call = new Call(now);
-            open.add(call);
-            after(MAX_WAIT, () -> fail(call, true));
-            callIn(pacing.whileUnanswered());
-            boolean down = now < downUntil;
-            if (down ? scenario.away == Away.REFUSES : queue.size() > scenario.maxQueue) {
-                after(NETWORK, this::refuse);
+        private void startCall() {
+            lastCallMillis = nowMillis;
+            callTimes.add(nowMillis);
+            Call call = new Call(nowMillis);
+            pendingCalls.add(call);
+            schedule(MAX_QUEUE_MILLIS, () -> failCall(call, true));
+            scheduleCall(pacing.answerTimeout());
+            boolean down = nowMillis < downUntilMillis;
+            if (down ? scenario.outageMode == OutageMode.REFUSES
+                : queuedCalls.size() > scenario.maxQueuedCalls) {
+                schedule(NETWORK_DELAY_MILLIS, this::failPendingCalls);
             } else if (!down) {
-                queue.add(() -> answer(call));
-                serve();
+                queuedCalls.add(() -> answerCall(call));
+                serveNext();
             }
         }
 
         /** A refusal applies to the caller: all its queued calls fail. */
-        private void refuse() {
-            List.copyOf(open).forEach(each -> fail(each, true));
+        private void failPendingCalls() {
+            List.copyOf(pendingCalls).forEach(pending -> failCall(pending, true));
         }
 
-        private void fail(Call call, boolean refusal) {
-            if (!call.over && answeredAt < 0) {
-                call.over = true;
-                open.remove(call);
-                if (open.isEmpty()) {
-                    callIn(pacing.afterFailure(now - beganAt, refusal));
+        private void failCall(Call call, boolean refused) {
+            if (!call.finished && answeredAtMillis < 0) {
+                call.finished = true;
+                pendingCalls.remove(call);
+                if (pendingCalls.isEmpty()) {
+                    scheduleCall(pacing.waitAfterFailure(nowMillis - lastCallMillis, refused));
                 }
             }
         }
 
-        private void answer(Call call) {
-            if (call.over || answeredAt >= 0) {
+        private void answerCall(Call call) {
+            if (call.finished || answeredAtMillis >= 0) {
                 return;
             }
-            pacing.answered(now - call.beganAt);
-            if (answersToCut-- > 0) {
-                call.over = true;
-                open.remove(call);
-                callIn(pacing.afterBrokenAnswer());
+            pacing.recordAnswer(nowMillis - call.startMillis);
+            if (answersToTruncate-- > 0) {
+                call.finished = true;
+                pendingCalls.remove(call);
+                scheduleCall(pacing.waitAfterTruncatedAnswer());
             } else {
                 pacing.reset();
-                answeredAt = now;
+                answeredAtMillis = nowMillis;
             }
         }
     }
@@ -155,11 +161,11 @@
     private final Scenario scenario;
     private final SplittableRandom random;
     private final PriorityQueue<Event> events = new PriorityQueue<>(
-        Comparator.comparingLong(Event::at).thenComparingLong(Event::order));
-    private final Deque<Runnable> queue = new ArrayDeque<>();
+        Comparator.comparingLong(Event::timeMillis).thenComparingLong(Event::sequence));
+    private final Deque<Runnable> queuedCalls = new ArrayDeque<>();
     private final List<Caller> callers = new ArrayList<>();
-    private final List<Long> offered = new ArrayList<>();
-    private long now, order, downUntil;
+    private final List<Long> callTimes = new ArrayList<>();
+    private long nowMillis, nextSequence, downUntilMillis;
     private boolean serving;
 
     DiscoveryModel(Scenario scenario, long seed) {
@@ -167,81 +173,84 @@
         this.random = new SplittableRandom(seed);
     }
 
-    private void after(long wait, Runnable action) {
-        events.add(new Event(now + wait, order++, action));
+    private void schedule(long delayMillis, Runnable action) {
+        events.add(new Event(nowMillis + delayMillis, nextSequence++, action));
     }
 
     /** Serves one call at a time, each for the same time. */
-    private void serve() {
-        if (!serving && !queue.isEmpty()) {
+    private void serveNext() {
+        if (!serving && !queuedCalls.isEmpty()) {
             serving = true;
-            Runnable answer = queue.poll();
-            after(scenario.callTime(), () -> {
+            Runnable answer = queuedCalls.poll();
+            schedule(scenario.callMillis(), () -> {
                 serving = false;
                 answer.run();
-                serve();
+                serveNext();
             });
         }
     }
 
     /** Runs the simulation until this time after the trigger. */
-    DiscoveryModel play(long until) {
+    DiscoveryModel play(long durationMillis) {
         boolean outage = scenario.trigger == Trigger.OUTAGE || scenario.trigger == Trigger.OUTAGE_CLOSED;
-        downUntil = outage ? scenario.outage : 0;
-        int affected = switch (scenario.trigger) {
+        downUntilMillis = outage ? scenario.outageMillis : 0;
+        int callerCount = switch (scenario.trigger) {
             case CLOSED_ONE, CUT_ONE -> 1;
-            case START_MOST -> Math.max(1, scenario.fleet * 7 / 10);
-            default -> scenario.fleet;
+            case START_MOST -> Math.max(1, scenario.fleetSize * 7 / 10);
+            default -> scenario.fleetSize;
         };
         // A single proxy may be any of them, also the one with the last slot.
-        int first = affected == 1 ? random.nextInt(scenario.fleet) : 0;
-        for (int i = 0; i < affected; i++) {
-            Caller caller = new Caller(first + i, random.nextLong());
+        int firstProxy = callerCount == 1 ? random.nextInt(scenario.fleetSize) : 0;
+        for (int i = 0; i < callerCount; i++) {
+            Caller caller = new Caller(firstProxy + i, random.nextLong());
             callers.add(caller);
-            caller.callIn(firstWait(caller.pacing));
+            caller.scheduleCall(waitAfterTrigger(caller.pacing));
         }
-        while (!events.isEmpty() && events.peek().at < downUntil + until) {
+        while (!events.isEmpty() && events.peek().timeMillis < downUntilMillis + durationMillis) {
             Event event = events.poll();
-            now = event.at;
+            nowMillis = event.timeMillis;
             event.action.run();
         }
         return this;
     }
 
-    private long firstWait(CallPacing pacing) {
+    private long waitAfterTrigger(CallPacing pacing) {
         if (scenario.trigger != Trigger.MOVE && !scenario.trigger.name().startsWith("START")) {
-            pacing.answered(scenario.callTime()); // from the watch that it had before
+            pacing.recordAnswer(scenario.callMillis()); // from the watch that it had before
         }
         return switch (scenario.trigger) {
-            case OUTAGE, RESET -> pacing.afterEnd(false);
-            case OUTAGE_CLOSED, CLOSED, CLOSED_ONE -> pacing.afterEnd(true);
-            case START, START_MOST -> random.nextLong(START_SPREAD) + firstCall(pacing);
-            case SILENCE -> DiscoveryTimeouts.SILENT - random.nextLong(DiscoveryTimeouts.HEARTBEAT)
-                + pacing.afterSilence();
-            case MOVE -> pacing.afterMove();
-            case CUT, CUT_ONE -> pacing.afterBrokenAnswer();
+            case OUTAGE, RESET -> pacing.waitAfterWatchEnd(false);
+            case OUTAGE_CLOSED, CLOSED, CLOSED_ONE -> pacing.waitAfterWatchEnd(true);
+            case START, START_MOST -> random.nextLong(START_SPREAD_MILLIS) + waitBeforeFirstCall(pacing);
+            case SILENCE -> DiscoveryTimeouts.SILENCE_TIMEOUT_MILLIS
+                - random.nextLong(DiscoveryTimeouts.HEARTBEAT_INTERVAL_MILLIS)
+                + pacing.waitAfterSilence();
+            case MOVE -> pacing.waitAfterMove();
+            case CUT, CUT_ONE -> pacing.waitAfterTruncatedAnswer();
         };
     }
 
     /**
      * In a small fleet the balancer requests the first call, within a fifth of the time allowed for calls.
      */
-    private long firstCall(CallPacing pacing) {
-        return pacing.decidesFirstCall() ? pacing.firstCall()
-            : Math.min(pacing.firstCall(), random.nextLong(ASK_WITHIN / 5));
+    private long waitBeforeFirstCall(CallPacing pacing) {
+        return pacing.schedulesFirstCall() ? pacing.waitBeforeFirstCall()
+            : Math.min(pacing.waitBeforeFirstCall(), random.nextLong(SUBSCRIBE_WITHIN_MILLIS / 5));
     }
 
     /** Time from the trigger, or from the end of the outage, until the last proxy has its list. */
-    long lastAnswer() {
-        long last = 0;
+    long lastAnswerMillis() {
+        long lastMillis = 0;
         for (Caller caller : callers) {
-            last = Math.max(last, caller.answeredAt < 0 ? Long.MAX_VALUE / 2 : caller.answeredAt);
+            lastMillis = Math.max(lastMillis, caller.answeredAtMillis < 0 ? Long.MAX_VALUE / 2
+                : caller.answeredAtMillis);
         }
-        return last - downUntil;
+        return lastMillis - downUntilMillis;
     }
 
     /** Number of calls started between two times after the trigger. */
-    long offered(long from, long to) {
-        return offered.stream().filter(at -> at >= downUntil + from && at < downUntil + to).count();
+    long offered(long fromMillis, long toMillis) {
+        return callTimes.stream().filter(callMillis -> callMillis >= downUntilMillis + fromMillis
+            && callMillis < downUntilMillis + toMillis).count();
     }
 }
--- a/proxy/src/test/java/dockrelay/proxy/DiscoveryTimeoutsTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/DiscoveryTimeoutsTest.java
@@ -11,14 +11,14 @@
  */
 class DiscoveryTimeoutsTest {
     /** How a call ends while discovery is down, and after how many milliseconds. */
-    private enum Away {
-        REFUSED(1), TURNED_AWAY(1_000), NO_CONNECTION(DiscoveryTimeouts.CONNECT),
-        NOTHING_SAID(Integer.MAX_VALUE);
+    private enum OutageMode {
+        REFUSED(1), ERROR_STATUS(1_000), NO_CONNECTION(DiscoveryTimeouts.CONNECT_TIMEOUT_MILLIS),
+        NO_ANSWER(Integer.MAX_VALUE);
 
-        final int millis;
+        final int failureMillis;
 
-        Away(int millis) {
-            this.millis = millis;
+        OutageMode(int failureMillis) {
+            this.failureMillis = failureMillis;
         }
     }
 
@@ -27,39 +27,45 @@
      * after a random wait if the call failed. Returns the start of the first call at or after the given
      * time.
      */
-    private static long firstTryFrom(long back, Away away, SplittableRandom random) {
-        Backoff backoff = new Backoff(DiscoveryTimeouts.FIRST_APART, DiscoveryTimeouts.MOST_APART,
+    private static long firstCallFrom(long returnMillis, OutageMode outageMode, SplittableRandom random) {
+        Backoff backoff = new Backoff(DiscoveryTimeouts.FIRST_BACKOFF_MILLIS,
+            DiscoveryTimeouts.MAX_CALL_INTERVAL_MILLIS,
             random.nextLong());
-        long begins = 0;
-        while (begins < back) {
-            long next = begins + DiscoveryTimeouts.ANSWER;
-            if (away.millis < DiscoveryTimeouts.ANSWER) {
-                next = begins + away.millis + DiscoveryTimeouts.after(away.millis, backoff.next());
+        long startMillis = 0;
+        while (startMillis < returnMillis) {
+            long nextStartMillis = startMillis + DiscoveryTimeouts.ANSWER_TIMEOUT_MILLIS;
+            if (outageMode.failureMillis < DiscoveryTimeouts.ANSWER_TIMEOUT_MILLIS) {
+                nextStartMillis = startMillis + outageMode.failureMillis
+                    + DiscoveryTimeouts.remainingWait(outageMode.failureMillis,
+                    backoff.nextWait());
             }
-            begins = Math.max(begins + 1, next);
+            startMillis = Math.max(startMillis + 1, nextStartMillis);
         }
-        return begins;
+        return startMillis;
     }
 
     @Test
-    void afterAnOutageTheListIsReadInTimeHoweverTheCallsBeforeHaveEnded() {
+    void listArrivesInTimeAfterOutageOfAnyKind() {
         SplittableRandom random = new SplittableRandom(5);
-        for (Away away : Away.values()) {
+        for (OutageMode outageMode : OutageMode.values()) {
             for (int i = 0; i < 20_000; i++) {
-                long back = 1 + random.nextLong(30_000);
-                long begins = firstTryFrom(back, away, random);
+                long returnMillis = 1 + random.nextLong(30_000);
+                long startMillis = firstCallFrom(returnMillis, outageMode, random);
                 // This call has no answer, and the connection beside it comes up late.
-                long asked = begins + DiscoveryTimeouts.BESIDE + DiscoveryTimeouts.LATE_CONNECTION;
-                assertTrue(asked + DiscoveryTimeouts.call() - back <= DiscoveryTimeouts.TOLD,
-                    away + ": called " + (asked - back) + " ms after discovery came back");
+                long callMillis = startMillis + DiscoveryTimeouts.STANDBY_DELAY_MILLIS
+                    + DiscoveryTimeouts.MAX_CONNECT_DELAY_MILLIS;
+                assertTrue(callMillis + DiscoveryTimeouts.minCallMillis() - returnMillis
+                    <= DiscoveryTimeouts.DELIVERY_DEADLINE_MILLIS,
+                    outageMode + ": called " + (callMillis - returnMillis) + " ms after discovery came back");
             }
         }
     }
 
     @Test
-    void eachOfTheSumsLeavesTimeForTheCall() {
-        assertTrue(DiscoveryTimeouts.call() >= 900, DiscoveryTimeouts.call() + " ms left for the call");
-        assertTrue(DiscoveryTimeouts.MOST_APART >= DiscoveryTimeouts.BESIDE,
+    void delaysLeaveTimeForCall() {
+        assertTrue(DiscoveryTimeouts.minCallMillis() >= 900, DiscoveryTimeouts.minCallMillis()
+            + " ms left for the call");
+        assertTrue(DiscoveryTimeouts.MAX_CALL_INTERVAL_MILLIS >= DiscoveryTimeouts.STANDBY_DELAY_MILLIS,
             "a slow call must not be abandoned because of a shorter maximum wait");
     }
 }
--- a/proxy/src/test/java/dockrelay/proxy/DiscoveryWatchTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/DiscoveryWatchTest.java
@@ -27,54 +27,55 @@
  * sockets.
  */
 class DiscoveryWatchTest {
-    private static final String ASKED = "\"Discovery\":\"ask\",\"Obligations\":{\"AskWithin\":0.2},";
+    private static final String ASK_MODE = "\"Discovery\":\"ask\",\"Obligations\":{\"AskWithin\":0.2},";
 
     /** How a watch fails after it has sent the first list. */
-    private enum Fault { SILENT, HALF_DEAD, CUT_SHORT, BLANKS_IN_THE_MIDDLE, ENDS_IN_THE_MIDDLE }
+    private enum Fault { SILENT, HUNG_HOST, STALLS_IN_OBJECT, WHITESPACE_IN_OBJECT, ENDS_IN_OBJECT }
 
     /** A discovery service whose first watch fails; later ones work, except as the fault requires. */
-    private static final class Odd extends Fakes.FakeServer {
-        private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-        final List<String> asked = new CopyOnWriteArrayList<>();
-        private final AtomicInteger watches = new AtomicInteger();
+    private static final class FaultyDiscovery extends Fakes.FakeServer {
+        private static final String RESPONSE_HEADER = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+        final List<String> requests = new CopyOnWriteArrayList<>();
+        private final AtomicInteger watchCount = new AtomicInteger();
         private final Fault fault;
-        private final String first, then;
+        private final String firstList, nextList;
 
-        Odd(Fault fault, String first, String then) {
+        FaultyDiscovery(Fault fault, String firstList, String nextList) {
             this.fault = fault;
-            this.first = first;
-            this.then = then;
+            this.firstList = firstList;
+            this.nextList = nextList;
         }
 
         @Override
         void serve(Socket connection) throws IOException {
             String request = Fakes.readMessage(connection.getInputStream());
-            int number = watches.getAndIncrement();
-            asked.add(request);
+            int watchNumber = watchCount.getAndIncrement();
+            requests.add(request);
             OutputStream out = connection.getOutputStream();
-            if (number == 0) {
-                out.write((HEAD + chunk(first)).getBytes(StandardCharsets.UTF_8));
-                if (fault == Fault.CUT_SHORT || fault == Fault.ENDS_IN_THE_MIDDLE
-                    || fault == Fault.BLANKS_IN_THE_MIDDLE) {
-                    out.write(chunk(then.substring(0, then.length() / 2)).getBytes(StandardCharsets.UTF_8));
+            if (watchNumber == 0) {
+                out.write((RESPONSE_HEADER + chunk(firstList)).getBytes(StandardCharsets.UTF_8));
+                if (fault == Fault.STALLS_IN_OBJECT || fault == Fault.ENDS_IN_OBJECT
+                    || fault == Fault.WHITESPACE_IN_OBJECT) {
+                    out.write(chunk(nextList.substring(0,
+                        nextList.length() / 2)).getBytes(StandardCharsets.UTF_8));
                 }
-                if (fault == Fault.ENDS_IN_THE_MIDDLE) {
+                if (fault == Fault.ENDS_IN_OBJECT) {
                     return;
                 }
-                while (fault == Fault.BLANKS_IN_THE_MIDDLE) { // until the proxy closes the connection
+                while (fault == Fault.WHITESPACE_IN_OBJECT) { // until the proxy closes the connection
                     out.write(chunk("\n").getBytes(StandardCharsets.UTF_8));
-                    pause();
+                    sleepBriefly();
                 }
             // a hung host accepts connections but sends nothing
-            } else if (number > 1 || fault != Fault.HALF_DEAD) {
-                out.write((HEAD + chunk(then)).getBytes(StandardCharsets.UTF_8));
+            } else if (watchNumber > 1 || fault != Fault.HUNG_HOST) {
+                out.write((RESPONSE_HEADER + chunk(nextList)).getBytes(StandardCharsets.UTF_8));
             }
             while (connection.getInputStream().read() >= 0) {
                 continue;
             }
         }
 
-        private static void pause() {
+        private static void sleepBriefly() {
             try {
                 Thread.sleep(50);
             } catch (InterruptedException e) {
@@ -87,28 +88,31 @@
         }
     }
 
-    private final FakeBackend one = new FakeBackend(request -> Fakes.httpResponse("200 OK", "", "one"));
-    private final FakeBackend two = new FakeBackend(request -> Fakes.httpResponse("200 OK", "", "two"));
+    private final FakeBackend firstBackend = new FakeBackend(request ->
+        Fakes.httpResponse("200 OK", "", "one"));
+    private final FakeBackend secondBackend = new FakeBackend(request ->
+        Fakes.httpResponse("200 OK", "", "two"));
     private Proxy proxy;
 
     @AfterEach
-    void stop() throws IOException {
+    void stopProxy() throws IOException {
         if (proxy != null) {
             proxy.stop();
         }
-        one.close();
-        two.close();
+        firstBackend.close();
+        secondBackend.close();
     }
 
-    private String list(int version, FakeBackend of) {
-        return FakeDiscovery.listJson(version, true, Fakes.entryJson("s-" + of.port(), of.port(), "active"));
+    private String listWith(int version, FakeBackend backend) {
+        return FakeDiscovery.listJson(version, true, Fakes.entryJson("s-" + backend.port(), backend.port(),
+            "active"));
     }
 
-    private void awaitServedBy(String body) throws IOException {
+    private void awaitServedBy(String expectedBody) throws IOException {
         try (FakeClient client = new FakeClient(proxy)) {
-            Fakes.await("a response of backend " + body, () -> {
+            Fakes.await("a response of backend " + expectedBody, () -> {
                 try {
-                    return client.send(FakeClient.getRequest("4.0")).readResponse().endsWith(body);
+                    return client.send(FakeClient.getRequest("4.0")).readResponse().endsWith(expectedBody);
                 } catch (IOException e) {
                     throw new IllegalStateException(e);
                 }
@@ -118,13 +122,14 @@
 
     @ParameterizedTest
     @EnumSource(Fault.class)
-    void aWatchThatGoesWrongIsAskedForAnewFromWhereItStood(Fault fault) throws Exception {
-        for (String mode : new String[] {"", ASKED}) {
-            try (Odd discovery = new Odd(fault, list(7, one), list(9, two))) {
+    void failedWatchIsReopenedFromItsVersion(Fault fault) throws Exception {
+        for (String mode : new String[] {"", ASK_MODE}) {
+            try (FaultyDiscovery discovery = new FaultyDiscovery(fault, listWith(7, firstBackend),
+                listWith(9, secondBackend))) {
                 proxy = new Proxy(Fakes.config(0, discovery.port(), 1024, "", mode));
                 awaitServedBy("two");
-                assertTrue(discovery.asked.get(1).startsWith("GET /v1/servers?watch=1&after=7 "),
-                    discovery.asked.get(1));
+                assertTrue(discovery.requests.get(1).startsWith("GET /v1/servers?watch=1&after=7 "),
+                    discovery.requests.get(1));
                 proxy.stop();
                 proxy = null;
             }
@@ -133,62 +138,65 @@
 
     /** The rest of the truncated change is unknown, and discovery is down from then on. */
     @ParameterizedTest
-    @ValueSource(strings = {"", ASKED})
-    void removalsOfABrokenAnswerAreInForceWithoutItsRest(String mode) throws Exception {
-        String both = FakeDiscovery.listJson(7, true, Fakes.entryJson("s-1", one.port(), "active"),
-            Fakes.entryJson("s-2", two.port(), "active"));
-        String change = FakeDiscovery.listJson(8, false, Fakes.entryJson("s-1", one.port(), "leaving"),
-            Fakes.entryJson("s-2", two.port(), "leaving"));
-        int cut = change.indexOf("s-2");
+    @ValueSource(strings = {"", ASK_MODE})
+    void removalsOfTruncatedAnswerAreApplied(String mode) throws Exception {
+        String fullList = FakeDiscovery.listJson(7, true,
+            Fakes.entryJson("s-1", firstBackend.port(), "active"),
+            Fakes.entryJson("s-2", secondBackend.port(), "active"));
+        String change = FakeDiscovery.listJson(8, false,
+            Fakes.entryJson("s-1", firstBackend.port(), "leaving"),
+            Fakes.entryJson("s-2", secondBackend.port(), "leaving"));
+        int truncatedLength = change.indexOf("s-2");
         FakeDiscovery discovery = new FakeDiscovery();
         try (discovery) {
-            discovery.setFirstList(both);
+            discovery.setFirstList(fullList);
             proxy = new Proxy(Fakes.config(0, discovery.port(), 1024, "", mode));
             awaitServedBy("one");
             discovery.rejecting = true;
             for (Socket watch : discovery.openConnections) {
-                watch.getOutputStream().write(Odd.chunk(change.substring(0, cut))
+                watch.getOutputStream().write(FaultyDiscovery.chunk(change.substring(0, truncatedLength))
                     .getBytes(StandardCharsets.UTF_8));
                 watch.close();
             }
             awaitServedBy("two");
-            int before = one.requests.size();
+            int requestsBefore = firstBackend.requests.size();
             for (int i = 0; i < 20; i++) {
                 awaitServedBy("two");
             }
-            assertEquals(before, one.requests.size(), "requests at the draining backend");
-            discovery.setFirstList(FakeDiscovery.listJson(8, true, Fakes.entryJson("s-1", one.port(), "active")));
+            assertEquals(requestsBefore, firstBackend.requests.size(), "requests at the draining backend");
+            discovery.setFirstList(FakeDiscovery.listJson(8, true,
+                Fakes.entryJson("s-1", firstBackend.port(), "active")));
             discovery.rejecting = false;
             awaitServedBy("one");
         }
     }
 
     @Test
-    void listsMayBeLaidOutOverSeveralLines() throws Exception {
-        String indented = list(7, one).replace(",", ",\n    ").replace("{", "{\n  ") + "\n\n"
-            + list(8, two).replace("}", "\n}").replace("\":", "\" :\t");
-        try (Odd discovery = new Odd(Fault.SILENT, indented, "")) {
+    void multiLineListsAreAccepted() throws Exception {
+        String indented = listWith(7, firstBackend).replace(",", ",\n    ").replace("{", "{\n  ") + "\n\n"
+            + listWith(8, secondBackend).replace("}", "\n}").replace("\":", "\" :\t");
+        try (FaultyDiscovery discovery = new FaultyDiscovery(Fault.SILENT, indented, "")) {
             proxy = new Proxy(Fakes.config(discovery.port(), 1024));
             awaitServedBy("two");
-            assertEquals(1, discovery.asked.size(), "calls");
+            assertEquals(1, discovery.requests.size(), "calls");
         }
     }
 
     /** The list is longer than the read buffer and than the maximum size of an entry. */
     @Test
-    void aLongListIsTakenInWhole() throws Exception {
+    void longListIsApplied() throws Exception {
         String[] entries = new String[40_000];
         for (int i = 0; i < entries.length; i++) {
             entries[i] = Fakes.entryJson("gone-" + i, 1, "leaving");
         }
-        entries[entries.length / 2] = Fakes.entryJson("s-1", one.port(), "active");
+        entries[entries.length / 2] = Fakes.entryJson("s-1", firstBackend.port(), "active");
         String list = FakeDiscovery.listJson(7, true, entries);
         assertTrue(list.length() > 4 << 20, list.length() + " bytes");
-        for (String mode : new String[] {"", ASKED}) {
-            try (Odd discovery = new Odd(Fault.SILENT, list, "")) {
+        for (String mode : new String[] {"", ASK_MODE}) {
+            try (FaultyDiscovery discovery = new FaultyDiscovery(Fault.SILENT, list, "")) {
                 proxy = new Proxy(Fakes.config(0, discovery.port(), 1024, "", mode));
                 awaitServedBy("one");
-                assertEquals(1, discovery.asked.size(), "calls, while the first one makes progress");
+                assertEquals(1, discovery.requests.size(), "calls, while the first one makes progress");
                 proxy.stop();
                 proxy = null;
             }
@@ -196,10 +204,11 @@
     }
 
     @Test
-    void anOlderVersionDoesNotTakeTheNewerOnesPlace() throws Exception {
-        try (Odd discovery = new Odd(Fault.ENDS_IN_THE_MIDDLE, list(7, one), list(6, two))) {
+    void olderVersionIsIgnored() throws Exception {
+        try (FaultyDiscovery discovery = new FaultyDiscovery(Fault.ENDS_IN_OBJECT,
+            listWith(7, firstBackend), listWith(6, secondBackend))) {
             proxy = new Proxy(Fakes.config(discovery.port(), 1024));
-            Fakes.await("a second call", () -> discovery.asked.size() > 1);
+            Fakes.await("a second call", () -> discovery.requests.size() > 1);
             Fakes.await("service by the backend of the newer list", () -> {
                 try (FakeClient client = new FakeClient(proxy)) {
                     return client.send(FakeClient.getRequest("4.0")).readResponse().endsWith("one");
@@ -207,19 +216,19 @@
                     throw new IllegalStateException(e);
                 }
             });
-            assertTrue(two.requests.isEmpty(), "the backend of the older list received a request");
+            assertTrue(secondBackend.requests.isEmpty(), "the backend of the older list received a request");
         }
     }
 
     /** A second call starts beside an unanswered one; once one is answered, only that one remains. */
     @Test
-    void whereDiscoveryIsAskedATryThatSaysNothingDoesNotHoldUpTheNext() throws Exception {
-        CountDownLatch speak = new CountDownLatch(1);
+    void unansweredCallDoesNotDelayNextCall() throws Exception {
+        CountDownLatch answersAllowed = new CountDownLatch(1);
         FakeDiscovery discovery = new FakeDiscovery() {
             @Override
             void serve(Socket connection) throws IOException {
                 try {
-                    speak.await();
+                    answersAllowed.await();
                 } catch (InterruptedException e) {
                     throw new IllegalStateException(e);
                 }
@@ -227,11 +236,11 @@
             }
         };
         try (discovery) {
-            discovery.setFirstList(list(9, two));
+            discovery.setFirstList(listWith(9, secondBackend));
             proxy = new Proxy(Fakes.config(0, discovery.port(), 1024, "",
                 "\"Discovery\":\"ask\",\"Obligations\":{\"AskWithin\":10.0},"));
             Fakes.await("two concurrent calls", () -> discovery.openConnections.size() == 2);
-            speak.countDown();
+            answersAllowed.countDown();
             awaitServedBy("two");
             Fakes.await("a single remaining watch", () -> discovery.openConnections.size() == 1);
         }
@@ -239,11 +248,11 @@
 
     /** Heartbeats alone keep a watch alive, so no second call is made. */
     @Test
-    void aWatchWithNothingNewIsAWatch() throws Exception {
+    void heartbeatsKeepWatchAlive() throws Exception {
         FakeDiscovery discovery = new FakeDiscovery();
         try (discovery) {
             discovery.setFirstList(""); // then only heartbeats until a change is pushed
-            Thread beats = new Thread(() -> {
+            Thread heartbeatThread = new Thread(() -> {
                 while (!Thread.currentThread().isInterrupted()) {
                     try {
                         Thread.sleep(100);
@@ -254,16 +263,18 @@
                 }
             });
             proxy = new Proxy(Fakes.config(0, discovery.port(), 1024,
-                Fakes.entryJson("s-1", one.port(), "active"), ASKED));
+                Fakes.entryJson("s-1", firstBackend.port(), "active"), ASK_MODE));
             Fakes.await("a call", () -> discovery.requests.size() == 1);
-            beats.start();
+            heartbeatThread.start();
             awaitServedBy("one");
-            long since = System.nanoTime();
-            long longer = (DiscoveryTimeouts.SILENT + DiscoveryTimeouts.BESIDE) * 1_000_000L;
-            Fakes.await("the silence timeout to pass", () -> System.nanoTime() - since > longer);
+            long startNanos = System.nanoTime();
+            long minDurationNanos = (DiscoveryTimeouts.SILENCE_TIMEOUT_MILLIS
+                + DiscoveryTimeouts.STANDBY_DELAY_MILLIS) * 1_000_000L;
+            Fakes.await("the silence timeout to pass", () -> System.nanoTime()
+                - startNanos > minDurationNanos);
             assertEquals(1, discovery.requests.size());
-            beats.interrupt();
-            beats.join();
+            heartbeatThread.interrupt();
+            heartbeatThread.join();
         }
     }
 
@@ -273,32 +284,33 @@
      */
     @ParameterizedTest
     @ValueSource(strings = {"", "\"Discovery\":\"push\","})
-    void nothingIsTakenBeforeThePushedListIsThere(String mode) throws Exception {
+    void noRequestsAreAcceptedBeforePushedList(String mode) throws Exception {
         FakeDiscovery discovery = new FakeDiscovery();
         try (discovery) {
             discovery.rejecting = true;
-            String known = Fakes.entryJson("s-1", one.port(), "active");
-            Config config = Fakes.config(0, discovery.port(), 1024, known, mode);
+            String knownEntry = Fakes.entryJson("s-1", firstBackend.port(), "active");
+            Config config = Fakes.config(0, discovery.port(), 1024, knownEntry, mode);
             FutureTask<Proxy> starting = new FutureTask<>(() -> new Proxy(config));
             new Thread(starting).start();
             Fakes.await("several failed calls", () -> discovery.requests.size() > 5);
             assertFalse(starting.isDone(), "started to serve by the cached list");
-            discovery.setFirstList(list(9, two));
+            discovery.setFirstList(listWith(9, secondBackend));
             discovery.rejecting = false;
             proxy = starting.get();
             awaitServedBy("two");
-            assertTrue(one.requests.isEmpty());
+            assertTrue(firstBackend.requests.isEmpty());
         }
     }
 
     @Test
-    void allThatLiesBetweenASilenceAndTheNewListFitsIntoTheTimeItMayTake() {
-        assertTrue(DiscoveryTimeouts.SILENT > DiscoveryTimeouts.HEARTBEAT,
+    void timeoutsAfterSilenceLeaveTimeForCall() {
+        assertTrue(DiscoveryTimeouts.SILENCE_TIMEOUT_MILLIS > DiscoveryTimeouts.HEARTBEAT_INTERVAL_MILLIS,
             "the silence timeout must exceed the heartbeat interval");
-        assertTrue(DiscoveryTimeouts.CONNECT > DiscoveryTimeouts.LATE_CONNECTION,
+        assertTrue(DiscoveryTimeouts.CONNECT_TIMEOUT_MILLIS > DiscoveryTimeouts.MAX_CONNECT_DELAY_MILLIS,
             "the connect timeout must exceed the delay of a late connection");
-        assertTrue(DiscoveryTimeouts.BESIDE > DiscoveryTimeouts.LATE_CONNECTION,
+        assertTrue(DiscoveryTimeouts.STANDBY_DELAY_MILLIS > DiscoveryTimeouts.MAX_CONNECT_DELAY_MILLIS,
             "a late connection must be up before another one is opened");
-        assertTrue(DiscoveryTimeouts.call() >= 500, DiscoveryTimeouts.call() + " ms left for the call");
+        assertTrue(DiscoveryTimeouts.minCallMillis() >= 500, DiscoveryTimeouts.minCallMillis()
+            + " ms left for the call");
     }
 }
--- a/proxy/src/test/java/dockrelay/proxy/StopTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/GracefulShutdownTest.java
@@ -14,14 +14,15 @@
 import org.junit.jupiter.api.Test;
 
 /** Tests the connections that stay open after SIGTERM. */
-class StopTest {
+class GracefulShutdownTest {
     private final FakeBackend backend = new FakeBackend(request -> Fakes.httpResponse("200 OK", "", "one"));
     private final FakeDiscovery discovery = new FakeDiscovery();
     private Proxy proxy;
 
     @BeforeEach
     void start() throws IOException {
-        discovery.setFirstList(FakeDiscovery.listJson(2, true, Fakes.entryJson("s-1", backend.port(), "active")));
+        discovery.setFirstList(FakeDiscovery.listJson(2, true,
+            Fakes.entryJson("s-1", backend.port(), "active")));
         proxy = new Proxy(Fakes.config(discovery.port(), 1024));
     }
 
@@ -33,12 +34,12 @@
 
     /** One connection has been used, one is unused, and one has received part of a request. */
     @Test
-    void whatStaysOpenIsAnsweredAlsoOnceNothingNewIsTaken() throws Exception {
-        try (FakeClient used = new FakeClient(proxy); FakeClient fresh = new FakeClient(proxy);
-             FakeClient half = new FakeClient(proxy)) {
-            assertEquals(200, used.send(FakeClient.getRequest("4.0")).readStatus());
+    void openConnectionsAreAnsweredAfterListenerCloses() throws Exception {
+        try (FakeClient usedClient = new FakeClient(proxy); FakeClient unusedClient = new FakeClient(proxy);
+             FakeClient partialClient = new FakeClient(proxy)) {
+            assertEquals(200, usedClient.send(FakeClient.getRequest("4.0")).readStatus());
             String request = FakeClient.getRequest("4.0");
-            half.send(request.substring(0, 20));
+            partialClient.send(request.substring(0, 20));
             Fakes.await("three client connections", () -> proxy.clientConnectionCount() == 3);
             int port = proxy.listenAddress().getPort();
             Thread stopping = new Thread(proxy::stop);
@@ -51,11 +52,11 @@
                     return true;
                 }
             });
-            for (FakeClient one : new FakeClient[] {used, fresh, half}) {
-                one.send(one == half ? request.substring(20) : FakeClient.getRequest("4.0"));
+            for (FakeClient client : new FakeClient[] {usedClient, unusedClient, partialClient}) {
+                client.send(client == partialClient ? request.substring(20) : FakeClient.getRequest("4.0"));
             }
-            for (FakeClient one : new FakeClient[] {used, fresh, half}) {
-                String answer = one.readResponse();
+            for (FakeClient client : new FakeClient[] {usedClient, unusedClient, partialClient}) {
+                String answer = client.readResponse();
                 assertTrue(answer != null && answer.startsWith("HTTP/1.1 200"), answer);
                 assertTrue(answer.toLowerCase().contains("connection: close"), answer);
             }
--- a/proxy/src/test/java/dockrelay/proxy/KnownListTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/KnownListTest.java
@@ -26,51 +26,56 @@
  * Checks that the known list of the configuration is never held in its textual form, however long it is.
  */
 class KnownListTest {
-    private static final int MANY = 86_000;
+    private static final int BACKEND_COUNT = 86_000;
 
-    private static KnownList known(String value) {
+    private static KnownList parseKnownList(String value) {
         return Fakes.parseConfig(Fakes.configJson(0, 1, 1024, "", "").replaceFirst("\"known\":\\{[^}]*\\}",
-            "\"known\":" + value)).known();
+            "\"known\":" + value)).knownList();
     }
 
     @Test
-    void eachEntryIsAMemberAsSoonAsItIsRead() {
-        String one = Fakes.entryJson("s-1", 81, "active"), two = Fakes.entryJson("s-2", 82, "draining");
-        KnownList known = known("{\"servers\":[" + one + "," + two + ",{\"id\":\"s-3\"},7],\"version\":9}");
-        List<Object> entries = known.take();
-        assertEquals(9, known.version());
+    void entriesAreConvertedWhileParsing() {
+        String firstEntry = Fakes.entryJson("s-1", 81, "active"),
+            secondEntry = Fakes.entryJson("s-2", 82, "draining");
+        KnownList knownList = parseKnownList("{\"servers\":[" + firstEntry + "," + secondEntry
+            + ",{\"id\":\"s-3\"},7],\"version\":9}");
+        List<Object> entries = knownList.takeEntries();
+        assertEquals(9, knownList.version());
         assertInstanceOf(RequestTable.ListedBackend.class, entries.get(0));
         assertInstanceOf(RequestTable.ListedBackend.class, entries.get(1));
         assertEquals(Map.of("id", "s-3"), entries.get(2), "an incomplete entry stays unconverted");
         assertEquals(7L, entries.get(3));
-        assertTrue(known.take().isEmpty(), "entries can be taken only once");
+        assertTrue(knownList.takeEntries().isEmpty(), "entries can be taken only once");
 
-        BackendRegistry listing = new BackendRegistry(new OperatorOverrides(null));
-        listing.take(entries, true);
-        RequestTable.ListedBackend first = listing.get("s-1");
-        assertEquals(entries.get(0), first);
-        assertEquals(first, listing.read(Map.of("id", "s-1", "zone", first.backend().zone(), "kind",
-            first.backend().kind(), "addr", "127.0.0.1:81", "cell", first.backend().cell(), "weight",
-            first.backend().weight(), "started_ms", first.backend().startedAt() / 1000, "state", "active")),
+        BackendRegistry registry = new BackendRegistry(new OperatorOverrides(null));
+        registry.applyUpdate(entries, true);
+        RequestTable.ListedBackend firstBackend = registry.get("s-1");
+        assertEquals(entries.get(0), firstBackend);
+        assertEquals(firstBackend, registry.readEntry(Map.of("id", "s-1", "zone",
+            firstBackend.backend().zone(), "kind",
+            firstBackend.backend().kind(), "addr", "127.0.0.1:81", "cell", firstBackend.backend().cell(),
+            "weight",
+            firstBackend.backend().weight(), "started_ms", firstBackend.backend().startedAt() / 1000,
+            "state", "active")),
             "an unchanged entry from discovery must yield an equal member");
     }
 
     @Test
-    void whatIsNoListNamesNobody() {
+    void invalidListIsEmpty() {
         for (String value : List.of("7", "[{}]", "{}", "{\"servers\":{\"id\":\"s-1\"},\"version\":\"x\"}",
             "null")) {
-            KnownList known = known(value);
-            assertEquals(-1, known.version(), value);
-            assertTrue(known.take().isEmpty(), value);
+            KnownList knownList = parseKnownList(value);
+            assertEquals(-1, knownList.version(), value);
+            assertTrue(knownList.takeEntries().isEmpty(), value);
         }
     }
 
     @Test
-    void aRunningProxyReadsNoneOfIt(@TempDir Path folder) throws Exception {
+    void reloadSkipsKnownList(@TempDir Path folder) throws Exception {
         Path file = folder.resolve("config.json");
         Files.writeString(file, Fakes.configJson(0, 1, 1024, Fakes.entryJson("s-1", 81, "active"), ""));
-        assertEquals(1, Config.read(file).known().take().size());
-        assertTrue(Config.readAgain(file).known().take().isEmpty());
+        assertEquals(1, Config.read(file).knownList().takeEntries().size());
+        assertTrue(Config.readForReload(file).knownList().takeEntries().isEmpty());
     }
 
     /**
@@ -78,36 +83,40 @@
      * reload.
      */
     @Test
-    void aStartWithAllBackendsOfALargeFleetKnownFitsTheHeap(@TempDir Path folder) throws Exception {
+    void largeKnownListFitsHeap(@TempDir Path folder) throws Exception {
         int port;
-        try (ServerSocket any = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            port = any.getLocalPort();
+        try (ServerSocket portReservation = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            port = portReservation.getLocalPort();
         }
         try (FakeBackend backend = new FakeBackend(request -> Fakes.httpResponse("200 OK", "", "one"));
-             FakeDiscovery away = new FakeDiscovery(); FakeDiscovery next = new FakeDiscovery()) {
-            away.rejecting = true;
-            next.setFirstList(FakeDiscovery.listJson(2, true, Fakes.entryJson("s-1", backend.port(), "active")));
-            String all = IntStream.range(0, MANY).mapToObj(i -> Fakes.entryJson("s-" + i, backend.port(),
+             FakeDiscovery unavailableDiscovery = new FakeDiscovery(); FakeDiscovery nextDiscovery =
+                 new FakeDiscovery()) {
+            unavailableDiscovery.rejecting = true;
+            nextDiscovery.setFirstList(FakeDiscovery.listJson(2, true,
+                Fakes.entryJson("s-1", backend.port(), "active")));
+            String entriesJson = IntStream.range(0, BACKEND_COUNT).mapToObj(i ->
+                Fakes.entryJson("s-" + i, backend.port(),
                 "active")).collect(Collectors.joining(","));
             Path file = folder.resolve("config.json");
-            Files.writeString(file, Fakes.configJson(port, away.port(), 1024, all, ""));
-            Process process = start(file, folder);
+            Files.writeString(file, Fakes.configJson(port, unavailableDiscovery.port(), 1024, entriesJson,
+                ""));
+            Process process = startProcess(file, folder);
             try {
-                Fakes.await("the proxy to serve, or to exit", () -> !process.isAlive() || answers(port));
-                assertTrue(process.isAlive(), () -> log(folder));
-                Files.writeString(file, Fakes.configJson(port, next.port(), 1024, all, ""));
+                Fakes.await("the proxy to serve, or to exit", () -> !process.isAlive() || isServing(port));
+                assertTrue(process.isAlive(), () -> readLog(folder));
+                Files.writeString(file, Fakes.configJson(port, nextDiscovery.port(), 1024, entriesJson, ""));
                 new ProcessBuilder("kill", "-HUP", Long.toString(process.pid())).start().waitFor();
                 Fakes.await("the list of the new discovery address, or exit", () -> !process.isAlive()
-                    || log(folder).contains("list of version 2, entries 1"));
-                assertTrue(process.isAlive() && answers(port), () -> log(folder));
-                assertFalse(log(folder).contains("OutOfMemory"), () -> log(folder));
+                    || readLog(folder).contains("list of version 2, entries 1"));
+                assertTrue(process.isAlive() && isServing(port), () -> readLog(folder));
+                assertFalse(readLog(folder).contains("OutOfMemory"), () -> readLog(folder));
             } finally {
                 process.destroyForcibly().waitFor();
             }
         }
     }
 
-    private static Process start(Path file, Path folder) throws IOException {
+    private static Process startProcess(Path file, Path folder) throws IOException {
         ProcessBuilder builder = new ProcessBuilder(
             ProcessHandle.current().info().command().orElseThrow(), "-Xms64m", "-Xmx64m", "-Xmn24m",
             "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-XX:+ExitOnOutOfMemoryError", "-cp",
@@ -119,7 +128,7 @@
         return builder.start();
     }
 
-    private static boolean answers(int port) {
+    private static boolean isServing(int port) {
         try (FakeClient client = new FakeClient(new Socket(InetAddress.getLoopbackAddress(), port))) {
             return client.send(FakeClient.getRequest("4.0")).readStatus() == 200;
         } catch (IOException e) {
@@ -127,7 +136,7 @@
         }
     }
 
-    private static String log(Path folder) {
+    private static String readLog(Path folder) {
         try {
             return Files.readString(folder.resolve("log"));
         } catch (IOException e) {
