--- a/proxy/src/test/java/dockrelay/proxy/ListApplierTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/ListApplierTest.java
@@ -25,75 +25,75 @@
  * each.
  */
 class ListApplierTest {
-    private static final int BATCH = ListApplier.BATCH;
-    private static final int NAMES = 1_500;
-    private static final int[] SIZES = {2_000, 4_000, 8_000};
+    private static final int MAX_BATCH = ListApplier.MAX_BATCH_ENTRIES;
+    private static final int NAME_COUNT = 1_500;
+    private static final int[] LIST_SIZES = {2_000, 4_000, 8_000};
 
     /** Receives the members and keeps them as the connection pool and the balancer do. */
-    private static final class Told implements ListApplier.Sink {
-        final OperatorOverrides operators = new OperatorOverrides(null);
-        final BackendRegistry listing;
-        final Deque<Runnable> turns = new ArrayDeque<>();
+    private static final class RecordingSink implements ListApplier.Sink {
+        final OperatorOverrides overrides = new OperatorOverrides(null);
+        final BackendRegistry registry;
+        final Deque<Runnable> pendingTurns = new ArrayDeque<>();
         final ListApplier applier;
-        final Map<Long, Backend> holds = new TreeMap<>();
-        final List<ListUpdateType> scopes = new ArrayList<>();
-        final List<Long> applied = new ArrayList<>();
-        int most, idle, failing;
+        final Map<Long, Backend> heldBackends = new TreeMap<>();
+        final List<ListUpdateType> updateTypes = new ArrayList<>();
+        final List<Long> appliedVersions = new ArrayList<>();
+        int maxBatchSize, allAppliedCount, updatesUntilFailure;
 
-        Told() {
-            this(EntryReader::number);
+        RecordingSink() {
+            this(EntryReader::hashOfName);
         }
 
-        Told(ToLongFunction<String> numbers) {
-            listing = new BackendRegistry(operators, numbers, BackendRegistry::newIdMap);
-            applier = new ListApplier(listing, turns::add, this);
+        RecordingSink(ToLongFunction<String> nameHash) {
+            registry = new BackendRegistry(overrides, nameHash, BackendRegistry::newIdMap);
+            applier = new ListApplier(registry, pendingTurns::add, this);
         }
 
         @Override
-        public void tell(ListUpdateType scope, List<ListedBackend> members) {
-            if (failing > 0 && --failing == 0) {
+        public void updateBackends(ListUpdateType scope, List<ListedBackend> members) {
+            if (updatesUntilFailure > 0 && --updatesUntilFailure == 0) {
                 throw new IllegalStateException("simulated failure of the sink");
             }
-            scopes.add(scope);
-            most = Math.max(most, members.size());
+            updateTypes.add(scope);
+            maxBatchSize = Math.max(maxBatchSize, members.size());
             if (scope == ListUpdateType.FULL) {
-                holds.clear();
+                heldBackends.clear();
             }
-            for (ListedBackend member : members) {
-                holds.put(member.backend().id(), member.backend());
+            for (ListedBackend listedBackend : members) {
+                heldBackends.put(listedBackend.backend().id(), listedBackend.backend());
             }
-            holds.values().removeIf(backend -> backend.phase() == Phase.GONE);
+            heldBackends.values().removeIf(backend -> backend.phase() == Phase.GONE);
         }
 
         @Override
-        public void applied(Update update) {
-            applied.add(update.version());
+        public void updateApplied(Update update) {
+            appliedVersions.add(update.version());
         }
 
         @Override
-        public void idle() {
-            idle++;
+        public void allUpdatesApplied() {
+            allAppliedCount++;
         }
 
-        int turn() {
-            int turned = 0;
-            for (Runnable next = turns.poll(); next != null; next = turns.poll()) {
+        int runPendingTurns() {
+            int turnCount = 0;
+            for (Runnable next = pendingTurns.poll(); next != null; next = pendingTurns.poll()) {
                 next.run();
-                turned++;
+                turnCount++;
             }
-            return turned;
+            return turnCount;
         }
 
         /** The members in the registry, by name. */
-        Map<String, Backend> listed() {
-            Map<String, Backend> listed = new TreeMap<>();
-            for (int i = 0; i < NAMES; i++) {
-                ListedBackend member = listing.get("s-" + i);
-                if (member != null) {
-                    listed.put(member.name(), member.backend());
+        Map<String, Backend> registeredBackends() {
+            Map<String, Backend> backendsByName = new TreeMap<>();
+            for (int i = 0; i < NAME_COUNT; i++) {
+                ListedBackend listedBackend = registry.get("s-" + i);
+                if (listedBackend != null) {
+                    backendsByName.put(listedBackend.name(), listedBackend.backend());
                 }
             }
-            return listed;
+            return backendsByName;
         }
     }
 
@@ -113,10 +113,11 @@
     /**
      * Converts entries as the parser does: possibly before earlier updates have been applied completely.
      */
-    private static Update update(Told by, long version, boolean full, List<Map<String, Object>> entries) {
-        List<Object> read = new ArrayList<>();
-        entries.forEach(entry -> read.add(by.listing.read(entry)));
-        return new Update(version, full, read);
+    private static Update convertedUpdate(RecordingSink sink, long version, boolean full,
+        List<Map<String, Object>> entries) {
+        List<Object> convertedEntries = new ArrayList<>();
+        entries.forEach(entry -> convertedEntries.add(sink.registry.readEntry(entry)));
+        return new Update(version, full, convertedEntries);
     }
 
     private static List<Map<String, Object>> entries(int from, int to, String state) {
@@ -127,49 +128,51 @@
         return entries;
     }
 
-    private static Told listed(int count) {
-        Told told = new Told();
-        told.applier.apply(update(told, 1, true, entries(0, count, "active")));
-        assertEquals(List.of(ListUpdateType.FULL), told.scopes, "the first list must be applied at once");
-        told.turn();
-        told.scopes.clear();
-        told.most = 0;
-        return told;
+    private static RecordingSink sinkWithBackends(int count) {
+        RecordingSink sink = new RecordingSink();
+        sink.applier.apply(convertedUpdate(sink, 1, true, entries(0, count, "active")));
+        assertEquals(List.of(ListUpdateType.FULL), sink.updateTypes,
+            "the first list must be applied at once");
+        sink.runPendingTurns();
+        sink.updateTypes.clear();
+        sink.maxBatchSize = 0;
+        return sink;
     }
 
     @Test
-    void noTurnTakesInMoreThanABatchOfWhateverIsSaid() {
-        for (int size : SIZES) {
-            Told told = listed(size);
-            told.applier.apply(update(told, 2, true, entries(0, size, "active")));
-            int turns = told.turn() + 1;
-            assertEquals(BATCH, told.most);
-            assertTrue(turns <= size / BATCH + 2 * (size / (16 * BATCH)) + 6, turns + " turns for entries: "
+    void turnsApplyAtMostOneBatch() {
+        for (int size : LIST_SIZES) {
+            RecordingSink sink = sinkWithBackends(size);
+            sink.applier.apply(convertedUpdate(sink, 2, true, entries(0, size, "active")));
+            int turns = sink.runPendingTurns() + 1;
+            assertEquals(MAX_BATCH, sink.maxBatchSize);
+            assertTrue(turns <= size / MAX_BATCH + 2 * (size / (16 * MAX_BATCH)) + 6, turns
+                + " turns for entries: "
                 + size);
-            told.applier.apply(update(told, 3, false, entries(0, size / 7, "left")));
-            told.turn();
-            told.applier.apply(update(told, 4, true, entries(size, 2 * size, "active")));
-            told.turn();
-            assertEquals(BATCH, told.most);
-            assertEquals(size, told.holds.size());
-            assertFalse(told.scopes.contains(ListUpdateType.FULL),
+            sink.applier.apply(convertedUpdate(sink, 3, false, entries(0, size / 7, "left")));
+            sink.runPendingTurns();
+            sink.applier.apply(convertedUpdate(sink, 4, true, entries(size, 2 * size, "active")));
+            sink.runPendingTurns();
+            assertEquals(MAX_BATCH, sink.maxBatchSize);
+            assertEquals(size, sink.heldBackends.size());
+            assertFalse(sink.updateTypes.contains(ListUpdateType.FULL),
                 "a full scope makes the balancer scan all its backends in one turn");
-            assertEquals(List.of(1L, 2L, 3L, 4L), told.applied);
+            assertEquals(List.of(1L, 2L, 3L, 4L), sink.appliedVersions);
         }
     }
 
     @Test
-    void whatIsShortIsAppliedAtOnceAndInOneWord() {
-        Told told = listed(BATCH);
-        told.applier.apply(update(told, 2, true, entries(1, BATCH, "active")));
-        assertEquals(List.of(ListUpdateType.FULL), told.scopes);
-        assertEquals(BATCH - 1, told.holds.size());
-        told.turn();
-        told.applier.apply(update(told, 3, false, entries(1, 3, "leaving")));
-        assertEquals(List.of(ListUpdateType.FULL, ListUpdateType.DELTA), told.scopes);
-        assertEquals(Phase.DRAINING, told.holds.get(EntryReader.number("s-1")).phase());
-        assertEquals(1, told.turn());
-        assertEquals(3, told.idle);
+    void shortUpdatesAreAppliedAtOnce() {
+        RecordingSink sink = sinkWithBackends(MAX_BATCH);
+        sink.applier.apply(convertedUpdate(sink, 2, true, entries(1, MAX_BATCH, "active")));
+        assertEquals(List.of(ListUpdateType.FULL), sink.updateTypes);
+        assertEquals(MAX_BATCH - 1, sink.heldBackends.size());
+        sink.runPendingTurns();
+        sink.applier.apply(convertedUpdate(sink, 3, false, entries(1, 3, "leaving")));
+        assertEquals(List.of(ListUpdateType.FULL, ListUpdateType.DELTA), sink.updateTypes);
+        assertEquals(Phase.DRAINING, sink.heldBackends.get(EntryReader.hashOfName("s-1")).phase());
+        assertEquals(1, sink.runPendingTurns());
+        assertEquals(3, sink.allAppliedCount);
     }
 
     /**
@@ -177,121 +180,130 @@
      * list.
      */
     @Test
-    void manyShortChangesAreToldABatchATurn() {
-        for (int size : SIZES) {
-            Told told = listed(size);
+    void manyShortChangesShareBatches() {
+        for (int size : LIST_SIZES) {
+            RecordingSink sink = sinkWithBackends(size);
             for (int i = 0; i < size; i++) {
-                told.applier.apply(update(told, 2 + i, false, entries(i, i + 1, "leaving")));
+                sink.applier.apply(convertedUpdate(sink, 2 + i, false, entries(i, i + 1, "leaving")));
             }
-            assertEquals(1, told.scopes.size(), "only the first change is applied at once");
-            assertEquals(2 * size > ListApplier.MOST_WAITING, told.applier.isFull());
-            int turns = told.turn();
-            assertEquals(BATCH, told.most);
-            int together = size / ListApplier.MOST_WAITING + 1;
-            assertTrue(turns <= size / BATCH + 4 * together + 2, turns + " turns for entries: " + size);
-            assertTrue(told.scopes.size() <= size / BATCH + together + 1, told.scopes.size() + " batches");
-            assertFalse(told.applier.isFull());
-            assertEquals(size + 1, told.applied.size());
-            assertTrue(told.holds.values().stream().allMatch(each -> each.phase() == Phase.DRAINING));
+            assertEquals(1, sink.updateTypes.size(), "only the first change is applied at once");
+            assertEquals(2 * size > ListApplier.MAX_PENDING_CHANGES, sink.applier.isFull());
+            int turns = sink.runPendingTurns();
+            assertEquals(MAX_BATCH, sink.maxBatchSize);
+            int joinedUpdates = size / ListApplier.MAX_PENDING_CHANGES + 1;
+            assertTrue(turns <= size / MAX_BATCH + 4 * joinedUpdates + 2, turns + " turns for entries: "
+                + size);
+            assertTrue(sink.updateTypes.size() <= size / MAX_BATCH + joinedUpdates + 1,
+                sink.updateTypes.size() + " batches");
+            assertFalse(sink.applier.isFull());
+            assertEquals(size + 1, sink.appliedVersions.size());
+            assertTrue(sink.heldBackends.values().stream().allMatch(backend -> backend.phase()
+                == Phase.DRAINING));
         }
     }
 
     @Test
-    void whatChangesNothingMayNotWaitWithoutEndEither() {
-        Told told = listed(1);
-        for (int version = 2; !told.applier.isFull(); version++) {
-            told.applier.apply(update(told, version, false, List.of()));
-            assertTrue(version < 3 + ListApplier.MOST_WAITING);
+    void emptyChangesCountAsPending() {
+        RecordingSink sink = sinkWithBackends(1);
+        for (int version = 2; !sink.applier.isFull(); version++) {
+            sink.applier.apply(convertedUpdate(sink, version, false, List.of()));
+            assertTrue(version < 3 + ListApplier.MAX_PENDING_CHANGES);
         }
-        told.turn();
-        assertFalse(told.applier.isFull());
+        sink.runPendingTurns();
+        assertFalse(sink.applier.isFull());
     }
 
     @Test
-    void whatIsSaidMeanwhileComesAfterIt() {
-        Told told = listed(1_000);
-        told.applier.apply(update(told, 2, true, entries(0, 1_000, "active")));
-        told.applier.apply(update(told, 3, false, entries(999, 1_000, "left")));
-        told.applier.apply(update(told, 4, false, entries(998, 999, "leaving")));
-        assertEquals(1, told.idle);
-        assertEquals(List.of(1L), told.applied);
-        assertEquals(1_000, told.holds.size());
-        told.turn();
-        assertEquals(2, told.idle);
-        assertEquals(List.of(1L, 2L, 3L, 4L), told.applied);
-        assertEquals(999, told.holds.size());
-        assertEquals(Phase.DRAINING, told.listing.get("s-998").backend().phase());
+    void updatesAreAppliedInOrder() {
+        RecordingSink sink = sinkWithBackends(1_000);
+        sink.applier.apply(convertedUpdate(sink, 2, true, entries(0, 1_000, "active")));
+        sink.applier.apply(convertedUpdate(sink, 3, false, entries(999, 1_000, "left")));
+        sink.applier.apply(convertedUpdate(sink, 4, false, entries(998, 999, "leaving")));
+        assertEquals(1, sink.allAppliedCount);
+        assertEquals(List.of(1L), sink.appliedVersions);
+        assertEquals(1_000, sink.heldBackends.size());
+        sink.runPendingTurns();
+        assertEquals(2, sink.allAppliedCount);
+        assertEquals(List.of(1L, 2L, 3L, 4L), sink.appliedVersions);
+        assertEquals(999, sink.heldBackends.size());
+        assertEquals(Phase.DRAINING, sink.registry.get("s-998").backend().phase());
     }
 
     /** An operator's change must not restore a member that the list in progress leaves out. */
     @Test
-    void whatAnOperatorSaysMeanwhileBringsNobodyBack() throws Exception {
-        Told told = listed(1_000);
-        told.operators.detach("s-900");
-        told.applier.apply(update(told, 2, true, entries(0, 500, "active")));
-        while (told.holds.size() > 900) {
-            told.turns.poll().run();
+    void overridesDoNotRestoreOmittedBackends() throws Exception {
+        RecordingSink sink = sinkWithBackends(1_000);
+        sink.overrides.detach("s-900");
+        sink.applier.apply(convertedUpdate(sink, 2, true, entries(0, 500, "active")));
+        while (sink.heldBackends.size() > 900) {
+            sink.pendingTurns.poll().run();
         }
-        told.operators.attach("s-900");
+        sink.overrides.attach("s-900");
         for (int i = 500; i < 1_000; i++) {
-            ListedBackend member = told.listing.operated("s-" + i);
-            assertEquals(member != null, told.holds.containsKey(EntryReader.number("s-" + i)),
+            ListedBackend listedBackend = sink.registry.getWithOverride("s-" + i);
+            assertEquals(listedBackend != null, sink.heldBackends.containsKey(EntryReader.hashOfName("s-"
+                + i)),
                 "a member must be passed on exactly while the sink holds it");
         }
-        told.turn();
-        assertEquals(500, told.holds.size());
+        sink.runPendingTurns();
+        assertEquals(500, sink.heldBackends.size());
     }
 
     @Test
-    void aFaultInOneBatchDoesNotHoldUpTheRest() {
-        Told told = listed(1_000);
-        told.failing = 2;
-        told.applier.apply(update(told, 2, false, entries(0, 1_000, "leaving")));
-        told.applier.apply(update(told, 3, false, entries(0, 1, "left")));
-        told.turn();
-        assertEquals(2, told.idle);
-        assertEquals(List.of(1L, 2L, 3L), told.applied);
+    void failedBatchDoesNotBlockOthers() {
+        RecordingSink sink = sinkWithBackends(1_000);
+        sink.updatesUntilFailure = 2;
+        sink.applier.apply(convertedUpdate(sink, 2, false, entries(0, 1_000, "leaving")));
+        sink.applier.apply(convertedUpdate(sink, 3, false, entries(0, 1, "left")));
+        sink.runPendingTurns();
+        assertEquals(2, sink.allAppliedCount);
+        assertEquals(List.of(1L, 2L, 3L), sink.appliedVersions);
     }
 
     /**
      * Applies random updates in batches to the first recorder and at once to the second, and returns both.
      */
-    private static Told[] played(int seed, ToLongFunction<String> numbers) {
+    private static RecordingSink[] replayRandomUpdates(int seed, ToLongFunction<String> nameHash) {
         Random random = new Random(seed);
-        Told told = new Told(numbers), atOnce = new Told(numbers);
+        RecordingSink incrementalSink = new RecordingSink(nameHash),
+            immediateSink = new RecordingSink(nameHash);
         for (int version = 1; version <= 12; version++) {
             boolean full = random.nextInt(3) == 0;
-            List<Map<String, Object>> some = new ArrayList<>();
-            int part = 1 + random.nextInt(9);
-            for (int i = 0; i < NAMES; i++) {
-                if (random.nextInt(10) < part) {
+            List<Map<String, Object>> entries = new ArrayList<>();
+            int includedTenths = 1 + random.nextInt(9);
+            for (int i = 0; i < NAME_COUNT; i++) {
+                if (random.nextInt(10) < includedTenths) {
                     String[] states = {"active", "active", "active", "leaving", "left"};
                     String state = states[random.nextInt(states.length)];
-                    some.add(random.nextInt(5) > 0 ? entry(i, state, 1 + random.nextInt(2))
+                    entries.add(random.nextInt(5) > 0 ? entry(i, state, 1 + random.nextInt(2))
                         : Map.of("id", "s-" + i, "state", state)); // omitted values stay the same
                 }
             }
-            told.applier.apply(update(told, version, full, some));
-            atOnce.tell(full ? ListUpdateType.FULL : ListUpdateType.DELTA,
-                atOnce.listing.take(update(atOnce, version, full, some).entries(), full));
-            for (int turns = random.nextInt(8); turns > 0 && !told.turns.isEmpty(); turns--) {
-                told.turns.poll().run();
+            incrementalSink.applier.apply(convertedUpdate(incrementalSink, version, full, entries));
+            immediateSink.updateBackends(full ? ListUpdateType.FULL : ListUpdateType.DELTA,
+                immediateSink.registry.applyUpdate(convertedUpdate(immediateSink, version, full,
+                entries).entries(), full));
+            for (int turns = random.nextInt(8); turns > 0
+                && !incrementalSink.pendingTurns.isEmpty(); turns--) {
+                incrementalSink.pendingTurns.poll().run();
             }
         }
-        told.turn();
-        return new Told[] {told, atOnce};
+        incrementalSink.runPendingTurns();
+        return new RecordingSink[] {incrementalSink, immediateSink};
     }
 
     /** Random lists and changes that arrive while others are being applied. */
     @Test
-    void inTheEndAllHoldWhatOneWhoTakesAllInAtOnceHolds() {
+    void incrementalAndImmediateUpdatesAgree() {
         for (int seed = 1; seed <= 40; seed++) {
-            Told[] both = played(seed, EntryReader::number);
-            assertTrue(both[1].holds.equals(both[0].holds), "different members at the sinks, seed " + seed);
-            assertTrue(both[1].listed().equals(both[0].listed()),
+            RecordingSink[] sinks = replayRandomUpdates(seed, EntryReader::hashOfName);
+            assertTrue(sinks[1].heldBackends.equals(sinks[0].heldBackends),
+                "different members at the sinks, seed " + seed);
+            assertTrue(sinks[1].registeredBackends().equals(sinks[0].registeredBackends()),
                 "different members in the registries, seed " + seed);
-            assertEquals(both[1].listing.size(), both[0].listing.size(), "seed " + seed);
-            assertEquals(both[1].listing.anyReady(), both[0].listing.anyReady(), "seed " + seed);
+            assertEquals(sinks[1].registry.size(), sinks[0].registry.size(), "seed " + seed);
+            assertEquals(sinks[1].registry.isAnyBackendReady(), sinks[0].registry.isAnyBackendReady(), "seed "
+                + seed);
         }
     }
 
@@ -300,13 +312,14 @@
      * the one passed on.
      */
     @Test
-    void namesThatFallTogetherAreToldApartAlsoWhereTheyAreReadEarly() {
+    void collidingNamesStayDistinctWhenParsedEarly() {
         for (int seed = 1; seed <= 40; seed++) {
-            Told told = played(seed, name -> EntryReader.number(name) & 0x3FF)[0];
-            Map<Long, Backend> listed = new TreeMap<>();
-            told.listed().values().forEach(backend -> listed.put(backend.id(), backend));
-            assertEquals(told.listing.size(), listed.size(), "seed " + seed);
-            assertTrue(listed.equals(told.holds), "members at the sink differ from the registry, seed "
+            RecordingSink sink = replayRandomUpdates(seed, name -> EntryReader.hashOfName(name) & 0x3FF)[0];
+            Map<Long, Backend> backendsById = new TreeMap<>();
+            sink.registeredBackends().values().forEach(backend -> backendsById.put(backend.id(), backend));
+            assertEquals(sink.registry.size(), backendsById.size(), "seed " + seed);
+            assertTrue(backendsById.equals(sink.heldBackends),
+                "members at the sink differ from the registry, seed "
                 + seed);
         }
     }
--- a/proxy/src/test/java/dockrelay/proxy/ProcessTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/ProcessSignalsTest.java
@@ -15,17 +15,18 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** Sends signals to a proxy process in each of its phases, also repeatedly. */
-class ProcessTest {
+class ProcessSignalsTest {
     private final FakeBackend backend = new FakeBackend(request -> Fakes.httpResponse("200 OK", "", "one"));
     private final FakeDiscovery discovery = new FakeDiscovery();
     @TempDir
-    private Path folder;
+    private Path tempFolder;
     private ProxyProcess process;
 
     @BeforeEach
     void prepare() throws IOException {
-        process = new ProxyProcess(folder);
-        discovery.setFirstList(FakeDiscovery.listJson(2, true, Fakes.entryJson("s-1", backend.port(), "active")));
+        process = new ProxyProcess(tempFolder);
+        discovery.setFirstList(FakeDiscovery.listJson(2, true,
+            Fakes.entryJson("s-1", backend.port(), "active")));
     }
 
     @AfterEach
@@ -39,53 +40,56 @@
         process.start(discovery.port(), "", "");
     }
 
-    private void assertEndsWell() throws Exception {
-        assertEquals(0, process.awaitEnd(), process.readLog());
+    private void assertExitsNormally() throws Exception {
+        assertEquals(0, process.awaitExit(), process.readLog());
     }
 
     /** Before the list has arrived, the process accepts no requests and has none to finish. */
     @Test
-    void askedToEndWhileItStartsItEndsWithoutListening() throws Exception {
+    void stopDuringStartExitsWithoutListening() throws Exception {
         discovery.rejecting = true;
         start();
         Fakes.await("repeated calls for the list", () -> discovery.requests.size() > 1);
         process.signal("TERM");
-        assertEndsWell();
+        assertExitsNormally();
         assertTrue(process.readLog().contains("stop: asked to stop before listening"));
     }
 
     /** With a hanging backend, a client that reads nothing, a repeated signal and a reload in between. */
     @Test
-    void askedToEndTwiceItAnswersWhatItHasAndEndsInTime() throws Exception {
+    void repeatedStopAnswersPendingRequestsInTime() throws Exception {
         backend.responder = request ->
             request.startsWith("POST /put") ? null : Fakes.httpResponse("200 OK", "", "one");
         start();
         process.awaitServing();
-        try (FakeClient hanging = process.connectClient(); FakeClient deaf = process.connectClient();
-             FakeClient resting = process.connectClient()) {
-            assertEquals(200, resting.send(FakeClient.getRequest("4.0")).readStatus());
-            hanging.send(FakeClient.postRequest("put", "1.0"));
-            deaf.send(FakeClient.postRequest("put", "1.0"));
+        try (FakeClient waitingClient = process.connectClient(); FakeClient nonReadingClient =
+            process.connectClient();
+             FakeClient idleClient = process.connectClient()) {
+            assertEquals(200, idleClient.send(FakeClient.getRequest("4.0")).readStatus());
+            waitingClient.send(FakeClient.postRequest("put", "1.0"));
+            nonReadingClient.send(FakeClient.postRequest("put", "1.0"));
             Fakes.await("both requests at the backend", () -> backend.requests.stream()
                 .filter(request -> request.startsWith("POST /put")).count() == 2);
             process.signal("TERM");
             process.configure("not a configuration");
             process.signal("HUP");
             process.signal("TERM");
-            String answer = hanging.readResponse();
+            String answer = waitingClient.readResponse();
             assertTrue(answer != null && answer.startsWith("HTTP/1.1 50"), answer);
-            assertEndsWell();
+            assertExitsNormally();
         }
     }
 
     /** A reload during an outage calls the new address; an invalid configuration changes nothing. */
     @Test
-    void aReloadWhileDiscoveryIsAwayIsTakenUp() throws Exception {
+    void reloadDuringOutageIsApplied() throws Exception {
         start();
         process.awaitServing();
-        try (FakeDiscovery next = new FakeDiscovery();
-             FakeBackend other = new FakeBackend(request -> Fakes.httpResponse("200 OK", "", "other"))) {
-            next.setFirstList(FakeDiscovery.listJson(1, true, Fakes.entryJson("s-9", other.port(), "active")));
+        try (FakeDiscovery nextDiscovery = new FakeDiscovery();
+             FakeBackend nextBackend = new FakeBackend(request ->
+                 Fakes.httpResponse("200 OK", "", "other"))) {
+            nextDiscovery.setFirstList(FakeDiscovery.listJson(1, true,
+                Fakes.entryJson("s-9", nextBackend.port(), "active")));
             discovery.rejecting = true;
             for (Socket watch : discovery.openConnections) {
                 watch.close();
@@ -93,7 +97,7 @@
             process.configure("{\"name\":");
             process.signal("HUP");
             Fakes.await("the error in the log", () -> process.readLog().contains("reload: "));
-            process.configure(next.port(), "", "");
+            process.configure(nextDiscovery.port(), "", "");
             process.signal("HUP");
             Fakes.await("a response of the backend in the new list", () -> {
                 try (FakeClient client = process.connectClient()) {
@@ -103,7 +107,7 @@
                 }
             });
             process.signal("TERM");
-            assertEndsWell();
+            assertExitsNormally();
         }
     }
 }
--- a/proxy/src/test/java/dockrelay/proxy/ProxyProcess.java
+++ b/proxy/src/test/java/dockrelay/proxy/ProxyProcess.java
@@ -16,10 +16,10 @@
 
 /** A proxy in a separate process at its own address, which a test can start and kill repeatedly. */
 final class ProxyProcess implements AutoCloseable {
-    private static final AtomicInteger MADE = new AtomicInteger();
-    private static final int LOW_BYTE = 250;
-    private static final long PATIENCE_SECONDS = 20;
-    private static final String CONFIGURATION = "config.json";
+    private static final AtomicInteger INSTANCE_COUNT = new AtomicInteger();
+    private static final int ADDRESS_RANGE = 250;
+    private static final long EXIT_TIMEOUT_SECONDS = 20;
+    private static final String CONFIG_FILE = "config.json";
 
     private final Path folder;
     /** A loopback address of its own, so that no other test can take the port while the process is down. */
@@ -32,11 +32,12 @@
     /** The folder holds the configuration and the log of this process only. */
     ProxyProcess(Path folder) throws IOException {
         this.folder = Files.createDirectories(folder);
-        int number = MADE.getAndIncrement();
-        host = "127.7." + ProcessHandle.current().pid() % LOW_BYTE + "." + (1 + number % LOW_BYTE);
-        seed = Long.toHexString(new SplittableRandom(number).nextLong());
-        try (ServerSocket any = new ServerSocket(0, 1, InetAddress.getByName(host))) {
-            port = any.getLocalPort();
+        int instanceNumber = INSTANCE_COUNT.getAndIncrement();
+        host = "127.7." + ProcessHandle.current().pid() % ADDRESS_RANGE + "."
+            + (1 + instanceNumber % ADDRESS_RANGE);
+        seed = Long.toHexString(new SplittableRandom(instanceNumber).nextLong());
+        try (ServerSocket portReservation = new ServerSocket(0, 1, InetAddress.getByName(host))) {
+            port = portReservation.getLocalPort();
         }
     }
 
@@ -44,25 +45,25 @@
      * Writes the configuration with this list and these additional settings, in the format of {@link
      * Fakes#text}.
      */
-    void configure(int discoveryPort, String known, String settings) throws IOException {
-        configure(Fakes.configJson(port, discoveryPort, 1024, known, settings)
+    void configure(int discoveryPort, String knownEntries, String settings) throws IOException {
+        configure(Fakes.configJson(port, discoveryPort, 1024, knownEntries, settings)
             .replace("\"listen\":\"127.0.0.1:", "\"listen\":\"" + host + ":")
             .replaceFirst("\"seed\":\"[0-9a-f]*\"", "\"seed\":\"" + seed + "\""));
     }
 
     /** Overwrites the configuration with this text. */
     void configure(String text) throws IOException {
-        Files.writeString(folder.resolve(CONFIGURATION), text);
+        Files.writeString(folder.resolve(CONFIG_FILE), text);
     }
 
     /** Writes the configuration and starts the process. */
-    void start(int discoveryPort, String known, String settings) throws IOException {
-        configure(discoveryPort, known, settings);
+    void start(int discoveryPort, String knownEntries, String settings) throws IOException {
+        configure(discoveryPort, knownEntries, settings);
         ProcessBuilder builder = new ProcessBuilder(
             ProcessHandle.current().info().command().orElseThrow(), "-Xmx64m", "-XX:TieredStopAtLevel=1",
             "-cp", System.getProperty("surefire.test.class.path", System.getProperty("java.class.path")),
             Main.class.getName(), "serve");
-        builder.environment().put("PROXY_CONFIG", folder.resolve(CONFIGURATION).toString());
+        builder.environment().put("PROXY_CONFIG", folder.resolve(CONFIG_FILE).toString());
         builder.environment().remove("TMPDIR");
         builder.redirectErrorStream(true);
         builder.redirectOutput(ProcessBuilder.Redirect.appendTo(new File(folder.toFile(), "log")));
@@ -97,8 +98,9 @@
     }
 
     /** Waits until the process exits and returns its exit status. */
-    int awaitEnd() throws InterruptedException {
-        assertTrue(process.waitFor(PATIENCE_SECONDS, TimeUnit.SECONDS), "the process did not exit in time");
+    int awaitExit() throws InterruptedException {
+        assertTrue(process.waitFor(EXIT_TIMEOUT_SECONDS, TimeUnit.SECONDS),
+            "the process did not exit in time");
         return process.exitValue();
     }
 
--- a/proxy/src/test/java/dockrelay/proxy/QueueingDiscovery.java
+++ b/proxy/src/test/java/dockrelay/proxy/QueueingDiscovery.java
@@ -18,61 +18,61 @@
  */
 final class QueueingDiscovery implements AutoCloseable {
     private static final long MAX_WAIT_MILLIS = 2_000;
-    private static final long HEARTBEAT_MILLIS = 500;
+    private static final long HEARTBEAT_INTERVAL_MILLIS = 500;
     private static final long MAX_LAG_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
 
     private final long callMillis;
-    private final BlockingQueue<CountDownLatch> queue = new LinkedBlockingQueue<>();
-    private final List<Door> doors = new ArrayList<>();
-    private final Thread server = new Thread(this::serveCalls);
-    private volatile String list;
+    private final BlockingQueue<CountDownLatch> queuedCalls = new LinkedBlockingQueue<>();
+    private final List<CallerServer> callerServers = new ArrayList<>();
+    private final Thread servingThread = new Thread(this::serveCalls);
+    private volatile String fullList;
     private volatile boolean down;
 
     /** {@code callMillis} is the service time of each call. */
-    QueueingDiscovery(String list, long callMillis) {
-        this.list = list;
+    QueueingDiscovery(String fullList, long callMillis) {
+        this.fullList = fullList;
         this.callMillis = callMillis;
-        server.setDaemon(true);
-        server.start();
+        servingThread.setDaemon(true);
+        servingThread.start();
     }
 
     /** Opens an address for one caller. */
-    Door door() {
-        Door door = new Door();
-        doors.add(door);
-        return door;
+    CallerServer addCaller() {
+        CallerServer server = new CallerServer();
+        callerServers.add(server);
+        return server;
     }
 
     /** Ends all watches; from now on calls time out. */
-    void goDown() throws IOException {
+    void startOutage() throws IOException {
         down = true;
-        for (Door door : doors) {
-            for (Socket watch : door.watches) {
+        for (CallerServer server : callerServers) {
+            for (Socket watch : server.watches) {
                 watch.close();
             }
         }
     }
 
     /** Ends the outage; calls receive this list. */
-    void comeBack(String whole) {
-        list = whole;
+    void endOutage(String newList) {
+        fullList = newList;
         down = false;
     }
 
-    int watches() {
-        return doors.stream().mapToInt(door -> door.watches.size()).sum();
+    int watchCount() {
+        return callerServers.stream().mapToInt(server -> server.watches.size()).sum();
     }
 
     private void serveCalls() {
         try {
-            long servedAt = System.nanoTime();
+            long servedAtNanos = System.nanoTime();
             while (true) {
-                CountDownLatch served = queue.take();
+                CountDownLatch served = queuedCalls.take();
                 // Measured by the clock, so that the overhead of a sleep on a busy machine does not slow
                 // discovery down.
-                servedAt = Math.max(System.nanoTime() - MAX_LAG_NANOS, servedAt)
+                servedAtNanos = Math.max(System.nanoTime() - MAX_LAG_NANOS, servedAtNanos)
                     + TimeUnit.MILLISECONDS.toNanos(callMillis);
-                TimeUnit.NANOSECONDS.sleep(servedAt - System.nanoTime());
+                TimeUnit.NANOSECONDS.sleep(servedAtNanos - System.nanoTime());
                 served.countDown();
             }
         } catch (InterruptedException e) {
@@ -82,14 +82,14 @@
 
     @Override
     public void close() throws IOException {
-        server.interrupt();
-        for (Door door : doors) {
-            door.close();
+        servingThread.interrupt();
+        for (CallerServer server : callerServers) {
+            server.close();
         }
     }
 
     /** The address of one caller. */
-    final class Door extends Fakes.FakeServer {
+    final class CallerServer extends Fakes.FakeServer {
         private final List<Socket> watches = new CopyOnWriteArrayList<>();
 
         @Override
@@ -98,15 +98,15 @@
                 return;
             }
             try {
-                if (!waitForTurn()) {
+                if (!awaitTurn()) {
                     write(connection, Fakes.httpResponse("503 Busy", "", ""));
                     return;
                 }
                 watches.add(connection);
                 write(connection, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-                    + FakeDiscovery.chunk(list));
+                    + FakeDiscovery.chunk(fullList));
                 while (!down) { // ends when the proxy closes the watch and the write fails
-                    Thread.sleep(HEARTBEAT_MILLIS);
+                    Thread.sleep(HEARTBEAT_INTERVAL_MILLIS);
                     write(connection, FakeDiscovery.chunk(""));
                 }
             } catch (InterruptedException e) {
@@ -116,10 +116,10 @@
             }
         }
 
-        private boolean waitForTurn() throws InterruptedException {
+        private boolean awaitTurn() throws InterruptedException {
             CountDownLatch served = new CountDownLatch(1);
             if (!down) {
-                queue.add(served);
+                queuedCalls.add(served);
             }
             return served.await(MAX_WAIT_MILLIS, TimeUnit.MILLISECONDS);
         }
--- a/proxy/src/test/java/dockrelay/proxy/BackendRemoval.java
+++ b/proxy/src/test/java/dockrelay/proxy/RemovedBackendFixture.java
@@ -14,20 +14,22 @@
  * Fixture with two backends, one of which discovery removes while it still answers, and proxy processes
  * that know both. Records the requests that still reach the removed backend.
  */
-final class BackendRemoval implements AutoCloseable {
-    static final long GRACE_MILLIS = 1_500;
-    static final long SLACK_MILLIS = 50;
+final class RemovedBackendFixture implements AutoCloseable {
+    static final long DRAIN_GRACE_MILLIS = 1_500;
+    static final long TOLERANCE_MILLIS = 50;
 
     final List<ProxyProcess> proxies = new ArrayList<>();
-    private final List<Long> arrivedAtRemoved = new CopyOnWriteArrayList<>();
-    private final FakeBackend kept = new FakeBackend(request -> Fakes.httpResponse("200 OK", "", "kept"));
-    private final FakeBackend removed = new FakeBackend(request -> {
-        arrivedAtRemoved.add(System.nanoTime());
+    private final List<Long> removedBackendArrivalNanos = new CopyOnWriteArrayList<>();
+    private final FakeBackend keptBackend = new FakeBackend(request ->
+        Fakes.httpResponse("200 OK", "", "kept"));
+    private final FakeBackend removedBackend = new FakeBackend(request -> {
+        removedBackendArrivalNanos.add(System.nanoTime());
         return Fakes.httpResponse("200 OK", "", "removed");
     });
-    final String keptEntry = Fakes.entryJson("s-kept", kept.port(), "active");
-    final String bothEntries = keptEntry + "," + Fakes.entryJson("s-removed", removed.port(), "active");
-    final String removedEntry = Fakes.entryJson("s-removed", removed.port(), "left");
+    final String keptEntry = Fakes.entryJson("s-kept", keptBackend.port(), "active");
+    final String bothEntries = keptEntry + "," + Fakes.entryJson("s-removed", removedBackend.port(),
+        "active");
+    final String removedEntry = Fakes.entryJson("s-removed", removedBackend.port(), "left");
 
     /** Creates proxies that are not started yet, each with its own subfolder. */
     void addProxies(int count, Path folder) throws IOException {
@@ -40,22 +42,23 @@
      * Sends requests to each proxy until {@code until} ({@link System#nanoTime}). Checks that each proxy
      * serves requests, and that none reaches the removed backend after {@code stopped}.
      */
-    void assertNoneArrivesAfter(long stopped, long until, Object hint) throws Exception {
+    void assertNoRequestsAfter(long deadlineNanos, long endNanos, Object details) throws Exception {
         List<SequentialClient> clients = new ArrayList<>();
         for (ProxyProcess proxy : proxies) {
-            clients.add(new SequentialClient(proxy, stopped, until));
+            clients.add(new SequentialClient(proxy, deadlineNanos, endNanos));
         }
         for (SequentialClient client : clients) {
             assertTrue(client.servedCount() > 0, "each proxy serves requests after the removal");
         }
-        assertEquals(0, arrivedAtRemoved.stream().filter(at -> at > stopped).count(),
-            "requests at the removed backend after the grace period; " + hint);
+        assertEquals(0, removedBackendArrivalNanos.stream().filter(arrivalNanos ->
+            arrivalNanos > deadlineNanos).count(),
+            "requests at the removed backend after the grace period; " + details);
     }
 
     @Override
     public void close() throws IOException {
         proxies.forEach(ProxyProcess::close);
-        kept.close();
-        removed.close();
+        keptBackend.close();
+        removedBackend.close();
     }
 }
--- a/proxy/src/test/java/dockrelay/proxy/CuttingDiscovery.java
+++ b/proxy/src/test/java/dockrelay/proxy/TruncatingDiscovery.java
@@ -13,62 +13,64 @@
  * A discovery service that answers each call at once, but cuts watches in the middle of an object, and
  * optionally the next answers to the same caller too.
  */
-final class CuttingDiscovery implements AutoCloseable {
-    private static final long HEARTBEAT_MILLIS = 500;
+final class TruncatingDiscovery implements AutoCloseable {
+    private static final long HEARTBEAT_INTERVAL_MILLIS = 500;
     private static final int NO_LINGER_SECONDS = 0;
-    private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+    private static final String RESPONSE_HEADER = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
     /** How a connection ends; STALL keeps it open without sending anything. */
-    enum End { CLOSE, RESET, STALL }
+    enum EndMode { CLOSE, RESET, STALL }
 
-    private final List<Door> doors = new CopyOnWriteArrayList<>();
-    private final Set<Socket> stalled = ConcurrentHashMap.newKeySet();
+    private final List<CallerServer> callerServers = new CopyOnWriteArrayList<>();
+    private final Set<Socket> stalledConnections = ConcurrentHashMap.newKeySet();
     private volatile String answer;
-    private volatile int length; // bytes sent of a truncated answer
-    private volatile End end;
+    private volatile int truncatedLength; // bytes sent of a truncated answer
+    private volatile EndMode endMode;
 
     /** {@code answer} is the first object sent to each caller. */
-    CuttingDiscovery(String answer) {
+    TruncatingDiscovery(String answer) {
         this.answer = answer;
     }
 
     /** Opens an address for one caller. */
-    Door door() {
-        Door door = new Door();
-        doors.add(door);
-        return door;
+    CallerServer addCaller() {
+        CallerServer server = new CallerServer();
+        callerServers.add(server);
+        return server;
     }
 
-    int watches() {
-        return doors.stream().mapToInt(door -> door.watches.size()).sum();
+    int watchCount() {
+        return callerServers.stream().mapToInt(server -> server.watches.size()).sum();
     }
 
     /**
      * Sends the first {@code bytes} bytes of the change on each watch and ends it. The next {@code
      * furtherAnswers} answers to each caller are truncated in the same way; later ones are complete.
      */
-    void cutAll(String change, int bytes, End how, int furtherAnswers) throws IOException {
-        end = how;
-        length = bytes;
+    void truncateAll(String change, int byteCount, EndMode mode,
+        int furtherTruncatedAnswers) throws IOException {
+        endMode = mode;
+        truncatedLength = byteCount;
         answer = change;
-        for (Door door : doors) {
-            door.answersToCut = furtherAnswers;
+        for (CallerServer server : callerServers) {
+            server.answersToTruncate = furtherTruncatedAnswers;
         }
-        for (Door door : doors) {
-            for (Socket watch : door.watches) {
-                cut(watch, "");
+        for (CallerServer server : callerServers) {
+            for (Socket watch : server.watches) {
+                truncate(watch, "");
             }
         }
     }
 
-    private void cut(Socket connection, String head) throws IOException {
-        String part = answer.substring(0, length);
-        write(connection, head + (length == 0 ? "" : Integer.toHexString(length) + "\r\n" + part + "\r\n"));
-        if (end == End.STALL) {
-            stalled.add(connection);
+    private void truncate(Socket connection, String header) throws IOException {
+        String sentPart = answer.substring(0, truncatedLength);
+        write(connection, header + (truncatedLength == 0 ? "" : Integer.toHexString(truncatedLength)
+            + "\r\n" + sentPart + "\r\n"));
+        if (endMode == EndMode.STALL) {
+            stalledConnections.add(connection);
             return;
         }
-        if (end == End.RESET) {
+        if (endMode == EndMode.RESET) {
             connection.setSoLinger(true, NO_LINGER_SECONDS);
         }
         connection.close();
@@ -80,35 +82,35 @@
 
     @Override
     public void close() throws IOException {
-        for (Door door : doors) {
-            door.close();
+        for (CallerServer server : callerServers) {
+            server.close();
         }
     }
 
     /** The address of one caller. */
-    final class Door extends Fakes.FakeServer {
+    final class CallerServer extends Fakes.FakeServer {
         private final List<Socket> watches = new CopyOnWriteArrayList<>();
-        private volatile int answersToCut;
+        private volatile int answersToTruncate;
 
         @Override
         void serve(Socket connection) throws IOException {
             if (Fakes.readMessage(connection.getInputStream()) == null) {
                 return;
             }
-            if (answersToCut > 0) {
-                answersToCut--;
-                cut(connection, HEAD);
+            if (answersToTruncate > 0) {
+                answersToTruncate--;
+                truncate(connection, RESPONSE_HEADER);
                 while (connection.getInputStream().read() >= 0) {
                     continue; // until the proxy closes the stalled connection
                 }
                 return;
             }
-            write(connection, HEAD + FakeDiscovery.chunk(answer));
+            write(connection, RESPONSE_HEADER + FakeDiscovery.chunk(answer));
             watches.add(connection);
             try {
                 while (true) { // ends when the proxy closes the watch and the write fails
-                    Thread.sleep(HEARTBEAT_MILLIS);
-                    if (stalled.contains(connection)) {
+                    Thread.sleep(HEARTBEAT_INTERVAL_MILLIS);
+                    if (stalledConnections.contains(connection)) {
                         continue;
                     }
                     write(connection, FakeDiscovery.chunk(""));
--- a/proxy/src/test/java/dockrelay/proxy/StartTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/WarmUpTest.java
@@ -20,19 +20,20 @@
  * Checks the cost of a start: a killed proxy is unavailable until it has started, and in a mass restart
  * this applies to all proxies.
  */
-class StartTest {
+class WarmUpTest {
     @Test
-    void theWarmUpEndsSoonAfterTheCompilerHasTakenWhatEachConnectionRunsThrough() throws IOException {
+    void warmUpSlightlyExceedsCompileThreshold() throws IOException {
         HotSpotDiagnosticMXBean runtime = ManagementFactory.getPlatformMXBean(HotSpotDiagnosticMXBean.class);
         double threshold = Integer.parseInt(runtime.getVMOption("Tier3InvocationThreshold").getValue());
-        Matcher scaled = Pattern.compile(" -XX:CompileThresholdScaling=([0-9.]+) ").matcher(run());
-        threshold *= scaled.find() ? Double.parseDouble(scaled.group(1)) : 1;
-        int connections = WarmUp.REQUESTS / WarmUp.REQUESTS_EACH;
+        Matcher scalingMatcher = Pattern.compile(" -XX:CompileThresholdScaling=([0-9.]+) ")
+            .matcher(runCommand());
+        threshold *= scalingMatcher.find() ? Double.parseDouble(scalingMatcher.group(1)) : 1;
+        int connections = WarmUp.TOTAL_REQUESTS / WarmUp.REQUESTS_PER_CONNECTION;
         assertTrue(connections > threshold, "code below the threshold is not compiled");
         assertTrue(connections <= 2 * threshold, "connections far beyond the threshold have no effect");
     }
 
-    private static String run() throws IOException {
+    private static String runCommand() throws IOException {
         return Files.readAllLines(Path.of("../deploy/balancer.toml")).stream()
             .filter(line -> line.startsWith("run = ")).findFirst().orElseThrow();
     }
@@ -41,7 +42,7 @@
      * Over in-memory channels the socket code would remain cold, and so would the first seconds of service.
      */
     @Test
-    void theWarmUpRunsOverSocketsAndLeavesNoFileBehind(@TempDir Path folder) throws IOException {
+    void warmUpUsesSocketsAndRemovesItsFiles(@TempDir Path folder) throws IOException {
         assertTrue(WarmUp.run(Fakes.config(1, 1024), PooledByteBufAllocator.DEFAULT, folder),
             "the warm-up must run over sockets");
         try (Stream<Path> files = Files.list(folder)) {
@@ -51,7 +52,7 @@
 
     /** Where Unix domain sockets are not possible, the warm-up runs in memory. */
     @Test
-    void aFolderThatTakesNoSocketsDoesNotKeepItFromRunning(@TempDir Path folder) {
+    void warmUpFallsBackToMemory(@TempDir Path folder) {
         Path missing = folder.resolve("missing");
         assertFalse(WarmUp.run(Fakes.config(1, 1024), PooledByteBufAllocator.DEFAULT, missing));
     }
@@ -61,8 +62,8 @@
      * interpreted.
      */
     @Test
-    void runIsOneProcessThatCompilesInTheForeground() throws IOException {
-        String run = run();
+    void runCommandCompilesInForeground() throws IOException {
+        String run = runCommand();
         assertTrue(run.startsWith("run = \"exec java "), run);
         assertTrue(run.contains(" -Xbatch "), run);
     }
