--- a/proxy/src/main/java/dockrelay/proxy/BackendRegistry.java
+++ b/proxy/src/main/java/dockrelay/proxy/BackendRegistry.java
@@ -16,13 +16,13 @@
 import java.util.function.ToLongFunction;
 
 /**
- * The list of backends as received from discovery, keyed by name; operators' changes are overlaid when
- * members are passed on. The balancer identifies a backend by a number that is derived from its name alone,
- * because all proxies must order the backends in the same way. If two names collide, the later one gets the
- * next free number. A member keeps its number while it is listed, even after the other one has left,
- * because its connections and statistics are keyed by the number. A proxy that starts at that time computes
- * the original number instead; until the backend is listed again, its position in that proxy's order
- * differs, which shifts a subset by at most one backend.
+ * The list of backends as received from discovery, keyed by name. Operators' overrides are applied when
+ * backends are passed on. The balancer identifies a backend by a number that is derived from its name
+ * alone, because all proxies must order the backends in the same way. If two names collide, the later one
+ * gets the next free number. A backend keeps its number while it is listed, even after the other one has
+ * left, because its connections and statistics are keyed by the number. A proxy that starts at that time
+ * computes the original number instead; until the backend is listed again, its position in that proxy's
+ * order differs, which shifts a subset by at most one backend.
  */
 final class BackendRegistry {
     private final OperatorOverrides overrides;
@@ -40,7 +40,7 @@
         this(overrides, EntryReader::hashOfName, BackendRegistry::newIdMap);
     }
 
-    /** For tests: with other numbers for names and other maps. */
+    /** For tests: with another hash of names and other maps. */
     BackendRegistry(OperatorOverrides overrides, ToLongFunction<String> nameHash,
         IntFunction<LongObjectMap<ListedBackend>> mapFactory) {
         this.overrides = overrides;
@@ -62,7 +62,7 @@
         return reassignedId == null ? nameHash.applyAsLong(name) : reassignedId;
     }
 
-    /** Returns the member with this name, or null. */
+    /** Returns the backend with this name, or null. */
     ListedBackend get(String name) {
         ListedBackend listedBackend = backendsById.get(idOf(name));
         return listedBackend != null && listedBackend.name().equals(name) ? listedBackend : null;
@@ -77,7 +77,7 @@
         return readyCount > detachedReadyNames.size();
     }
 
-    /** Returns the member with the operators' changes applied, or null if it is not listed. */
+    /** Returns the backend with the operators' override applied, or null if it is not listed. */
     ListedBackend getWithOverride(String name) {
         ListedBackend listedBackend = get(name);
         return listedBackend == null ? null : applyOverride(listedBackend);
@@ -99,8 +99,8 @@
 
     /**
      * Converts an entry as soon as it is parsed, so that a list is never held in its textual form. Returns
-     * a member if the entry is complete, otherwise the entry itself, which is merged with the known state
-     * when its turn comes.
+     * a {@link ListedBackend} if the entry is complete, otherwise the entry itself, which is merged with
+     * the known state when its turn comes.
      */
     Object readEntry(Map<?, ?> entry) {
         try {
@@ -111,14 +111,14 @@
     }
 
     /**
-     * Applies entries at once and returns the members to pass on. A full list removes all members that it
+     * Applies entries at once and returns the backends to pass on. A full list removes all backends that it
      * does not name.
      */
     List<ListedBackend> applyUpdate(List<?> entries, boolean full) {
         UpdateApplication application = new UpdateApplication(entries, full);
         List<ListedBackend> updated = application.applyNamed(entries.size());
         while (!application.isDone()) {
-            // the balancer itself determines what a full list leaves out
+            // the balancer itself determines what a full list omits
             application.applyNext(Integer.MAX_VALUE);
         }
         return updated;
@@ -135,20 +135,20 @@
     }
 
     /**
-     * An update that is being applied: first the entries it names, then the members that a full list leaves
-     * out.
+     * An update that is being applied: first the entries it names, then the backends that a full list
+     * omits.
      */
     final class UpdateApplication {
         /** This many entries can be sorted or compared in the time it takes to apply one. */
         private static final int SCANS_PER_ENTRY = 16;
 
-        // members named by a full list so far; null for a change
+        // backends named by a full list so far; null for a change
         private final LongObjectMap<ListedBackend> namedBackends;
         private final List<ListedBackend> omittedBackends = new ArrayList<>();
         private List<?> entries;
         private RingPositionSorter sorter; // while entries are being sorted
         private Iterator<ListedBackend> remainingBackends;
-        private boolean removingOmitted; // whether the entries are the members left out
+        private boolean removingOmitted; // whether the entries are the omitted backends
         private int position;
 
         private UpdateApplication(List<?> entries, boolean full) {
@@ -160,7 +160,10 @@
             return sorter == null && position == entries.size() && (namedBackends == null || removingOmitted);
         }
 
-        /** Returns at most {@code most} members to pass on next; the result may be empty for some calls. */
+        /**
+         * Returns at most {@code maxEntries} backends to pass on next; the result may be empty for some
+         * calls.
+         */
         List<ListedBackend> applyNext(int maxEntries) {
             int maxScans = (int) Math.min(Integer.MAX_VALUE, (long) maxEntries * SCANS_PER_ENTRY);
             List<ListedBackend> updated = List.of();
@@ -227,19 +230,18 @@
             return updated;
         }
 
-        /** Members that a full list leaves out are gone, even if they still answer. */
+        /** Backends that a full list omits are gone, even if they still answer. */
         private List<ListedBackend> removeOmitted(int maxEntries) {
             int end = (int) Math.min(entries.size(), position + (long) maxEntries);
             List<ListedBackend> updated = new ArrayList<>(end - position);
             while (position < end) {
                 ListedBackend listedBackend = (ListedBackend) entries.get(position++);
                 Backend previous = listedBackend.backend();
-                ListedBackend gone = new ListedBackend(listedBackend.name(),
-                    new Backend(previous.id(), previous.zone(), previous.kind(),
-                    previous.cell(), Phase.GONE, previous.weight(), previous.startedAt()),
-                    listedBackend.address());
-                store(previous.id(), gone);
-                updated.add(applyOverride(gone));
+                ListedBackend goneBackend = new ListedBackend(listedBackend.name(),
+                    new Backend(previous.id(), previous.zone(), previous.kind(), previous.cell(), Phase.GONE,
+                        previous.weight(), previous.startedAt()), listedBackend.address());
+                store(previous.id(), goneBackend);
+                updated.add(applyOverride(goneBackend));
             }
             return updated;
         }
@@ -264,14 +266,14 @@
     }
 
     /**
-     * Assigns another number if the member's own one is taken, and the current number if the member was
+     * Assigns another number if the backend's own one is taken, and the current number if the backend was
      * parsed before an earlier update had been applied completely.
      */
     private ListedBackend assignId(ListedBackend listedBackend) {
         long id = idOf(listedBackend.name());
         ListedBackend occupant = backendsById.get(id);
-        if (listedBackend.backend().id() == id && (occupant == null
-            || occupant.name().equals(listedBackend.name()))) {
+        if (listedBackend.backend().id() == id
+            && (occupant == null || occupant.name().equals(listedBackend.name()))) {
             return listedBackend;
         }
         while (backendsById.get(id) != null && !backendsById.get(id).name().equals(listedBackend.name())) {
@@ -282,8 +284,7 @@
             reassignedIds.put(listedBackend.name(), id);
         }
         return new ListedBackend(listedBackend.name(), new Backend(id, state.zone(), state.kind(),
-            state.cell(), state.phase(),
-            state.weight(), state.startedAt()), listedBackend.address());
+            state.cell(), state.phase(), state.weight(), state.startedAt()), listedBackend.address());
     }
 
     private ListedBackend readBackend(Map<?, ?> entry) {
--- a/proxy/src/main/java/dockrelay/proxy/CallPacing.java
+++ b/proxy/src/main/java/dockrelay/proxy/CallPacing.java
@@ -29,8 +29,7 @@
      */
     static final long INTERVAL_PER_PROXY_MILLIS = 250;
     /**
-     * Shorter than {@link DiscoveryTimeouts#TOLD}, because a call and its wait in the queue have to fit in
-     * as well.
+     * Shorter than the delivery deadline, because a call and its wait in the queue have to fit in as well.
      */
     static final long MAX_FIRST_INTERVAL_MILLIS = DiscoveryTimeouts.DELIVERY_DEADLINE_MILLIS - 1_250;
     /** Maximum interval, as a multiple of the first interval. */
@@ -47,8 +46,7 @@
      * call.
      */
     private static final double START_SPREAD_FRACTION = 0.88, RESET_SPREAD_FRACTION = 0.7,
-        CLOSED_SPREAD_FRACTION = 0.25, SILENCE_SPREAD_FRACTION = 0.75,
-        MOVE_SPREAD_FRACTION = 0.7;
+        CLOSED_SPREAD_FRACTION = 0.25, SILENCE_SPREAD_FRACTION = 0.75, MOVE_SPREAD_FRACTION = 0.7;
     /**
      * This fraction of starting proxies calls almost at once: the queue has room for some, and a few
      * proxies do not overload discovery.
@@ -132,15 +130,15 @@
             return DiscoveryTimeouts.MAX_CALL_INTERVAL_MILLIS;
         }
         double position = slotPosition(firstCallSlot);
-        return position < IMMEDIATE_START_FRACTION ? (long) (IMMEDIATE_START_WINDOW_MILLIS
-            * position / IMMEDIATE_START_FRACTION)
-            : (long) (firstIntervalMillis * START_SPREAD_FRACTION
-            * (position - IMMEDIATE_START_FRACTION) / (1 - IMMEDIATE_START_FRACTION));
+        return position < IMMEDIATE_START_FRACTION
+            ? (long) (IMMEDIATE_START_WINDOW_MILLIS * position / IMMEDIATE_START_FRACTION)
+            : (long) (firstIntervalMillis * START_SPREAD_FRACTION * (position - IMMEDIATE_START_FRACTION)
+                / (1 - IMMEDIATE_START_FRACTION));
     }
 
     /**
-     * Wait of a process that takes over from one that still runs. The list it starts with stays valid
-     * meanwhile, so a short spread is enough.
+     * Wait before the first call of a process that takes over from one that still runs. It has to know the
+     * current list at once, so the calls are spread over a short time only.
      */
     long waitBeforeFirstCallOfSuccessor() {
         return randomWait(DiscoveryTimeouts.MAX_CALL_INTERVAL_MILLIS);
@@ -190,7 +188,7 @@
     }
 
     /**
-     * How long a call may remain unanswered before it is taken for dead and another one starts beside it.
+     * How long a call may remain unanswered before it is considered dead and another one starts beside it.
      * In a large fleet the second call also waits for its slot, because the first one may still be queued.
      */
     long answerTimeout() {
@@ -199,8 +197,8 @@
     }
 
     /**
-     * Wait after a failed call, counted from the start of that call, {@code sinceStart} ms ago. {@code
-     * refusal} tells whether discovery refused the call or its connection ended.
+     * Wait after a failed call, counted from the start of that call, {@code sinceStartMillis} ago. {@code
+     * refused} tells whether discovery refused the call; otherwise its connection ended.
      */
     long waitAfterFailure(long sinceStartMillis, boolean refused) {
         boolean immediate = sinceStartMillis < IMMEDIATE_REFUSAL_MILLIS;
@@ -209,10 +207,11 @@
             return waitAfterTruncatedAnswer();
         }
         failuresAfterWait += immediate && failuresAfterWait == 0 ? 0 : 1;
-        boolean retriesSoon = !largeFleet || failuresAfterWait == 0
-            && immediateRefusals++ < MAX_QUICK_RETRIES;
-        long intervalMillis = retriesSoon ? Math.min(refusalBackoff.nextWait(),
-            DiscoveryTimeouts.MAX_CALL_INTERVAL_MILLIS) : nextInterval();
+        boolean retriesSoon = !largeFleet
+            || failuresAfterWait == 0 && immediateRefusals++ < MAX_QUICK_RETRIES;
+        long intervalMillis = retriesSoon
+            ? Math.min(refusalBackoff.nextWait(), DiscoveryTimeouts.MAX_CALL_INTERVAL_MILLIS)
+            : nextInterval();
         return Math.max(0, intervalMillis - sinceStartMillis);
     }
 
@@ -235,7 +234,7 @@
         previousAnswerLost = false;
     }
 
-    /** A complete object has been received. */
+    /** Resets all backoff, after a complete object or a change of discovery's address. */
     void reset() {
         failuresAfterWait = immediateRefusals = 0;
         refusalBackoff.reset();
@@ -254,8 +253,8 @@
 
     /** Upper bound of the time that discovery needs to serve each proxy once. */
     private long fleetServiceMillis() {
-        return fastestAnswerMillis > Long.MAX_VALUE / proxyCount ? Long.MAX_VALUE : proxyCount
-            * fastestAnswerMillis;
+        return fastestAnswerMillis > Long.MAX_VALUE / proxyCount ? Long.MAX_VALUE
+            : proxyCount * fastestAnswerMillis;
     }
 
     /**
--- a/proxy/src/main/java/dockrelay/proxy/Config.java
+++ b/proxy/src/main/java/dockrelay/proxy/Config.java
@@ -29,12 +29,10 @@
  * the peers have no names and groups are null.
  */
 record Config(String name, InetSocketAddress listenAddress, InetSocketAddress discoveryAddress, long seed,
-    int maxSockets,
-              int memoryMegabytes, KnownList knownList, Settings settings, long connectTimeoutMicros,
-              long connectionIdleMicros,
-              boolean sendsRetryAfter, InetSocketAddress consoleAddress, InetSocketAddress peerListenAddress,
-              PeerDirectory peers, InetSocketAddress peerBroadcastAddress, PeerGroups peerGroups,
-              List<Budget> budgets,
+              int maxSockets, int memoryMegabytes, KnownList knownList, Settings settings,
+              long connectTimeoutMicros, long connectionIdleMicros, boolean sendsRetryAfter,
+              InetSocketAddress consoleAddress, InetSocketAddress peerListenAddress, PeerDirectory peers,
+              InetSocketAddress peerBroadcastAddress, PeerGroups peerGroups, List<Budget> budgets,
               List<String> retiredMembers, Set<String> streamingClasses) {
     private static final double MICROS_PER_SECOND = 1_000_000;
 
@@ -98,22 +96,21 @@
         Map<?, ?> permissions = objectOrEmpty(settings, "Permissions");
         PeerDirectory peers = peers(root);
         // Without peers, the classes for peers are not even loaded, because that would lengthen each start.
-        PeerGroups groups = peers.names().isEmpty() && !root.containsKey(PeerGroups.CONFIG_KEY) ? null
+        PeerGroups peerGroups = peers.names().isEmpty() && !root.containsKey(PeerGroups.CONFIG_KEY) ? null
             : PeerGroups.read(root, peers);
         Settings parsedSettings = SettingsReader.read(settings);
         return new Config(requireString(root, "name"), parseAddress("listen", requireString(root, "listen")),
             parseAddress("discovery", requireString(root, "discovery")),
-            seed(requireString(root, "seed")), intAtLeast(objectOrEmpty(root, "limits"), "limits.",
-            "sockets", 1024, 34),
+            seed(requireString(root, "seed")),
+            intAtLeast(objectOrEmpty(root, "limits"), "limits.", "sockets", 1024, 34),
             intAtLeast(objectOrEmpty(root, "limits"), "limits.", "memory_mb", 192, 16),
             knownList, parsedSettings,
             (long) (numberOrDefault(permissions, "ConnectTimeout", 0.25) * MICROS_PER_SECOND),
             (long) (numberOrDefault(permissions, "ConnIdle", 15) * MICROS_PER_SECOND),
             !Boolean.FALSE.equals(permissions.get("RetryAfter")), optionalAddress(root, "console"),
-            optionalAddress(root, "peer_listen"), peers, optionalAddress(root, "peers_all"), groups,
+            optionalAddress(root, "peer_listen"), peers, optionalAddress(root, "peers_all"), peerGroups,
             root.get("budgets") instanceof Map<?, ?> budgets
-            ? BudgetConfigReader.read(budgets, parsedSettings, groups)
-                : List.of(),
+                ? BudgetConfigReader.read(budgets, parsedSettings, peerGroups) : List.of(),
             listOrEmpty(root, "retired").stream().map(String.class::cast).toList(),
             readStreamingClasses(settings));
     }
@@ -133,7 +130,7 @@
         }
     }
 
-    /** Reads an integer that must be at least {@code least}; {@code fallback} if the key is missing. */
+    /** Reads an integer that must be at least {@code min}; {@code fallback} if the key is missing. */
     private static int intAtLeast(Map<?, ?> object, String pathPrefix, String key, int fallback, int min) {
         Object value = object.get(key);
         if (value == null) {
--- a/proxy/src/main/java/dockrelay/proxy/DiscoveryClient.java
+++ b/proxy/src/main/java/dockrelay/proxy/DiscoveryClient.java
@@ -16,10 +16,11 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Keeps a watch on the list of backends. If lists are pushed, the watch is opened at once; if discovery is
- * polled, it is opened when the balancer first asks for it. Afterwards it is reopened whenever it ends,
- * within the times in {@link DiscoveryTimeouts} and independently of the balancer, which is only notified
- * of failures.
+ * Keeps a watch on the list of backends. In push mode, an agent on this host serves the list and the watch
+ * is opened at once; in ask mode, the proxies share a discovery service and the watch is opened when the
+ * balancer first asks for it. Afterwards it is reopened whenever it ends, within the times in {@link
+ * DiscoveryTimeouts} and independently of the balancer, which is only notified of failures. Runs on the
+ * event loop.
  */
 final class DiscoveryClient implements DiscoveryWatch.Listener, ListApplier.Sink {
     private static final long FIRST_PUSH_BACKOFF_MILLIS = 50;
@@ -46,8 +47,8 @@
     private final Counters counters;
     private volatile boolean anyBackendReady;
     private long listVersion = -1;
-    private final CallPacing pacing; // if discovery is polled
-    private final Backoff pushBackoff; // if lists are pushed by an agent on this host
+    private final CallPacing pacing; // for ask mode
+    private final Backoff pushBackoff; // for push mode
     private final CountDownLatch firstListApplied = new CountDownLatch(1);
     private final List<DiscoveryWatch> pendingCalls = new ArrayList<>();
     /** Updates of truncated answers that have not been applied yet. */
@@ -63,8 +64,7 @@
     private boolean subscribed, closed;
 
     DiscoveryClient(Bootstrap template, EventLoop eventLoop, Config config, RequestTable requestTable,
-        OperatorOverrides operators,
-              Counters counters) {
+                    OperatorOverrides operators, Counters counters) {
         this.counters = counters;
         counters.registerGauge("list-version", () -> listVersion);
         counters.registerGauge("list-unconfirmed-ms",
@@ -78,8 +78,7 @@
         long subscribeWithinMillis =
             TimeUnit.MICROSECONDS.toMillis(config.settings().rules().subscribeWithin());
         this.pacing = new CallPacing(askMode ? config.settings().proxies() : 1, config.settings().me(),
-            subscribeWithinMillis,
-            config.seed());
+            subscribeWithinMillis, config.seed());
         this.pushBackoff = new Backoff(FIRST_PUSH_BACKOFF_MILLIS, MAX_PUSH_BACKOFF_MILLIS, config.seed());
         this.eventLoop = eventLoop;
         this.address = config.discoveryAddress();
@@ -265,8 +264,7 @@
             counters.increment(Count.DISCOVERY_FAILURES);
         }
         Log.write("discovery", endedCall.describe() + (wasWatch ? ", the watch ended: " : ", failed: ")
-            + reason
-            + "; other pending calls: " + pendingCalls.size());
+            + reason + "; other pending calls: " + pendingCalls.size());
         watch = wasWatch ? null : watch;
         if (endedCall.isTruncated()) {
             counters.increment(Count.DISCOVERY_BROKEN);
@@ -372,8 +370,8 @@
 
     @Override
     public void watchStalled(DiscoveryWatch stalledCall) {
-        boolean noOtherCall = stalledCall == watch ? pendingCalls.isEmpty() : pendingCalls.size() == 1
-            && pendingCalls.contains(stalledCall);
+        boolean noOtherCall = stalledCall == watch ? pendingCalls.isEmpty()
+            : pendingCalls.size() == 1 && pendingCalls.contains(stalledCall);
         if (!closed && noOtherCall) {
             long waitMillis = askMode ? pacing.waitAfterTruncatedAnswer() : pushBackoff.nextWait();
             Log.write("discovery", stalledCall.describe() + ", stalled; the next call is due in "
--- a/proxy/src/main/java/dockrelay/proxy/DiscoveryTimeouts.java
+++ b/proxy/src/main/java/dockrelay/proxy/DiscoveryTimeouts.java
@@ -1,8 +1,8 @@
 package dockrelay.proxy;
 
 /**
- * Timeouts for renewing the watch on the list, for pushed and polled discovery. A change counts as known to
- * the proxy 6 s after discovery had it and could be reached, whether it arrived or not, so all delays in
+ * Timeouts for renewing the watch on the list, for both discovery modes. A change counts as known to the
+ * proxy 6 s after discovery had it and could be reached, whether it arrived or not, so all delays in
  * between have to add up to less. Times are in milliseconds; docs/standing.md derives the sums.
  */
 final class DiscoveryTimeouts {
@@ -34,7 +34,7 @@
     /** If a call has no answer by then, another connection is opened beside it, without a call as yet. */
     static final int STANDBY_DELAY_MILLIS = 1_500;
     /**
-     * A call that has no answer by then is taken for dead, and the next call is made on the standby
+     * A call that has no answer by then is considered dead, and the next call is made on the standby
      * connection, which has had time to come up. Not sooner: a busy discovery queues calls, and refuses a
      * caller together with all its queued calls when it calls again in the meantime.
      */
@@ -54,7 +54,7 @@
     }
 
     /**
-     * The rest of a randomly drawn wait after a failure, {@code sinceStart} ms after the start of the
+     * The rest of a randomly drawn wait after a failure, {@code sinceStartMillis} after the start of the
      * failed call.
      */
     static long remainingWait(long sinceStartMillis, long drawnMillis) {
--- a/proxy/src/main/java/dockrelay/proxy/DiscoveryWatch.java
+++ b/proxy/src/main/java/dockrelay/proxy/DiscoveryWatch.java
@@ -47,13 +47,13 @@
         /** A heartbeat between two objects: nothing has changed. */
         void heartbeatReceived(DiscoveryWatch watch);
 
-        /** An incomplete object has made no progress for {@link DiscoveryTimeouts#STALL} ms. */
+        /** An incomplete object has made no progress for {@link DiscoveryTimeouts#STALL_TIMEOUT_MILLIS}. */
         void watchStalled(DiscoveryWatch watch);
 
         /** Converts an entry, as soon as it is parsed, to what is to be kept of it. */
         Object readEntry(Map<?, ?> entry);
 
-        /** A complete object, with its entries as {@link #read} converted them. */
+        /** A complete object, with its entries as {@link #readEntry} converted them. */
         void updateReceived(DiscoveryWatch watch, ListParser.Update update);
 
         /** The watch has ended; called at most once. */
@@ -169,7 +169,7 @@
 
     /**
      * Whether part of an incomplete object has been parsed within the last {@link
-     * DiscoveryTimeouts#LATENESS} ms.
+     * DiscoveryTimeouts#LATENESS_TOLERANCE_MILLIS}.
      */
     boolean isProgressing() {
         return insideObject && System.nanoTime() - lastProgressNanos < LATENESS_TOLERANCE_NANOS;
--- a/proxy/src/main/java/dockrelay/proxy/EntryReader.java
+++ b/proxy/src/main/java/dockrelay/proxy/EntryReader.java
@@ -10,8 +10,9 @@
 import java.util.Objects;
 
 /**
- * Converts entries of the list to members as soon as each is parsed, so that a whole list is never held in
- * its textual form: neither one from discovery nor the known list of the configuration.
+ * Converts entries of the list to {@link ListedBackend} objects as soon as each is parsed, so that a whole
+ * list is never held in its textual form: neither one from discovery nor the known list of the
+ * configuration.
  */
 final class EntryReader {
     /** Keys of a complete entry. A change may leave some out, whose values then stay the same. */
@@ -53,7 +54,7 @@
         return hash;
     }
 
-    /** Converts an entry of an initial list to a member; returns the entry itself if it is incomplete. */
+    /** Converts an entry of an initial list; returns the entry itself if it is incomplete. */
     Object readInitialEntry(Map<?, ?> entry) {
         try {
             return isComplete(entry) ? mergeEntry(entry, null,
@@ -64,8 +65,8 @@
     }
 
     /**
-     * Merges an entry into the previous state of the member, null if there was none. Values that a change
-     * leaves out stay the same, and an unchanged member is returned as the same object.
+     * Merges an entry into the previous state of its backend, null if there was none. Values that a change
+     * omits stay the same, and an unchanged backend is returned as the same object.
      */
     ListedBackend mergeEntry(Map<?, ?> entry, ListedBackend previous, long backendId) {
         Backend previousBackend = previous == null ? new Backend(backendId, "", "", 0, Phase.GONE, 1, 0)
@@ -76,7 +77,7 @@
             (long) Config.numberOrDefault(entry, "cell", previousBackend.cell()),
             readPhase(entry), Config.numberOrDefault(entry, "weight", previousBackend.weight()),
             (long) (Config.numberOrDefault(entry, "started_ms", previousBackend.startedAt() / 1000.0)
-            * 1000));
+                * 1000));
         SocketAddress previousAddress = previous == null ? null : previous.address();
         SocketAddress address = entry.get("addr") instanceof String text ? Endpoint.parse(text)
             : previousAddress;
--- a/proxy/src/main/java/dockrelay/proxy/KnownList.java
+++ b/proxy/src/main/java/dockrelay/proxy/KnownList.java
@@ -34,7 +34,7 @@
             if ("version".equals(key) && value.isNumeric()) {
                 knownList.version = parser.getLongValue();
             } else if (ListParser.ENTRIES_KEY.equals(key) && value == JsonToken.START_ARRAY) {
-                knownList.entries = entries(parser);
+                knownList.entries = readEntries(parser);
             } else {
                 parser.skipChildren();
             }
@@ -42,12 +42,12 @@
         return knownList;
     }
 
-    private static List<Object> entries(JsonParser parser) throws IOException {
+    private static List<Object> readEntries(JsonParser parser) throws IOException {
         EntryReader reader = new EntryReader();
         List<Object> entries = new ArrayList<>();
         while (parser.nextToken() != JsonToken.END_ARRAY) {
             Object entry = Json.readValue(parser);
-            entries.add(entry instanceof Map<?, ?> map ? reader.readInitialEntry(map) : entry);
+            entries.add(entry instanceof Map<?, ?> fields ? reader.readInitialEntry(fields) : entry);
         }
         return entries;
     }
--- a/proxy/src/main/java/dockrelay/proxy/ListApplier.java
+++ b/proxy/src/main/java/dockrelay/proxy/ListApplier.java
@@ -25,9 +25,9 @@
      */
     static final int MAX_PENDING_CHANGES = 16 * MAX_BATCH_ENTRIES;
 
-    /** Receives the changed members, and is notified when an update has been applied completely. */
+    /** Receives the changed backends, and is notified when an update has been applied completely. */
     interface Sink {
-        /** Passes on changed members. */
+        /** Passes on changed backends. */
         void updateBackends(ListUpdateType updateType, List<ListedBackend> listedBackends);
 
         /** Called once for each update, in order. */
@@ -95,8 +95,9 @@
     }
 
     private boolean canJoin(int entryCount) {
-        ListParser.Update next = pendingUpdates.peek();
-        return next != null && !next.full() && entryCount + next.entries().size() <= MAX_PENDING_CHANGES;
+        ListParser.Update nextUpdate = pendingUpdates.peek();
+        return nextUpdate != null && !nextUpdate.full()
+            && entryCount + nextUpdate.entries().size() <= MAX_PENDING_CHANGES;
     }
 
     private ListParser.Update pollUpdate() {
@@ -115,7 +116,7 @@
         try {
             sink.updateBackends(updateType, listedBackends);
         } catch (RuntimeException e) {
-            Log.error("discovery", e); // one bad batch must not hold up the following ones
+            Log.error("discovery", e); // one bad batch must not block the following ones
         }
     }
 
--- a/proxy/src/main/java/dockrelay/proxy/Proxy.java
+++ b/proxy/src/main/java/dockrelay/proxy/Proxy.java
@@ -52,19 +52,19 @@
      */
     private static final long LIST_TIMEOUT_MILLIS = 1_000;
     /**
-     * If lists are pushed, the agent's list counts as known from the first moment, so no request is
-     * accepted before it has arrived. A restarted process has to be ready within 10 s, counted from shortly
-     * before its first instruction, even if discovery is down; then it serves by the cached list.
+     * In push mode the agent's list counts as known from the first moment, so no request is accepted before
+     * it has arrived. A restarted process has to be ready within 10 s, counted from shortly before its
+     * first instruction, even if discovery is down; then it serves by the cached list.
      */
     private static final long PUSHED_LIST_UPGRADE_TIMEOUT_MILLIS = 3_000, READY_DEADLINE_MILLIS = 8_500;
     /**
-     * SIGKILL follows SIGTERM after the longest deadline (at most this value) plus 0.7 s, of which a margin
-     * is kept.
+     * SIGKILL follows SIGTERM after the longest deadline (at most this value) plus 0.7 s. The drain uses only
+     * part of the 0.7 s, to leave a margin.
      */
     private static final long MAX_DEADLINE_MICROS = 3_000_000;
     private static final long EXTRA_DRAIN_MILLIS = 450;
     private static final long COUNTERS_INTERVAL_MILLIS = 5_000;
-    /** Interval of the lateness measurement, kept long because every event has to wait while it runs. */
+    /** Interval of the check for lateness: any other event waits for the event loop as long as this check. */
     private static final long LATENESS_CHECK_INTERVAL_MILLIS = 50;
     /** Longer than any request may take: whatever has not finished by then never will. */
     private static final long MAX_SHUTDOWN_SECONDS = 10;
@@ -108,9 +108,9 @@
     }
 
     /**
-     * Creates a proxy whose process started at {@code begun} ({@link System#nanoTime}). The first thread to
-     * set {@code settled} decides whether the proxy ever listens: once it listens there may be requests to
-     * answer, so that it has to be stopped in order.
+     * Creates a proxy, started at {@code startedAtNanos} ({@link System#nanoTime}). The first thread to set
+     * {@code listenDecided} decides whether the proxy ever listens: once it listens there may be requests
+     * to answer, so that it has to be stopped in order.
      */
     private Proxy(Config config, ProcessEnvironment environment, long startedAtNanos,
         AtomicBoolean listenDecided) throws IOException {
@@ -121,8 +121,8 @@
         maxConnections = Math.max(2, config.maxSockets() - RESERVED_DESCRIPTORS);
         int maxClientConnections = Math.max(1, (int) (maxConnections * CLIENT_CONNECTION_SHARE));
         BufferLimit bufferLimit = BufferLimit.forAllocator(allocator, config.memoryMegabytes());
-        connectionPool = new BackendConnectionPool(clientBootstrap, eventLoop, maxConnections
-            - maxClientConnections, config.connectTimeoutMicros(),
+        connectionPool = new BackendConnectionPool(clientBootstrap, eventLoop,
+            maxConnections - maxClientConnections, config.connectTimeoutMicros(),
             config.connectionIdleMicros(), counters, bufferLimit);
         requestTable = new RequestTable(eventLoop, connectionPool, clock, config, counters);
         operatorOverrides = new OperatorOverrides(environment.consoleAddress() == null ? null
@@ -143,14 +143,13 @@
             eventLoop.execute(() -> BudgetService.applyZeroShares(requestTable, config));
         }
         clientFrontend = new ClientFrontend(requestTable, config.settings().classes(), maxClientConnections,
-            this::isReady,
-            counters, bufferLimit);
+            this::isReady, counters, bufferLimit);
         eventLoop.execute(() -> discoveryClient.start(config.knownList(), environment.listener() != null));
         console = environment.consoleAddress() == null ? null
             : new Console(environment.consoleAddress(), operatorOverrides, () -> accepting && isReady(),
-            this::applyOverride,
-                membershipService, config.budgets().isEmpty() || membershipService == null ? null
-                : membershipService::describeBudgets);
+                this::applyOverride, membershipService,
+                config.budgets().isEmpty() || membershipService == null ? null
+                    : membershipService::describeBudgets);
         overlapDetector = console == null || environment.stateFolder() == null ? null
             : new UpgradeOverlapDetector(environment.stateFolder());
         if (overlapDetector != null) {
@@ -181,8 +180,8 @@
         if (!listenDecided.compareAndSet(false, true)) {
             throw new StoppedBeforeListeningException();
         }
-        eventLoop.submit(() -> clientFrontend.listen(serverBootstrap, listenerInherited ? null
-            : config.listenAddress())).syncUninterruptibly()
+        eventLoop.submit(() -> clientFrontend.listen(serverBootstrap,
+            listenerInherited ? null : config.listenAddress())).syncUninterruptibly()
             .getNow().syncUninterruptibly();
         accepting = true;
         if (membershipService != null) {
@@ -230,13 +229,13 @@
 
     /** Runs the proxy configured by PROXY_CONFIG until it is asked to stop. */
     public static void main() {
-        CompletableFuture<Proxy> started = new CompletableFuture<>();
-        AtomicBoolean listenDecided = new AtomicBoolean(), failed = new AtomicBoolean();
+        CompletableFuture<Proxy> startedProxy = new CompletableFuture<>();
+        AtomicBoolean listenDecided = new AtomicBoolean(), startFailed = new AtomicBoolean();
         Runtime.getRuntime().addShutdownHook(new Thread(() -> {
-            if (!failed.get()) {
-                stopProcess(started, listenDecided);
+            if (!startFailed.get()) {
+                stopProcess(startedProxy, listenDecided);
             }
-            Runtime.getRuntime().halt(failed.get() ? 1 : 0); // a requested stop exits with status 0
+            Runtime.getRuntime().halt(startFailed.get() ? 1 : 0); // a requested stop exits with status 0
         }, "stop"));
         try {
             String configPath = System.getenv("PROXY_CONFIG");
@@ -244,25 +243,24 @@
                 throw new SettingException("PROXY_CONFIG", null, "the path of the configuration file");
             }
             Path file = Path.of(configPath);
-            Signals.onHangUp(() -> started.thenAccept(proxy -> proxy.reload(file)));
+            Signals.onHangUp(() -> startedProxy.thenAccept(proxy -> proxy.reload(file)));
             Config config = Config.read(file);
-            started.complete(new Proxy(config, ProcessEnvironment.read(config, System.getenv()),
+            startedProxy.complete(new Proxy(config, ProcessEnvironment.read(config, System.getenv()),
                 PROCESS_START_NANOS, listenDecided));
         } catch (StoppedBeforeListeningException e) {
             return; // the shutdown thread ends the process
         } catch (ConfigException | SettingException e) {
-            exitAfterFailedStart(started, failed, e, () -> Log.write("start", e.getMessage()));
+            exitAfterFailedStart(startedProxy, startFailed, e, () -> Log.write("start", e.getMessage()));
         } catch (IOException | RuntimeException e) {
-            exitAfterFailedStart(started, failed, e, () -> Log.error("start", e));
+            exitAfterFailedStart(startedProxy, startFailed, e, () -> Log.error("start", e));
         }
     }
 
-    private static void exitAfterFailedStart(CompletableFuture<Proxy> started, AtomicBoolean failed,
-        Exception cause,
-                             Runnable log) {
+    private static void exitAfterFailedStart(CompletableFuture<Proxy> startedProxy, AtomicBoolean startFailed,
+                                             Exception cause, Runnable log) {
         log.run();
-        failed.set(true);
-        started.completeExceptionally(cause);
+        startFailed.set(true);
+        startedProxy.completeExceptionally(cause);
         System.exit(1);
     }
 
@@ -275,13 +273,13 @@
      * Stops the process. Before it listens there are no requests to finish; afterwards the start completes
      * soon.
      */
-    private static void stopProcess(CompletableFuture<Proxy> started, AtomicBoolean listenDecided) {
+    private static void stopProcess(CompletableFuture<Proxy> startedProxy, AtomicBoolean listenDecided) {
         if (listenDecided.compareAndSet(false, true)) {
             Log.write("stop", "asked to stop before listening");
             return;
         }
         try {
-            started.get(MAX_SHUTDOWN_SECONDS, TimeUnit.SECONDS).stop();
+            startedProxy.get(MAX_SHUTDOWN_SECONDS, TimeUnit.SECONDS).stop();
         } catch (ExecutionException | TimeoutException | RuntimeException e) {
             Log.error("stop", e);
         } catch (InterruptedException e) {
@@ -364,7 +362,7 @@
         return !stopping && discoveryClient.isAnyBackendReady();
     }
 
-    /** Applies an operator's change to a backend, for the balancer and the connection pool, at once. */
+    /** Applies an operator's override to a backend, for the balancer and the connection pool, at once. */
     private CompletableFuture<Void> applyOverride(String backendName) {
         return CompletableFuture.runAsync(() -> discoveryClient.overrideChanged(backendName), eventLoop);
     }
@@ -376,9 +374,8 @@
     private void fleetViewChanged(FleetView fleetView) {
         long receivedAtNanos = System.nanoTime();
         eventLoop.execute(() -> requestTable.updateFleetView(new FleetView(fleetView.proxies(),
-            fleetView.me(), fleetView.share(),
-            fleetView.minShare(),
-            fleetView.agreement(), (System.nanoTime() - receivedAtNanos) / 1000, fleetView.countsAge())));
+            fleetView.me(), fleetView.share(), fleetView.minShare(), fleetView.agreement(),
+            (System.nanoTime() - receivedAtNanos) / 1000, fleetView.countsAge())));
     }
 
     /** Applies changes made by another process of the same proxy. */
@@ -392,8 +389,8 @@
                     : "the other process of this proxy has ended");
             }
             eventLoop.execute(() -> {
-                int availableConnections = otherConnections < 0 ? maxConnections : maxConnections
-                    - RESERVED_DESCRIPTORS - otherConnections;
+                int availableConnections = otherConnections < 0 ? maxConnections
+                    : maxConnections - RESERVED_DESCRIPTORS - otherConnections;
                 connectionPool.limitConnections(availableConnections - clientFrontend.connectionCount());
                 clientFrontend.limitConnections(availableConnections - connectionPool.connectionCount());
                 openConnections = clientFrontend.connectionCount() + connectionPool.connectionCount();
@@ -433,8 +430,7 @@
      */
     private void drainConnections() {
         long remainingMillis = TimeUnit.MICROSECONDS.toMillis(Math.min(longestDeadlineMicros,
-            MAX_DEADLINE_MICROS))
-            + EXTRA_DRAIN_MILLIS;
+            MAX_DEADLINE_MICROS)) + EXTRA_DRAIN_MILLIS;
         clientFrontend.startDraining(System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(remainingMillis));
         if (listenerInherited) {
             clientFrontend.releaseListener();
--- a/proxy/src/main/java/dockrelay/proxy/RingPositionSorter.java
+++ b/proxy/src/main/java/dockrelay/proxy/RingPositionSorter.java
@@ -8,7 +8,7 @@
 import java.util.function.ToLongFunction;
 
 /**
- * Sorts members or entries by their position in the ring order that all proxies share, in steps of the
+ * Sorts backends or entries by their position in the ring order that all proxies share, in steps of the
  * caller's choice. Uses only the top bits of the positions; the sort is stable, so updates of the same name
  * keep their order.
  */
@@ -27,13 +27,13 @@
         this.itemBuckets = new byte[items.size()];
     }
 
-    /** Processes at most {@code most} further items; returns whether all have been processed. */
+    /** Processes at most {@code maxItems} further items; returns whether all have been processed. */
     boolean classifyNext(int maxItems) {
-        for (int end = (int) Math.min(itemBuckets.length, processedItems
-            + (long) maxItems); processedItems < end; processedItems++) {
+        for (int end = (int) Math.min(itemBuckets.length, processedItems + (long) maxItems);
+            processedItems < end; processedItems++) {
             Object item = items.get(processedItems);
+            // An entry without a name is reported when it is applied.
             Object name = item instanceof ListedBackend listedBackend ? listedBackend.name()
-                // a bad entry is reported when it is applied
                 : item instanceof Map<?, ?> entry ? entry.get("id") : null;
             long position = name instanceof String text
                 ? Balancer.ringPosition(nameHash.applyAsLong(text)) : 0;
--- a/proxy/src/main/java/dockrelay/proxy/WarmUp.java
+++ b/proxy/src/main/java/dockrelay/proxy/WarmUp.java
@@ -161,10 +161,10 @@
     }
 
     private static boolean run(Config config, ByteBufAllocator allocator, Transport transport) {
-        EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, transport.ioHandlerFactory);
-        WarmUp warmUp = new WarmUp(config, group.next(), transport);
+        EventLoopGroup eventLoopGroup = new MultiThreadIoEventLoopGroup(1, transport.ioHandlerFactory);
+        WarmUp warmUp = new WarmUp(config, eventLoopGroup.next(), transport);
         try {
-            group.submit(() -> warmUp.start(allocator)).syncUninterruptibly();
+            eventLoopGroup.submit(() -> warmUp.start(allocator)).syncUninterruptibly();
             return warmUp.finished.await(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS) && !warmUp.failed;
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -173,7 +173,7 @@
             Log.error("warm-up", e); // not fatal: a cold proxy is only slower at first
             return false;
         } finally {
-            group.shutdownGracefully(0, 1_000, TimeUnit.MILLISECONDS);
+            eventLoopGroup.shutdownGracefully(0, 1_000, TimeUnit.MILLISECONDS);
         }
     }
 
@@ -183,8 +183,8 @@
             .option(ChannelOption.ALLOCATOR, allocator);
         Counters counters = new Counters();
         BufferLimit bufferLimit = new BufferLimit(() -> 0, config.memoryMegabytes());
-        BackendConnectionPool pool = new BackendConnectionPool(bootstrap, eventLoop, BACKEND_COUNT
-            * CLIENT_COUNT, CONNECTION_TIMEOUT_MICROS, CONNECTION_TIMEOUT_MICROS, counters,
+        BackendConnectionPool pool = new BackendConnectionPool(bootstrap, eventLoop,
+            BACKEND_COUNT * CLIENT_COUNT, CONNECTION_TIMEOUT_MICROS, CONNECTION_TIMEOUT_MICROS, counters,
             bufferLimit);
         RequestTable table = new RequestTable(eventLoop, pool, clock, config, counters);
         table.attachBalancer(new RiqBalancer(config.settings(), config.seed(), table), () -> { },
@@ -201,8 +201,7 @@
             new ServerBootstrap().group(eventLoop).channel(transport.serverChannelClass)
             .childOption(ChannelOption.ALLOCATOR, allocator);
         new ClientFrontend(table, config.settings().classes(), CLIENT_COUNT * 2, () -> true, counters,
-            bufferLimit)
-            .listen(serverBootstrap, transport.proxyAddress).addListener(this::listenerBound);
+            bufferLimit).listen(serverBootstrap, transport.proxyAddress).addListener(this::listenerBound);
         clientBootstrap = bootstrap.clone().handler(new ChannelInitializer<Channel>() {
             @Override
             protected void initChannel(Channel channel) {
@@ -253,8 +252,8 @@
             FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, method,
                 "/" + serviceClass.name() + "/warm");
             request.headers().set(HttpHeaderNames.HOST, "warm").set(HttpHeaderNames.CONTENT_LENGTH, 0)
-                .set(Headers.REQUEST_ID, "warm-" + sentRequests++).set(Headers.SERVICE_CLASS,
-                serviceClass.name())
+                .set(Headers.REQUEST_ID, "warm-" + sentRequests++)
+                .set(Headers.SERVICE_CLASS, serviceClass.name())
                 .set(Headers.TIMEOUT, "1.0").set(Headers.IDEMPOTENCY_KEY, "warm");
             context.writeAndFlush(request);
         }
--- a/proxy/src/test/java/dockrelay/proxy/BackendListBenchmark.java
+++ b/proxy/src/test/java/dockrelay/proxy/BackendListBenchmark.java
@@ -30,6 +30,7 @@
     private static final int PROXY_COUNT = 5_700;
     private static final int REQUEST_COUNT = 20_000;
 
+    /** An attempt that waits for its outcome. */
     private record SentAttempt(String requestId, int attempt, long backendId, long sentAtMicros) {
     }
 
@@ -48,9 +49,8 @@
         Config config = Fakes.parseConfig(Fakes.configJson(0, 1, 1024, "",
             "\"Balancers\":" + PROXY_COUNT + ",\"Me\":" + PROXY_COUNT / 3
             + ",\"Obligations\":{\"ColdTime\":10.0},"));
-        BackendConnectionPool connectionPool =
-            new BackendConnectionPool(new Bootstrap().group(eventLoop).channel(NioSocketChannel.class),
-            eventLoop,
+        BackendConnectionPool connectionPool = new BackendConnectionPool(
+            new Bootstrap().group(eventLoop).channel(NioSocketChannel.class), eventLoop,
             100, 250_000, 15_000_000, new Counters(), new BufferLimit(() -> 0, 144));
         requestTable = new RequestTable(eventLoop, connectionPool, () -> System.nanoTime() / 1000, config,
             new Counters());
@@ -59,8 +59,8 @@
     }
 
     @Override
-    public void updateBackends(ListUpdateType scope, List<RequestTable.ListedBackend> listedBackends) {
-        requestTable.updateBackends(scope, listedBackends);
+    public void updateBackends(ListUpdateType updateType, List<RequestTable.ListedBackend> listedBackends) {
+        requestTable.updateBackends(updateType, listedBackends);
     }
 
     @Override
@@ -108,9 +108,9 @@
 
     private long runPendingTurns() {
         long spentNanos = 0;
-        for (Runnable next = pendingTurns.poll(); next != null; next = pendingTurns.poll()) {
+        for (Runnable turn = pendingTurns.poll(); turn != null; turn = pendingTurns.poll()) {
             long startNanos = cpuNanos();
-            next.run();
+            turn.run();
             spentNanos += recordTurn(startNanos);
         }
         return spentNanos;
@@ -122,9 +122,10 @@
         long nowMicros = System.nanoTime() / 1000;
         balancer.onRequest(nowMicros, new Request(lastRequestId, "look", null, null, 1_000_000, 0, false));
         while (sentAttempts.size() > 20) {
-            SentAttempt oldest = sentAttempts.poll();
-            balancer.onOutcome(nowMicros, oldest.requestId, oldest.attempt, oldest.backendId, Outcome.OK,
-                nowMicros - oldest.sentAtMicros, true, null);
+            SentAttempt oldestAttempt = sentAttempts.poll();
+            balancer.onOutcome(nowMicros, oldestAttempt.requestId, oldestAttempt.attempt,
+                oldestAttempt.backendId, Outcome.OK,
+                nowMicros - oldestAttempt.sentAtMicros, true, null);
         }
     }
 
@@ -181,8 +182,8 @@
                 }
             }
             print("  single change: mean %.4f ms, worst %.3f ms, collector %d ms in total%s",
-                millis(spentNanos) / CHANGE_COUNT, millis(maxTurnNanos), collectorMillis()
-                - collectorMillisBefore,
+                millis(spentNanos) / CHANGE_COUNT, millis(maxTurnNanos),
+                collectorMillis() - collectorMillisBefore,
                 round == 0 ? " (cold code)" : "");
         }
         maxTurnNanos = 0;
@@ -203,8 +204,7 @@
                 }
             }
             print("  single changes to %s: %.1f ms in total, mean %.4f ms, worst %.3f ms", state,
-                millis(spentNanos),
-                millis(spentNanos) / (size / 7), millis(maxTurnNanos));
+                millis(spentNanos), millis(spentNanos) / (size / 7), millis(maxTurnNanos));
         }
         long startNanos = cpuNanos();
         for (int i = 0; i < REQUEST_COUNT; i++) {
@@ -216,19 +216,19 @@
 
     /** Arguments: numbers of backends; each is best measured in a process of its own. */
     public static void main(String[] args) throws Exception {
-        EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+        EventLoopGroup eventLoopGroup = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         for (String size : args) {
-            group.submit(() -> {
-                new BackendListBenchmark(group.next()).run(Integer.parseInt(size));
+            eventLoopGroup.submit(() -> {
+                new BackendListBenchmark(eventLoopGroup.next()).run(Integer.parseInt(size));
                 return null;
             }).sync();
         }
-        group.shutdownGracefully();
+        eventLoopGroup.shutdownGracefully();
     }
 
     @Override
-    public void send(String requestId, long backend, long timeoutMicros) {
-        sentAttempts.add(new SentAttempt(requestId, nextAttempt++, backend, System.nanoTime() / 1000));
+    public void send(String requestId, long backendId, long timeoutMicros) {
+        sentAttempts.add(new SentAttempt(requestId, nextAttempt++, backendId, System.nanoTime() / 1000));
     }
 
     @Override
@@ -248,11 +248,11 @@
     }
 
     @Override
-    public void probe(long backend) {
+    public void probe(long backendId) {
     }
 
     @Override
-    public void closeIdleConnections(long backend) {
+    public void closeIdleConnections(long backendId) {
     }
 
     @Override
--- a/proxy/src/test/java/dockrelay/proxy/BackendRegistryTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/BackendRegistryTest.java
@@ -73,8 +73,8 @@
         BackendRegistry collidingRegistry = new BackendRegistry(overrides, name -> 7,
             BackendRegistry::newIdMap);
         List<ListedBackend> updated = collidingRegistry.applyUpdate(entries(3), true);
-        assertEquals(List.of(7L, 8L, 9L), updated.stream().map(listedBackend ->
-            listedBackend.backend().id()).toList());
+        assertEquals(List.of(7L, 8L, 9L),
+            updated.stream().map(listedBackend -> listedBackend.backend().id()).toList());
         assertEquals(List.of(7L, 8L, 9L), collidingRegistry.applyUpdate(entries(3), true).stream()
             .map(listedBackend -> listedBackend.backend().id()).toList(),
             "a repeated list must keep the numbers");
@@ -90,7 +90,7 @@
         assertEquals(8, idAfterUpdate(collidingRegistry, "s-1", "active"));
         collidingRegistry.applyUpdate(entries(1), true);
         assertEquals(1, collidingRegistry.size());
-        assertNull(collidingRegistry.get("s-2"), "a full list must remove members it does not name");
+        assertNull(collidingRegistry.get("s-2"), "a full list must remove backends it does not name");
     }
 
     @Test
@@ -101,21 +101,20 @@
         assertSame(firstState, registry.readEntry(entry("s-1", "active")));
         Map<String, Object> drainChange = Map.of("id", "s-1", "state", "leaving");
         assertSame(drainChange, registry.readEntry(drainChange), "an incomplete entry stays unconverted");
-        ListedBackend nextState = registry.applyUpdate(List.of(registry.readEntry(drainChange)),
-            false).get(0);
+        ListedBackend nextState =
+            registry.applyUpdate(List.of(registry.readEntry(drainChange)), false).get(0);
         assertEquals(Phase.DRAINING, nextState.backend().phase());
         assertEquals(firstState.address(), nextState.address());
         assertEquals(3, nextState.backend().cell());
-        assertSame(firstState.backend().zone(), ((ListedBackend) registry.readEntry(entry("s-9",
-            "active"))).backend().zone());
+        assertSame(firstState.backend().zone(),
+            ((ListedBackend) registry.readEntry(entry("s-9", "active"))).backend().zone());
     }
 
     /** Each value of an entry must be compared: no changed entry may pass for the previous one. */
     @Test
     void anyDifferenceCreatesNewObject() {
         Map<String, Object> changedValues = Map.of("state", "leaving", "addr", "10.0.0.2:80", "zone", "z2",
-            "kind",
-            "k2", "cell", 4L, "weight", 2.0, "started_ms", 1L);
+            "kind", "k2", "cell", 4L, "weight", 2.0, "started_ms", 1L);
         ListedBackend original = registry.applyUpdate(List.of(entry("s-1", "active")), true).get(0);
         assertEquals(changedValues.size() + 1, entry("s-1", "active").size(),
             "the test must vary each value except the name");
@@ -140,8 +139,8 @@
             convertedEntries.add(registry.readEntry(entry));
         }
         convertedEntries.add("no entry");
-        assertEquals(List.of("s-1", "s-3"), registry.applyUpdate(convertedEntries,
-            true).stream().map(ListedBackend::name).toList());
+        assertEquals(List.of("s-1", "s-3"),
+            registry.applyUpdate(convertedEntries, true).stream().map(ListedBackend::name).toList());
     }
 
     /** If a list repeats a name, the later entry is merged into the earlier one. */
@@ -188,9 +187,8 @@
         assertEquals(1_000, knownCount, "known names of backends that have left");
         registry.applyUpdate(entries(1), false);
         registry.applyUpdate(entries(3_000).subList(1_000, 3_000), false);
-        registry.applyUpdate(entries(3_000).subList(1_000,
-            3_000).stream().peek(entry -> entry.put("state", "left"))
-            .toList(), false);
+        registry.applyUpdate(entries(3_000).subList(1_000, 3_000).stream()
+            .peek(entry -> entry.put("state", "left")).toList(), false);
         assertTrue(overrides.isKnown("s-0"), "a listed name must stay known when others leave");
         assertFalse(overrides.isKnown("s-1500"));
     }
@@ -249,7 +247,7 @@
 
     /**
      * Map operations and allocated bytes of an action for each size, in a registry of that size if {@code
-     * listed}, else in an empty one.
+     * prefilled}, else in an empty one.
      */
     private static long[][] measureCosts(boolean prefilled, Consumer<BackendRegistry> action) {
         long[][] costs = new long[2][LIST_SIZES.length];
@@ -278,8 +276,8 @@
     }
 
     private static void assertGrowsAtMost(long[] costsBySize, double maxFactor) {
-        assertTrue(costsBySize[2] <= costsBySize[0] * maxFactor, costsBySize[0] + ", " + costsBySize[1]
-            + ", " + costsBySize[2]);
+        assertTrue(costsBySize[2] <= costsBySize[0] * maxFactor,
+            costsBySize[0] + ", " + costsBySize[1] + ", " + costsBySize[2]);
     }
 
     @Test
@@ -297,8 +295,7 @@
         for (int i = 0; i < LIST_SIZES.length; i++) {
             long[] operationCount = new long[1];
             BackendRegistry emptyRegistry = new BackendRegistry(new OperatorOverrides(null), String::hashCode,
-                size -> new CountingMap(size,
-                operationCount));
+                size -> new CountingMap(size, operationCount));
             emptyRegistry.applyUpdate(entries.subList(0, LIST_SIZES[i]), true);
             operationCounts[i] = operationCount[0];
         }
--- a/proxy/src/test/java/dockrelay/proxy/BackoffTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/BackoffTest.java
@@ -12,9 +12,9 @@
     void waitsStayBelowDoublingBoundUntilReset() {
         Backoff backoff = new Backoff(50, 1_000, 7);
         for (int i = 0; i < 40; i++) {
-            long wait = backoff.nextWait();
-            assertTrue(wait >= 0 && wait <= Math.min(1_000, 50L << Math.min(i, 10)), i + ": wait in ms is "
-                + wait);
+            long waitMillis = backoff.nextWait();
+            assertTrue(waitMillis >= 0 && waitMillis <= Math.min(1_000, 50L << Math.min(i, 10)),
+                i + ": wait in ms is " + waitMillis);
         }
         backoff.reset();
         assertTrue(backoff.nextWait() <= 50);
@@ -22,9 +22,10 @@
 
     @Test
     void seedsSpreadFirstWaitOverItsBound() {
-        long[] waits = LongStream.range(0, 200).map(seed -> new Backoff(1_000, 1_000, seed).nextWait())
+        long[] waitsMillis = LongStream.range(0, 200).map(seed -> new Backoff(1_000, 1_000, seed).nextWait())
             .sorted().toArray();
-        assertTrue(waits[0] < 100 && waits[199] > 900, waits[0] + " ms shortest, longest " + waits[199]);
+        assertTrue(waitsMillis[0] < 100 && waitsMillis[199] > 900,
+            waitsMillis[0] + " ms shortest, longest " + waitsMillis[199]);
         assertEquals(new Backoff(1_000, 1_000, 3).nextWait(), new Backoff(1_000, 1_000, 3).nextWait());
     }
 }
--- a/proxy/src/test/java/dockrelay/proxy/CallPacingTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/CallPacingTest.java
@@ -29,16 +29,16 @@
 
     private static void assertAllListsBy(Scenario scenario, long deadlineMillis) {
         for (long seed = 1; seed <= SEED_COUNT; seed++) {
-            long lastAnswerMillis = new DiscoveryModel(scenario,
-                seed).play(SIMULATION_MILLIS).lastAnswerMillis();
+            long lastAnswerMillis =
+                new DiscoveryModel(scenario, seed).play(SIMULATION_MILLIS).lastAnswerMillis();
             assertTrue(lastAnswerMillis <= deadlineMillis, scenario + ", seed " + seed
-                + ": last proxy has its list after "
-                + lastAnswerMillis + " ms");
+                + ": last proxy has its list after " + lastAnswerMillis + " ms");
         }
     }
 
     /**
-     * {@code wholeFleet} is the time in which discovery can serve the whole fleet if each proxy calls once.
+     * {@code fleetMillis} is the time in which discovery can serve the whole fleet if each proxy calls
+     * once.
      */
     @ParameterizedTest
     @CsvSource({"OUTAGE,24,4000", "OUTAGE,100,5000", "START,24,4000", "START,100,5000", "SILENCE,24,4000",
@@ -60,8 +60,7 @@
                 long fleetMillis = Math.min(MAX_FLEET_MILLIS, CALL_MILLIS * fleetSize);
                 for (Trigger trigger : new Trigger[] {Trigger.OUTAGE, Trigger.OUTAGE_CLOSED}) {
                     assertAllListsBy(new Scenario(trigger, fleetSize, fleetMillis).withOutage(outageMillis,
-                        outageMode),
-                        deadlineMillis(trigger));
+                        outageMode), deadlineMillis(trigger));
                 }
             }
         }
@@ -86,8 +85,8 @@
         assertAllListsBy(new Scenario(Trigger.CUT, fleetSize, 600).withMaxQueuedCalls(fleetSize),
             DRAIN_GRACE_MILLIS);
         assertAllListsBy(new Scenario(Trigger.CLOSED, fleetSize, 1_000), DRAIN_GRACE_MILLIS);
-        assertAllListsBy(new Scenario(Trigger.CUT, fleetSize,
-            600).withMaxQueuedCalls(fleetSize).withTruncatedAnswers(1), DRAIN_GRACE_MILLIS);
+        assertAllListsBy(new Scenario(Trigger.CUT, fleetSize, 600).withMaxQueuedCalls(fleetSize)
+            .withTruncatedAnswers(1), DRAIN_GRACE_MILLIS);
         assertAllListsBy(new Scenario(Trigger.RESET, fleetSize, 1_300), DRAIN_GRACE_MILLIS);
     }
 
@@ -121,12 +120,11 @@
         for (int firstProxy = 0; firstProxy < fleetSize; firstProxy += groupSize) {
             long groupSumMillis = 0;
             for (int i = firstProxy; i < firstProxy + groupSize; i++) {
-                groupSumMillis += new CallPacing(fleetSize, i, SUBSCRIBE_WITHIN_MILLIS,
-                    i).waitBeforeFirstCall();
+                groupSumMillis +=
+                    new CallPacing(fleetSize, i, SUBSCRIBE_WITHIN_MILLIS, i).waitBeforeFirstCall();
             }
             assertTrue(groupSumMillis / groupSize <= DiscoveryTimeouts.MAX_CALL_INTERVAL_MILLIS,
-                "sum of waits in group " + firstProxy
-                + ": " + groupSumMillis);
+                "sum of waits in group " + firstProxy + ": " + groupSumMillis);
         }
     }
 
@@ -137,10 +135,10 @@
         assertEquals(0, pacing.waitAfterSilence());
         assertEquals(0, pacing.waitAfterMove());
         for (int i = 0; i < 100; i++) {
-            long wait = pacing.waitAfterFailure(0, true);
-            assertTrue(wait <= Math.min(DiscoveryTimeouts.FIRST_BACKOFF_MILLIS << Math.min(i, 10),
+            long waitMillis = pacing.waitAfterFailure(0, true);
+            assertTrue(waitMillis <= Math.min(DiscoveryTimeouts.FIRST_BACKOFF_MILLIS << Math.min(i, 10),
                 DiscoveryTimeouts.MAX_CALL_INTERVAL_MILLIS),
-                i + ": wait in ms is " + wait);
+                i + ": wait in ms is " + waitMillis);
         }
         assertEquals(0, pacing.waitAfterFailure(DiscoveryTimeouts.MAX_CALL_INTERVAL_MILLIS, true),
             "the wait counts from the start of the call");
@@ -190,20 +188,19 @@
     void proxiesSpreadCallsWhenDiscoveryIsOutdated() {
         int fleetSize = 100;
         long callMillis = 53;
-        long[] calledAtMillis = new long[fleetSize];
+        long[] callStartsMillis = new long[fleetSize];
         for (int i = 0; i < fleetSize; i++) {
             CallPacing pacing = new CallPacing(fleetSize, i, SUBSCRIBE_WITHIN_MILLIS, i);
             pacing.recordAnswer(callMillis);
-            calledAtMillis[i] = pacing.waitWhileOutdated();
-            assertTrue(calledAtMillis[i] <= DiscoveryTimeouts.DELIVERY_DEADLINE_MILLIS,
-                "called too late, after ms: "
-                + calledAtMillis[i]);
+            callStartsMillis[i] = pacing.waitWhileOutdated();
+            assertTrue(callStartsMillis[i] <= DiscoveryTimeouts.DELIVERY_DEADLINE_MILLIS,
+                "called too late, after ms: " + callStartsMillis[i]);
         }
-        Arrays.sort(calledAtMillis);
+        Arrays.sort(callStartsMillis);
         long servedUntilMillis = 0, maxQueueMillis = 0;
-        for (long callMoment : calledAtMillis) {
-            servedUntilMillis = Math.max(servedUntilMillis, callMoment) + callMillis;
-            maxQueueMillis = Math.max(maxQueueMillis, servedUntilMillis - callMoment);
+        for (long callStartMillis : callStartsMillis) {
+            servedUntilMillis = Math.max(servedUntilMillis, callStartMillis) + callMillis;
+            maxQueueMillis = Math.max(maxQueueMillis, servedUntilMillis - callStartMillis);
         }
         assertTrue(maxQueueMillis < DiscoveryModel.MAX_QUEUE_MILLIS, "longest time in the queue in ms: "
             + maxQueueMillis);
@@ -216,10 +213,10 @@
     void repeatedTruncationBacksOff() {
         CallPacing pacing = new CallPacing(100, 0, SUBSCRIBE_WITHIN_MILLIS, 3);
         for (int i = 0; i < 100; i++) {
-            long wait = pacing.waitAfterTruncatedAnswer();
-            long bound = Math.min(CallPacing.JITTER_MILLIS << Math.min(i, 10),
+            long waitMillis = pacing.waitAfterTruncatedAnswer();
+            long boundMillis = Math.min(CallPacing.JITTER_MILLIS << Math.min(i, 10),
                 DiscoveryTimeouts.MAX_CALL_INTERVAL_MILLIS);
-            assertTrue(wait <= bound, i + ": wait in ms is " + wait);
+            assertTrue(waitMillis <= boundMillis, i + ": wait in ms is " + waitMillis);
         }
         long sumMillis = 0;
         for (int i = 0; i < 100; i++) {
--- a/proxy/src/test/java/dockrelay/proxy/DiscoveryModel.java
+++ b/proxy/src/test/java/dockrelay/proxy/DiscoveryModel.java
@@ -42,13 +42,12 @@
     enum OutageMode { REFUSES, TIMES_OUT }
 
     /**
-     * A fleet and its discovery service. {@code wholeFleet} is the time to serve each proxy once; calls
-     * beyond {@code maxQueue} pending ones are refused; {@code outage} only applies to the outage triggers;
-     * {@code cutAnswers} answers to each proxy are truncated before a complete one.
+     * A fleet and its discovery service. {@code fleetServiceMillis} is the time to serve each proxy once;
+     * calls beyond {@code maxQueuedCalls} are refused; {@code outageMillis} only applies to the outage
+     * triggers; {@code truncatedAnswers} answers to each proxy are truncated before a complete one.
      */
     record Scenario(Trigger trigger, int fleetSize, long fleetServiceMillis, long outageMillis,
-        OutageMode outageMode, int maxQueuedCalls,
-                    int truncatedAnswers) {
+                    OutageMode outageMode, int maxQueuedCalls, int truncatedAnswers) {
         private static final long DEFAULT_OUTAGE_MILLIS = 8_000;
         private static final int DEFAULT_MAX_QUEUED_CALLS = 60;
 
@@ -77,9 +76,11 @@
         }
     }
 
+    /** An action that is due at a time of the virtual clock; events of the same time run in order. */
     private record Event(long timeMillis, long sequence, Runnable action) {
     }
 
+    /** One call of a proxy. */
     private static final class Call {
         final long startMillis;
         boolean finished;
@@ -192,8 +193,8 @@
 
     /** Runs the simulation until this time after the trigger. */
     DiscoveryModel play(long durationMillis) {
-        boolean outage = scenario.trigger == Trigger.OUTAGE || scenario.trigger == Trigger.OUTAGE_CLOSED;
-        downUntilMillis = outage ? scenario.outageMillis : 0;
+        boolean isOutage = scenario.trigger == Trigger.OUTAGE || scenario.trigger == Trigger.OUTAGE_CLOSED;
+        downUntilMillis = isOutage ? scenario.outageMillis : 0;
         int callerCount = switch (scenario.trigger) {
             case CLOSED_ONE, CUT_ONE -> 1;
             case START_MOST -> Math.max(1, scenario.fleetSize * 7 / 10);
--- a/proxy/src/test/java/dockrelay/proxy/DiscoveryTimeoutsTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/DiscoveryTimeoutsTest.java
@@ -23,21 +23,19 @@
     }
 
     /**
-     * Simulates the calls of Discovery: the next one starts ANSWER ms after a call without an answer, or
-     * after a random wait if the call failed. Returns the start of the first call at or after the given
-     * time.
+     * Simulates the calls of {@link DiscoveryClient}: the next one starts one answer timeout after a call
+     * without an answer, or after a random wait if the call failed. Returns the start of the first call at
+     * or after the given time.
      */
     private static long firstCallFrom(long returnMillis, OutageMode outageMode, SplittableRandom random) {
         Backoff backoff = new Backoff(DiscoveryTimeouts.FIRST_BACKOFF_MILLIS,
-            DiscoveryTimeouts.MAX_CALL_INTERVAL_MILLIS,
-            random.nextLong());
+            DiscoveryTimeouts.MAX_CALL_INTERVAL_MILLIS, random.nextLong());
         long startMillis = 0;
         while (startMillis < returnMillis) {
             long nextStartMillis = startMillis + DiscoveryTimeouts.ANSWER_TIMEOUT_MILLIS;
             if (outageMode.failureMillis < DiscoveryTimeouts.ANSWER_TIMEOUT_MILLIS) {
                 nextStartMillis = startMillis + outageMode.failureMillis
-                    + DiscoveryTimeouts.remainingWait(outageMode.failureMillis,
-                    backoff.nextWait());
+                    + DiscoveryTimeouts.remainingWait(outageMode.failureMillis, backoff.nextWait());
             }
             startMillis = Math.max(startMillis + 1, nextStartMillis);
         }
--- a/proxy/src/test/java/dockrelay/proxy/DiscoveryWatchTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/DiscoveryWatchTest.java
@@ -56,8 +56,8 @@
                 out.write((RESPONSE_HEADER + chunk(firstList)).getBytes(StandardCharsets.UTF_8));
                 if (fault == Fault.STALLS_IN_OBJECT || fault == Fault.ENDS_IN_OBJECT
                     || fault == Fault.WHITESPACE_IN_OBJECT) {
-                    out.write(chunk(nextList.substring(0,
-                        nextList.length() / 2)).getBytes(StandardCharsets.UTF_8));
+                    out.write(chunk(nextList.substring(0, nextList.length() / 2))
+                        .getBytes(StandardCharsets.UTF_8));
                 }
                 if (fault == Fault.ENDS_IN_OBJECT) {
                     return;
@@ -66,8 +66,8 @@
                     out.write(chunk("\n").getBytes(StandardCharsets.UTF_8));
                     sleepBriefly();
                 }
-            // a hung host accepts connections but sends nothing
             } else if (watchNumber > 1 || fault != Fault.HUNG_HOST) {
+                // The second connection to a hung host is accepted but gets no answer.
                 out.write((RESPONSE_HEADER + chunk(nextList)).getBytes(StandardCharsets.UTF_8));
             }
             while (connection.getInputStream().read() >= 0) {
@@ -173,9 +173,9 @@
 
     @Test
     void multiLineListsAreAccepted() throws Exception {
-        String indented = listWith(7, firstBackend).replace(",", ",\n    ").replace("{", "{\n  ") + "\n\n"
-            + listWith(8, secondBackend).replace("}", "\n}").replace("\":", "\" :\t");
-        try (FaultyDiscovery discovery = new FaultyDiscovery(Fault.SILENT, indented, "")) {
+        String indentedLists = listWith(7, firstBackend).replace(",", ",\n    ").replace("{", "{\n  ")
+            + "\n\n" + listWith(8, secondBackend).replace("}", "\n}").replace("\":", "\" :\t");
+        try (FaultyDiscovery discovery = new FaultyDiscovery(Fault.SILENT, indentedLists, "")) {
             proxy = new Proxy(Fakes.config(discovery.port(), 1024));
             awaitServedBy("two");
             assertEquals(1, discovery.requests.size(), "calls");
@@ -270,8 +270,8 @@
             long startNanos = System.nanoTime();
             long minDurationNanos = (DiscoveryTimeouts.SILENCE_TIMEOUT_MILLIS
                 + DiscoveryTimeouts.STANDBY_DELAY_MILLIS) * 1_000_000L;
-            Fakes.await("the silence timeout to pass", () -> System.nanoTime()
-                - startNanos > minDurationNanos);
+            Fakes.await("the silence timeout to pass",
+                () -> System.nanoTime() - startNanos > minDurationNanos);
             assertEquals(1, discovery.requests.size());
             heartbeatThread.interrupt();
             heartbeatThread.join();
@@ -290,13 +290,13 @@
             discovery.rejecting = true;
             String knownEntry = Fakes.entryJson("s-1", firstBackend.port(), "active");
             Config config = Fakes.config(0, discovery.port(), 1024, knownEntry, mode);
-            FutureTask<Proxy> starting = new FutureTask<>(() -> new Proxy(config));
-            new Thread(starting).start();
+            FutureTask<Proxy> startingProxy = new FutureTask<>(() -> new Proxy(config));
+            new Thread(startingProxy).start();
             Fakes.await("several failed calls", () -> discovery.requests.size() > 5);
-            assertFalse(starting.isDone(), "started to serve by the cached list");
+            assertFalse(startingProxy.isDone(), "started to serve by the cached list");
             discovery.setFirstList(listWith(9, secondBackend));
             discovery.rejecting = false;
-            proxy = starting.get();
+            proxy = startingProxy.get();
             awaitServedBy("two");
             assertTrue(firstBackend.requests.isEmpty());
         }
--- a/proxy/src/test/java/dockrelay/proxy/GracefulShutdownTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/GracefulShutdownTest.java
@@ -42,8 +42,8 @@
             partialClient.send(request.substring(0, 20));
             Fakes.await("three client connections", () -> proxy.clientConnectionCount() == 3);
             int port = proxy.listenAddress().getPort();
-            Thread stopping = new Thread(proxy::stop);
-            stopping.start();
+            Thread stopThread = new Thread(proxy::stop);
+            stopThread.start();
             Fakes.await("new connections to be refused", () -> {
                 try {
                     new Socket(InetAddress.getLoopbackAddress(), port).close();
@@ -56,11 +56,11 @@
                 client.send(client == partialClient ? request.substring(20) : FakeClient.getRequest("4.0"));
             }
             for (FakeClient client : new FakeClient[] {usedClient, unusedClient, partialClient}) {
-                String answer = client.readResponse();
-                assertTrue(answer != null && answer.startsWith("HTTP/1.1 200"), answer);
-                assertTrue(answer.toLowerCase().contains("connection: close"), answer);
+                String response = client.readResponse();
+                assertTrue(response != null && response.startsWith("HTTP/1.1 200"), response);
+                assertTrue(response.toLowerCase().contains("connection: close"), response);
             }
-            stopping.join();
+            stopThread.join();
         }
     }
 }
--- a/proxy/src/test/java/dockrelay/proxy/KnownListTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/KnownListTest.java
@@ -51,13 +51,12 @@
         registry.applyUpdate(entries, true);
         RequestTable.ListedBackend firstBackend = registry.get("s-1");
         assertEquals(entries.get(0), firstBackend);
-        assertEquals(firstBackend, registry.readEntry(Map.of("id", "s-1", "zone",
-            firstBackend.backend().zone(), "kind",
-            firstBackend.backend().kind(), "addr", "127.0.0.1:81", "cell", firstBackend.backend().cell(),
-            "weight",
-            firstBackend.backend().weight(), "started_ms", firstBackend.backend().startedAt() / 1000,
-            "state", "active")),
-            "an unchanged entry from discovery must yield an equal member");
+        assertEquals(firstBackend, registry.readEntry(Map.of("id", "s-1",
+            "zone", firstBackend.backend().zone(), "kind", firstBackend.backend().kind(),
+            "addr", "127.0.0.1:81", "cell", firstBackend.backend().cell(),
+            "weight", firstBackend.backend().weight(),
+            "started_ms", firstBackend.backend().startedAt() / 1000, "state", "active")),
+            "an unchanged entry from discovery must yield an equal object");
     }
 
     @Test
@@ -89,14 +88,13 @@
             port = portReservation.getLocalPort();
         }
         try (FakeBackend backend = new FakeBackend(request -> Fakes.httpResponse("200 OK", "", "one"));
-             FakeDiscovery unavailableDiscovery = new FakeDiscovery(); FakeDiscovery nextDiscovery =
-                 new FakeDiscovery()) {
+             FakeDiscovery unavailableDiscovery = new FakeDiscovery();
+             FakeDiscovery nextDiscovery = new FakeDiscovery()) {
             unavailableDiscovery.rejecting = true;
             nextDiscovery.setFirstList(FakeDiscovery.listJson(2, true,
                 Fakes.entryJson("s-1", backend.port(), "active")));
             String entriesJson = IntStream.range(0, BACKEND_COUNT).mapToObj(i ->
-                Fakes.entryJson("s-" + i, backend.port(),
-                "active")).collect(Collectors.joining(","));
+                Fakes.entryJson("s-" + i, backend.port(), "active")).collect(Collectors.joining(","));
             Path file = folder.resolve("config.json");
             Files.writeString(file, Fakes.configJson(port, unavailableDiscovery.port(), 1024, entriesJson,
                 ""));
--- a/proxy/src/test/java/dockrelay/proxy/ListApplierTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/ListApplierTest.java
@@ -29,7 +29,7 @@
     private static final int NAME_COUNT = 1_500;
     private static final int[] LIST_SIZES = {2_000, 4_000, 8_000};
 
-    /** Receives the members and keeps them as the connection pool and the balancer do. */
+    /** Receives the backends and keeps them as the connection pool and the balancer do. */
     private static final class RecordingSink implements ListApplier.Sink {
         final OperatorOverrides overrides = new OperatorOverrides(null);
         final BackendRegistry registry;
@@ -50,16 +50,16 @@
         }
 
         @Override
-        public void updateBackends(ListUpdateType scope, List<ListedBackend> members) {
+        public void updateBackends(ListUpdateType updateType, List<ListedBackend> listedBackends) {
             if (updatesUntilFailure > 0 && --updatesUntilFailure == 0) {
                 throw new IllegalStateException("simulated failure of the sink");
             }
-            updateTypes.add(scope);
-            maxBatchSize = Math.max(maxBatchSize, members.size());
-            if (scope == ListUpdateType.FULL) {
+            updateTypes.add(updateType);
+            maxBatchSize = Math.max(maxBatchSize, listedBackends.size());
+            if (updateType == ListUpdateType.FULL) {
                 heldBackends.clear();
             }
-            for (ListedBackend listedBackend : members) {
+            for (ListedBackend listedBackend : listedBackends) {
                 heldBackends.put(listedBackend.backend().id(), listedBackend.backend());
             }
             heldBackends.values().removeIf(backend -> backend.phase() == Phase.GONE);
@@ -77,14 +77,14 @@
 
         int runPendingTurns() {
             int turnCount = 0;
-            for (Runnable next = pendingTurns.poll(); next != null; next = pendingTurns.poll()) {
-                next.run();
+            for (Runnable turn = pendingTurns.poll(); turn != null; turn = pendingTurns.poll()) {
+                turn.run();
                 turnCount++;
             }
             return turnCount;
         }
 
-        /** The members in the registry, by name. */
+        /** The backends in the registry, by name. */
         Map<String, Backend> registeredBackends() {
             Map<String, Backend> backendsByName = new TreeMap<>();
             for (int i = 0; i < NAME_COUNT; i++) {
@@ -144,11 +144,10 @@
         for (int size : LIST_SIZES) {
             RecordingSink sink = sinkWithBackends(size);
             sink.applier.apply(convertedUpdate(sink, 2, true, entries(0, size, "active")));
-            int turns = sink.runPendingTurns() + 1;
+            int turnCount = sink.runPendingTurns() + 1;
             assertEquals(MAX_BATCH, sink.maxBatchSize);
-            assertTrue(turns <= size / MAX_BATCH + 2 * (size / (16 * MAX_BATCH)) + 6, turns
-                + " turns for entries: "
-                + size);
+            assertTrue(turnCount <= size / MAX_BATCH + 2 * (size / (16 * MAX_BATCH)) + 6, turnCount
+                + " turns for entries: " + size);
             sink.applier.apply(convertedUpdate(sink, 3, false, entries(0, size / 7, "left")));
             sink.runPendingTurns();
             sink.applier.apply(convertedUpdate(sink, 4, true, entries(size, 2 * size, "active")));
@@ -156,7 +155,7 @@
             assertEquals(MAX_BATCH, sink.maxBatchSize);
             assertEquals(size, sink.heldBackends.size());
             assertFalse(sink.updateTypes.contains(ListUpdateType.FULL),
-                "a full scope makes the balancer scan all its backends in one turn");
+                "a full list makes the balancer scan all its backends in one turn");
             assertEquals(List.of(1L, 2L, 3L, 4L), sink.appliedVersions);
         }
     }
@@ -188,17 +187,17 @@
             }
             assertEquals(1, sink.updateTypes.size(), "only the first change is applied at once");
             assertEquals(2 * size > ListApplier.MAX_PENDING_CHANGES, sink.applier.isFull());
-            int turns = sink.runPendingTurns();
+            int turnCount = sink.runPendingTurns();
             assertEquals(MAX_BATCH, sink.maxBatchSize);
             int joinedUpdates = size / ListApplier.MAX_PENDING_CHANGES + 1;
-            assertTrue(turns <= size / MAX_BATCH + 4 * joinedUpdates + 2, turns + " turns for entries: "
-                + size);
+            assertTrue(turnCount <= size / MAX_BATCH + 4 * joinedUpdates + 2,
+                turnCount + " turns for entries: " + size);
             assertTrue(sink.updateTypes.size() <= size / MAX_BATCH + joinedUpdates + 1,
                 sink.updateTypes.size() + " batches");
             assertFalse(sink.applier.isFull());
             assertEquals(size + 1, sink.appliedVersions.size());
-            assertTrue(sink.heldBackends.values().stream().allMatch(backend -> backend.phase()
-                == Phase.DRAINING));
+            assertTrue(sink.heldBackends.values().stream()
+                .allMatch(backend -> backend.phase() == Phase.DRAINING));
         }
     }
 
@@ -229,7 +228,7 @@
         assertEquals(Phase.DRAINING, sink.registry.get("s-998").backend().phase());
     }
 
-    /** An operator's change must not restore a member that the list in progress leaves out. */
+    /** An operator's override must not restore a backend that the list in progress omits. */
     @Test
     void overridesDoNotRestoreOmittedBackends() throws Exception {
         RecordingSink sink = sinkWithBackends(1_000);
@@ -241,9 +240,9 @@
         sink.overrides.attach("s-900");
         for (int i = 500; i < 1_000; i++) {
             ListedBackend listedBackend = sink.registry.getWithOverride("s-" + i);
-            assertEquals(listedBackend != null, sink.heldBackends.containsKey(EntryReader.hashOfName("s-"
-                + i)),
-                "a member must be passed on exactly while the sink holds it");
+            assertEquals(listedBackend != null, sink.heldBackends.containsKey(
+                EntryReader.hashOfName("s-" + i)),
+                "a backend must be passed on exactly while the sink holds it");
         }
         sink.runPendingTurns();
         assertEquals(500, sink.heldBackends.size());
@@ -261,7 +260,7 @@
     }
 
     /**
-     * Applies random updates in batches to the first recorder and at once to the second, and returns both.
+     * Applies random updates in batches to the first sink and at once to the second, and returns both.
      */
     private static RecordingSink[] replayRandomUpdates(int seed, ToLongFunction<String> nameHash) {
         Random random = new Random(seed);
@@ -283,8 +282,8 @@
             immediateSink.updateBackends(full ? ListUpdateType.FULL : ListUpdateType.DELTA,
                 immediateSink.registry.applyUpdate(convertedUpdate(immediateSink, version, full,
                 entries).entries(), full));
-            for (int turns = random.nextInt(8); turns > 0
-                && !incrementalSink.pendingTurns.isEmpty(); turns--) {
+            for (int remainingTurns = random.nextInt(8); remainingTurns > 0
+                && !incrementalSink.pendingTurns.isEmpty(); remainingTurns--) {
                 incrementalSink.pendingTurns.poll().run();
             }
         }
@@ -298,18 +297,18 @@
         for (int seed = 1; seed <= 40; seed++) {
             RecordingSink[] sinks = replayRandomUpdates(seed, EntryReader::hashOfName);
             assertTrue(sinks[1].heldBackends.equals(sinks[0].heldBackends),
-                "different members at the sinks, seed " + seed);
+                "different backends at the sinks, seed " + seed);
             assertTrue(sinks[1].registeredBackends().equals(sinks[0].registeredBackends()),
-                "different members in the registries, seed " + seed);
+                "different backends in the registries, seed " + seed);
             assertEquals(sinks[1].registry.size(), sinks[0].registry.size(), "seed " + seed);
-            assertEquals(sinks[1].registry.isAnyBackendReady(), sinks[0].registry.isAnyBackendReady(), "seed "
-                + seed);
+            assertEquals(sinks[1].registry.isAnyBackendReady(), sinks[0].registry.isAnyBackendReady(),
+                "seed " + seed);
         }
     }
 
     /**
-     * Numbers depend on the order of the updates here, but each member must have exactly one, which is also
-     * the one passed on.
+     * Numbers depend on the order of the updates here, but each backend must have exactly one, which is
+     * also the one passed on.
      */
     @Test
     void collidingNamesStayDistinctWhenParsedEarly() {
@@ -319,8 +318,7 @@
             sink.registeredBackends().values().forEach(backend -> backendsById.put(backend.id(), backend));
             assertEquals(sink.registry.size(), backendsById.size(), "seed " + seed);
             assertTrue(backendsById.equals(sink.heldBackends),
-                "members at the sink differ from the registry, seed "
-                + seed);
+                "backends at the sink differ from the registry, seed " + seed);
         }
     }
 }
--- a/proxy/src/test/java/dockrelay/proxy/ListUpdatesDuringDrainTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/ListUpdatesDuringDrainTest.java
@@ -140,12 +140,12 @@
 
     /** Occupies all other backends, so that any backend that may receive requests gets some. */
     private void assertNoNewRequestsAtDrainingBackend() throws IOException {
-        int served = 0;
+        int servedCount = 0;
         for (int round = 0; round < ROUND_COUNT; round++) {
-            served += countServedByOthers();
+            servedCount += countServedByOthers();
         }
         // some may be shed, because these requests take long
-        assertTrue(served > CLIENT_COUNT * ROUND_COUNT / 2, served + " requests served");
+        assertTrue(servedCount > CLIENT_COUNT * ROUND_COUNT / 2, servedCount + " requests served");
     }
 
     private int countServedByOthers() throws IOException {
@@ -156,20 +156,19 @@
             clients.add(new FakeClient(proxy).send(FakeClient.postRequest("put", REQUEST_TIMEOUT_SECONDS)));
         }
         Fakes.await("each request to be in flight or rejected", () -> activeBackend.requests.size()
-            + newestBackend.requests.size()
-            + drainingBackend.requests.size()
+            + newestBackend.requests.size() + drainingBackend.requests.size()
             + clients.stream().filter(ListUpdatesDuringDrainTest::hasResponse).count()
             == requestsBefore + 1 + CLIENT_COUNT);
         assertEquals(1, drainingBackend.requests.size(), "requests at the draining backend");
         otherBackendsReleased.countDown();
-        int served = 0;
+        int servedCount = 0;
         for (FakeClient client : clients) {
             int status = client.readStatus();
             assertTrue(status == 200 || status == 503, "unexpected status " + status);
-            served += status == 200 ? 1 : 0;
+            servedCount += status == 200 ? 1 : 0;
             client.close();
         }
-        return served;
+        return servedCount;
     }
 
     private static boolean hasResponse(FakeClient client) {
@@ -184,8 +183,8 @@
     private void assertDrainCompletes(FakeClient heldClient) throws IOException {
         assertNoNewRequestsAtDrainingBackend();
         drainingBackendReleased.countDown();
-        String answer = heldClient.readResponse();
-        assertEquals("late", answer.substring(answer.length() - 4), answer);
+        String response = heldClient.readResponse();
+        assertEquals("late", response.substring(response.length() - 4), response);
         heldClient.close();
         Fakes.await("the connection of the draining backend to close",
             () -> drainingBackend.openConnections.isEmpty());
@@ -250,7 +249,7 @@
         assertDrainCompletes(heldClient);
     }
 
-    /** Members that a long list leaves out are gone, in the turns after those for the members it names. */
+    /** Backends that a long list omits are gone, in the turns after those for the backends it names. */
     @Test
     void longListOmittingActiveBackendKeepsItsRequests() throws Exception {
         FakeClient heldClient = startWithHeldRequest();
--- a/proxy/src/test/java/dockrelay/proxy/OverloadedDiscovery.java
+++ b/proxy/src/test/java/dockrelay/proxy/OverloadedDiscovery.java
@@ -14,7 +14,7 @@
  * caller: it also ends all of that caller's queued calls.
  */
 final class OverloadedDiscovery implements AutoCloseable {
-    /** Time that a queued call waits while discovery is crowded. */
+    /** Time that a queued call waits during the overload. */
     static final long QUEUE_TIME_MILLIS = 2_000;
     private static final long HEARTBEAT_INTERVAL_MILLIS = 500;
     private final List<CallerServer> callerServers = new ArrayList<>();
@@ -85,9 +85,9 @@
                 remainingMillis = TimeUnit.NANOSECONDS.toMillis(answerAtNanos - System.nanoTime())) {
                 awaitNotification(remainingMillis);
             }
-            boolean served = queuedCalls.remove(connection);
-            answeredCallCount += served ? 1 : 0;
-            return served;
+            boolean wasServed = queuedCalls.remove(connection);
+            answeredCallCount += wasServed ? 1 : 0;
+            return wasServed;
         }
 
         private void sleepUntilHeartbeat() {
@@ -110,7 +110,7 @@
             queuedCalls.add(connection);
             for (Socket queuedCall : queuedCalls) {
                 queuedCall.getOutputStream().write(
-                    Fakes.httpResponse("503 Crowded", "", "").getBytes(StandardCharsets.UTF_8));
+                    Fakes.httpResponse("503 Overloaded", "", "").getBytes(StandardCharsets.UTF_8));
                 queuedCall.close();
             }
             queuedCalls.clear();
--- a/proxy/src/test/java/dockrelay/proxy/OverloadedDiscoveryTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/OverloadedDiscoveryTest.java
@@ -14,14 +14,14 @@
 
 /**
  * Guards against proxies that end their own queued calls. While discovery was overloaded, a call waited up
- * to 2 s in its queue, but a proxy took a call that was unanswered for 1.5 s for dead and made a second
+ * to 2 s in its queue, but a proxy considered a call dead that was unanswered for 1.5 s and made a second
  * one. Discovery refused that one and the queued first call with it (in the log both fail with status 503
  * at the same time of day). With all restarted proxies doing so, no call was answered for 10 s although ten
  * a second were queued, and requests went on to backends that were gone.
  */
 class OverloadedDiscoveryTest {
     private static final int PROXY_COUNT = 4;
-    /** After this time no request may reach a removed backend, however crowded discovery was. */
+    /** After this time no request may reach a removed backend, however overloaded discovery was. */
     private static final long DEADLINE_MILLIS =
         DiscoveryTimeouts.DELIVERY_DEADLINE_MILLIS + RemovedBackendFixture.DRAIN_GRACE_MILLIS
         + RemovedBackendFixture.TOLERANCE_MILLIS;
@@ -64,7 +64,7 @@
         long changedAtNanos = System.nanoTime();
         long deadlineNanos = changedAtNanos + TimeUnit.MILLISECONDS.toNanos(DEADLINE_MILLIS);
         long endNanos = deadlineNanos + TimeUnit.SECONDS.toNanos(1);
-        fixture.assertNoRequestsAfter(deadlineNanos, endNanos, "discovery is crowded");
+        fixture.assertNoRequestsAfter(deadlineNanos, endNanos, "discovery is overloaded");
         for (int i = 0; i < PROXY_COUNT; i++) {
             assertEquals(1, callerServers.get(i).answeredCalls(), "answered calls of proxy n" + i + "\n"
                 + fixture.proxies.get(i).readLog());
--- a/proxy/src/test/java/dockrelay/proxy/ProcessSignalsTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/ProcessSignalsTest.java
@@ -62,8 +62,8 @@
             request.startsWith("POST /put") ? null : Fakes.httpResponse("200 OK", "", "one");
         start();
         process.awaitServing();
-        try (FakeClient waitingClient = process.connectClient(); FakeClient nonReadingClient =
-            process.connectClient();
+        try (FakeClient waitingClient = process.connectClient();
+             FakeClient nonReadingClient = process.connectClient();
              FakeClient idleClient = process.connectClient()) {
             assertEquals(200, idleClient.send(FakeClient.getRequest("4.0")).readStatus());
             waitingClient.send(FakeClient.postRequest("put", "1.0"));
@@ -74,8 +74,8 @@
             process.configure("not a configuration");
             process.signal("HUP");
             process.signal("TERM");
-            String answer = waitingClient.readResponse();
-            assertTrue(answer != null && answer.startsWith("HTTP/1.1 50"), answer);
+            String response = waitingClient.readResponse();
+            assertTrue(response != null && response.startsWith("HTTP/1.1 50"), response);
             assertExitsNormally();
         }
     }
--- a/proxy/src/test/java/dockrelay/proxy/ProxyProcess.java
+++ b/proxy/src/test/java/dockrelay/proxy/ProxyProcess.java
@@ -43,7 +43,7 @@
 
     /**
      * Writes the configuration with this list and these additional settings, in the format of {@link
-     * Fakes#text}.
+     * Fakes#configJson}.
      */
     void configure(int discoveryPort, String knownEntries, String settings) throws IOException {
         configure(Fakes.configJson(port, discoveryPort, 1024, knownEntries, settings)
--- a/proxy/src/test/java/dockrelay/proxy/QueueingDiscovery.java
+++ b/proxy/src/test/java/dockrelay/proxy/QueueingDiscovery.java
@@ -67,13 +67,13 @@
         try {
             long servedAtNanos = System.nanoTime();
             while (true) {
-                CountDownLatch served = queuedCalls.take();
+                CountDownLatch servedLatch = queuedCalls.take();
                 // Measured by the clock, so that the overhead of a sleep on a busy machine does not slow
                 // discovery down.
                 servedAtNanos = Math.max(System.nanoTime() - MAX_LAG_NANOS, servedAtNanos)
                     + TimeUnit.MILLISECONDS.toNanos(callMillis);
                 TimeUnit.NANOSECONDS.sleep(servedAtNanos - System.nanoTime());
-                served.countDown();
+                servedLatch.countDown();
             }
         } catch (InterruptedException e) {
             return; // closed by the test
@@ -117,11 +117,11 @@
         }
 
         private boolean awaitTurn() throws InterruptedException {
-            CountDownLatch served = new CountDownLatch(1);
+            CountDownLatch servedLatch = new CountDownLatch(1);
             if (!down) {
-                queuedCalls.add(served);
+                queuedCalls.add(servedLatch);
             }
-            return served.await(MAX_WAIT_MILLIS, TimeUnit.MILLISECONDS);
+            return servedLatch.await(MAX_WAIT_MILLIS, TimeUnit.MILLISECONDS);
         }
 
         private void write(Socket connection, String text) throws IOException {
--- a/proxy/src/test/java/dockrelay/proxy/RemovedBackendFixture.java
+++ b/proxy/src/test/java/dockrelay/proxy/RemovedBackendFixture.java
@@ -39,8 +39,8 @@
     }
 
     /**
-     * Sends requests to each proxy until {@code until} ({@link System#nanoTime}). Checks that each proxy
-     * serves requests, and that none reaches the removed backend after {@code stopped}.
+     * Sends requests to each proxy until {@code endNanos} ({@link System#nanoTime}). Checks that each proxy
+     * serves requests, and that none reaches the removed backend after {@code deadlineNanos}.
      */
     void assertNoRequestsAfter(long deadlineNanos, long endNanos, Object details) throws Exception {
         List<SequentialClient> clients = new ArrayList<>();
--- a/proxy/src/test/java/dockrelay/proxy/TruncatedAnswerTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/TruncatedAnswerTest.java
@@ -44,11 +44,12 @@
 
     @ParameterizedTest
     @CsvSource({"CLOSE,0.5,0", "RESET,0.5,0", "CLOSE,0.5,1", "CLOSE,0,0", "RESET,0,0", "STALL,0.5,0"})
-    void removalIsAppliedWithinDrainGrace(EndMode end, double sentFraction,
+    void removalIsAppliedWithinDrainGrace(EndMode endMode, double sentFraction,
         int furtherTruncatedAnswers) throws Exception {
         startAll();
         String change = FakeDiscovery.listJson(2, false, fixture.removedEntry);
-        discovery.truncateAll(change, (int) (change.length() * sentFraction), end, furtherTruncatedAnswers);
+        discovery.truncateAll(change, (int) (change.length() * sentFraction), endMode,
+            furtherTruncatedAnswers);
         long truncatedAtNanos = System.nanoTime();
         long deadlineNanos = truncatedAtNanos
             + TimeUnit.MILLISECONDS.toNanos(RemovedBackendFixture.DRAIN_GRACE_MILLIS
--- a/proxy/src/test/java/dockrelay/proxy/TruncatingDiscovery.java
+++ b/proxy/src/test/java/dockrelay/proxy/TruncatingDiscovery.java
@@ -44,8 +44,9 @@
     }
 
     /**
-     * Sends the first {@code bytes} bytes of the change on each watch and ends it. The next {@code
-     * furtherAnswers} answers to each caller are truncated in the same way; later ones are complete.
+     * Sends the first {@code byteCount} bytes of the change on each watch and ends it. The next {@code
+     * furtherTruncatedAnswers} answers to each caller are truncated in the same way; later ones are
+     * complete.
      */
     void truncateAll(String change, int byteCount, EndMode mode,
         int furtherTruncatedAnswers) throws IOException {
--- a/proxy/src/test/java/dockrelay/proxy/WarmUpTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/WarmUpTest.java
@@ -53,8 +53,8 @@
     /** Where Unix domain sockets are not possible, the warm-up runs in memory. */
     @Test
     void warmUpFallsBackToMemory(@TempDir Path folder) {
-        Path missing = folder.resolve("missing");
-        assertFalse(WarmUp.run(Fakes.config(1, 1024), PooledByteBufAllocator.DEFAULT, missing));
+        Path missingFolder = folder.resolve("missing");
+        assertFalse(WarmUp.run(Fakes.config(1, 1024), PooledByteBufAllocator.DEFAULT, missingFolder));
     }
 
     /**
@@ -63,8 +63,8 @@
      */
     @Test
     void runCommandCompilesInForeground() throws IOException {
-        String run = runCommand();
-        assertTrue(run.startsWith("run = \"exec java "), run);
-        assertTrue(run.contains(" -Xbatch "), run);
+        String command = runCommand();
+        assertTrue(command.startsWith("run = \"exec java "), command);
+        assertTrue(command.contains(" -Xbatch "), command);
     }
 }
