--- a/proxy/src/main/java/dockrelay/proxy/Backoff.java
+++ b/proxy/src/main/java/dockrelay/proxy/Backoff.java
@@ -3,30 +3,30 @@
 import java.util.SplittableRandom;
 
 /**
- * Waits between tries that fail: bounded by a figure that doubles up to a most, and anywhere below it (full
- * jitter), as proxies that were killed together would else call together.
+ * Exponential backoff with full jitter: each wait is uniformly distributed between 0 and a bound that
+ * doubles up to a maximum. Without jitter, proxies that were killed together would retry in step.
  */
 final class Backoff {
-    private final long first, most;
+    private final long firstBoundMillis, maxBoundMillis;
     private final SplittableRandom random;
-    private long bound;
+    private long boundMillis;
 
-    Backoff(long first, long most, long seed) {
-        this.first = first;
-        this.most = most;
+    Backoff(long firstBoundMillis, long maxBoundMillis, long seed) {
+        this.firstBoundMillis = firstBoundMillis;
+        this.maxBoundMillis = maxBoundMillis;
         this.random = new SplittableRandom(seed);
-        this.bound = first;
+        this.boundMillis = firstBoundMillis;
     }
 
-    /** How long to wait this time. */
-    long next() {
-        long wait = random.nextLong(bound + 1);
-        bound = Math.min(most, bound * 2);
-        return wait;
+    /** Returns the next wait and doubles the bound. */
+    long nextWait() {
+        long waitMillis = random.nextLong(boundMillis + 1);
+        boundMillis = Math.min(maxBoundMillis, boundMillis * 2);
+        return waitMillis;
     }
 
-    /** A try went well. */
+    /** Resets the bound after a success. */
     void reset() {
-        bound = first;
+        boundMillis = firstBoundMillis;
     }
 }
--- a/proxy/src/main/java/dockrelay/proxy/CallPacing.java
+++ b/proxy/src/main/java/dockrelay/proxy/CallPacing.java
@@ -3,198 +3,269 @@
 import java.util.SplittableRandom;
 
 /**
- * Decides when a proxy calls a discovery that it shares with its whole fleet, by how its own calls end. It is
- * a pure state machine: each event returns the wait until the next call.
+ * Decides when a proxy calls a discovery service that its whole fleet shares, from the outcome of its own
+ * calls. A pure state machine: each event returns the wait until the next call. All times are in
+ * milliseconds.
  *
- * <p>Discovery serves one call after another, and also those whose caller has given up by then. Where a fleet
- * calls more often than that, each call waits until it has failed, its caller calls again, and none is
- * answered any more, for as long as they all go on so (congestion collapse). Waiting longer than needed is as
- * bad: what a broken answer had to say counts as known. So
+ * <p>Discovery serves one call at a time, including calls whose caller has already given up. If a fleet
+ * calls faster than discovery serves, every call waits in the queue until it times out, its caller calls
+ * again, and no call is answered as long as the callers keep that up (congestion collapse). Waiting longer
+ * than necessary is as harmful, because the content of a truncated answer counts as known to the proxy as
+ * soon as it was written. Therefore:
  * <ul>
- * <li>an answer that broke off shows that discovery has room: the next call follows at once;
- * <li>a call that was refused at once has cost discovery nothing: exponential backoff with full jitter;
- * <li>a call that failed after a wait has met a queue: the next one comes an interval after it, and the
- * interval grows while that goes on;
- * <li>where many proxies may call for one reason, their calls are spread over the time that discovery needs
- * for all of them, estimated from the fastest answer so far.
+ * <li>a truncated answer shows that discovery has capacity: the next call follows at once;
+ * <li>a call that was refused at once cost discovery nothing: exponential backoff with full jitter;
+ * <li>a call that failed after a wait has met a queue: the next call starts one interval after it, and the
+ * interval grows while that continues;
+ * <li>where many proxies may call for the same reason, their calls are spread over the time that discovery
+ * needs to serve all of them, estimated from the fastest answer so far.
  * </ul>
- * In a small fleet no interval is longer than a backoff's longest wait. Times are in milliseconds.
+ * In a small fleet no interval is longer than the maximum wait of the backoff.
  */
 final class CallPacing {
-    /** Of the first interval, for each proxy of the fleet, up to the longest first interval. */
-    static final long INTERVAL_PER_PROXY = 250;
-    /** Shorter than {@link DiscoveryTimeouts#TOLD}: a call and its wait have to fit in as well. */
-    static final long MAX_FIRST_INTERVAL = DiscoveryTimeouts.TOLD - 1_250;
-    /** The longest interval, in first ones. */
-    private static final int MAX_GROWTH = 8;
-    /** Of an interval after the other while calls fail after a wait. */
-    private static final double GROWTH = 2;
-    /** An outage lets calls wait as well, and must not make its end late: so many failures do not count. */
+    /**
+     * Share of each proxy of the fleet in the first interval, which is capped at the maximum first
+     * interval.
+     */
+    static final long INTERVAL_PER_PROXY_MILLIS = 250;
+    /**
+     * Shorter than the delivery deadline, because a call and its wait in the queue have to fit in as well.
+     */
+    static final long MAX_FIRST_INTERVAL_MILLIS = DiscoveryTimeouts.DELIVERY_DEADLINE_MILLIS - 1_250;
+    /** Maximum interval, as a multiple of the first interval. */
+    private static final int MAX_INTERVAL_FACTOR = 8;
+    /** Factor from one interval to the next while calls fail after a wait. */
+    private static final double INTERVAL_GROWTH_FACTOR = 2;
+    /**
+     * Calls also wait during an outage, which must not delay the first call after its end: this many
+     * failures do not lengthen the interval.
+     */
     static final int FAILURES_BEFORE_GROWTH = 4;
-    /** Parts of the first interval over which calls spread at the most, by why they are made. */
-    private static final double START_PART = 0.88, RESET_PART = 0.7, CLOSED_PART = 0.25, SILENT_PART = 0.75,
-        MOVED_PART = 0.7;
-    /** This share of starting proxies calls at once: the queue has room for some, and a few are no crowd. */
-    private static final double PROMPT_SHARE = 0.25;
-    private static final long PROMPT = 250;
-    /** Repeats come after one part of an interval at the least, and after the other at the most. */
-    private static final double MIN_REPEAT_PART = 0.7, MAX_REPEAT_PART = 1.2;
-    /** Multiples of them spread any run of numbers evenly, and independently of each other. */
-    private static final double FIRST_STEP = (Math.sqrt(5) - 1) / 2, REPEAT_STEP = Math.sqrt(2) - 1;
-    /** A call that ends sooner than that was refused, and has cost discovery no turn. */
-    static final long REFUSED_WITHIN = 300;
-    /** So many refused in a row are repeated soon; then they come an interval apart, as all others do. */
-    static final int MAX_QUICK_REPEATS = 2;
-    /** Discovery lets no call wait longer than some 2 s: one that broke off sooner was being answered. */
-    static final long WAITED_OUT = 1_800;
-    /** Where all calls together need no longer than a call may wait, they need not be spread. */
-    private static final long QUEUE_TIME = 500;
-    /** Proxies whose watches were cut by one fault do not call in the same millisecond. */
-    static final long JITTER = 100;
+    /**
+     * Maximum window over which calls are spread, as a fraction of the first interval, by reason for the
+     * call.
+     */
+    private static final double START_SPREAD_FRACTION = 0.88, RESET_SPREAD_FRACTION = 0.7,
+        CLOSED_SPREAD_FRACTION = 0.25, SILENCE_SPREAD_FRACTION = 0.75, MOVE_SPREAD_FRACTION = 0.7;
+    /**
+     * This fraction of starting proxies calls almost at once: the queue has room for some, and a few
+     * proxies do not overload discovery.
+     */
+    private static final double IMMEDIATE_START_FRACTION = 0.25;
+    private static final long IMMEDIATE_START_WINDOW_MILLIS = 250;
+    /** Repeated calls are at least and at most this fraction of an interval apart. */
+    private static final double MIN_REPEAT_FRACTION = 0.7, MAX_REPEAT_FRACTION = 1.2;
+    /**
+     * Multiples of these irrational steps, modulo 1, spread any range of proxy numbers evenly and
+     * independently of each other.
+     */
+    private static final double FIRST_CALL_STEP = (Math.sqrt(5) - 1) / 2, REPEAT_CALL_STEP = Math.sqrt(2) - 1;
+    /** A call that ends sooner than this was refused and did not occupy discovery. */
+    static final long IMMEDIATE_REFUSAL_MILLIS = 300;
+    /**
+     * This many refusals in a row are retried soon; after that, calls are an interval apart like all
+     * others.
+     */
+    static final int MAX_QUICK_RETRIES = 2;
+    /**
+     * Discovery lets no call wait longer than about 2 s: a call that was cut off sooner was being answered.
+     */
+    static final long MIN_QUEUE_TIMEOUT_MILLIS = 1_800;
+    /**
+     * If discovery can serve the calls of all proxies within the time that a call may wait, they need not
+     * be spread.
+     */
+    private static final long QUEUE_CAPACITY_MILLIS = 500;
+    /** Keeps proxies whose watches were cut by the same fault from calling in the same millisecond. */
+    static final long JITTER_MILLIS = 100;
 
     private final SplittableRandom random;
-    private final Backoff refused;
-    private final Backoff broken;
-    private final int proxies;
-    private final double firstSlot, repeatSlot; // this proxy's places where the calls of all are spread
-    private final long firstInterval;
-    private final boolean shared; // a fleet so large that its calls are spread over an interval
-    private long fastestAnswer = Long.MAX_VALUE;
-    private int waitedInVain; // calls in a row
-    private int refusals; // at once, in a row
-    private boolean answerLost; // of the call before, by the end of its connection
-
-    /**
-     * For the so manieth of a fleet of so many; no first interval is longer than the time within which the
-     * settings want a call.
-     */
-    CallPacing(int proxies, int number, long askWithin, long seed) {
-        this.proxies = proxies;
-        this.firstSlot = number * FIRST_STEP % 1;
-        this.repeatSlot = number * REPEAT_STEP % 1;
-        long longest = askWithin <= 0 ? MAX_FIRST_INTERVAL : Math.min(askWithin, MAX_FIRST_INTERVAL);
-        firstInterval = Math.min(longest, proxies * INTERVAL_PER_PROXY);
-        shared = firstInterval > DiscoveryTimeouts.MOST_APART;
-        long maxBackoff = Math.min(longest, DiscoveryTimeouts.MOST_APART);
-        refused = new Backoff(Math.min(maxBackoff, DiscoveryTimeouts.FIRST_APART), maxBackoff, seed);
-        broken = new Backoff(Math.min(maxBackoff, JITTER), maxBackoff, seed);
+    private final Backoff refusalBackoff;
+    private final Backoff truncationBackoff;
+    private final int proxyCount;
+    // this proxy's positions in the windows over which the fleet's calls are spread
+    private final double firstCallSlot, repeatCallSlot;
+    private final long firstIntervalMillis;
+    // whether the fleet is so large that its calls are spread over an interval
+    private final boolean largeFleet;
+    private long fastestAnswerMillis = Long.MAX_VALUE;
+    private int failuresAfterWait; // consecutive calls that failed after a wait
+    private int immediateRefusals; // consecutive calls refused at once
+    private boolean previousAnswerLost; // whether the previous call failed because its connection ended
+
+    /**
+     * Creates the pacing for one proxy of a fleet, given the size of the fleet, the number of this proxy in
+     * it, and the time within which the settings require a call, which caps the first interval (0 or less:
+     * no cap).
+     */
+    CallPacing(int proxyCount, int proxyNumber, long subscribeWithinMillis, long seed) {
+        this.proxyCount = proxyCount;
+        this.firstCallSlot = proxyNumber * FIRST_CALL_STEP % 1;
+        this.repeatCallSlot = proxyNumber * REPEAT_CALL_STEP % 1;
+        long maxIntervalMillis = subscribeWithinMillis <= 0 ? MAX_FIRST_INTERVAL_MILLIS
+            : Math.min(subscribeWithinMillis, MAX_FIRST_INTERVAL_MILLIS);
+        firstIntervalMillis = Math.min(maxIntervalMillis, proxyCount * INTERVAL_PER_PROXY_MILLIS);
+        largeFleet = firstIntervalMillis > DiscoveryTimeouts.MAX_CALL_INTERVAL_MILLIS;
+        long maxBackoffMillis = Math.min(maxIntervalMillis, DiscoveryTimeouts.MAX_CALL_INTERVAL_MILLIS);
+        refusalBackoff = new Backoff(Math.min(maxBackoffMillis, DiscoveryTimeouts.FIRST_BACKOFF_MILLIS),
+            maxBackoffMillis, seed);
+        truncationBackoff = new Backoff(Math.min(maxBackoffMillis, JITTER_MILLIS), maxBackoffMillis, seed);
         random = new SplittableRandom(seed);
     }
 
-    /** Whether this decides on the first call too, and not the module, which knows one proxy alone. */
-    boolean decidesFirstCall() {
-        return shared;
+    /**
+     * Whether this class also schedules the first call, instead of the balancer, which knows of this proxy
+     * alone.
+     */
+    boolean schedulesFirstCall() {
+        return largeFleet;
     }
 
-    /** After the start of a process: in a small fleet by when the module has to have made the first call. */
-    long firstCall() {
-        if (!shared) {
-            return DiscoveryTimeouts.MOST_APART;
+    /**
+     * Wait after the start of a process. In a small fleet: the latest time of the first call if the
+     * balancer has not requested one by then.
+     */
+    long waitBeforeFirstCall() {
+        if (!largeFleet) {
+            return DiscoveryTimeouts.MAX_CALL_INTERVAL_MILLIS;
         }
-        double place = place(firstSlot);
-        return place < PROMPT_SHARE ? (long) (PROMPT * place / PROMPT_SHARE)
-            : (long) (firstInterval * START_PART * (place - PROMPT_SHARE) / (1 - PROMPT_SHARE));
+        double position = slotPosition(firstCallSlot);
+        return position < IMMEDIATE_START_FRACTION
+            ? (long) (IMMEDIATE_START_WINDOW_MILLIS * position / IMMEDIATE_START_FRACTION)
+            : (long) (firstIntervalMillis * START_SPREAD_FRACTION * (position - IMMEDIATE_START_FRACTION)
+                / (1 - IMMEDIATE_START_FRACTION));
     }
 
-    /** The first call of a process that takes over from one that still runs: what holds is due at once. */
-    long firstCallOfSuccessor() {
-        return spread(DiscoveryTimeouts.MOST_APART);
+    /**
+     * Wait before the first call of a process that takes over from one that still runs. It has to know the
+     * current list at once, so the calls are spread over a short time only.
+     */
+    long waitBeforeFirstCallOfSuccessor() {
+        return randomWait(DiscoveryTimeouts.MAX_CALL_INTERVAL_MILLIS);
     }
 
-    /** After an answer, or a watch, that ended in the middle: discovery answers, and has said more. */
-    long afterBrokenAnswer() {
-        return broken.next();
+    /**
+     * Wait after an answer or a watch that ended in the middle of an object: discovery is answering and has
+     * sent more than was received.
+     */
+    long waitAfterTruncatedAnswer() {
+        return truncationBackoff.nextWait();
     }
 
     /**
-     * After a watch has ended between two objects. Where discovery closed it in good order it is there, and
-     * may have had more to say; where it was reset discovery may be away, and all other watches with it.
+     * Wait after a watch has ended between two objects. If discovery closed it in good order, discovery is
+     * up and may have had more to send; if it was reset, discovery may be down, and all other watches with
+     * it.
      */
-    long afterEnd(boolean closed) {
-        return shared ? spreadOverFleet(closed ? CLOSED_PART : RESET_PART) : broken.next();
+    long waitAfterWatchEnd(boolean closedInOrder) {
+        return largeFleet ? spreadOverFleet(closedInOrder ? CLOSED_SPREAD_FRACTION : RESET_SPREAD_FRACTION)
+            : truncationBackoff.nextWait();
     }
 
-    /** After a watch has fallen silent: some of the time in which what it misses counts as known is over. */
-    long afterSilence() {
-        return shared ? spreadOverFleet(SILENT_PART) : 0;
+    /**
+     * Wait after a watch has fallen silent. Part of the time after which the changes it misses count as
+     * known has already passed.
+     */
+    long waitAfterSilence() {
+        return largeFleet ? spreadOverFleet(SILENCE_SPREAD_FRACTION) : 0;
     }
 
-    /** As long as discovery is behind what it told before; all proxies may have noticed at once. */
-    long whileBehind() {
-        return DiscoveryTimeouts.TOLD - (shared ? spreadOverFleet(SILENT_PART) : 0);
+    /**
+     * Wait while discovery returns an older version than before. All proxies may have noticed that at once.
+     */
+    long waitWhileOutdated() {
+        return DiscoveryTimeouts.DELIVERY_DEADLINE_MILLIS
+            - (largeFleet ? spreadOverFleet(SILENCE_SPREAD_FRACTION) : 0);
     }
 
-    /** After discovery has moved, of which all proxies are notified at once; the new one may be slower. */
-    long afterMove() {
-        fastestAnswer = Long.MAX_VALUE;
-        return shared ? spreadOverFleet(MOVED_PART) : 0;
+    /**
+     * Wait after discovery has moved to another address. All proxies are notified at once, and the new
+     * instance may be slower.
+     */
+    long waitAfterMove() {
+        fastestAnswerMillis = Long.MAX_VALUE;
+        return largeFleet ? spreadOverFleet(MOVE_SPREAD_FRACTION) : 0;
     }
 
     /**
-     * After a call has begun, as long as it has no answer: then it is taken for dead, and another one begins
-     * beside it. In a large fleet that one waits for its turn too, as the first may be waiting for its own.
+     * How long a call may remain unanswered before it is considered dead and another one starts beside it.
+     * In a large fleet the second call also waits for its slot, because the first one may still be queued.
      */
-    long whileUnanswered() {
-        return shared ? Math.max(DiscoveryTimeouts.ANSWER, nextInterval()) : DiscoveryTimeouts.ANSWER;
+    long answerTimeout() {
+        return largeFleet ? Math.max(DiscoveryTimeouts.ANSWER_TIMEOUT_MILLIS, nextInterval())
+            : DiscoveryTimeouts.ANSWER_TIMEOUT_MILLIS;
     }
 
     /**
-     * After a call has failed that began so long ago, from which the wait is counted; by a refusal or by the
-     * end of its connection.
+     * Wait after a failed call, counted from the start of that call, {@code sinceStartMillis} ago. {@code
+     * refused} tells whether discovery refused the call; otherwise its connection ended.
      */
-    long afterFailure(long sinceStart, boolean refusal) {
-        boolean atOnce = sinceStart < REFUSED_WITHIN;
-        if (!refusal && !atOnce && sinceStart < WAITED_OUT && !answerLost) {
-            answerLost = true; // the next one says whether that is how discovery fails those that wait
-            return afterBrokenAnswer();
+    long waitAfterFailure(long sinceStartMillis, boolean refused) {
+        boolean immediate = sinceStartMillis < IMMEDIATE_REFUSAL_MILLIS;
+        if (!refused && !immediate && sinceStartMillis < MIN_QUEUE_TIMEOUT_MILLIS && !previousAnswerLost) {
+            previousAnswerLost = true; // the next failure tells whether discovery drops queued calls this way
+            return waitAfterTruncatedAnswer();
         }
-        waitedInVain += atOnce && waitedInVain == 0 ? 0 : 1;
-        boolean quick = !shared || waitedInVain == 0 && refusals++ < MAX_QUICK_REPEATS;
-        long apart = quick ? Math.min(refused.next(), DiscoveryTimeouts.MOST_APART) : nextInterval();
-        return Math.max(0, apart - sinceStart);
+        failuresAfterWait += immediate && failuresAfterWait == 0 ? 0 : 1;
+        boolean retriesSoon = !largeFleet
+            || failuresAfterWait == 0 && immediateRefusals++ < MAX_QUICK_RETRIES;
+        long intervalMillis = retriesSoon
+            ? Math.min(refusalBackoff.nextWait(), DiscoveryTimeouts.MAX_CALL_INTERVAL_MILLIS)
+            : nextInterval();
+        return Math.max(0, intervalMillis - sinceStartMillis);
     }
 
-    /** From the begin of one call to that of the next. */
+    /** Interval between the starts of two consecutive calls. */
     private long nextInterval() {
-        int growing = Math.max(0, waitedInVain - FAILURES_BEFORE_GROWTH);
-        double grown = firstInterval * Math.min(MAX_GROWTH, Math.pow(GROWTH, growing));
-        long interval = neededByFleet() <= DiscoveryTimeouts.TOLD ? firstInterval : (long) grown;
-        double part = MIN_REPEAT_PART + (MAX_REPEAT_PART - MIN_REPEAT_PART) * place(repeatSlot);
-        return (long) (interval * part);
+        int growthSteps = Math.max(0, failuresAfterWait - FAILURES_BEFORE_GROWTH);
+        double grownMillis = firstIntervalMillis * Math.min(MAX_INTERVAL_FACTOR,
+            Math.pow(INTERVAL_GROWTH_FACTOR, growthSteps));
+        long intervalMillis = fleetServiceMillis() <= DiscoveryTimeouts.DELIVERY_DEADLINE_MILLIS
+            ? firstIntervalMillis : (long) grownMillis;
+        double fraction = MIN_REPEAT_FRACTION + (MAX_REPEAT_FRACTION - MIN_REPEAT_FRACTION)
+            * slotPosition(repeatCallSlot);
+        return (long) (intervalMillis * fraction);
     }
 
-    /** The answer to a call has begun, so long after it. */
-    void answered(long afterMillis) {
-        fastestAnswer = Math.min(fastestAnswer, Math.max(1, afterMillis));
-        waitedInVain = 0;
-        answerLost = false;
+    /** The answer to a call has begun, this many milliseconds after the call. */
+    void recordAnswer(long latencyMillis) {
+        fastestAnswerMillis = Math.min(fastestAnswerMillis, Math.max(1, latencyMillis));
+        failuresAfterWait = 0;
+        previousAnswerLost = false;
     }
 
-    /** An object has come whole. */
+    /** Resets all backoff, after a complete object or a change of discovery's address. */
     void reset() {
-        waitedInVain = refusals = 0;
-        refused.reset();
-        broken.reset();
+        failuresAfterWait = immediateRefusals = 0;
+        refusalBackoff.reset();
+        truncationBackoff.reset();
     }
 
-    /** Over the time that discovery needs for all proxies beyond what fits into its queue. */
-    private long spreadOverFleet(double maxPart) {
-        long longest = (long) (firstInterval * maxPart);
-        long needed = neededByFleet() - QUEUE_TIME;
-        return (long) (Math.min(longest, Math.max(JITTER, needed)) * place(firstSlot));
+    /**
+     * Spreads the calls over the time that discovery needs for all proxies beyond what fits into its queue.
+     */
+    private long spreadOverFleet(double maxFraction) {
+        long maxMillis = (long) (firstIntervalMillis * maxFraction);
+        long neededMillis = fleetServiceMillis() - QUEUE_CAPACITY_MILLIS;
+        return (long) (Math.min(maxMillis, Math.max(JITTER_MILLIS, neededMillis))
+            * slotPosition(firstCallSlot));
     }
 
-    /** How long discovery needs to serve each proxy once, at the most. */
-    private long neededByFleet() {
-        return fastestAnswer > Long.MAX_VALUE / proxies ? Long.MAX_VALUE : proxies * fastestAnswer;
+    /** Upper bound of the time that discovery needs to serve each proxy once. */
+    private long fleetServiceMillis() {
+        return fastestAnswerMillis > Long.MAX_VALUE / proxyCount ? Long.MAX_VALUE
+            : proxyCount * fastestAnswerMillis;
     }
 
-    /** Where in an interval this proxy's calls are, from 0 to 1: evenly spread over any part of the fleet. */
-    private double place(double slot) {
-        return (slot + random.nextDouble() / proxies) % 1;
+    /**
+     * This proxy's position in an interval, from 0 to 1. Positions are evenly spread over any subset of the
+     * fleet.
+     */
+    private double slotPosition(double slot) {
+        return (slot + random.nextDouble() / proxyCount) % 1;
     }
 
-    private long spread(long over) {
-        return random.nextLong(over + 1);
+    private long randomWait(long maxMillis) {
+        return random.nextLong(maxMillis + 1);
     }
 }
--- a/proxy/src/main/java/dockrelay/proxy/DiscoveryWatch.java
+++ b/proxy/src/main/java/dockrelay/proxy/DiscoveryWatch.java
@@ -27,208 +27,221 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One watch on the list: a connection, the call made on it, and its answer taken apart into objects. The
- * connection comes up at once, the call is made when it is asked for. Nothing here ends a call that waits for
- * its answer: discovery may be busy with other callers. Once it has answered it must not fall silent.
+ * One watch on the list: a connection, the call made on it, and its answer, which is parsed into objects.
+ * The connection is opened by the constructor, the call is made on request. An unanswered call does not
+ * time out here, because discovery may be busy with other callers; once it has answered, it must not fall
+ * silent.
  */
 final class DiscoveryWatch {
-    private static final int LONGEST_READ = 16 << 10;
-    private static final long SILENT_NANOS = TimeUnit.MILLISECONDS.toNanos(DiscoveryTimeouts.SILENT);
+    private static final int MAX_READ_BYTES = 16 << 10;
+    private static final long SILENCE_TIMEOUT_NANOS =
+        TimeUnit.MILLISECONDS.toNanos(DiscoveryTimeouts.SILENCE_TIMEOUT_MILLIS);
     private static final int STALL_CHECKS = 5;
-    private static final int STALL_CHECK_MILLIS = DiscoveryTimeouts.STALL / STALL_CHECKS;
-    private static final long LATENESS_NANOS = TimeUnit.MILLISECONDS.toNanos(DiscoveryTimeouts.LATENESS);
+    private static final int STALL_CHECK_INTERVAL_MILLIS =
+        DiscoveryTimeouts.STALL_TIMEOUT_MILLIS / STALL_CHECKS;
+    private static final long LATENESS_TOLERANCE_NANOS =
+        TimeUnit.MILLISECONDS.toNanos(DiscoveryTimeouts.LATENESS_TOLERANCE_MILLIS);
 
-    /** Receives what a watch sends, on the event loop. */
+    /** Receives the events of a watch, on the event loop. */
     interface Listener {
-        /** Between two objects: nothing has changed, as far as discovery knows. */
-        void heartbeat(DiscoveryWatch watch);
+        /** A heartbeat between two objects: nothing has changed. */
+        void heartbeatReceived(DiscoveryWatch watch);
 
-        /** Half an object has come, and nothing more for a while. */
-        void stalled(DiscoveryWatch watch);
+        /** An incomplete object has made no progress for {@link DiscoveryTimeouts#STALL_TIMEOUT_MILLIS}. */
+        void watchStalled(DiscoveryWatch watch);
 
-        /** What is to be kept of one entry, as soon as it has come. */
-        Object read(Map<?, ?> entry);
+        /** Converts an entry, as soon as it is parsed, to what is to be kept of it. */
+        Object readEntry(Map<?, ?> entry);
 
-        /** One object, however it is laid out, with its entries as they were read. */
-        void received(DiscoveryWatch watch, ListParser.Update update);
+        /** A complete object, with its entries as {@link #readEntry} converted them. */
+        void updateReceived(DiscoveryWatch watch, ListParser.Update update);
 
-        /** It is over, once. */
-        void ended(DiscoveryWatch watch, String why);
+        /** The watch has ended; called at most once. */
+        void watchEnded(DiscoveryWatch watch, String reason);
     }
 
     /** How a call or a watch ended. */
-    enum Ending {
-        /** By discovery, in good order. */
+    enum EndReason {
+        /** Discovery closed it in good order. */
         CLOSED,
-        /** By a reset, or it never came up. */
+        /** The connection was reset or never came up. */
         BROKEN_CONNECTION,
-        /** The call was answered by an error. */
+        /** The call was answered with an error status. */
         REFUSED,
-        /** It only ceased to speak. */
+        /** Nothing more was received. */
         SILENT
     }
 
     private final Listener listener;
     private final Channel channel;
-    private final String host;
-    private int number; // 0 until the call is made
-    private long version, calledAt;
-    private long answeredAt; // 0 until the head of a good answer has come
-    private long withinSince, movedAt = Long.MIN_VALUE / 2;
-    private String why = "connection closed";
-    private Ending ending = Ending.CLOSED;
+    private final String hostHeader;
+    private int callNumber; // 0 until the call is made
+    private long afterVersion, calledAtNanos;
+    private long answeredAtNanos; // 0 until the header of a 200 answer has been received
+    private long noProgressSinceNanos, lastProgressNanos = Long.MIN_VALUE / 2;
+    private String endMessage = "connection closed";
+    private EndReason endReason = EndReason.CLOSED;
     private boolean ended;
-    private boolean within; // an object of which more is to come
-    private boolean complete; // an object or a heartbeat has come whole
-    private boolean checksForStall, readSinceCheck;
+    private boolean insideObject; // whether an incomplete object has been received
+    private boolean anyObjectComplete; // whether a complete object or a heartbeat has been received
+    private boolean stallCheckScheduled, dataSinceStallCheck;
     private final ListParser parser;
 
-    /** Connects, and no more. */
+    /** Opens the connection without making a call. */
     DiscoveryWatch(Bootstrap template, InetSocketAddress address, Listener listener) {
         this.listener = listener;
-        this.parser = new ListParser(listener::read, this::received);
-        this.host = address.getHostString() + ":" + address.getPort();
-        ChannelFuture connecting = template.clone()
-            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, DiscoveryTimeouts.CONNECT)
-            // Requests have their turn between two parts of a long list.
+        this.parser = new ListParser(listener::readEntry, this::passOnUpdate);
+        this.hostHeader = address.getHostString() + ":" + address.getPort();
+        ChannelFuture connectFuture = template.clone()
+            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, DiscoveryTimeouts.CONNECT_TIMEOUT_MILLIS)
+            // Lets requests be processed between two parts of a long list.
             .option(ChannelOption.RECVBUF_ALLOCATOR,
-                new FixedRecvByteBufAllocator(LONGEST_READ).maxMessagesPerRead(1))
+                new FixedRecvByteBufAllocator(MAX_READ_BYTES).maxMessagesPerRead(1))
             .handler(new ChannelInitializer<Channel>() {
                 @Override
-                protected void initChannel(Channel made) {
-                    made.pipeline().addLast(new HttpClientCodec(), new Answer(), new Objects());
+                protected void initChannel(Channel newChannel) {
+                    newChannel.pipeline().addLast(new HttpClientCodec(), new ResponseHandler(),
+                        new BodyHandler());
                 }
             }).connect(address);
-        channel = connecting.channel();
-        connecting.addListener(done -> {
-            if (!done.isSuccess()) {
-                ending = Ending.BROKEN_CONNECTION;
-                end(String.valueOf(done.cause().getMessage()));
-            } else if (number > 0) {
-                writeCall();
+        channel = connectFuture.channel();
+        connectFuture.addListener(completed -> {
+            if (!completed.isSuccess()) {
+                endReason = EndReason.BROKEN_CONNECTION;
+                notifyEnded(String.valueOf(completed.cause().getMessage()));
+            } else if (callNumber > 0) {
+                writeRequest();
             }
         });
     }
 
-    /** Asks for what is newer than this version, as soon as the connection is up; numbered from 1 on. */
-    void call(long after, int callNumber) {
-        version = after;
-        number = callNumber;
-        calledAt = System.nanoTime();
+    /** Requests the changes since this version as soon as the connection is up; call numbers start at 1. */
+    void requestChanges(long version, int number) {
+        afterVersion = version;
+        callNumber = number;
+        calledAtNanos = System.nanoTime();
         if (channel.isActive()) {
-            writeCall();
+            writeRequest();
         }
     }
 
-    private void writeCall() {
-        String path = "/v1/servers?watch=1" + (version < 0 ? "" : "&after=" + version);
+    private void writeRequest() {
+        String path = "/v1/servers?watch=1" + (afterVersion < 0 ? "" : "&after=" + afterVersion);
         HttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, path);
-        request.headers().set(HttpHeaderNames.HOST, host);
+        request.headers().set(HttpHeaderNames.HOST, hostHeader);
         channel.writeAndFlush(request);
     }
 
-    /** Which call this is and how old, for the log. */
+    /** Number and age of the call, for the log. */
     String describe() {
-        if (number == 0) {
-            return "a connection without a call";
+        if (callNumber == 0) {
+            return "standby connection";
         }
-        long age = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - calledAt);
-        return "call " + number + (version < 0 ? "" : " after version " + version) + ", " + age + " ms old"
-            + (answeredAt == 0 ? "" : ", answered after " + answerMillis() + " ms")
-            + (within ? ", in the middle of an object" : "");
+        long ageMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - calledAtNanos);
+        return "call " + callNumber + (afterVersion < 0 ? "" : " after version " + afterVersion) + ", "
+            + ageMillis + " ms old"
+            + (answeredAtNanos == 0 ? "" : ", answered after " + answerLatencyMillis() + " ms")
+            + (insideObject ? ", in the middle of an object" : "");
     }
 
-    /** How long discovery took from the call to the head of its answer. */
-    long answerMillis() {
-        return TimeUnit.NANOSECONDS.toMillis(answeredAt - calledAt);
+    /** Time from the call to the header of its answer, in milliseconds. */
+    long answerLatencyMillis() {
+        return TimeUnit.NANOSECONDS.toMillis(answeredAtNanos - calledAtNanos);
     }
 
     boolean isAnswered() {
-        return answeredAt != 0;
+        return answeredAtNanos != 0;
     }
 
-    Ending ending() {
-        return ending;
+    EndReason endReason() {
+        return endReason;
     }
 
-    /** Whether it was cut: in the middle of an object, or of an answer of which nothing else has come. */
-    boolean isBroken() {
-        return within || answeredAt != 0 && !complete;
+    /** Whether it ended in the middle of an object, or after a header without any complete object. */
+    boolean isTruncated() {
+        return insideObject || answeredAtNanos != 0 && !anyObjectComplete;
     }
 
-    /** What has come of an object that is not whole; null where that says nothing. */
-    ListParser.Update partial() {
-        return parser.partial();
+    /** The received part of an incomplete object; null if it contains nothing usable. */
+    ListParser.Update partialUpdate() {
+        return parser.partialUpdate();
     }
 
-    /** Whether a part of an object that is not whole has come a moment ago. */
-    boolean moves() {
-        return within && System.nanoTime() - movedAt < LATENESS_NANOS;
+    /**
+     * Whether part of an incomplete object has been parsed within the last {@link
+     * DiscoveryTimeouts#LATENESS_TOLERANCE_MILLIS}.
+     */
+    boolean isProgressing() {
+        return insideObject && System.nanoTime() - lastProgressNanos < LATENESS_TOLERANCE_NANOS;
     }
 
-    /** Whether more of it is read: while what it said is being applied, what comes next waits where it is. */
-    void flow(boolean on) {
-        channel.config().setAutoRead(on);
+    /**
+     * Turns reading on or off. Backpressure: while received updates are being applied, further data stays
+     * in the socket buffer.
+     */
+    void setReading(boolean enabled) {
+        channel.config().setAutoRead(enabled);
     }
 
-    /** Ends it; the listener receives nothing more of it. */
+    /** Closes the connection; the listener receives no further events. */
     void close() {
         ended = true;
         channel.close();
     }
 
-    private void received(ListParser.Update update) {
-        within = false;
-        complete = true;
+    private void passOnUpdate(ListParser.Update update) {
+        insideObject = false;
+        anyObjectComplete = true;
         if (!ended) {
-            listener.received(this, update);
+            listener.updateReceived(this, update);
         }
     }
 
-    private void end(String reason) {
+    private void notifyEnded(String reason) {
         if (!ended) {
             ended = true;
-            listener.ended(this, reason);
+            listener.watchEnded(this, reason);
         }
     }
 
-    /** The answer's head, and its body as bytes for the next one. */
-    private final class Answer extends SimpleChannelInboundHandler<HttpObject> {
+    /** Handles the header of the answer and passes the body on as bytes. */
+    private final class ResponseHandler extends SimpleChannelInboundHandler<HttpObject> {
         @Override
-        protected void channelRead0(ChannelHandlerContext context, HttpObject part) {
-            if (part instanceof HttpResponse response && response.status().code() != 200) {
-                ending = Ending.REFUSED;
-                why = "answered " + response.status().code();
+        protected void channelRead0(ChannelHandlerContext context, HttpObject message) {
+            if (message instanceof HttpResponse response && response.status().code() != 200) {
+                endReason = EndReason.REFUSED;
+                endMessage = "status " + response.status().code();
                 context.close();
                 return;
             }
-            if (part instanceof HttpResponse) {
-                answeredAt = System.nanoTime();
+            if (message instanceof HttpResponse) {
+                answeredAtNanos = System.nanoTime();
                 context.pipeline().addFirst(
-                    new ReadTimeoutHandler(DiscoveryTimeouts.SILENT, TimeUnit.MILLISECONDS));
+                    new ReadTimeoutHandler(DiscoveryTimeouts.SILENCE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
             }
-            if (part instanceof HttpContent content && !ended) {
-                boolean some = content.content().isReadable(), blank = isBlank(content.content());
-                if (some && !blank && !within) {
-                    within = true;
-                    withinSince = System.nanoTime();
+            if (message instanceof HttpContent content && !ended) {
+                boolean hasBytes = content.content().isReadable(),
+                    onlyWhitespace = isBlank(content.content());
+                if (hasBytes && !onlyWhitespace && !insideObject) {
+                    insideObject = true;
+                    noProgressSinceNanos = System.nanoTime();
                 }
-                readSinceCheck |= some && !blank;
+                dataSinceStallCheck |= hasBytes && !onlyWhitespace;
                 context.fireChannelRead(content.content().retain());
-                if (within && !checksForStall) {
-                    checksForStall = true;
-                    checkForStall(0);
+                if (insideObject && !stallCheckScheduled) {
+                    stallCheckScheduled = true;
+                    scheduleStallCheck(0);
                 }
-                if (some && blank && !within && !ended) {
-                    complete = true;
-                    listener.heartbeat(DiscoveryWatch.this);
+                if (hasBytes && onlyWhitespace && !insideObject && !ended) {
+                    anyObjectComplete = true;
+                    listener.heartbeatReceived(DiscoveryWatch.this);
                 }
-                if (within && System.nanoTime() - withinSince > SILENT_NANOS) {
-                    ending = Ending.SILENT; // blanks count for nothing in there, however many come
-                    why = "half an object for " + DiscoveryTimeouts.SILENT + " ms";
+                if (insideObject && System.nanoTime() - noProgressSinceNanos > SILENCE_TIMEOUT_NANOS) {
+                    endReason = EndReason.SILENT; // whitespace within an object is no progress
+                    endMessage = "incomplete object for " + DiscoveryTimeouts.SILENCE_TIMEOUT_MILLIS + " ms";
                     context.close();
                 }
-                if (part instanceof LastHttpContent) {
+                if (message instanceof LastHttpContent) {
                     context.close();
                 }
             }
@@ -236,53 +249,57 @@
     }
 
     /**
-     * Half an object counts as known as soon as it is written, so its rest is not waited for long. Checks are
-     * counted, and not time: where this process itself was held up it had no chance to read what had come.
+     * An incomplete object counts as known as soon as discovery has written it, so its rest is not awaited
+     * for long. Counts checks instead of elapsed time: while this process itself was delayed, it could not
+     * read what had arrived.
      */
-    private void checkForStall(int quietChecks) {
+    private void scheduleStallCheck(int quietChecks) {
         channel.eventLoop().schedule(() -> {
-            boolean quiet = !readSinceCheck && channel.config().isAutoRead();
-            readSinceCheck = false;
-            checksForStall = within && !ended;
-            if (checksForStall && quiet && quietChecks + 1 == STALL_CHECKS) {
-                listener.stalled(this);
+            boolean quiet = !dataSinceStallCheck && channel.config().isAutoRead();
+            dataSinceStallCheck = false;
+            stallCheckScheduled = insideObject && !ended;
+            if (stallCheckScheduled && quiet && quietChecks + 1 == STALL_CHECKS) {
+                listener.watchStalled(this);
             }
-            if (checksForStall) {
-                checkForStall(quiet ? quietChecks + 1 : 0);
+            if (stallCheckScheduled) {
+                scheduleStallCheck(quiet ? quietChecks + 1 : 0);
             }
-        }, STALL_CHECK_MILLIS, TimeUnit.MILLISECONDS);
+        }, STALL_CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     private static boolean isBlank(ByteBuf bytes) {
-        return bytes.forEachByte(next -> Character.isWhitespace(next)) < 0;
+        return bytes.forEachByte(character -> Character.isWhitespace(character)) < 0;
     }
 
-    private final class Objects extends SimpleChannelInboundHandler<ByteBuf> {
-        private final byte[] bytes = new byte[LONGEST_READ];
+    /** Feeds the bytes of the body to the parser. */
+    private final class BodyHandler extends SimpleChannelInboundHandler<ByteBuf> {
+        private final byte[] bytes = new byte[MAX_READ_BYTES];
 
         @Override
-        protected void channelRead0(ChannelHandlerContext context, ByteBuf part) throws IOException {
-            long before = parser.read();
-            while (part.isReadable() && !ended) {
-                int length = Math.min(bytes.length, part.readableBytes());
-                part.readBytes(bytes, 0, length);
+        protected void channelRead0(ChannelHandlerContext context, ByteBuf body) throws IOException {
+            long parsedBefore = parser.parsedValueCount();
+            while (body.isReadable() && !ended) {
+                int length = Math.min(bytes.length, body.readableBytes());
+                body.readBytes(bytes, 0, length);
                 parser.feed(bytes, length);
             }
-            if (parser.read() > before) {
-                withinSince = movedAt = System.nanoTime(); // a long list takes its time, as long as it moves
+            if (parser.parsedValueCount() > parsedBefore) {
+                // a long list may take its time as long as it makes progress
+                noProgressSinceNanos = lastProgressNanos = System.nanoTime();
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            end(why);
+            notifyEnded(endMessage);
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            boolean silent = cause instanceof ReadTimeoutException;
-            ending = silent ? Ending.SILENT : Ending.BROKEN_CONNECTION;
-            why = silent ? "silent for " + DiscoveryTimeouts.SILENT + " ms" : cause.toString();
+            boolean timedOut = cause instanceof ReadTimeoutException;
+            endReason = timedOut ? EndReason.SILENT : EndReason.BROKEN_CONNECTION;
+            endMessage = timedOut ? "no data for " + DiscoveryTimeouts.SILENCE_TIMEOUT_MILLIS + " ms"
+                : cause.toString();
             context.close();
         }
     }
--- a/proxy/src/main/java/dockrelay/proxy/KnownList.java
+++ b/proxy/src/main/java/dockrelay/proxy/KnownList.java
@@ -9,57 +9,61 @@
 import java.util.Map;
 
 /**
- * The list that a proxy last had, as its configuration says it. It is read entry by entry, as one of 86,000
- * would not fit the heap as it is written; whoever starts with it takes it, and it is not kept after that.
+ * The last known list of backends, as stored in the configuration. It is parsed entry by entry, because the
+ * text of a list of 86,000 backends would not fit into the heap. The list can be taken once and is not kept
+ * afterwards.
  */
 final class KnownList {
     private long version = -1;
     private List<Object> entries = List.of();
 
-    /** One that names nobody. */
+    /** An empty list. */
     KnownList() {
     }
 
-    /** The value at the parser's current token; what is no object, or no list in it, names nobody. */
+    /** Reads the value at the parser's current token. A value of another type yields an empty list. */
     static KnownList read(JsonParser parser) throws IOException {
-        KnownList known = new KnownList();
+        KnownList knownList = new KnownList();
         if (parser.currentToken() != JsonToken.START_OBJECT) {
             parser.skipChildren();
-            return known;
+            return knownList;
         }
         while (parser.nextToken() == JsonToken.FIELD_NAME) {
             String key = parser.currentName();
             JsonToken value = parser.nextToken();
             if ("version".equals(key) && value.isNumeric()) {
-                known.version = parser.getLongValue();
-            } else if (ListParser.ENTRIES.equals(key) && value == JsonToken.START_ARRAY) {
-                known.entries = entries(parser);
+                knownList.version = parser.getLongValue();
+            } else if (ListParser.ENTRIES_KEY.equals(key) && value == JsonToken.START_ARRAY) {
+                knownList.entries = readEntries(parser);
             } else {
                 parser.skipChildren();
             }
         }
-        return known;
+        return knownList;
     }
 
-    private static List<Object> entries(JsonParser parser) throws IOException {
+    private static List<Object> readEntries(JsonParser parser) throws IOException {
         EntryReader reader = new EntryReader();
         List<Object> entries = new ArrayList<>();
         while (parser.nextToken() != JsonToken.END_ARRAY) {
             Object entry = Json.readValue(parser);
-            entries.add(entry instanceof Map<?, ?> map ? reader.first(map) : entry);
+            entries.add(entry instanceof Map<?, ?> fields ? reader.readInitialEntry(fields) : entry);
         }
         return entries;
     }
 
-    /** Below 0 where it has none. */
+    /** Version of the list; negative if there is none. */
     long version() {
         return version;
     }
 
-    /** The entries, as {@link BackendRegistry#take} takes them; none the next time. */
-    List<Object> take() {
-        List<Object> taken = entries;
+    /**
+     * Returns the entries for {@link BackendRegistry#applyUpdate} and drops them; a second call returns an
+     * empty list.
+     */
+    List<Object> takeEntries() {
+        List<Object> takenEntries = entries;
         entries = List.of();
-        return taken;
+        return takenEntries;
     }
 }
--- a/proxy/src/main/java/dockrelay/proxy/ListApplier.java
+++ b/proxy/src/main/java/dockrelay/proxy/ListApplier.java
@@ -9,127 +9,139 @@
 import java.util.concurrent.Executor;
 
 /**
- * Applies what discovery says, in its order, a batch in each turn of the event loop, so that requests have
- * theirs in between: a long list in many of them, and many short changes that wait in one. What is short and
- * comes by itself is applied at once, and so is the first list of all, as nothing can be served before it.
+ * Applies updates from discovery in order, one batch per turn of the event loop, so that requests are
+ * processed in between: a long list takes many turns, and many short changes share one. A single short
+ * update is applied at once, and so is the very first list, because nothing can be served before it.
  */
 final class ListApplier {
-    /** In a batch: 2 to 4 ms of the loop at the most where all have changed (ListProbe, 86,000 backends). */
-    static final int BATCH = 256;
-    /** Changes that wait at the most, or little more, and are applied together: sorted they cost least. */
-    static final int MOST_WAITING = 16 * BATCH;
-
-    /** Hears what is to be told, and when all of an update was. */
+    /**
+     * Maximum entries per batch: at most 2 to 4 ms of the event loop if all entries have changed
+     * (BackendListBenchmark, 86,000 backends).
+     */
+    static final int MAX_BATCH_ENTRIES = 256;
+    /**
+     * Approximate maximum of pending changes. They are applied together, because applying them in sorted
+     * order is cheapest.
+     */
+    static final int MAX_PENDING_CHANGES = 16 * MAX_BATCH_ENTRIES;
+
+    /** Receives the changed backends, and is notified when an update has been applied completely. */
     interface Sink {
-        void tell(ListUpdateType scope, List<ListedBackend> members);
+        /** Passes on changed backends. */
+        void updateBackends(ListUpdateType updateType, List<ListedBackend> listedBackends);
 
-        void applied(ListParser.Update update);
+        /** Called once for each update, in order. */
+        void updateApplied(ListParser.Update update);
 
-        /** Nothing is left to be applied. */
-        void idle();
+        /** All pending updates have been applied. */
+        void allUpdatesApplied();
     }
 
-    private final BackendRegistry listing;
-    private final Executor nextTurn;
+    private final BackendRegistry registry;
+    private final Executor nextTurnExecutor;
     private final Sink sink;
-    private final Deque<ListParser.Update> waiting = new ArrayDeque<>();
-    private final List<ListParser.Update> current = new ArrayList<>(); // those that are being applied
-    private BackendRegistry.Taking taking;
-    private int weightWaiting;
-    private boolean busy; // this turn has had its batch
-
-    /** The executor runs a task in a later turn of the loop, after what has come meanwhile. */
-    ListApplier(BackendRegistry listing, Executor nextTurn, Sink sink) {
-        this.listing = listing;
-        this.nextTurn = nextTurn;
+    private final Deque<ListParser.Update> pendingUpdates = new ArrayDeque<>();
+    // updates that are being applied
+    private final List<ListParser.Update> updatesInProgress = new ArrayList<>();
+    private BackendRegistry.UpdateApplication updateApplication;
+    private int pendingWeight;
+    private boolean busy; // whether this turn has processed its batch
+
+    /** The executor must run a task in a later turn of the event loop, after pending socket events. */
+    ListApplier(BackendRegistry registry, Executor nextTurnExecutor, Sink sink) {
+        this.registry = registry;
+        this.nextTurnExecutor = nextTurnExecutor;
         this.sink = sink;
     }
 
-    /** Whether so much waits that no more should be read for now. */
+    /** Whether so many changes are pending that reading should pause. */
     boolean isFull() {
-        return weightWaiting >= MOST_WAITING;
+        return pendingWeight >= MAX_PENDING_CHANGES;
     }
 
-    /** Applies it at once, or begins to, or does so once what came before is applied. */
+    /** Applies the update at once, or queues it behind those that are being applied. */
     void apply(ListParser.Update update) {
-        waiting.add(update);
-        weightWaiting += weight(update);
+        pendingUpdates.add(update);
+        pendingWeight += weight(update);
         if (!busy) {
             busy = true;
-            begin();
+            startNextUpdate();
         }
     }
 
-    private void begin() {
-        List<Object> entries = next();
-        boolean full = current.get(0).full();
-        if (entries.size() <= BATCH && (!full || listing.size() <= BATCH) || listing.size() == 0) {
-            tell(full ? ListUpdateType.FULL : ListUpdateType.DELTA, listing.take(entries, full));
-            ended();
+    private void startNextUpdate() {
+        List<Object> entries = takeNextEntries();
+        boolean full = updatesInProgress.get(0).full();
+        if (entries.size() <= MAX_BATCH_ENTRIES && (!full || registry.size() <= MAX_BATCH_ENTRIES)
+            || registry.size() == 0) {
+            notifySink(full ? ListUpdateType.FULL : ListUpdateType.DELTA,
+                registry.applyUpdate(entries, full));
+            finishUpdates();
         } else {
-            taking = listing.takingInParts(entries, full);
-            nextTurn.execute(this::turn);
+            updateApplication = registry.startUpdate(entries, full);
+            nextTurnExecutor.execute(this::runTurn);
         }
     }
 
-    /** The next update, or as many changes as may be applied together. */
-    private List<Object> next() {
-        ListParser.Update update = take();
+    /** Takes the next update, or as many changes as may be applied together. */
+    private List<Object> takeNextEntries() {
+        ListParser.Update update = pollUpdate();
         List<Object> entries = update.entries();
-        while (!update.full() && joins(entries.size())) {
+        while (!update.full() && canJoin(entries.size())) {
             entries = entries == update.entries() ? new ArrayList<>(entries) : entries;
-            entries.addAll(take().entries());
+            entries.addAll(pollUpdate().entries());
         }
         return entries;
     }
 
-    private boolean joins(int entries) {
-        ListParser.Update next = waiting.peek();
-        return next != null && !next.full() && entries + next.entries().size() <= MOST_WAITING;
+    private boolean canJoin(int entryCount) {
+        ListParser.Update nextUpdate = pendingUpdates.peek();
+        return nextUpdate != null && !nextUpdate.full()
+            && entryCount + nextUpdate.entries().size() <= MAX_PENDING_CHANGES;
     }
 
-    private ListParser.Update take() {
-        ListParser.Update update = waiting.poll();
-        weightWaiting -= weight(update);
-        current.add(update);
+    private ListParser.Update pollUpdate() {
+        ListParser.Update update = pendingUpdates.poll();
+        pendingWeight -= weight(update);
+        updatesInProgress.add(update);
         return update;
     }
 
-    /** What changes nothing takes its place as well. */
+    /** Updates without entries count as well, so that they cannot pile up without limit. */
     private static int weight(ListParser.Update update) {
         return 1 + update.entries().size();
     }
 
-    private void tell(ListUpdateType scope, List<ListedBackend> members) {
+    private void notifySink(ListUpdateType updateType, List<ListedBackend> listedBackends) {
         try {
-            sink.tell(scope, members);
+            sink.updateBackends(updateType, listedBackends);
         } catch (RuntimeException e) {
-            Log.error("discovery", e); // guards against one bad batch holding up all that comes after it
+            Log.error("discovery", e); // one bad batch must not block the following ones
         }
     }
 
-    private void turn() {
-        List<ListedBackend> members = taking.next(BATCH);
-        if (!members.isEmpty()) {
-            tell(ListUpdateType.DELTA, members);
+    private void runTurn() {
+        List<ListedBackend> listedBackends = updateApplication.applyNext(MAX_BATCH_ENTRIES);
+        if (!listedBackends.isEmpty()) {
+            notifySink(ListUpdateType.DELTA, listedBackends);
         }
-        if (taking.done()) {
-            taking = null;
-            ended();
+        if (updateApplication.isDone()) {
+            updateApplication = null;
+            finishUpdates();
         } else {
-            nextTurn.execute(this::turn);
+            nextTurnExecutor.execute(this::runTurn);
         }
     }
 
-    private void ended() {
-        current.forEach(sink::applied);
-        current.clear();
-        nextTurn.execute(() -> {
-            if (waiting.isEmpty()) {
+    private void finishUpdates() {
+        updatesInProgress.forEach(sink::updateApplied);
+        updatesInProgress.clear();
+        nextTurnExecutor.execute(() -> {
+            if (pendingUpdates.isEmpty()) {
                 busy = false;
-                sink.idle();
+                sink.allUpdatesApplied();
             } else {
-                begin();
+                startNextUpdate();
             }
         });
     }
--- a/proxy/src/main/java/dockrelay/proxy/Proxy.java
+++ b/proxy/src/main/java/dockrelay/proxy/Proxy.java
@@ -27,225 +27,259 @@
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 
-/** The real proxy: start, wiring and shutdown. One event loop thread owns the module and all sockets. */
+/**
+ * Start, wiring and shutdown of the proxy. A single event loop thread owns the balancer and all sockets.
+ */
 public final class Proxy {
-    /** Descriptors that are neither clients' nor backends': the runtime's files, listener, discovery. */
-    private static final int SPARE_DESCRIPTORS = 32;
     /**
-     * Clients hold a third of all descriptors for their requests; the rest of this share is for those who
-     * hold one for nothing until they are sent away. Backends have about one for each request in hand.
+     * File descriptors used neither for clients nor for backends: files of the JVM, listener, discovery.
      */
-    private static final double CLIENTS_SHARE = 0.65;
-    /** Holds a burst of new connections while the loop is busy for a moment. */
-    private static final int BACKLOG = 1024;
-    /** After SIGTERM new connections go on coming for up to 0.4 s; none is turned away. */
+    private static final int RESERVED_DESCRIPTORS = 32;
+    /**
+     * A third of all descriptors covers the requests of clients; the rest of this share is for idle client
+     * connections until they are closed. Backends use about one descriptor for each request in flight.
+     */
+    private static final double CLIENT_CONNECTION_SHARE = 0.65;
+    /** Queues a burst of new connections while the event loop is busy. */
+    private static final int ACCEPT_BACKLOG = 1024;
+    /** After SIGTERM new connections keep arriving for up to 0.4 s, and none may be refused. */
     static final long ACCEPT_AFTER_STOP_MILLIS = 550;
-    /** Two processes notice each other and each other's changes within this. */
-    private static final long LOOK_MILLIS = 100;
-    /** After the warm-up: the next process is to serve within 6 s of its start, discovery or not. */
-    private static final long LIST_MILLIS = 1_000;
+    /** Interval at which two processes of the same proxy detect each other and each other's changes. */
+    private static final long OVERLAP_CHECK_INTERVAL_MILLIS = 100;
+    /**
+     * Wait after the warm-up: the successor has to serve within 6 s of its start, even if discovery is
+     * down.
+     */
+    private static final long LIST_TIMEOUT_MILLIS = 1_000;
     /**
-     * Where lists are pushed, what the agent has counts from the first moment: no request is taken before it
-     * has told its list. A restart has to be ready within 10 s, counted from a moment before this program's
-     * first line, with discovery down as well: what was known has to do then.
+     * In push mode the agent's list counts as known from the first moment, so no request is accepted before
+     * it has arrived. A restarted process has to be ready within 10 s, counted from shortly before its
+     * first instruction, even if discovery is down; then it serves by the cached list.
      */
-    private static final long PUSHED_LIST_UPGRADE_MILLIS = 3_000, READY_MILLIS = 8_500;
-    /** SIGKILL follows SIGTERM after the longest deadline, of this at most, and 0.7 s: some of it is kept. */
-    private static final long LONGEST_DEADLINE_MICROS = 3_000_000;
-    private static final long LAST_CHANCE_MILLIS = 450;
-    private static final long COUNTERS_MILLIS = 5_000;
-    /** How late the loop runs is looked at so often: each event waits as long as such a look does. */
-    private static final long LATENESS_MILLIS = 50;
-    /** Longer than any request may take: what is not over by then never will be. */
-    private static final long LONGEST_SHUTDOWN_SECONDS = 10;
+    private static final long PUSHED_LIST_UPGRADE_TIMEOUT_MILLIS = 3_000, READY_DEADLINE_MILLIS = 8_500;
+    /**
+     * SIGKILL follows SIGTERM after the longest deadline (at most this value) plus 0.7 s. The drain uses only
+     * part of the 0.7 s, to leave a margin.
+     */
+    private static final long MAX_DEADLINE_MICROS = 3_000_000;
+    private static final long EXTRA_DRAIN_MILLIS = 450;
+    private static final long COUNTERS_INTERVAL_MILLIS = 5_000;
+    /** Interval of the check for lateness: any other event waits for the event loop as long as this check. */
+    private static final long LATENESS_CHECK_INTERVAL_MILLIS = 50;
+    /** Longer than any request may take: whatever has not finished by then never will. */
+    private static final long MAX_SHUTDOWN_SECONDS = 10;
 
-    /** About when this process began. */
-    private static final long STARTED = System.nanoTime();
+    /** Approximate start time of the process. */
+    private static final long PROCESS_START_NANOS = System.nanoTime();
 
-    private static final String REHEARSAL = "{\"name\":\"rehearsal\",\"listen\":\"127.0.0.1:0\","
+    private static final String TRAINING_CONFIG = "{\"name\":\"rehearsal\",\"listen\":\"127.0.0.1:0\","
         + "\"discovery\":\"127.0.0.1:1\",\"seed\":\"1\",\"settings\":{\"Discovery\":\"ask\","
         + "\"Services\":[{\"Name\":\"any\","
         + "\"Aim\":1.0,\"HardLimit\":2.0,\"Idempotency\":\"idempotent\"}],\"Permissions\":{\"MaxAttempts\":3,"
         + "\"MayCancel\":true,\"SecondCopies\":true}}}";
 
-    private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private final EventLoop loop = group.next();
-    private final RequestTable table;
-    private final BackendConnectionPool pool;
-    private final ClientFrontend clients;
-    private final Discovery discovery;
-    private final CountDownLatch finished = new CountDownLatch(1);
+    private final EventLoopGroup eventLoopGroup = new MultiThreadIoEventLoopGroup(1,
+        NioIoHandler.newFactory());
+    private final EventLoop eventLoop = eventLoopGroup.next();
+    private final RequestTable requestTable;
+    private final BackendConnectionPool connectionPool;
+    private final ClientFrontend clientFrontend;
+    private final DiscoveryClient discoveryClient;
+    private final CountDownLatch shutdownComplete = new CountDownLatch(1);
     private final Counters counters = new Counters();
-    private final OperatorOverrides operators;
+    private final OperatorOverrides operatorOverrides;
     private final Console console;
-    private final UpgradeOverlapDetector succession;
-    private MembershipService members; // null where the configuration names none
+    private final UpgradeOverlapDetector overlapDetector;
+    private MembershipService membershipService; // null if the configuration names no members
     private volatile boolean accepting, stopping;
-    private volatile boolean beside; // the console's thread sets it
-    private volatile int held;
-    private final int room;
-    private final boolean shared;
-    private final long longestDeadline;
-    private long looked, latest;
+    private volatile boolean otherProcessRunning; // set by the console's thread
+    private volatile int openConnections;
+    private final int maxConnections;
+    private final boolean listenerInherited;
+    private final long longestDeadlineMicros;
+    private long lastLatenessCheckNanos, maxLatenessMillis;
 
     Proxy(Config config) throws IOException {
-        this(config, ProcessEnvironment.NONE);
+        this(config, ProcessEnvironment.EMPTY);
     }
 
-    Proxy(Config config, ProcessEnvironment platform) throws IOException {
-        this(config, platform, System.nanoTime(), new AtomicBoolean());
+    Proxy(Config config, ProcessEnvironment environment) throws IOException {
+        this(config, environment, System.nanoTime(), new AtomicBoolean());
     }
 
     /**
-     * Begun at this time of the nano clock. Who sets the mark first settles whether it ever listens: from
-     * then on there may be requests to answer, and it has to be asked to stop.
+     * Creates a proxy, started at {@code startedAtNanos} ({@link System#nanoTime}). The first thread to set
+     * {@code listenDecided} decides whether the proxy ever listens: once it listens there may be requests
+     * to answer, so that it has to be stopped in order.
      */
-    private Proxy(Config config, ProcessEnvironment platform, long begun, AtomicBoolean settled) throws IOException {
-        LongSupplier clock = clock();
-        PooledByteBufAllocator buffers = new PooledByteBufAllocator(true, 1, 1, 8192, 5, 256, 64, false);
-        Bootstrap sockets = new Bootstrap().group(loop).channel(NioSocketChannel.class)
-            .option(ChannelOption.ALLOCATOR, buffers).option(ChannelOption.TCP_NODELAY, true);
-        room = Math.max(2, config.sockets() - SPARE_DESCRIPTORS);
-        int fromClients = Math.max(1, (int) (room * CLIENTS_SHARE));
-        BufferLimit bound = BufferLimit.forAllocator(buffers, config.memory());
-        pool = new BackendConnectionPool(sockets, loop, room - fromClients, config.connectTimeoutMicros(),
-            config.connectionIdle(), counters, bound);
-        table = new RequestTable(loop, pool, clock, config, counters);
-        operators = new OperatorOverrides(platform.console() == null ? null : platform.folder());
-        discovery = new Discovery(sockets, loop, config, table, operators, counters);
-        Consumer<String> tell = message -> { };
-        if (config.membership()) {
-            members = new MembershipService(config, platform.folder(), table, this::told);
-            tell = members.transport()::broadcast;
+    private Proxy(Config config, ProcessEnvironment environment, long startedAtNanos,
+        AtomicBoolean listenDecided) throws IOException {
+        LongSupplier clock = newWallClock();
+        PooledByteBufAllocator allocator = new PooledByteBufAllocator(true, 1, 1, 8192, 5, 256, 64, false);
+        Bootstrap clientBootstrap = new Bootstrap().group(eventLoop).channel(NioSocketChannel.class)
+            .option(ChannelOption.ALLOCATOR, allocator).option(ChannelOption.TCP_NODELAY, true);
+        maxConnections = Math.max(2, config.maxSockets() - RESERVED_DESCRIPTORS);
+        int maxClientConnections = Math.max(1, (int) (maxConnections * CLIENT_CONNECTION_SHARE));
+        BufferLimit bufferLimit = BufferLimit.forAllocator(allocator, config.memoryMegabytes());
+        connectionPool = new BackendConnectionPool(clientBootstrap, eventLoop,
+            maxConnections - maxClientConnections, config.connectTimeoutMicros(),
+            config.connectionIdleMicros(), counters, bufferLimit);
+        requestTable = new RequestTable(eventLoop, connectionPool, clock, config, counters);
+        operatorOverrides = new OperatorOverrides(environment.consoleAddress() == null ? null
+            : environment.stateFolder());
+        discoveryClient = new DiscoveryClient(clientBootstrap, eventLoop, config, requestTable,
+            operatorOverrides, counters);
+        Consumer<String> broadcast = message -> { };
+        if (config.usesMembership()) {
+            membershipService = new MembershipService(config, environment.stateFolder(), requestTable,
+                this::fleetViewChanged);
+            broadcast = membershipService.transport()::broadcast;
         } else if (config.settings().limits().peers() && config.peerListenAddress() != null) {
-            tell = new PeerTransport(loop, config, table)::broadcast;
+            broadcast = new PeerTransport(eventLoop, config, requestTable)::broadcast;
         }
-        table.attachBalancer(new RiqBalancer(config.settings(), config.seed(), table), discovery::subscribe, tell);
-        if (members != null && !config.budgets().isEmpty()) {
-            loop.execute(() -> BudgetService.applyZeroShares(table, config));
+        requestTable.attachBalancer(new RiqBalancer(config.settings(), config.seed(), requestTable),
+            discoveryClient::subscribe, broadcast);
+        if (membershipService != null && !config.budgets().isEmpty()) {
+            eventLoop.execute(() -> BudgetService.applyZeroShares(requestTable, config));
         }
-        clients = new ClientFrontend(table, config.settings().classes(), fromClients, this::ready,
-            counters, bound);
-        loop.execute(() -> discovery.start(config.known(), platform.listener() != null));
-        console = platform.console() == null ? null
-            : new Console(platform.console(), operators, () -> accepting && ready(), this::enforce,
-                members, config.budgets().isEmpty() || members == null ? null : members::describeBudgets);
-        succession = console == null || platform.folder() == null ? null : new UpgradeOverlapDetector(platform.folder());
-        if (succession != null) {
-            console.scheduleAtFixedDelay(LOOK_MILLIS, this::lookAround);
+        clientFrontend = new ClientFrontend(requestTable, config.settings().classes(), maxClientConnections,
+            this::isReady, counters, bufferLimit);
+        eventLoop.execute(() -> discoveryClient.start(config.knownList(), environment.listener() != null));
+        console = environment.consoleAddress() == null ? null
+            : new Console(environment.consoleAddress(), operatorOverrides, () -> accepting && isReady(),
+                this::applyOverride, membershipService,
+                config.budgets().isEmpty() || membershipService == null ? null
+                    : membershipService::describeBudgets);
+        overlapDetector = console == null || environment.stateFolder() == null ? null
+            : new UpgradeOverlapDetector(environment.stateFolder());
+        if (overlapDetector != null) {
+            console.scheduleAtFixedDelay(OVERLAP_CHECK_INTERVAL_MILLIS, this::checkForOtherProcess);
         }
-        shared = platform.listener() != null;
-        longestDeadline = config.settings().classes().stream().mapToLong(ServiceClass::deadline).max()
+        listenerInherited = environment.listener() != null;
+        longestDeadlineMicros = config.settings().classes().stream().mapToLong(ServiceClass::deadline).max()
             .orElse(0);
-        ServerBootstrap listening = new ServerBootstrap().group(loop)
-            .channelFactory(() -> shared ? new NioServerSocketChannel(platform.listener())
+        ServerBootstrap serverBootstrap = new ServerBootstrap().group(eventLoop)
+            .channelFactory(() -> listenerInherited ? new NioServerSocketChannel(environment.listener())
                 : new NioServerSocketChannel())
-            .option(ChannelOption.SO_BACKLOG, BACKLOG).option(ChannelOption.SO_REUSEADDR, true)
-            .childOption(ChannelOption.TCP_NODELAY, true).childOption(ChannelOption.ALLOCATOR, buffers);
-        // One accept at a time: of a batch the last ones would be open before room is made for them.
-        listening.option(ChannelOption.RECVBUF_ALLOCATOR, new ServerChannelRecvByteBufAllocator());
-        // Warm first: clients come before healthz says 200 where the front has not noticed a restart, and
-        // what is taken beside the warm-up is answered too late. A refused connection loses nothing.
-        WarmUp.run(config, buffers);
+            .option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG).option(ChannelOption.SO_REUSEADDR, true)
+            .childOption(ChannelOption.TCP_NODELAY, true).childOption(ChannelOption.ALLOCATOR, allocator);
+        // Accepts one connection at a time: with batches, the last ones would be open before room is made
+        // for them.
+        serverBootstrap.option(ChannelOption.RECVBUF_ALLOCATOR, new ServerChannelRecvByteBufAllocator());
+        // Warms up before listening: if the front load balancer has not noticed a restart, it sends clients
+        // before healthz answers 200, and requests accepted during the warm-up would be answered too late.
+        // A refused connection loses no request.
+        WarmUp.run(config, allocator);
         if (!config.settings().mustSubscribe()) {
-            long taken = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - begun);
-            awaitList(shared ? PUSHED_LIST_UPGRADE_MILLIS : Math.max(LIST_MILLIS, READY_MILLIS - taken));
-        } else if (shared) {
-            awaitList(LIST_MILLIS);
+            long elapsedMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startedAtNanos);
+            awaitFirstList(listenerInherited ? PUSHED_LIST_UPGRADE_TIMEOUT_MILLIS
+                : Math.max(LIST_TIMEOUT_MILLIS, READY_DEADLINE_MILLIS - elapsedMillis));
+        } else if (listenerInherited) {
+            awaitFirstList(LIST_TIMEOUT_MILLIS);
         }
-        if (!settled.compareAndSet(false, true)) {
-            throw new EndedException();
+        if (!listenDecided.compareAndSet(false, true)) {
+            throw new StoppedBeforeListeningException();
         }
-        loop.submit(() -> clients.listen(listening, shared ? null : config.listen())).syncUninterruptibly()
+        eventLoop.submit(() -> clientFrontend.listen(serverBootstrap,
+            listenerInherited ? null : config.listenAddress())).syncUninterruptibly()
             .getNow().syncUninterruptibly();
         accepting = true;
-        if (members != null) {
-            members.join();
+        if (membershipService != null) {
+            membershipService.join();
         }
-        loop.execute(this::count);
-        Log.write("start", config.name() + " listens at " + config.listen() + (shared ? ", shared" : ""));
+        eventLoop.execute(this::scheduleCounterLines);
+        Log.write("start", config.name() + " listening at " + config.listenAddress()
+            + (listenerInherited ? ", inherited socket" : ""));
     }
 
-    /** Guards against taking clients over with an old list while the process before has a new one. */
-    private void awaitList(long millis) {
+    /**
+     * Waits for the first list, to avoid serving clients by an outdated list while the predecessor has a
+     * newer one.
+     */
+    private void awaitFirstList(long timeoutMillis) {
         try {
-            if (!discovery.awaitList(millis)) {
-                Log.write("start", "no list of discovery's yet: what was known before has to do");
+            if (!discoveryClient.awaitFirstList(timeoutMillis)) {
+                Log.write("start", "no list from discovery yet; serving by the cached list");
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** Writes the counters to the log, and with them the most that the loop was late. */
-    private void count() {
-        counters.registerGauge("loop-late-ms", () -> latest);
+    /** Schedules the log line of the counters and the measurement of the loop's maximum lateness. */
+    private void scheduleCounterLines() {
+        counters.registerGauge("loop-late-ms", () -> maxLatenessMillis);
         counters.registerGauge("heap-mb", () -> {
             Runtime runtime = Runtime.getRuntime();
             return runtime.totalMemory() - runtime.freeMemory() >> 20;
         });
-        looked = System.nanoTime();
-        loop.scheduleWithFixedDelay(() -> {
+        lastLatenessCheckNanos = System.nanoTime();
+        eventLoop.scheduleWithFixedDelay(() -> {
             long now = System.nanoTime();
-            latest = Math.max(latest, TimeUnit.NANOSECONDS.toMillis(now - looked) - LATENESS_MILLIS);
-            looked = now;
-        }, LATENESS_MILLIS, LATENESS_MILLIS, TimeUnit.MILLISECONDS);
-        loop.scheduleWithFixedDelay(() -> {
+            maxLatenessMillis = Math.max(maxLatenessMillis,
+                TimeUnit.NANOSECONDS.toMillis(now - lastLatenessCheckNanos) - LATENESS_CHECK_INTERVAL_MILLIS);
+            lastLatenessCheckNanos = now;
+        }, LATENESS_CHECK_INTERVAL_MILLIS, LATENESS_CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
+        eventLoop.scheduleWithFixedDelay(() -> {
             Log.write("counters", counters.formatAndReset());
-            Log.write("decisions", table.balancerStatus());
-            latest = 0;
-        }, COUNTERS_MILLIS, COUNTERS_MILLIS, TimeUnit.MILLISECONDS);
+            Log.write("decisions", requestTable.balancerStatus());
+            maxLatenessMillis = 0;
+        }, COUNTERS_INTERVAL_MILLIS, COUNTERS_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    /** Runs the proxy that PROXY_CONFIG describes until it is told to end. */
+    /** Runs the proxy configured by PROXY_CONFIG until it is asked to stop. */
     public static void main() {
-        CompletableFuture<Proxy> started = new CompletableFuture<>();
-        AtomicBoolean settled = new AtomicBoolean(), failed = new AtomicBoolean();
+        CompletableFuture<Proxy> startedProxy = new CompletableFuture<>();
+        AtomicBoolean listenDecided = new AtomicBoolean(), startFailed = new AtomicBoolean();
         Runtime.getRuntime().addShutdownHook(new Thread(() -> {
-            if (!failed.get()) {
-                end(started, settled);
+            if (!startFailed.get()) {
+                stopProcess(startedProxy, listenDecided);
             }
-            Runtime.getRuntime().halt(failed.get() ? 1 : 0); // asked to end, it ends well
+            Runtime.getRuntime().halt(startFailed.get() ? 1 : 0); // a requested stop exits with status 0
         }, "stop"));
         try {
-            String named = System.getenv("PROXY_CONFIG");
-            if (named == null) {
-                throw new SettingException("PROXY_CONFIG", null, "the configuration's file");
+            String configPath = System.getenv("PROXY_CONFIG");
+            if (configPath == null) {
+                throw new SettingException("PROXY_CONFIG", null, "the path of the configuration file");
             }
-            Path file = Path.of(named);
-            Signals.onHangUp(() -> started.thenAccept(proxy -> proxy.reload(file)));
+            Path file = Path.of(configPath);
+            Signals.onHangUp(() -> startedProxy.thenAccept(proxy -> proxy.reload(file)));
             Config config = Config.read(file);
-            started.complete(new Proxy(config, ProcessEnvironment.read(config, System.getenv()), STARTED, settled));
-        } catch (EndedException e) {
-            return; // the other thread ends the process
+            startedProxy.complete(new Proxy(config, ProcessEnvironment.read(config, System.getenv()),
+                PROCESS_START_NANOS, listenDecided));
+        } catch (StoppedBeforeListeningException e) {
+            return; // the shutdown thread ends the process
         } catch (ConfigException | SettingException e) {
-            fail(started, failed, e, () -> Log.write("start", e.getMessage()));
+            exitAfterFailedStart(startedProxy, startFailed, e, () -> Log.write("start", e.getMessage()));
         } catch (IOException | RuntimeException e) {
-            fail(started, failed, e, () -> Log.error("start", e));
+            exitAfterFailedStart(startedProxy, startFailed, e, () -> Log.error("start", e));
         }
     }
 
-    private static void fail(CompletableFuture<Proxy> started, AtomicBoolean failed, Exception cause,
-                             Runnable log) {
+    private static void exitAfterFailedStart(CompletableFuture<Proxy> startedProxy, AtomicBoolean startFailed,
+                                             Exception cause, Runnable log) {
         log.run();
-        failed.set(true);
-        started.completeExceptionally(cause);
+        startFailed.set(true);
+        startedProxy.completeExceptionally(cause);
         System.exit(1);
     }
 
-    /** Asked to end before it listened. */
-    private static final class EndedException extends RuntimeException {
+    /** The process was asked to stop before it listened. */
+    private static final class StoppedBeforeListeningException extends RuntimeException {
         private static final long serialVersionUID = 1;
     }
 
-    /** Before it listens there is nothing to serve out; from then on the start is over soon. */
-    private static void end(CompletableFuture<Proxy> started, AtomicBoolean settled) {
-        if (settled.compareAndSet(false, true)) {
-            Log.write("stop", "asked to end before it listened");
+    /**
+     * Stops the process. Before it listens there are no requests to finish; afterwards the start completes
+     * soon.
+     */
+    private static void stopProcess(CompletableFuture<Proxy> startedProxy, AtomicBoolean listenDecided) {
+        if (listenDecided.compareAndSet(false, true)) {
+            Log.write("stop", "asked to stop before listening");
             return;
         }
         try {
-            started.get(LONGEST_SHUTDOWN_SECONDS, TimeUnit.SECONDS).stop();
+            startedProxy.get(MAX_SHUTDOWN_SECONDS, TimeUnit.SECONDS).stop();
         } catch (ExecutionException | TimeoutException | RuntimeException e) {
             Log.error("stop", e);
         } catch (InterruptedException e) {
@@ -253,19 +287,21 @@
         }
     }
 
-    /** Reads the configuration again; what cannot be read changes nothing. Only discovery and peers can
-     * move. */
+    /**
+     * Reads the configuration again; if that fails, nothing changes. Only the address of discovery and the
+     * peers can change.
+     */
     void reload(Path file) {
         try {
-            Config next = Config.readAgain(file);
-            loop.execute(() -> discovery.move(next.discovery()));
-            if (members != null && next.membership()) {
-                members.configure(next);
-            } else if (members != null) {
+            Config newConfig = Config.readForReload(file);
+            eventLoop.execute(() -> discoveryClient.changeAddress(newConfig.discoveryAddress()));
+            if (membershipService != null && newConfig.usesMembership()) {
+                membershipService.configure(newConfig);
+            } else if (membershipService != null) {
                 Log.write("reload", file + ": no members are named, or Peers is false: those that were in"
                     + " force stay so until a restart");
-            } else if (next.membership()) {
-                Log.write("reload", file + ": members are named: they are taken up by a restart");
+            } else if (newConfig.usesMembership()) {
+                Log.write("reload", file + ": members are named: they take effect at a restart");
             }
         } catch (ConfigException e) {
             Log.write("reload", e.getMessage() + "; what was in force stays so");
@@ -275,141 +311,151 @@
     }
 
     /**
-     * Starts and ends a proxy that nobody uses, so that the build can archive the classes a start takes:
-     * a proxy that was killed is back sooner when the runtime finds them ready-made.
+     * Starts and stops an unused proxy, so that the build can archive the classes that a start loads.
+     * Classes from the archive shorten the restart after a kill.
      */
     public static void runClassArchiveTraining() throws IOException {
-        new Proxy(Config.parse(REHEARSAL)).stop();
+        new Proxy(Config.parse(TRAINING_CONFIG)).stop();
     }
 
-    /** Real time in microseconds: the wall clock as it stood at the start, carried on by the steady one. */
-    private static LongSupplier clock() {
-        long wall = System.currentTimeMillis() * 1000;
-        long start = System.nanoTime();
-        return () -> wall + (System.nanoTime() - start) / 1000;
+    /**
+     * Wall-clock time in microseconds: taken once at the start and advanced by the monotonic clock, so that
+     * it never jumps.
+     */
+    private static LongSupplier newWallClock() {
+        long wallStartMicros = System.currentTimeMillis() * 1000;
+        long monotonicStartNanos = System.nanoTime();
+        return () -> wallStartMicros + (System.nanoTime() - monotonicStartNanos) / 1000;
     }
 
     InetSocketAddress listenAddress() {
-        return (InetSocketAddress) clients.localAddress();
+        return (InetSocketAddress) clientFrontend.localAddress();
     }
 
     InetSocketAddress consoleAddress() {
         return console.address();
     }
 
-    /** How many connections of clients there are. */
+    /** The number of open client connections. */
     int clientConnectionCount() {
-        return clients.connectionCount();
+        return clientFrontend.connectionCount();
     }
 
     EventLoop eventLoop() {
-        return loop;
+        return eventLoop;
     }
 
     ClientFrontend clientSide() {
-        return clients;
+        return clientFrontend;
     }
 
     boolean isStopping() {
         return stopping;
     }
 
-    /** How many requests are in hand, or have attempts out still. */
+    /** The number of requests in flight, including those with attempts that are still running. */
     int inFlightRequestCount() {
-        return table.inFlightCount();
+        return requestTable.inFlightCount();
     }
 
-    private boolean ready() {
-        return !stopping && discovery.anyReady();
+    private boolean isReady() {
+        return !stopping && discoveryClient.isAnyBackendReady();
     }
 
-    /** Lays what the operators said over what the module and the pool go by, at once. */
-    private CompletableFuture<Void> enforce(String backend) {
-        return CompletableFuture.runAsync(() -> discovery.operated(backend), loop);
+    /** Applies an operator's override to a backend, for the balancer and the connection pool, at once. */
+    private CompletableFuture<Void> applyOverride(String backendName) {
+        return CompletableFuture.runAsync(() -> discoveryClient.overrideChanged(backendName), eventLoop);
     }
 
-    /** What is known of the other proxies is the module's to go by, and grows old while the loop is busy. */
-    private void told(FleetView fleet) {
-        long at = System.nanoTime();
-        loop.execute(() -> table.updateFleetView(new FleetView(fleet.proxies(), fleet.me(), fleet.share(),
-            fleet.minShare(),
-            fleet.agreement(), (System.nanoTime() - at) / 1000, fleet.countsAge())));
+    /**
+     * Passes the membership of the fleet to the balancer. Its age includes the time it waits for a busy
+     * event loop.
+     */
+    private void fleetViewChanged(FleetView fleetView) {
+        long receivedAtNanos = System.nanoTime();
+        eventLoop.execute(() -> requestTable.updateFleetView(new FleetView(fleetView.proxies(),
+            fleetView.me(), fleetView.share(), fleetView.minShare(), fleetView.agreement(),
+            (System.nanoTime() - receivedAtNanos) / 1000, fleetView.countsAge())));
     }
 
-    /** Takes up what another process of this proxy has changed. */
-    private void lookAround() {
-        operators.refresh().forEach(this::enforce);
+    /** Applies changes made by another process of the same proxy. */
+    private void checkForOtherProcess() {
+        operatorOverrides.refresh().forEach(this::applyOverride);
         try {
-            int others = succession.exchangeDescriptorCounts(held);
-            if (others >= 0 != beside) {
-                beside = others >= 0;
-                Log.write("console", beside ? "another process of this proxy runs beside" : "alone again");
+            int otherConnections = overlapDetector.exchangeDescriptorCounts(openConnections);
+            if (otherConnections >= 0 != otherProcessRunning) {
+                otherProcessRunning = otherConnections >= 0;
+                Log.write("console", otherProcessRunning ? "another process of this proxy is running"
+                    : "the other process of this proxy has ended");
             }
-            loop.execute(() -> {
-                int left = others < 0 ? room : room - SPARE_DESCRIPTORS - others;
-                pool.limitConnections(left - clients.connectionCount());
-                clients.limitConnections(left - pool.connectionCount());
-                held = clients.connectionCount() + pool.connectionCount();
+            eventLoop.execute(() -> {
+                int availableConnections = otherConnections < 0 ? maxConnections
+                    : maxConnections - RESERVED_DESCRIPTORS - otherConnections;
+                connectionPool.limitConnections(availableConnections - clientFrontend.connectionCount());
+                clientFrontend.limitConnections(availableConnections - connectionPool.connectionCount());
+                openConnections = clientFrontend.connectionCount() + connectionPool.connectionCount();
             });
         } catch (IOException e) {
-            Log.error("console", e); // it goes on with the places it has
+            Log.error("console", e); // keeps its current connection limits
         }
     }
 
-    /** Answers all that comes and all that was taken, then ends; returns once that is done. */
+    /** Stops accepting, answers all accepted requests and shuts down. Blocks until that is done. */
     void stop() {
-        loop.execute(() -> {
-            Log.write("stop", "asked to end with " + table.inFlightCount() + " requests in hand");
+        eventLoop.execute(() -> {
+            Log.write("stop", "asked to stop with " + requestTable.inFlightCount() + " requests in flight");
             stopping = true;
-            if (members != null) {
-                members.stopSpending();
+            if (membershipService != null) {
+                membershipService.stopSpending();
             }
-            if (members != null && shared && beside) {
-                members.handOver();
-            } else if (members != null) {
-                members.leave();
+            if (membershipService != null && listenerInherited && otherProcessRunning) {
+                membershipService.handOver();
+            } else if (membershipService != null) {
+                membershipService.leave();
             }
-            serveOut();
+            drainConnections();
         });
         try {
-            boolean done = finished.await(LONGEST_SHUTDOWN_SECONDS, TimeUnit.SECONDS);
-            Log.write("stop", done ? "done" : "gave up waiting");
+            boolean completed = shutdownComplete.await(MAX_SHUTDOWN_SECONDS, TimeUnit.SECONDS);
+            Log.write("stop", completed ? "done" : "timed out waiting for requests to finish");
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
     /**
-     * Leaves new connections to the next process where there is one, else takes them for as long as they may
-     * come, and keeps those there are for as long as time allows: each ends with its next answer, and one
-     * that a request may be on its way to is not closed under it.
+     * Leaves new connections to the successor process if there is one, otherwise accepts them as long as
+     * they may arrive. Open connections are kept as long as time allows: each is closed with its next
+     * response, and a connection on which a request may be on its way is not closed.
      */
-    private void serveOut() {
-        long left = TimeUnit.MICROSECONDS.toMillis(Math.min(longestDeadline, LONGEST_DEADLINE_MICROS))
-            + LAST_CHANCE_MILLIS;
-        clients.startDraining(System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(left));
-        if (shared) {
-            clients.releaseListener();
-            clients.whenAllClosed(() -> table.whenEmpty(this::finish));
+    private void drainConnections() {
+        long remainingMillis = TimeUnit.MICROSECONDS.toMillis(Math.min(longestDeadlineMicros,
+            MAX_DEADLINE_MICROS)) + EXTRA_DRAIN_MILLIS;
+        clientFrontend.startDraining(System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(remainingMillis));
+        if (listenerInherited) {
+            clientFrontend.releaseListener();
+            clientFrontend.whenAllClosed(() -> requestTable.whenEmpty(this::shutDown));
         } else {
-            loop.schedule(() -> {
-                clients.stopAcceptingOnceBacklogEmpty(LOOK_MILLIS / 2,
-                    () -> clients.whenAllClosed(() -> table.whenEmpty(this::finish)));
-                loop.scheduleWithFixedDelay(clients::closeLongIdle, 0, LOOK_MILLIS, TimeUnit.MILLISECONDS);
-            }, Math.min(left, ACCEPT_AFTER_STOP_MILLIS), TimeUnit.MILLISECONDS);
+            eventLoop.schedule(() -> {
+                clientFrontend.stopAcceptingOnceBacklogEmpty(OVERLAP_CHECK_INTERVAL_MILLIS / 2,
+                    () -> clientFrontend.whenAllClosed(() -> requestTable.whenEmpty(this::shutDown)));
+                eventLoop.scheduleWithFixedDelay(clientFrontend::closeLongIdle, 0,
+                    OVERLAP_CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
+            }, Math.min(remainingMillis, ACCEPT_AFTER_STOP_MILLIS), TimeUnit.MILLISECONDS);
         }
-        loop.schedule(clients::closeIdle, left, TimeUnit.MILLISECONDS);
+        eventLoop.schedule(clientFrontend::closeIdle, remainingMillis, TimeUnit.MILLISECONDS);
     }
 
-    /** The last answers are on their way: the loop writes them out before it ends. */
-    private void finish() {
-        discovery.close();
-        if (members != null) {
-            members.close();
+    /** The last responses are being written; the event loop flushes them before it ends. */
+    private void shutDown() {
+        discoveryClient.close();
+        if (membershipService != null) {
+            membershipService.close();
         }
         if (console != null) {
             console.close();
         }
-        group.shutdownGracefully(50, 1000, TimeUnit.MILLISECONDS).addListener(done -> finished.countDown());
+        eventLoopGroup.shutdownGracefully(50, 1000, TimeUnit.MILLISECONDS).addListener(future ->
+            shutdownComplete.countDown());
     }
 }
--- a/proxy/src/test/java/dockrelay/proxy/DiscoveryModel.java
+++ b/proxy/src/test/java/dockrelay/proxy/DiscoveryModel.java
@@ -9,143 +9,152 @@
 import java.util.SplittableRandom;
 
 /**
- * The calls of a whole fleet on a virtual clock, to a discovery that serves one call after another, also
- * those that have failed by then for having waited too long. Times are in milliseconds.
+ * Simulates the calls of a whole fleet on a virtual clock, to a discovery service that serves one call at a
+ * time, including those that have timed out in its queue. Times are in milliseconds.
  */
 final class DiscoveryModel {
-    static final long MAX_WAIT = 2_000;
-    private static final long ASK_WITHIN = 10_000;
-    private static final long START_SPREAD = 500;
-    private static final long NETWORK = 1;
+    static final long MAX_QUEUE_MILLIS = 2_000;
+    private static final long SUBSCRIBE_WITHIN_MILLIS = 10_000;
+    private static final long START_SPREAD_MILLIS = 500;
+    private static final long NETWORK_DELAY_MILLIS = 1;
 
-    /** What makes proxies call. */
+    /** The event that makes proxies call. */
     enum Trigger {
-        /** Discovery is down, and comes back with changes; all watches were reset, or closed. */
+        /**
+         * Discovery was down and comes back with changes; all watches were reset, or closed in good order.
+         */
         OUTAGE, OUTAGE_CLOSED,
-        /** All start within half a second; seven in ten. */
+        /** All proxies, or seven in ten, start within half a second. */
         START, START_MOST,
-        /** All watches fall silent within a heartbeat; counted from the silence. */
+        /** All watches fall silent within one heartbeat interval; times count from the silence. */
         SILENCE,
-        /** Discovery moves, and all are notified at once. */
+        /** Discovery moves, and all proxies are notified at once. */
         MOVE,
         /** All watches are reset between two objects. */
         RESET,
-        /** All watches are closed between two objects; that of one proxy alone. */
+        /** All watches, or that of a single proxy, are closed between two objects. */
         CLOSED, CLOSED_ONE,
-        /** All watches break in the middle of an object; that of one proxy alone. */
+        /** All watches, or that of a single proxy, break in the middle of an object. */
         CUT, CUT_ONE
     }
 
-    /** How calls fail that discovery does not take: down or with a full queue. */
-    enum Away { REFUSES, LETS_WAIT }
+    /** How calls fail while discovery is down: refused at once, or timed out. */
+    enum OutageMode { REFUSES, TIMES_OUT }
 
     /**
-     * One fleet and its discovery, which needs so long to serve each proxy once; with so many calls waiting
-     * it refuses what comes on top. The outage counts where that is the trigger. So many answers to each
-     * proxy are cut before one comes whole.
+     * A fleet and its discovery service. {@code fleetServiceMillis} is the time to serve each proxy once;
+     * calls beyond {@code maxQueuedCalls} are refused; {@code outageMillis} only applies to the outage
+     * triggers; {@code truncatedAnswers} answers to each proxy are truncated before a complete one.
      */
-    record Scenario(Trigger trigger, int fleet, long wholeFleet, long outage, Away away, int maxQueue,
-                    int cutAnswers) {
-        private static final long USUAL_OUTAGE = 8_000;
-        private static final int USUAL_QUEUE = 60;
+    record Scenario(Trigger trigger, int fleetSize, long fleetServiceMillis, long outageMillis,
+                    OutageMode outageMode, int maxQueuedCalls, int truncatedAnswers) {
+        private static final long DEFAULT_OUTAGE_MILLIS = 8_000;
+        private static final int DEFAULT_MAX_QUEUED_CALLS = 60;
 
-        Scenario(Trigger trigger, int fleet, long wholeFleet) {
-            this(trigger, fleet, wholeFleet, USUAL_OUTAGE, Away.LETS_WAIT, USUAL_QUEUE, 0);
+        Scenario(Trigger trigger, int fleetSize, long fleetServiceMillis) {
+            this(trigger, fleetSize, fleetServiceMillis, DEFAULT_OUTAGE_MILLIS, OutageMode.TIMES_OUT,
+                DEFAULT_MAX_QUEUED_CALLS, 0);
         }
 
-        Scenario withOutage(long millis, Away how) {
-            return new Scenario(trigger, fleet, wholeFleet, millis, how, maxQueue, cutAnswers);
+        Scenario withOutage(long millis, OutageMode mode) {
+            return new Scenario(trigger, fleetSize, fleetServiceMillis, millis, mode, maxQueuedCalls,
+                truncatedAnswers);
         }
 
-        Scenario withQueue(int calls) {
-            return new Scenario(trigger, fleet, wholeFleet, outage, away, calls, cutAnswers);
+        Scenario withMaxQueuedCalls(int calls) {
+            return new Scenario(trigger, fleetSize, fleetServiceMillis, outageMillis, outageMode, calls,
+                truncatedAnswers);
         }
 
-        Scenario withCutAnswers(int answers) {
-            return new Scenario(trigger, fleet, wholeFleet, outage, away, maxQueue, answers);
+        Scenario withTruncatedAnswers(int answers) {
+            return new Scenario(trigger, fleetSize, fleetServiceMillis, outageMillis, outageMode,
+                maxQueuedCalls, answers);
         }
 
-        long callTime() {
-            return Math.max(1, wholeFleet / fleet);
+        long callMillis() {
+            return Math.max(1, fleetServiceMillis / fleetSize);
         }
     }
 
-    private record Event(long at, long order, Runnable action) {
+    /** An action that is due at a time of the virtual clock; events of the same time run in order. */
+    private record Event(long timeMillis, long sequence, Runnable action) {
     }
 
+    /** One call of a proxy. */
     private static final class Call {
-        final long beganAt;
-        boolean over;
+        final long startMillis;
+        boolean finished;
 
-        Call(long beganAt) {
-            this.beganAt = beganAt;
+        Call(long startMillis) {
+            this.startMillis = startMillis;
         }
     }
 
-    /** One proxy's calls, as {@link Discovery} makes them. */
+    /** The calls of one proxy, scheduled as in {@link DiscoveryClient}. */
     private final class Caller {
         final CallPacing pacing;
-        final List<Call> open = new ArrayList<>(); // calls that wait
-        long beganAt, answeredAt = -1;
-        int round, answersToCut;
+        final List<Call> pendingCalls = new ArrayList<>(); // unanswered calls
+        long lastCallMillis, answeredAtMillis = -1;
+        int timerGeneration, answersToTruncate;
 
-        Caller(int number, long seed) {
-            pacing = new CallPacing(scenario.fleet, number, ASK_WITHIN, seed);
-            answersToCut = scenario.cutAnswers;
+        Caller(int proxyNumber, long seed) {
+            pacing = new CallPacing(scenario.fleetSize, proxyNumber, SUBSCRIBE_WITHIN_MILLIS, seed);
+            answersToTruncate = scenario.truncatedAnswers;
         }
 
-        void callIn(long wait) {
-            int mine = ++round;
-            after(wait, () -> {
-                if (mine == round && answeredAt < 0) {
-                    call();
+        void scheduleCall(long delayMillis) {
+            int generation = ++timerGeneration;
+            schedule(delayMillis, () -> {
+                if (generation == timerGeneration && answeredAtMillis < 0) {
+                    startCall();
                 }
             });
         }
 
-        private void call() {
-            beganAt = now;
-            offered.add(now);
-            Call call = new Call(now);
-            open.add(call);
-            after(MAX_WAIT, () -> fail(call, true));
-            callIn(pacing.whileUnanswered());
-            boolean down = now < downUntil;
-            if (down ? scenario.away == Away.REFUSES : queue.size() > scenario.maxQueue) {
-                after(NETWORK, this::refuse);
+        private void startCall() {
+            lastCallMillis = nowMillis;
+            callTimes.add(nowMillis);
+            Call call = new Call(nowMillis);
+            pendingCalls.add(call);
+            schedule(MAX_QUEUE_MILLIS, () -> failCall(call, true));
+            scheduleCall(pacing.answerTimeout());
+            boolean down = nowMillis < downUntilMillis;
+            if (down ? scenario.outageMode == OutageMode.REFUSES
+                : queuedCalls.size() > scenario.maxQueuedCalls) {
+                schedule(NETWORK_DELAY_MILLIS, this::failPendingCalls);
             } else if (!down) {
-                queue.add(() -> answer(call));
-                serve();
+                queuedCalls.add(() -> answerCall(call));
+                serveNext();
             }
         }
 
-        /** It refuses a caller and not a call: all that this one has waiting are over. */
-        private void refuse() {
-            List.copyOf(open).forEach(each -> fail(each, true));
+        /** A refusal applies to the caller: all its queued calls fail. */
+        private void failPendingCalls() {
+            List.copyOf(pendingCalls).forEach(pending -> failCall(pending, true));
         }
 
-        private void fail(Call call, boolean refusal) {
-            if (!call.over && answeredAt < 0) {
-                call.over = true;
-                open.remove(call);
-                if (open.isEmpty()) {
-                    callIn(pacing.afterFailure(now - beganAt, refusal));
+        private void failCall(Call call, boolean refused) {
+            if (!call.finished && answeredAtMillis < 0) {
+                call.finished = true;
+                pendingCalls.remove(call);
+                if (pendingCalls.isEmpty()) {
+                    scheduleCall(pacing.waitAfterFailure(nowMillis - lastCallMillis, refused));
                 }
             }
         }
 
-        private void answer(Call call) {
-            if (call.over || answeredAt >= 0) {
+        private void answerCall(Call call) {
+            if (call.finished || answeredAtMillis >= 0) {
                 return;
             }
-            pacing.answered(now - call.beganAt);
-            if (answersToCut-- > 0) {
-                call.over = true;
-                open.remove(call);
-                callIn(pacing.afterBrokenAnswer());
+            pacing.recordAnswer(nowMillis - call.startMillis);
+            if (answersToTruncate-- > 0) {
+                call.finished = true;
+                pendingCalls.remove(call);
+                scheduleCall(pacing.waitAfterTruncatedAnswer());
             } else {
                 pacing.reset();
-                answeredAt = now;
+                answeredAtMillis = nowMillis;
             }
         }
     }
@@ -153,11 +162,11 @@
     private final Scenario scenario;
     private final SplittableRandom random;
     private final PriorityQueue<Event> events = new PriorityQueue<>(
-        Comparator.comparingLong(Event::at).thenComparingLong(Event::order));
-    private final Deque<Runnable> queue = new ArrayDeque<>();
+        Comparator.comparingLong(Event::timeMillis).thenComparingLong(Event::sequence));
+    private final Deque<Runnable> queuedCalls = new ArrayDeque<>();
     private final List<Caller> callers = new ArrayList<>();
-    private final List<Long> offered = new ArrayList<>();
-    private long now, order, downUntil;
+    private final List<Long> callTimes = new ArrayList<>();
+    private long nowMillis, nextSequence, downUntilMillis;
     private boolean serving;
 
     DiscoveryModel(Scenario scenario, long seed) {
@@ -165,79 +174,84 @@
         this.random = new SplittableRandom(seed);
     }
 
-    private void after(long wait, Runnable action) {
-        events.add(new Event(now + wait, order++, action));
+    private void schedule(long delayMillis, Runnable action) {
+        events.add(new Event(nowMillis + delayMillis, nextSequence++, action));
     }
 
-    /** One call at a time, each for as long as any other. */
-    private void serve() {
-        if (!serving && !queue.isEmpty()) {
+    /** Serves one call at a time, each for the same time. */
+    private void serveNext() {
+        if (!serving && !queuedCalls.isEmpty()) {
             serving = true;
-            Runnable answer = queue.poll();
-            after(scenario.callTime(), () -> {
+            Runnable answer = queuedCalls.poll();
+            schedule(scenario.callMillis(), () -> {
                 serving = false;
                 answer.run();
-                serve();
+                serveNext();
             });
         }
     }
 
-    /** Plays it until that time after the trigger. */
-    DiscoveryModel play(long until) {
-        boolean outage = scenario.trigger == Trigger.OUTAGE || scenario.trigger == Trigger.OUTAGE_CLOSED;
-        downUntil = outage ? scenario.outage : 0;
-        int affected = switch (scenario.trigger) {
+    /** Runs the simulation until this time after the trigger. */
+    DiscoveryModel play(long durationMillis) {
+        boolean isOutage = scenario.trigger == Trigger.OUTAGE || scenario.trigger == Trigger.OUTAGE_CLOSED;
+        downUntilMillis = isOutage ? scenario.outageMillis : 0;
+        int callerCount = switch (scenario.trigger) {
             case CLOSED_ONE, CUT_ONE -> 1;
-            case START_MOST -> Math.max(1, scenario.fleet * 7 / 10);
-            default -> scenario.fleet;
+            case START_MOST -> Math.max(1, scenario.fleetSize * 7 / 10);
+            default -> scenario.fleetSize;
         };
-        // One alone may be any of them: its slot may be the last one.
-        int first = affected == 1 ? random.nextInt(scenario.fleet) : 0;
-        for (int i = 0; i < affected; i++) {
-            Caller caller = new Caller(first + i, random.nextLong());
+        // A single proxy may be any of them, also the one with the last slot.
+        int firstProxy = callerCount == 1 ? random.nextInt(scenario.fleetSize) : 0;
+        for (int i = 0; i < callerCount; i++) {
+            Caller caller = new Caller(firstProxy + i, random.nextLong());
             callers.add(caller);
-            caller.callIn(firstWait(caller.pacing));
+            caller.scheduleCall(waitAfterTrigger(caller.pacing));
         }
-        while (!events.isEmpty() && events.peek().at < downUntil + until) {
+        while (!events.isEmpty() && events.peek().timeMillis < downUntilMillis + durationMillis) {
             Event event = events.poll();
-            now = event.at;
+            nowMillis = event.timeMillis;
             event.action.run();
         }
         return this;
     }
 
-    private long firstWait(CallPacing pacing) {
+    private long waitAfterTrigger(CallPacing pacing) {
         if (scenario.trigger != Trigger.MOVE && !scenario.trigger.name().startsWith("START")) {
-            pacing.answered(scenario.callTime()); // it had a watch before
+            pacing.recordAnswer(scenario.callMillis()); // from the watch that it had before
         }
         return switch (scenario.trigger) {
-            case OUTAGE, RESET -> pacing.afterEnd(false);
-            case OUTAGE_CLOSED, CLOSED, CLOSED_ONE -> pacing.afterEnd(true);
-            case START, START_MOST -> random.nextLong(START_SPREAD) + firstCall(pacing);
-            case SILENCE -> DiscoveryTimeouts.SILENT - random.nextLong(DiscoveryTimeouts.HEARTBEAT)
-                + pacing.afterSilence();
-            case MOVE -> pacing.afterMove();
-            case CUT, CUT_ONE -> pacing.afterBrokenAnswer();
+            case OUTAGE, RESET -> pacing.waitAfterWatchEnd(false);
+            case OUTAGE_CLOSED, CLOSED, CLOSED_ONE -> pacing.waitAfterWatchEnd(true);
+            case START, START_MOST -> random.nextLong(START_SPREAD_MILLIS) + waitBeforeFirstCall(pacing);
+            case SILENCE -> DiscoveryTimeouts.SILENCE_TIMEOUT_MILLIS
+                - random.nextLong(DiscoveryTimeouts.HEARTBEAT_INTERVAL_MILLIS)
+                + pacing.waitAfterSilence();
+            case MOVE -> pacing.waitAfterMove();
+            case CUT, CUT_ONE -> pacing.waitAfterTruncatedAnswer();
         };
     }
 
-    /** In a small fleet the module makes the first call, within a fifth of the time for asking. */
-    private long firstCall(CallPacing pacing) {
-        return pacing.decidesFirstCall() ? pacing.firstCall()
-            : Math.min(pacing.firstCall(), random.nextLong(ASK_WITHIN / 5));
+    /**
+     * In a small fleet the balancer requests the first call, within a fifth of the time allowed for calls.
+     */
+    private long waitBeforeFirstCall(CallPacing pacing) {
+        return pacing.schedulesFirstCall() ? pacing.waitBeforeFirstCall()
+            : Math.min(pacing.waitBeforeFirstCall(), random.nextLong(SUBSCRIBE_WITHIN_MILLIS / 5));
     }
 
-    /** How long after the trigger, or after discovery's return, the last proxy has its list. */
-    long lastAnswer() {
-        long last = 0;
+    /** Time from the trigger, or from the end of the outage, until the last proxy has its list. */
+    long lastAnswerMillis() {
+        long lastMillis = 0;
         for (Caller caller : callers) {
-            last = Math.max(last, caller.answeredAt < 0 ? Long.MAX_VALUE / 2 : caller.answeredAt);
+            lastMillis = Math.max(lastMillis, caller.answeredAtMillis < 0 ? Long.MAX_VALUE / 2
+                : caller.answeredAtMillis);
         }
-        return last - downUntil;
+        return lastMillis - downUntilMillis;
     }
 
-    /** How many calls were begun from one time after the trigger to the other. */
-    long offered(long from, long to) {
-        return offered.stream().filter(at -> at >= downUntil + from && at < downUntil + to).count();
+    /** Number of calls started between two times after the trigger. */
+    long offered(long fromMillis, long toMillis) {
+        return callTimes.stream().filter(callMillis -> callMillis >= downUntilMillis + fromMillis
+            && callMillis < downUntilMillis + toMillis).count();
     }
 }
--- a/proxy/src/test/java/dockrelay/proxy/ProxyProcess.java
+++ b/proxy/src/test/java/dockrelay/proxy/ProxyProcess.java
@@ -14,56 +14,56 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/**
- * The proxy as a process of its own at an address of its own, started and killed as often as a test wants.
- */
+/** A proxy in a separate process at its own address, which a test can start and kill repeatedly. */
 final class ProxyProcess implements AutoCloseable {
-    private static final AtomicInteger MADE = new AtomicInteger();
-    private static final int LOW_BYTE = 250;
-    private static final long PATIENCE_SECONDS = 20;
-    private static final String CONFIGURATION = "config.json";
+    private static final AtomicInteger INSTANCE_COUNT = new AtomicInteger();
+    private static final int ADDRESS_RANGE = 250;
+    private static final long EXIT_TIMEOUT_SECONDS = 20;
+    private static final String CONFIG_FILE = "config.json";
 
     private final Path folder;
-    /** Its own, so that no other test can take the port while the process is down. */
+    /** A loopback address of its own, so that no other test can take the port while the process is down. */
     private final String host;
-    /** Its own too, as the platform gives each: proxies of one seed would make their calls in step. */
+    /** Differs between processes, as in a deployment: proxies with the same seed would call in step. */
     private final String seed;
     private final int port;
     private Process process;
 
-    /** The folder is the process's own: its configuration and its log are kept there. */
+    /** The folder holds the configuration and the log of this process only. */
     ProxyProcess(Path folder) throws IOException {
         this.folder = Files.createDirectories(folder);
-        int number = MADE.getAndIncrement();
-        host = "127.7." + ProcessHandle.current().pid() % LOW_BYTE + "." + (1 + number % LOW_BYTE);
-        seed = Long.toHexString(new SplittableRandom(number).nextLong());
-        try (ServerSocket any = new ServerSocket(0, 1, InetAddress.getByName(host))) {
-            port = any.getLocalPort();
+        int instanceNumber = INSTANCE_COUNT.getAndIncrement();
+        host = "127.7." + ProcessHandle.current().pid() % ADDRESS_RANGE + "."
+            + (1 + instanceNumber % ADDRESS_RANGE);
+        seed = Long.toHexString(new SplittableRandom(instanceNumber).nextLong());
+        try (ServerSocket portReservation = new ServerSocket(0, 1, InetAddress.getByName(host))) {
+            port = portReservation.getLocalPort();
         }
     }
 
     /**
-     * Writes the configuration: this list and these further settings, as {@link Fakes#text} lays them out.
+     * Writes the configuration with this list and these additional settings, in the format of {@link
+     * Fakes#configJson}.
      */
-    void configure(int discoveryPort, String known, String settings) throws IOException {
-        configure(Fakes.configJson(port, discoveryPort, 1024, known, settings)
+    void configure(int discoveryPort, String knownEntries, String settings) throws IOException {
+        configure(Fakes.configJson(port, discoveryPort, 1024, knownEntries, settings)
             .replace("\"listen\":\"127.0.0.1:", "\"listen\":\"" + host + ":")
             .replaceFirst("\"seed\":\"[0-9a-f]*\"", "\"seed\":\"" + seed + "\""));
     }
 
-    /** Writes this in place of the configuration. */
+    /** Overwrites the configuration with this text. */
     void configure(String text) throws IOException {
-        Files.writeString(folder.resolve(CONFIGURATION), text);
+        Files.writeString(folder.resolve(CONFIG_FILE), text);
     }
 
-    /** Starts with a configuration like that. */
-    void start(int discoveryPort, String known, String settings) throws IOException {
-        configure(discoveryPort, known, settings);
+    /** Writes the configuration and starts the process. */
+    void start(int discoveryPort, String knownEntries, String settings) throws IOException {
+        configure(discoveryPort, knownEntries, settings);
         ProcessBuilder builder = new ProcessBuilder(
             ProcessHandle.current().info().command().orElseThrow(), "-Xmx64m", "-XX:TieredStopAtLevel=1",
             "-cp", System.getProperty("surefire.test.class.path", System.getProperty("java.class.path")),
             Main.class.getName(), "serve");
-        builder.environment().put("PROXY_CONFIG", folder.resolve(CONFIGURATION).toString());
+        builder.environment().put("PROXY_CONFIG", folder.resolve(CONFIG_FILE).toString());
         builder.environment().remove("TMPDIR");
         builder.redirectErrorStream(true);
         builder.redirectOutput(ProcessBuilder.Redirect.appendTo(new File(folder.toFile(), "log")));
@@ -71,7 +71,7 @@
     }
 
     void awaitServing() {
-        Fakes.await("it serves", () -> {
+        Fakes.await("the proxy to serve", () -> {
             try (Fakes.FakeClient client = connectClient()) {
                 return client.send(Fakes.FakeClient.getRequest("4.0")).readStatus() == 200;
             } catch (IOException e) {
@@ -92,18 +92,19 @@
         }
     }
 
-    /** Sends a signal by its name, such as TERM. */
+    /** Sends a signal, given by its name, such as TERM. */
     void signal(String name) throws IOException, InterruptedException {
         new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor();
     }
 
-    /** Waits until it has ended by itself, and returns its exit status. */
-    int awaitEnd() throws InterruptedException {
-        assertTrue(process.waitFor(PATIENCE_SECONDS, TimeUnit.SECONDS), "it ends");
+    /** Waits until the process exits and returns its exit status. */
+    int awaitExit() throws InterruptedException {
+        assertTrue(process.waitFor(EXIT_TIMEOUT_SECONDS, TimeUnit.SECONDS),
+            "the process did not exit in time");
         return process.exitValue();
     }
 
-    /** Kills it with SIGKILL and waits until it is gone. */
+    /** Kills the process with SIGKILL and waits for its end. */
     void kill() throws InterruptedException {
         process.destroyForcibly().waitFor();
     }
--- a/proxy/src/test/java/dockrelay/proxy/QueueingDiscovery.java
+++ b/proxy/src/test/java/dockrelay/proxy/QueueingDiscovery.java
@@ -13,82 +13,83 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Discovery that serves the calls of all its callers one after another, in the order in which they came. A
- * call that has waited too long fails, but takes its time in the queue all the same: nobody takes it out.
+ * A discovery service that serves all calls one after another in order of arrival. A call that waits too
+ * long fails, but stays in the queue and still takes its service time.
  */
 final class QueueingDiscovery implements AutoCloseable {
     private static final long MAX_WAIT_MILLIS = 2_000;
-    private static final long HEARTBEAT_MILLIS = 500;
+    private static final long HEARTBEAT_INTERVAL_MILLIS = 500;
     private static final long MAX_LAG_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
 
     private final long callMillis;
-    private final BlockingQueue<CountDownLatch> queue = new LinkedBlockingQueue<>();
-    private final List<Door> doors = new ArrayList<>();
-    private final Thread server = new Thread(this::serveCalls);
-    private volatile String list;
+    private final BlockingQueue<CountDownLatch> queuedCalls = new LinkedBlockingQueue<>();
+    private final List<CallerServer> callerServers = new ArrayList<>();
+    private final Thread servingThread = new Thread(this::serveCalls);
+    private volatile String fullList;
     private volatile boolean down;
 
-    /** Each call takes it so long. */
-    QueueingDiscovery(String list, long callMillis) {
-        this.list = list;
+    /** {@code callMillis} is the service time of each call. */
+    QueueingDiscovery(String fullList, long callMillis) {
+        this.fullList = fullList;
         this.callMillis = callMillis;
-        server.setDaemon(true);
-        server.start();
+        servingThread.setDaemon(true);
+        servingThread.start();
     }
 
-    /** The address of one caller. */
-    Door door() {
-        Door door = new Door();
-        doors.add(door);
-        return door;
+    /** Opens an address for one caller. */
+    CallerServer addCaller() {
+        CallerServer server = new CallerServer();
+        callerServers.add(server);
+        return server;
     }
 
-    /** All watches end, and calls fail after a wait. */
-    void goDown() throws IOException {
+    /** Ends all watches; from now on calls time out. */
+    void startOutage() throws IOException {
         down = true;
-        for (Door door : doors) {
-            for (Socket watch : door.watches) {
+        for (CallerServer server : callerServers) {
+            for (Socket watch : server.watches) {
                 watch.close();
             }
         }
     }
 
-    /** Back again with this list. */
-    void comeBack(String whole) {
-        list = whole;
+    /** Ends the outage; calls receive this list. */
+    void endOutage(String newList) {
+        fullList = newList;
         down = false;
     }
 
-    int watches() {
-        return doors.stream().mapToInt(door -> door.watches.size()).sum();
+    int watchCount() {
+        return callerServers.stream().mapToInt(server -> server.watches.size()).sum();
     }
 
     private void serveCalls() {
         try {
-            long servedAt = System.nanoTime();
+            long servedAtNanos = System.nanoTime();
             while (true) {
-                CountDownLatch served = queue.take();
-                // By the clock: what a busy machine adds to a sleep must not make discovery slower.
-                servedAt = Math.max(System.nanoTime() - MAX_LAG_NANOS, servedAt)
+                CountDownLatch servedLatch = queuedCalls.take();
+                // Measured by the clock, so that the overhead of a sleep on a busy machine does not slow
+                // discovery down.
+                servedAtNanos = Math.max(System.nanoTime() - MAX_LAG_NANOS, servedAtNanos)
                     + TimeUnit.MILLISECONDS.toNanos(callMillis);
-                TimeUnit.NANOSECONDS.sleep(servedAt - System.nanoTime());
-                served.countDown();
+                TimeUnit.NANOSECONDS.sleep(servedAtNanos - System.nanoTime());
+                servedLatch.countDown();
             }
         } catch (InterruptedException e) {
-            return; // closed
+            return; // closed by the test
         }
     }
 
     @Override
     public void close() throws IOException {
-        server.interrupt();
-        for (Door door : doors) {
-            door.close();
+        servingThread.interrupt();
+        for (CallerServer server : callerServers) {
+            server.close();
         }
     }
 
-    /** One caller's address. */
-    final class Door extends Fakes.FakeServer {
+    /** The address of one caller. */
+    final class CallerServer extends Fakes.FakeServer {
         private final List<Socket> watches = new CopyOnWriteArrayList<>();
 
         @Override
@@ -97,15 +98,15 @@
                 return;
             }
             try {
-                if (!waitForTurn()) {
+                if (!awaitTurn()) {
                     write(connection, Fakes.httpResponse("503 Busy", "", ""));
                     return;
                 }
                 watches.add(connection);
                 write(connection, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-                    + FakeDiscovery.chunk(list));
-                while (!down) { // until the proxy ends the watch: the write fails then
-                    Thread.sleep(HEARTBEAT_MILLIS);
+                    + FakeDiscovery.chunk(fullList));
+                while (!down) { // ends when the proxy closes the watch and the write fails
+                    Thread.sleep(HEARTBEAT_INTERVAL_MILLIS);
                     write(connection, FakeDiscovery.chunk(""));
                 }
             } catch (InterruptedException e) {
@@ -115,12 +116,12 @@
             }
         }
 
-        private boolean waitForTurn() throws InterruptedException {
-            CountDownLatch served = new CountDownLatch(1);
+        private boolean awaitTurn() throws InterruptedException {
+            CountDownLatch servedLatch = new CountDownLatch(1);
             if (!down) {
-                queue.add(served);
+                queuedCalls.add(servedLatch);
             }
-            return served.await(MAX_WAIT_MILLIS, TimeUnit.MILLISECONDS);
+            return servedLatch.await(MAX_WAIT_MILLIS, TimeUnit.MILLISECONDS);
         }
 
         private void write(Socket connection, String text) throws IOException {
