--- a/proxy/src/main/java/dockrelay/proxy/BackendConnectionPool.java
+++ b/proxy/src/main/java/dockrelay/proxy/BackendConnectionPool.java
@@ -52,326 +52,339 @@
  */
 final class BackendConnectionPool {
     /** A kept connection is dropped this share of its idle time before the backend may drop it. */
-    private static final double IDLE_SHARE = 0.85;
-    private static final long SWEEP_MICROS = 500_000;
+    private static final double IDLE_TIMEOUT_FRACTION = 0.85;
+    private static final long SWEEP_INTERVAL_MICROS = 500_000;
     /**
      * A backend may answer twice, the second time some milliseconds later: a connection is used again once it
      * has been quiet for so long after its answer, as nothing would tell such an answer from the next one's.
      */
-    static final long SETTLED_NANOS = TimeUnit.MILLISECONDS.toNanos(3);
+    static final long REUSE_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(3);
     /** ...for so long where an answer that could not be read has come of late from any of them. */
-    private static final long SETTLED_SPOILT_NANOS = TimeUnit.MILLISECONDS.toNanos(12);
+    private static final long REUSE_DELAY_AFTER_UNREADABLE_NANOS = TimeUnit.MILLISECONDS.toNanos(12);
     /** ...and for so long where it came from this one, and nobody had asked for it. */
-    private static final long SETTLED_STRAY_NANOS = TimeUnit.MILLISECONDS.toNanos(40);
-    private static final long SPOILT_NANOS = TimeUnit.SECONDS.toNanos(30);
+    private static final long REUSE_DELAY_AFTER_UNSOLICITED_NANOS = TimeUnit.MILLISECONDS.toNanos(40);
+    private static final long ANOMALY_WINDOW_NANOS = TimeUnit.SECONDS.toNanos(30);
     /** A long answer is not longer than that. */
-    private static final long MOST_BODY = 32 << 20;
+    private static final long MAX_BODY_BYTES = 32 << 20;
     /** An answer of unknown length is held for this part of its time at most, to see whether it is short. */
-    private static final long HELD_PART = 8;
+    private static final long BUFFERING_TIME_DIVISOR = 8;
     /** Peers take seconds to read or write, and no longer: what stands still keeps its place from others. */
-    private static final long STILL_SECONDS = 10;
-    private static final Pattern FIGURE = Pattern.compile("(\\w+)=(\\d{1,12}(?:\\.\\d{1,12})?)");
+    private static final long STALL_TIMEOUT_SECONDS = 10;
+    private static final Pattern LOAD_VALUE_PATTERN = Pattern.compile("(\\w+)=(\\d{1,12}(?:\\.\\d{1,12})?)");
 
     private final Bootstrap bootstrap;
-    private final EventLoop loop;
+    private final EventLoop eventLoop;
     private final Counters counters;
-    private final BufferLimit buffers;
-    private final int fullMost;
-    private int most;
-    private final long idleNanos, settledNanos;
-    private LongObjectMap<RequestTable.ListedBackend> listed = BackendRegistry.newIdMap(0);
-    private final LongObjectMap<Peer> peers = BackendRegistry.newIdMap(0); // those of them that were sent to
-    private final Set<Connection> idle = new LinkedHashSet<>(); // the first one was used first
-    private int connections;
-    private boolean spoilt;
-    private long spoiltAt; // when an answer last could not be read
+    private final BufferLimit bufferLimit;
+    private final int configuredMaxConnections;
+    private int maxConnections;
+    private final long maxIdleNanos, reuseDelayNanos;
+    private LongObjectMap<RequestTable.ListedBackend> listedBackends = BackendRegistry.newIdMap(0);
+    private final LongObjectMap<BackendState> backendStates =
+        BackendRegistry.newIdMap(0); // those of them that were sent to
+    private final Set<BackendConnection> idleConnections =
+    new LinkedHashSet<>(); // the first one was used first
+    private int connectionCount;
+    private boolean unreadableSeen;
+    private long lastUnreadableNanos; // when an answer last could not be read
 
     /** Told once how an exchange ended; the response comes with OK only and is the listener's to release. */
-    interface Listener {
+    interface ExchangeListener {
         /** A good answer that is too long to be kept whole begins; with its body's end comes OK alone. */
-        default void began(HttpResponse head, Body body) {
-            body.drop();
+        default void onStreamStart(HttpResponse head, Body body) {
+            body.discard();
         }
 
         /** Asked right before its first byte goes out, which a late connection may have put off. */
-        default boolean mayBegin() {
+        default boolean maySend() {
             return true;
         }
 
-        void ended(Outcome outcome, LoadReport report, FullHttpResponse response);
+        void onEnd(Outcome outcome, LoadReport report, FullHttpResponse response);
     }
 
-    private static final class Peer {
+    private static final class BackendState {
         final long id;
         SocketAddress address;
-        boolean ready, stray;
-        long strayAt;
-        int open;
-        final Deque<Connection> idle = new ArrayDeque<>(); // the last one was used last
+        boolean acceptsRequests, unsolicitedSeen;
+        long lastUnsolicitedNanos;
+        int openConnections;
+        final Deque<BackendConnection> idleConnections = new ArrayDeque<>(); // the last one was used last
 
-        Peer(long id) {
+        BackendState(long id) {
             this.id = id;
         }
     }
 
-    BackendConnectionPool(Bootstrap template, EventLoop loop, int most, long connectTimeout, long connectionIdle,
-                Counters counters, BufferLimit buffers) {
-        this(template, loop, most, connectTimeout, connectionIdle, counters, buffers, SETTLED_NANOS);
+    BackendConnectionPool(Bootstrap template, EventLoop eventLoop, int maxConnections,
+        long connectTimeoutMicros, long connectionIdleMicros,
+                Counters counters, BufferLimit bufferLimit) {
+        this(template, eventLoop, maxConnections, connectTimeoutMicros, connectionIdleMicros, counters,
+            bufferLimit, REUSE_DELAY_NANOS);
     }
 
-    BackendConnectionPool(Bootstrap template, EventLoop loop, int most, long connectTimeout, long connectionIdle,
-                Counters counters, BufferLimit buffers, long settledNanos) {
-        this.settledNanos = settledNanos;
-        this.buffers = buffers;
-        this.loop = loop;
+    BackendConnectionPool(Bootstrap template, EventLoop eventLoop, int maxConnections,
+        long connectTimeoutMicros, long connectionIdleMicros,
+                Counters counters, BufferLimit bufferLimit, long reuseDelayNanos) {
+        this.reuseDelayNanos = reuseDelayNanos;
+        this.bufferLimit = bufferLimit;
+        this.eventLoop = eventLoop;
         this.counters = counters;
-        counters.registerGauge("backend-connections", () -> connections);
-        this.fullMost = most;
-        this.most = most;
-        this.idleNanos = (long) (connectionIdle * IDLE_SHARE * 1000);
+        counters.registerGauge("backend-connections", () -> connectionCount);
+        this.configuredMaxConnections = maxConnections;
+        this.maxConnections = maxConnections;
+        this.maxIdleNanos = (long) (connectionIdleMicros * IDLE_TIMEOUT_FRACTION * 1000);
         this.bootstrap = template.clone()
-            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) (connectTimeout / 1000))
+            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) (connectTimeoutMicros / 1000))
             .option(ChannelOption.WRITE_BUFFER_WATER_MARK, BufferLimit.WATER_MARKS)
-            .option(ChannelOption.RECVBUF_ALLOCATOR, BufferLimit.reads())
+            .option(ChannelOption.RECVBUF_ALLOCATOR, BufferLimit.receiveAllocator())
             .handler(new ChannelInitializer<Channel>() {
                 @Override
                 protected void initChannel(Channel channel) {
                     channel.pipeline().addLast(new ResponseDecoder(), new HttpRequestEncoder(),
-                        new Connection());
+                        new BackendConnection());
                 }
             });
-        loop.scheduleAtFixedRate(this::sweep, SWEEP_MICROS, SWEEP_MICROS, TimeUnit.MICROSECONDS);
+        eventLoop.scheduleAtFixedRate(this::closeExpiredConnections, SWEEP_INTERVAL_MICROS,
+            SWEEP_INTERVAL_MICROS, TimeUnit.MICROSECONDS);
     }
 
     int connectionCount() {
-        return connections;
+        return connectionCount;
     }
 
     /** Keeps to so many connections, as there are no more descriptors. */
-    void limitConnections(int left) {
-        most = Math.max(1, Math.min(fullMost, left));
-        int over = connections - most;
-        while (over-- > 0 && evict()) {
+    void limitConnections(int availableDescriptors) {
+        maxConnections = Math.max(1, Math.min(configuredMaxConnections, availableDescriptors));
+        int excess = connectionCount - maxConnections;
+        while (excess-- > 0 && evictLongestIdle()) {
             continue; // what is idle goes now, what is busy with its answer
         }
     }
 
     /** Where a backend listens now, and whether it may be sent anything new. */
-    void learn(RequestTable.ListedBackend member) {
-        long id = member.backend().id();
-        if (member.backend().phase() == Phase.GONE) {
-            listed.remove(id);
+    void updateBackend(RequestTable.ListedBackend listed) {
+        long id = listed.backend().id();
+        if (listed.backend().phase() == Phase.GONE) {
+            listedBackends.remove(id);
         } else {
-            listed.put(id, member);
+            listedBackends.put(id, listed);
         }
-        Peer peer = peers.get(id);
-        if (peer != null) {
-            update(peer, member);
+        BackendState backend = backendStates.get(id);
+        if (backend != null) {
+            updateState(backend, listed);
         }
     }
 
     /** Likewise of all there are: none but these may be sent anything. */
-    void learnAll(List<RequestTable.ListedBackend> members) {
-        listed = BackendRegistry.newIdMap(members.size());
-        for (RequestTable.ListedBackend member : members) {
-            learn(member);
+    void replaceBackends(List<RequestTable.ListedBackend> listed) {
+        listedBackends = BackendRegistry.newIdMap(listed.size());
+        for (RequestTable.ListedBackend listedBackend : listed) {
+            updateBackend(listedBackend);
         }
-        for (Peer peer : List.copyOf(peers.values())) {
-            if (!listed.containsKey(peer.id)) {
-                peer.ready = false;
-                closeIdle(peer);
-                forget(peer);
+        for (BackendState backend : List.copyOf(backendStates.values())) {
+            if (!listedBackends.containsKey(backend.id)) {
+                backend.acceptsRequests = false;
+                closeIdleConnectionsTo(backend);
+                removeIfUnused(backend);
             }
         }
     }
 
-    private void update(Peer peer, RequestTable.ListedBackend member) {
-        boolean moved = member.address() != null && !member.address().equals(peer.address);
-        peer.address = member.address() == null ? peer.address : member.address();
-        peer.ready = member.backend().phase() == Phase.READY;
-        if (!peer.ready || moved) {
-            closeIdle(peer);
+    private void updateState(BackendState backend, RequestTable.ListedBackend listed) {
+        boolean addressChanged = listed.address() != null && !listed.address().equals(backend.address);
+        backend.address = listed.address() == null ? backend.address : listed.address();
+        backend.acceptsRequests = listed.backend().phase() == Phase.READY;
+        if (!backend.acceptsRequests || addressChanged) {
+            closeIdleConnectionsTo(backend);
         }
-        forget(peer);
+        removeIfUnused(backend);
     }
 
     /** What is listed is there to be sent to at any time; of what is not, only what is open still matters. */
-    private void forget(Peer peer) {
-        if (peer.open == 0 && !listed.containsKey(peer.id) && peers.get(peer.id) == peer) {
-            peers.remove(peer.id);
+    private void removeIfUnused(BackendState backend) {
+        if (backend.openConnections == 0 && !listedBackends.containsKey(backend.id)
+            && backendStates.get(backend.id) == backend) {
+            backendStates.remove(backend.id);
         }
     }
 
     /** One that is sent to; null where no list has it. */
-    private Peer peer(long backend) {
-        Peer peer = peers.get(backend);
-        RequestTable.ListedBackend member = peer == null ? listed.get(backend) : null;
-        if (member != null) {
-            peer = new Peer(backend);
-            peers.put(backend, peer);
-            update(peer, member);
-        }
-        return peer;
+    private BackendState stateOf(long backendId) {
+        BackendState state = backendStates.get(backendId);
+        RequestTable.ListedBackend listed = state == null ? listedBackends.get(backendId) : null;
+        if (listed != null) {
+            state = new BackendState(backendId);
+            backendStates.put(backendId, state);
+            updateState(state, listed);
+        }
+        return state;
     }
 
     /** Backends that it knows more of than where they are. */
-    int used() {
-        return peers.size();
+    int backendStateCount() {
+        return backendStates.size();
     }
 
     /** Closes the connections to a backend that carry nothing now. */
-    void hangUp(long backend) {
-        Peer peer = peers.get(backend);
-        if (peer != null) {
-            closeIdle(peer);
+    void closeIdleConnections(long backendId) {
+        BackendState backend = backendStates.get(backendId);
+        if (backend != null) {
+            closeIdleConnectionsTo(backend);
         }
     }
 
-    private void closeIdle(Peer peer) {
-        Connection next = peer.idle.peekFirst();
-        while (next != null) {
-            drop(next);
-            next = peer.idle.peekFirst();
+    private void closeIdleConnectionsTo(BackendState backend) {
+        BackendConnection connection = backend.idleConnections.peekFirst();
+        while (connection != null) {
+            closeIdleConnection(connection);
+            connection = backend.idleConnections.peekFirst();
         }
     }
 
-    private void drop(Connection connection) {
-        connection.peer.idle.remove(connection);
-        idle.remove(connection);
+    private void closeIdleConnection(BackendConnection connection) {
+        connection.backend.idleConnections.remove(connection);
+        idleConnections.remove(connection);
         connection.channel.close();
     }
 
     /** Sends a request that is there whole, at once or never; the timeout is in microseconds. */
-    Exchange send(long backend, FullHttpRequest request, long timeout, Listener listener) {
-        return send(backend, request, null, timeout, listener);
+    Exchange send(long backendId, FullHttpRequest request, long timeoutMicros, ExchangeListener listener) {
+        return send(backendId, request, null, timeoutMicros, listener);
     }
 
     /** Sends a request whose body, if there is one, goes on as it comes: the timeout starts with its end. */
-    Exchange send(long backend, HttpRequest request, Body body, long timeout, Listener listener) {
-        Peer peer = peer(backend);
-        Exchange exchange = new Exchange(peer, request, body, timeout, listener);
-        if (peer == null || peer.address == null || timeout <= 0) {
+    Exchange send(long backendId, HttpRequest request, Body body, long timeoutMicros,
+        ExchangeListener listener) {
+        BackendState backend = stateOf(backendId);
+        Exchange exchange = new Exchange(backend, request, body, timeoutMicros, listener);
+        if (backend == null || backend.address == null || timeoutMicros <= 0) {
             exchange.end(Outcome.NOT_SENT, null);
             return exchange;
         }
         if (body == null) {
             exchange.startTimer();
         }
-        Connection kept = takeIdle(peer);
-        if (kept != null) {
+        BackendConnection pooled = takeIdle(backend);
+        if (pooled != null) {
             counters.increment(Count.REUSED);
-            exchange.writeTo(kept);
-        } else if (connections < most || evict()) {
+            exchange.writeTo(pooled);
+        } else if (connectionCount < maxConnections || evictLongestIdle()) {
             connect(exchange);
         } else {
-            Log.write("pool", "all " + most + " connections are busy");
+            Log.write("pool", "all " + maxConnections + " connections are busy");
             exchange.end(Outcome.NOT_SENT, null); // our own lack, not the backend's
         }
         return exchange;
     }
 
-    private Connection takeIdle(Peer peer) {
-        Iterator<Connection> kept = peer.idle.descendingIterator();
+    private BackendConnection takeIdle(BackendState backend) {
+        Iterator<BackendConnection> candidates = backend.idleConnections.descendingIterator();
         long now = System.nanoTime();
-        long settled = peer.stray && now - peer.strayAt < SPOILT_NANOS ? SETTLED_STRAY_NANOS
-            : spoilt && now - spoiltAt < SPOILT_NANOS ? Math.max(settledNanos, SETTLED_SPOILT_NANOS)
-            : settledNanos;
-        while (kept.hasNext()) {
-            Connection last = kept.next();
-            if (last.reading || now - last.idleSince < Math.min(settled, idleNanos / 2)) {
+        long requiredDelay = backend.unsolicitedSeen
+            && now - backend.lastUnsolicitedNanos < ANOMALY_WINDOW_NANOS ? REUSE_DELAY_AFTER_UNSOLICITED_NANOS
+            : unreadableSeen && now - lastUnreadableNanos < ANOMALY_WINDOW_NANOS
+            ? Math.max(reuseDelayNanos, REUSE_DELAY_AFTER_UNREADABLE_NANOS)
+            : reuseDelayNanos;
+        while (candidates.hasNext()) {
+            BackendConnection candidate = candidates.next();
+            if (candidate.readInProgress
+                || now - candidate.idleSinceNanos < Math.min(requiredDelay, maxIdleNanos / 2)) {
                 continue; // what else comes on it may belong to the answer it just gave
             }
-            kept.remove();
-            idle.remove(last);
-            if (last.channel.isActive() && now - last.idleSince < idleNanos) {
-                return last;
+            candidates.remove();
+            idleConnections.remove(candidate);
+            if (candidate.channel.isActive() && now - candidate.idleSinceNanos < maxIdleNanos) {
+                return candidate;
             }
-            last.channel.close();
+            candidate.channel.close();
         }
         return null;
     }
 
     /** Makes room for a new connection by closing the one that was idle longest. */
-    private boolean evict() {
-        Iterator<Connection> oldest = idle.iterator();
-        boolean any = oldest.hasNext();
-        if (any) {
-            drop(oldest.next());
+    private boolean evictLongestIdle() {
+        Iterator<BackendConnection> iterator = idleConnections.iterator();
+        boolean found = iterator.hasNext();
+        if (found) {
+            closeIdleConnection(iterator.next());
         }
-        return any;
+        return found;
     }
 
     private void connect(Exchange exchange) {
-        connections++;
-        exchange.peer.open++;
+        connectionCount++;
+        exchange.backend.openConnections++;
         counters.increment(Count.CONNECTS);
-        SocketAddress address = exchange.peer.address;
-        ChannelFuture connecting = bootstrap.connect(Endpoint.toInetSocketAddress(address));
-        exchange.channel = connecting.channel();
-        connecting.addListener(done -> {
+        SocketAddress address = exchange.backend.address;
+        ChannelFuture connectFuture = bootstrap.connect(Endpoint.toInetSocketAddress(address));
+        exchange.channel = connectFuture.channel();
+        connectFuture.addListener(done -> {
             if (!done.isSuccess()) {
-                closed(exchange.peer);
+                connectionClosed(exchange.backend);
                 // No socket to be had is our own lack: the backend is not to blame.
                 exchange.end(done.cause() instanceof ChannelException ? Outcome.NOT_SENT
                     : Outcome.CONNECT_FAILURE, null);
                 return;
             }
-            Channel channel = connecting.channel();
-            channel.closeFuture().addListener(over -> closed(exchange.peer));
+            Channel channel = connectFuture.channel();
+            channel.closeFuture().addListener(closeFuture -> connectionClosed(exchange.backend));
             if (exchange.ended) {
                 channel.close();
-            } else if (!exchange.peer.ready) {
+            } else if (!exchange.backend.acceptsRequests) {
                 channel.close(); // guards against a first send after a drain's grace
                 exchange.end(Outcome.CONNECT_FAILURE, null);
             } else {
-                Connection connection = channel.pipeline().get(Connection.class);
-                connection.peer = exchange.peer;
+                BackendConnection connection = channel.pipeline().get(BackendConnection.class);
+                connection.backend = exchange.backend;
                 connection.address = address;
                 exchange.writeTo(connection);
             }
         });
     }
 
-    private void closed(Peer peer) {
-        connections--;
-        peer.open--;
-        forget(peer);
+    private void connectionClosed(BackendState backend) {
+        connectionCount--;
+        backend.openConnections--;
+        removeIfUnused(backend);
     }
 
     /** Drops what has stood idle so long that the backend may be about to close it. */
-    private void sweep() {
+    private void closeExpiredConnections() {
         long now = System.nanoTime();
-        while (!idle.isEmpty() && now - idle.iterator().next().idleSince >= idleNanos) {
-            evict();
+        while (!idleConnections.isEmpty()
+            && now - idleConnections.iterator().next().idleSinceNanos >= maxIdleNanos) {
+            evictLongestIdle();
         }
     }
 
     /** A request on its way, up to its one outcome. */
     final class Exchange implements Body.Sink {
-        private final Peer peer;
+        private final BackendState backend;
         private final HttpRequest request;
         private final Body body;
-        private final long timeout;
-        private final Listener listener;
+        private final long timeoutMicros;
+        private final ExchangeListener listener;
         private Channel channel;
-        private Body answer;
+        private Body responseBody;
         private Future<?> timer;
-        private long passed;
-        private final long madeAt = System.nanoTime();
-        private boolean begun, written, ended, neverRan;
-        private long begunAt;
-
-        private Exchange(Peer peer, HttpRequest request, Body body, long timeout, Listener listener) {
-            this.peer = peer;
+        private long lastProgress;
+        private final long createdAtNanos = System.nanoTime();
+        private boolean sendStarted, requestWritten, ended, notExecuted;
+        private long sendStartNanos;
+
+        private Exchange(BackendState backend, HttpRequest request, Body body, long timeoutMicros,
+            ExchangeListener listener) {
+            this.backend = backend;
             this.request = request;
             this.body = body;
-            this.timeout = timeout;
+            this.timeoutMicros = timeoutMicros;
             this.listener = listener;
         }
 
         private void startTimer() {
             stopTimer();
-            timer = loop.schedule(this::timeOut, timeout, TimeUnit.MICROSECONDS);
+            timer = eventLoop.schedule(this::timeOut, timeoutMicros, TimeUnit.MICROSECONDS);
         }
 
         private void stopTimer() {
@@ -380,33 +393,34 @@
             }
         }
 
-        private void writeTo(Connection connection) {
+        private void writeTo(BackendConnection connection) {
             channel = connection.channel;
-            if (!listener.mayBegin()) {
+            if (!listener.maySend()) {
                 end(Outcome.NOT_SENT, null);
                 return;
             }
-            connection.current = this;
-            begun = true;
-            begunAt = System.nanoTime();
+            connection.currentExchange = this;
+            sendStarted = true;
+            sendStartNanos = System.nanoTime();
             if (body == null) {
                 // A connection may come up late: what it is told is what is left now.
-                Headers.timeout(request, timeout - TimeUnit.NANOSECONDS.toMicros(begunAt - madeAt));
-                channel.writeAndFlush(ReferenceCountUtil.retain(request)).addListener(this::written);
+                Headers.setTimeout(request,
+                    timeoutMicros - TimeUnit.NANOSECONDS.toMicros(sendStartNanos - createdAtNanos));
+                channel.writeAndFlush(ReferenceCountUtil.retain(request)).addListener(this::writeFinished);
                 return;
             }
             channel.write(request).addListener(done -> {
                 if (!done.isSuccess()) {
-                    written(done);
+                    writeFinished(done);
                 }
             });
-            watch(body);
-            body.to(this);
+            watchProgress(body);
+            body.attach(this);
         }
 
-        private void written(io.netty.util.concurrent.Future<?> done) {
+        private void writeFinished(io.netty.util.concurrent.Future<?> done) {
             if (done.isSuccess()) {
-                written = true;
+                requestWritten = true;
             } else {
                 channel.close();
                 end(Outcome.CONNECT_FAILURE, null);
@@ -414,72 +428,75 @@
         }
 
         @Override
-        public void part(HttpContent part) {
-            boolean last = part instanceof LastHttpContent;
-            if (last && answer == null) {
+        public void onContent(HttpContent content) {
+            boolean isLast = content instanceof LastHttpContent;
+            if (isLast && responseBody == null) {
                 startTimer(); // from here on it is the backend's time
             }
-            ChannelFuture sent = channel.writeAndFlush(part);
-            if (last) {
-                sent.addListener(this::written);
+            ChannelFuture writeFuture = channel.writeAndFlush(content);
+            if (isLast) {
+                writeFuture.addListener(this::writeFinished);
                 return;
             }
-            sent.addListener(done -> {
+            writeFuture.addListener(done -> {
                 if (!done.isSuccess()) {
-                    written(done); // a reset, which must not pass for the end of an answer without a length
+                    writeFinished(done); // a reset, which must not pass for the end of an answer without a length
                 }
             });
             if (!channel.isWritable()) {
-                body.flow(false);
+                body.setSinkWritable(false);
             }
         }
 
         @Override
-        public void broken() {
+        public void onAborted() {
             end(Outcome.CANCELLED, null); // the backend must not take it for whole
         }
 
         /** A body that moves at all may take its time; one that stands still is broken off. */
-        private void watch(Body moving) {
-            passed = moving.passed();
+        private void watchProgress(Body transfer) {
+            lastProgress = transfer.sentContentCount();
             stopTimer();
-            timer = loop.schedule(() -> {
-                if (moving.passed() == passed) {
-                    Log.write("pool", "a body stood still for " + STILL_SECONDS + " s");
+            timer = eventLoop.schedule(() -> {
+                if (transfer.sentContentCount() == lastProgress) {
+                    Log.write("pool", "a body stood still for " + STALL_TIMEOUT_SECONDS + " s");
                     timeOut();
                 } else {
-                    watch(moving);
+                    watchProgress(transfer);
                 }
-            }, STILL_SECONDS, TimeUnit.SECONDS);
+            }, STALL_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         }
 
         /** Whether its answer is a long one: said to be, or seen to be. */
-        boolean isLong() {
-            Connection connection = channel == null ? null : channel.pipeline().get(Connection.class);
-            return connection != null && connection.current == this && (connection.passedBytes
-                > BufferLimit.MAX_BUFFERED_MESSAGE_BYTES || HttpUtil.getContentLength(connection.head, 0L) > BufferLimit.MAX_BUFFERED_MESSAGE_BYTES);
+        boolean isLongResponse() {
+            BackendConnection connection = channel == null ? null
+                : channel.pipeline().get(BackendConnection.class);
+            return connection != null && connection.currentExchange == this && (connection.streamedBytes
+                > BufferLimit.MAX_BUFFERED_MESSAGE_BYTES
+                || HttpUtil.getContentLength(connection.responseHead,
+                0L) > BufferLimit.MAX_BUFFERED_MESSAGE_BYTES);
         }
 
-        private void begin(HttpResponse head, Body from) {
-            answer = from;
+        private void startStreaming(HttpResponse head, Body streamedBody) {
+            responseBody = streamedBody;
             counters.increment(Count.STREAMED);
-            watch(from);
-            listener.began(head, from);
+            watchProgress(streamedBody);
+            listener.onStreamStart(head, streamedBody);
         }
 
         /** Its time is over, whatever has come of an answer. */
         void timeOut() {
-            end(written ? Outcome.TIMEOUT : Outcome.CONNECT_FAILURE, null);
+            end(requestWritten ? Outcome.TIMEOUT : Outcome.CONNECT_FAILURE, null);
         }
 
         /** How long ago its first byte went out, in microseconds. */
-        long sinceBegun() {
-            return TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - begunAt);
+        long microsSinceSendStart() {
+            return TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - sendStartNanos);
         }
 
         /** Whether the backend may have run it, or may yet. */
-        boolean mayHaveRun() {
-            return begun && !neverRan;
+        boolean mayHaveExecuted() {
+            return sendStarted && !notExecuted;
         }
 
         boolean hasEnded() {
@@ -487,8 +504,8 @@
         }
 
         /** Calls it off unless a byte of it has gone out. */
-        void cancelUnlessBegun() {
-            if (!begun && !ended) {
+        void cancelIfUnsent() {
+            if (!sendStarted && !ended) {
                 cancel();
             }
         }
@@ -507,24 +524,25 @@
             if (response == null && channel != null) {
                 channel.close();
             }
-            over(outcome, response == null ? null : report(response.headers().get(Headers.LOAD)), response);
+            complete(outcome, response == null ? null
+                : parseLoadReport(response.headers().get(Headers.SERVER_LOAD)), response);
         }
 
-        private void over(Outcome outcome, LoadReport report, FullHttpResponse response) {
+        private void complete(Outcome outcome, LoadReport report, FullHttpResponse response) {
             ended = true;
-            neverRan = outcome.provesNotExecuted();
+            notExecuted = outcome.provesNotExecuted();
             if (outcome != Outcome.OK) {
                 counters.increment(Count.valueOf(outcome.name()));
             }
             ReferenceCountUtil.release(request);
             stopTimer();
             if (body != null) {
-                body.leave(this);
+                body.detach(this);
             }
-            if (answer != null) {
-                answer.fail(); // nothing where it is whole
+            if (responseBody != null) {
+                responseBody.abort(); // nothing where it is whole
             }
-            listener.ended(outcome, report, outcome == Outcome.OK ? response : null);
+            listener.onEnd(outcome, report, outcome == Outcome.OK ? response : null);
             if (outcome != Outcome.OK && response != null) {
                 response.release();
             }
@@ -532,19 +550,19 @@
     }
 
     /** One connection to a backend. */
-    private final class Connection extends SimpleChannelInboundHandler<HttpObject> implements Body.Source {
+    private final class BackendConnection extends SimpleChannelInboundHandler<HttpObject> implements Body.Source {
         private Channel channel;
-        private Peer peer;
+        private BackendState backend;
         private SocketAddress address;
-        private Exchange current;
-        private HttpResponse head;
-        private ByteBuf gathered;
-        private Body body;
-        private BufferLimit.Reading intake;
-        private long idleSince, passedBytes;
-        private boolean reading;
-
-        Connection() {
+        private Exchange currentExchange;
+        private HttpResponse responseHead;
+        private ByteBuf bufferedBody;
+        private Body streamedBody;
+        private BufferLimit.FlowControl flowControl;
+        private long idleSinceNanos, streamedBytes;
+        private boolean readInProgress;
+
+        BackendConnection() {
             super(false);
         }
 
@@ -554,155 +572,160 @@
         }
 
         @Override
-        protected void channelRead0(ChannelHandlerContext context, HttpObject part) {
-            Exchange exchange = current;
-            if (exchange == null || exchange.ended || part.decoderResult().isFailure()) {
-                if (exchange == null && peer != null) {
-                    peer.stray = true;
-                    peer.strayAt = System.nanoTime();
+        protected void channelRead0(ChannelHandlerContext context, HttpObject httpObject) {
+            Exchange exchange = currentExchange;
+            if (exchange == null || exchange.ended || httpObject.decoderResult().isFailure()) {
+                if (exchange == null && backend != null) {
+                    backend.unsolicitedSeen = true;
+                    backend.lastUnsolicitedNanos = System.nanoTime();
                 }
                 if (channel.isOpen()) {
-                    unreadable(exchange == null ? "an answer to nothing" : part.decoderResult().toString());
+                    reportUnreadable(exchange == null ? "an answer to nothing"
+                        : httpObject.decoderResult().toString());
                 }
-                ReferenceCountUtil.release(part);
-                broken(context); // nobody asked, or not HTTP: what was asked ends as a reset
+                ReferenceCountUtil.release(httpObject);
+                abort(context); // nobody asked, or not HTTP: what was asked ends as a reset
                 return;
             }
-            if (part instanceof HttpResponse start) {
-                begin(start);
+            if (httpObject instanceof HttpResponse newHead) {
+                handleHead(newHead);
             }
-            if (part instanceof HttpContent content) {
-                take(context, content);
+            if (httpObject instanceof HttpContent content) {
+                handleContent(context, content);
             }
         }
 
-        private void begin(HttpResponse start) {
-            head = start;
-            boolean good = start.status().code() == 200;
-            if (good && HttpUtil.getContentLength(start, 0L) > buffers.mostWhole()) {
-                stream();
-            } else if (good && !HttpUtil.isContentLengthSet(start)) {
+        private void handleHead(HttpResponse newHead) {
+            responseHead = newHead;
+            boolean successful = newHead.status().code() == 200;
+            if (successful
+                && HttpUtil.getContentLength(newHead, 0L) > bufferLimit.maxBufferedMessageBytes()) {
+                startStreaming();
+            } else if (successful && !HttpUtil.isContentLengthSet(newHead)) {
                 // Nobody knows how much is to come: its first bytes must not wait for the rest too long.
-                Exchange held = current;
-                loop.schedule(() -> {
-                    if (current == held && head == start && body == null) {
-                        stream();
+                Exchange exchange = currentExchange;
+                eventLoop.schedule(() -> {
+                    if (currentExchange == exchange && responseHead == newHead && streamedBody == null) {
+                        startStreaming();
                     }
-                }, held.timeout / HELD_PART, TimeUnit.MICROSECONDS);
+                }, exchange.timeoutMicros / BUFFERING_TIME_DIVISOR, TimeUnit.MICROSECONDS);
             }
         }
 
-        private BufferLimit.Reading reading() {
-            if (intake == null) {
-                intake = buffers.new Reading(channel);
+        private BufferLimit.FlowControl flowControl() {
+            if (flowControl == null) {
+                flowControl = bufferLimit.new FlowControl(channel);
             }
-            return intake;
+            return flowControl;
         }
 
         /** From here on the answer is passed on as it comes. */
-        private void stream() {
-            body = new Body(this, BufferLimit.MAX_BUFFERED_MESSAGE_BYTES);
-            passedBytes = gathered == null ? 0 : gathered.readableBytes();
-            if (gathered != null) {
-                body.add(new DefaultHttpContent(gathered));
-                gathered = null;
+        private void startStreaming() {
+            streamedBody = new Body(this, BufferLimit.MAX_BUFFERED_MESSAGE_BYTES);
+            streamedBytes = bufferedBody == null ? 0 : bufferedBody.readableBytes();
+            if (bufferedBody != null) {
+                streamedBody.add(new DefaultHttpContent(bufferedBody));
+                bufferedBody = null;
             }
-            current.begin(head, body);
+            currentExchange.startStreaming(responseHead, streamedBody);
         }
 
-        private void take(ChannelHandlerContext context, HttpContent content) {
-            boolean last = content instanceof LastHttpContent;
-            if (head == null) {
+        private void handleContent(ChannelHandlerContext context, HttpContent content) {
+            boolean isLast = content instanceof LastHttpContent;
+            if (responseHead == null) {
                 content.release();
-            } else if (head.status().codeClass() == HttpStatusClass.INFORMATIONAL) {
+            } else if (responseHead.status().codeClass() == HttpStatusClass.INFORMATIONAL) {
                 content.release();
-                head = last ? null : head; // the final answer is yet to come
-            } else if (body != null) {
-                Body whole = body;
-                passedBytes += content.content().readableBytes();
-                if (last) {
-                    finish(context, whole, content);
-                } else if (passedBytes > MOST_BODY) {
+                responseHead = isLast ? null : responseHead; // the final answer is yet to come
+            } else if (streamedBody != null) {
+                Body body = streamedBody;
+                streamedBytes += content.content().readableBytes();
+                if (isLast) {
+                    finish(context, body, content);
+                } else if (streamedBytes > MAX_BODY_BYTES) {
                     content.release();
-                    unreadable("an answer without end");
-                    broken(context);
+                    reportUnreadable("an answer without end");
+                    abort(context);
                 } else {
-                    whole.add(content);
-                    reading().read();
+                    body.add(content);
+                    flowControl().afterRead();
                 }
             } else {
-                gathered = Body.gather(gathered, content, channel.alloc());
-                boolean tooLong = gathered != null && gathered.readableBytes() > buffers.mostWhole();
-                if (last) {
+                bufferedBody = Body.append(bufferedBody, content, channel.alloc());
+                boolean tooLong = bufferedBody != null
+                    && bufferedBody.readableBytes() > bufferLimit.maxBufferedMessageBytes();
+                if (isLast) {
                     finish(context);
-                } else if (tooLong && head.status().code() == 200) {
-                    stream();
+                } else if (tooLong && responseHead.status().code() == 200) {
+                    startStreaming();
                 } else if (tooLong) {
-                    unreadable("a long answer of " + head.status());
-                    current.written = true;
-                    broken(context);
+                    reportUnreadable("a long answer of " + responseHead.status());
+                    currentExchange.requestWritten = true;
+                    abort(context);
                 }
             }
         }
 
         /** The answer is there whole. */
         private void finish(ChannelHandlerContext context) {
-            Exchange exchange = current;
-            FullHttpResponse response = new DefaultFullHttpResponse(head.protocolVersion(), head.status(),
-                gathered == null ? Unpooled.EMPTY_BUFFER : gathered, head.headers(),
+            Exchange exchange = currentExchange;
+            FullHttpResponse response =
+                new DefaultFullHttpResponse(responseHead.protocolVersion(), responseHead.status(),
+                bufferedBody == null ? Unpooled.EMPTY_BUFFER : bufferedBody, responseHead.headers(),
                 EmptyHttpHeaders.INSTANCE);
-            gathered = null;
-            keep(context);
-            exchange.end(outcome(response), response);
+            bufferedBody = null;
+            releaseConnection(context);
+            exchange.end(toOutcome(response), response);
         }
 
         /** The answer has been passed on whole with this part. */
-        private void finish(ChannelHandlerContext context, Body whole, HttpContent last) {
-            Exchange exchange = current;
-            LoadReport report = report(head.headers().get(Headers.LOAD));
-            keep(context);
-            whole.add(last);
+        private void finish(ChannelHandlerContext context, Body body, HttpContent last) {
+            Exchange exchange = currentExchange;
+            LoadReport report = parseLoadReport(responseHead.headers().get(Headers.SERVER_LOAD));
+            releaseConnection(context);
+            body.add(last);
             if (!exchange.ended) {
-                exchange.over(Outcome.OK, report, null);
+                exchange.complete(Outcome.OK, report, null);
             }
         }
 
-        private void keep(ChannelHandlerContext context) {
-            boolean keep = HttpUtil.isKeepAlive(head) && current.written && peer.ready
-                && address.equals(peer.address);
-            current = null;
-            head = null;
-            body = null;
-            reading = true;
-            if (keep) {
-                reading().end();
+        private void releaseConnection(ChannelHandlerContext context) {
+            boolean reusable = HttpUtil.isKeepAlive(responseHead) && currentExchange.requestWritten
+                && backend.acceptsRequests
+                && address.equals(backend.address);
+            currentExchange = null;
+            responseHead = null;
+            streamedBody = null;
+            readInProgress = true;
+            if (reusable) {
+                flowControl().stop();
                 channel.config().setAutoRead(true);
-                idleSince = System.nanoTime();
-                peer.idle.addLast(this);
-                idle.add(this);
+                idleSinceNanos = System.nanoTime();
+                backend.idleConnections.addLast(this);
+                idleConnections.add(this);
             } else {
                 context.close();
             }
         }
 
         @Override
-        public void flow(boolean on) {
-            if (current != null) {
-                reading().flow(on);
+        public void setReadEnabled(boolean enabled) {
+            if (currentExchange != null) {
+                flowControl().setReadEnabled(enabled);
             }
         }
 
         @Override
-        public void dropped() {
-            if (current != null) {
-                current.cancel();
+        public void onDiscarded() {
+            if (currentExchange != null) {
+                currentExchange.cancel();
             }
         }
 
         @Override
         public void channelWritabilityChanged(ChannelHandlerContext context) {
-            if (current != null && current.body != null) {
-                current.body.flow(channel.isWritable());
+            if (currentExchange != null && currentExchange.body != null) {
+                currentExchange.body.setSinkWritable(channel.isWritable());
             }
             context.fireChannelWritabilityChanged();
         }
@@ -710,81 +733,82 @@
         /** Bytes on a connection that waits for no answer are the rest of an earlier one, or nobody's. */
         @Override
         public void channelReadComplete(ChannelHandlerContext context) {
-            if (current == null && !reading) {
+            if (currentExchange == null && !readInProgress) {
                 context.close();
             }
-            reading = false;
+            readInProgress = false;
             context.fireChannelReadComplete();
         }
 
-        private void unreadable(String why) {
+        private void reportUnreadable(String reason) {
             counters.increment(Count.UNREADABLE);
-            spoilt = true;
-            spoiltAt = System.nanoTime();
-            Log.write("unreadable", "from " + address + ": " + why);
+            unreadableSeen = true;
+            lastUnreadableNanos = System.nanoTime();
+            Log.write("unreadable", "from " + address + ": " + reason);
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            broken(context);
+            abort(context);
         }
 
         /** Ends what was asked at once: what else was read by now must not pass for its answer. */
-        private void broken(ChannelHandlerContext context) {
-            Exchange exchange = current;
-            current = null;
-            head = null;
-            if (gathered != null) {
-                gathered.release();
-                gathered = null;
+        private void abort(ChannelHandlerContext context) {
+            Exchange exchange = currentExchange;
+            currentExchange = null;
+            responseHead = null;
+            if (bufferedBody != null) {
+                bufferedBody.release();
+                bufferedBody = null;
             }
             context.close();
             if (exchange != null) {
-                exchange.end(exchange.written ? Outcome.RESET : Outcome.CONNECT_FAILURE, null);
-            } else if (peer != null) {
-                peer.idle.remove(this);
-                idle.remove(this);
+                exchange.end(exchange.requestWritten ? Outcome.RESET : Outcome.CONNECT_FAILURE, null);
+            } else if (backend != null) {
+                backend.idleConnections.remove(this);
+                idleConnections.remove(this);
             }
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
             if (cause instanceof CodecException) {
-                unreadable(cause.toString()); // too large, or cut short
+                reportUnreadable(cause.toString()); // too large, or cut short
             } else if (!(cause instanceof IOException)) {
                 Log.error("backend", cause);
             }
-            broken(context);
+            abort(context);
         }
     }
 
     /** Only a marked refusal proves that the backend did not run the request. */
-    private static Outcome outcome(FullHttpResponse response) {
+    private static Outcome toOutcome(FullHttpResponse response) {
         int status = response.status().code();
         if (status == 200) {
             return Outcome.OK;
         }
-        boolean untouched = "1".equals(response.headers().get("X-Not-Processed"));
-        return (status == 503 || status == 504) && untouched ? Outcome.REJECTED : Outcome.ERROR;
+        boolean notProcessed = "1".equals(response.headers().get("X-Not-Processed"));
+        return (status == 503 || status == 504) && notProcessed ? Outcome.REJECTED : Outcome.ERROR;
     }
 
     /** A report such as {@code TEXT inflight=7, queue=2}; null where there is none. */
-    static LoadReport report(String text) {
+    static LoadReport parseLoadReport(String text) {
         if (text == null) {
             return null;
         }
-        Map<String, Double> figures = new HashMap<>();
-        Matcher matcher = FIGURE.matcher(text);
+        Map<String, Double> values = new HashMap<>();
+        Matcher matcher = LOAD_VALUE_PATTERN.matcher(text);
         while (matcher.find()) {
-            figures.put(matcher.group(1), Double.parseDouble(matcher.group(2)));
+            values.put(matcher.group(1), Double.parseDouble(matcher.group(2)));
         }
-        return new LoadReport(figure(figures, "inflight", "outstanding"), figure(figures, "queue", "backlog"),
-            figure(figures, "util", "utilization"), figure(figures, "latency_ms", "recent_ms"),
-            figure(figures, "qps", "throughput"), figure(figures, "eps", "errors_per_s"));
+        return new LoadReport(loadValue(values, "inflight", "outstanding"),
+            loadValue(values, "queue", "backlog"),
+            loadValue(values, "util", "utilization"), loadValue(values, "latency_ms", "recent_ms"),
+            loadValue(values, "qps", "throughput"), loadValue(values, "eps", "errors_per_s"));
     }
 
     /** A figure goes by either of two names, the bench's own or the wire's. */
-    private static double figure(Map<String, Double> figures, String name, String other) {
-        return figures.getOrDefault(name, figures.getOrDefault(other, Double.NaN));
+    private static double loadValue(Map<String, Double> values, String name, String alias) {
+        return values.getOrDefault(name, values.getOrDefault(alias, Double.NaN));
     }
 }
--- a/proxy/src/main/java/dockrelay/proxy/Body.java
+++ b/proxy/src/main/java/dockrelay/proxy/Body.java
@@ -18,149 +18,150 @@
     /** The connection it comes from. */
     interface Source {
         /** Whether more is wanted now. */
-        void flow(boolean on);
+        void setReadEnabled(boolean enabled);
 
         /** Nobody wants the rest any more. */
-        void dropped();
+        void onDiscarded();
     }
 
     /** The connection it goes to. */
     interface Sink {
         /** The next part, the sink's to release; the last one is a {@link LastHttpContent}. */
-        void part(HttpContent part);
+        void onContent(HttpContent content);
 
         /** There will be no more, though the body is not whole. */
-        void broken();
+        void onAborted();
     }
 
     private final Source source;
-    private final Deque<HttpContent> kept = new ArrayDeque<>();
-    private final int most;
-    private int bytes;
-    private long parts;
-    private boolean whole, broken, lost;
+    private final Deque<HttpContent> keptContents = new ArrayDeque<>();
+    private final int maxKeptBytes;
+    private int keptBytes;
+    private long sentCount;
+    private boolean complete, aborted, startReleased;
     private Sink sink;
 
     /** Keeps so many bytes, and one part more, until there is a sink. */
-    Body(Source source, int most) {
+    Body(Source source, int maxKeptBytes) {
         this.source = source;
-        this.most = most;
+        this.maxKeptBytes = maxKeptBytes;
     }
 
     /** Adds a part to what there is of a message, which may be nothing yet; copied, as parts may be tiny. */
-    static ByteBuf gather(ByteBuf before, HttpContent part, ByteBufAllocator buffers) {
-        ByteBuf bytes = part.content();
-        ByteBuf all = before == null && bytes.isReadable() ? buffers.buffer(bytes.readableBytes()) : before;
-        if (bytes.isReadable()) {
-            all.writeBytes(bytes);
+    static ByteBuf append(ByteBuf buffer, HttpContent content, ByteBufAllocator allocator) {
+        ByteBuf added = content.content();
+        ByteBuf result = buffer == null && added.isReadable() ? allocator.buffer(added.readableBytes())
+            : buffer;
+        if (added.isReadable()) {
+            result.writeBytes(added);
         }
-        part.release();
-        return all;
+        content.release();
+        return result;
     }
 
     /** The next part as it comes from the source; this body's to release. */
-    void add(HttpContent part) {
-        if (whole || broken) {
-            part.release();
+    void add(HttpContent content) {
+        if (complete || aborted) {
+            content.release();
             return;
         }
-        HttpContent next = part;
-        if (part instanceof LastHttpContent last) {
-            whole = true;
+        HttpContent forwarded = content;
+        if (content instanceof LastHttpContent last) {
+            complete = true;
             if (!last.trailingHeaders().isEmpty()) {
-                next = new DefaultLastHttpContent(last.content()); // trailers hold for one connection only
+                forwarded = new DefaultLastHttpContent(last.content()); // trailers hold for one connection only
             }
         }
-        if (sink == null && !lost) {
-            kept.add(next);
-            bytes += next.content().readableBytes();
-            if (bytes >= most) {
-                source.flow(false);
+        if (sink == null && !startReleased) {
+            keptContents.add(forwarded);
+            keptBytes += forwarded.content().readableBytes();
+            if (keptBytes >= maxKeptBytes) {
+                source.setReadEnabled(false);
             }
         } else {
-            forget();
-            lost = true;
-            pass(next);
+            releaseKept();
+            startReleased = true;
+            send(forwarded);
         }
     }
 
-    private void pass(HttpContent part) {
+    private void send(HttpContent content) {
         if (sink == null) {
-            part.release();
+            content.release();
         } else {
-            parts++;
-            sink.part(part);
+            sentCount++;
+            sink.onContent(content);
         }
     }
 
     /** Breaks it off from the source's side. */
-    void fail() {
-        if (!whole && !broken) {
-            broken = true;
-            forget();
+    void abort() {
+        if (!complete && !aborted) {
+            aborted = true;
+            releaseKept();
             if (sink != null) {
-                sink.broken();
+                sink.onAborted();
             }
         }
     }
 
     /** Sends it to this sink, from its start; only if it is all there still. */
-    void to(Sink taker) {
-        sink = taker;
-        for (HttpContent part : kept.toArray(new HttpContent[0])) {
-            if (sink == taker) { // a sink may end at any part
-                pass(part.retainedDuplicate());
+    void attach(Sink newSink) {
+        sink = newSink;
+        for (HttpContent content : keptContents.toArray(new HttpContent[0])) {
+            if (sink == newSink) { // a sink may end at any part
+                send(content.retainedDuplicate());
             }
         }
-        flow(true);
+        setSinkWritable(true);
     }
 
     /** This sink takes no more of it; another one may have it while it is all there. */
-    void leave(Sink taker) {
-        if (sink == taker) {
+    void detach(Sink oldSink) {
+        if (sink == oldSink) {
             sink = null;
         }
     }
 
     /** Nobody takes it any more. */
-    void drop() {
-        forget();
-        lost = true;
+    void discard() {
+        releaseKept();
+        startReleased = true;
         sink = null;
-        source.dropped();
+        source.onDiscarded();
     }
 
     /** Whether the sink has room for more now. */
-    void flow(boolean on) {
-        if (!whole && !broken) {
-            source.flow(on);
+    void setSinkWritable(boolean writable) {
+        if (!complete && !aborted) {
+            source.setReadEnabled(writable);
         }
     }
 
     /** Whether it has come to its end. */
-    boolean isWhole() {
-        return whole;
+    boolean isComplete() {
+        return complete;
     }
 
     /** Whether all of it can still be sent: nothing went out but what is kept. */
     boolean isReplayable() {
-        return !lost && !broken;
+        return !startReleased && !aborted;
     }
 
     /** How many parts went on so far: it moves while this does. */
-    long passed() {
-        return parts;
+    long sentContentCount() {
+        return sentCount;
     }
 
-    private void forget() {
-        kept.forEach(ReferenceCountUtil::release);
-        kept.clear();
-        bytes = 0;
+    private void releaseKept() {
+        keptContents.forEach(ReferenceCountUtil::release);
+        keptContents.clear();
+        keptBytes = 0;
     }
 
     /** Gives back what is kept. */
     void release() {
-        forget();
-        lost = true;
+        releaseKept();
+        startReleased = true;
     }
 }
--- a/proxy/src/main/java/dockrelay/proxy/BufferLimit.java
+++ b/proxy/src/main/java/dockrelay/proxy/BufferLimit.java
@@ -14,23 +14,24 @@
  */
 final class BufferLimit {
     /** Of the memory limit: most of it is the runtime's. */
-    private static final int SHARE = 8;
-    private static final long MEGABYTE = 1 << 20;
+    private static final int MEMORY_DIVISOR = 8;
+    private static final long BYTES_PER_MEGABYTE = 1 << 20;
     /** Below the runtime's own limit on such memory (32 MB): past that, buffers fail. */
-    private static final long MOST_MEGABYTES = 24;
-    private static final int MOST_READ = 16 * 1024;
+    private static final long MAX_BUFFER_MEGABYTES = 24;
+    private static final int MAX_READ_BYTES = 16 * 1024;
     static final int MAX_BUFFERED_MESSAGE_BYTES = 64 * 1024;
-    private static final long LOOK_AGAIN_MILLIS = 50;
-    private static final int MOST_WHOLE_SHORT = 8 * 1024;
+    private static final long MEMORY_RECHECK_MILLIS = 50;
+    private static final int MAX_BUFFERED_MESSAGE_BYTES_WHEN_FULL = 8 * 1024;
     /** What a connection holds of a body on its way out: from the second figure on its source is stopped. */
     static final WriteBufferWaterMark WATER_MARKS = new WriteBufferWaterMark(16 * 1024, 32 * 1024);
 
-    private final LongSupplier used;
-    private final long bound;
+    private final LongSupplier usedBytes;
+    private final long limitBytes;
 
-    BufferLimit(LongSupplier used, int memoryMegabytes) {
-        this.used = used;
-        this.bound = Math.min(MOST_MEGABYTES, Math.max(1, memoryMegabytes / SHARE)) * MEGABYTE;
+    BufferLimit(LongSupplier usedBytes, int memoryMegabytes) {
+        this.usedBytes = usedBytes;
+        this.limitBytes = Math.min(MAX_BUFFER_MEGABYTES,
+            Math.max(1, memoryMegabytes / MEMORY_DIVISOR)) * BYTES_PER_MEGABYTE;
     }
 
     /** Those of an allocator, which are its chunks: what it holds rather than what is filled. */
@@ -39,53 +40,53 @@
     }
 
     /** A short read at a time: what is read of a body before its source is stopped comes on top. */
-    static AdaptiveRecvByteBufAllocator reads() {
-        return new AdaptiveRecvByteBufAllocator(64, 2048, MOST_READ);
+    static AdaptiveRecvByteBufAllocator receiveAllocator() {
+        return new AdaptiveRecvByteBufAllocator(64, 2048, MAX_READ_BYTES);
     }
 
     /** Whether there is room for more of what may wait. */
     boolean hasRoom() {
-        return used.getAsLong() < bound;
+        return usedBytes.getAsLong() < limitBytes;
     }
 
     /** The reading of one connection's body: it stops where nobody takes more, or where there is no room. */
-    final class Reading {
+    final class FlowControl {
         private final Channel channel;
-        private boolean wanted;
+        private boolean demand;
 
-        Reading(Channel channel) {
+        FlowControl(Channel channel) {
             this.channel = channel;
         }
 
         /** Whether more is wanted. */
-        void flow(boolean on) {
-            wanted = on;
-            boolean now = on && hasRoom();
-            channel.config().setAutoRead(now);
-            if (on && !now) {
+        void setReadEnabled(boolean enabled) {
+            demand = enabled;
+            boolean readNow = enabled && hasRoom();
+            channel.config().setAutoRead(readNow);
+            if (enabled && !readNow) {
                 channel.eventLoop().schedule(() -> {
-                    if (wanted && channel.isActive()) {
-                        flow(true);
+                    if (demand && channel.isActive()) {
+                        setReadEnabled(true);
                     }
-                }, LOOK_AGAIN_MILLIS, TimeUnit.MILLISECONDS);
+                }, MEMORY_RECHECK_MILLIS, TimeUnit.MILLISECONDS);
             }
         }
 
         /** Something came: what comes next may have to wait for room. */
-        void read() {
-            if (wanted && !hasRoom()) {
-                flow(true);
+        void afterRead() {
+            if (demand && !hasRoom()) {
+                setReadEnabled(true);
             }
         }
 
         /** The body is over: the connection reads on as it will. */
-        void end() {
-            wanted = false;
+        void stop() {
+            demand = false;
         }
     }
 
     /** The longest message that is kept whole now. */
-    int mostWhole() {
-        return hasRoom() ? MAX_BUFFERED_MESSAGE_BYTES : MOST_WHOLE_SHORT;
+    int maxBufferedMessageBytes() {
+        return hasRoom() ? MAX_BUFFERED_MESSAGE_BYTES : MAX_BUFFERED_MESSAGE_BYTES_WHEN_FULL;
     }
 }
--- a/proxy/src/main/java/dockrelay/proxy/ClientFrontend.java
+++ b/proxy/src/main/java/dockrelay/proxy/ClientFrontend.java
@@ -59,64 +59,67 @@
     /** After an answer that ends a connection: closing with bytes unread would take the answer with it. */
     private static final long LINGER_MILLIS = 500;
     /** From this share of the connections on, the one longest at rest is closed, else answers end theirs. */
-    private static final double CROWDED = 0.75;
+    private static final double NEAR_LIMIT_RATIO = 0.75;
     /** A connection with no request open may be closed after 2 s. */
-    private static final long REST_NANOS = TimeUnit.MILLISECONDS.toNanos(RequestTimeout.MILLIS);
+    private static final long MIN_IDLE_NANOS =
+        TimeUnit.MILLISECONDS.toNanos(RequestTimeout.HEAD_TIMEOUT_MILLIS);
     /**
      * A connection at rest that is told to end, and whose peer says nothing to that, is closed after
      * this.
      */
-    private static final long LINGER_REST_MILLIS = 100;
+    private static final long IDLE_LINGER_MILLIS = 100;
     /** ...and after one that came before its request was whole: what is on its way is read first. */
-    private static final long LINGER_UPLOAD_MILLIS = 2_500;
-    private static final long MOST_BODY = 32 << 20;
+    private static final long UPLOAD_LINGER_MILLIS = 2_500;
+    private static final long MAX_BODY_BYTES = 32 << 20;
     /**
      * Short of places, one that was silent this long within a request, or before its first, makes room. A
      * slow client, with 2 s for a head, is heard of in between; one that holds a place for nothing is not.
      */
-    private static final long QUIET_NANOS = TimeUnit.MILLISECONDS.toNanos(1_000);
+    private static final long MIN_SILENCE_NANOS = TimeUnit.MILLISECONDS.toNanos(1_000);
     /** Short of places, this part of them is freed at once: each takes a moment to end in good order. */
-    private static final int EVICTED_PART = 16;
+    private static final int EVICTION_DIVISOR = 16;
     /** What comes behind a request may wait up to this; the decoder takes 128 requests at most. */
-    private static final int MOST_EARLY = 32 * 1024;
+    private static final int MAX_PIPELINED_BYTES = 32 * 1024;
     /** What one more part of a pipelined request takes beside its bytes. */
-    private static final int EARLY_PART = 256;
+    private static final int PIPELINED_OBJECT_OVERHEAD_BYTES = 256;
     /** Looks at a connection that has something to read; one more than most requests need. */
-    private static final int READS = 4;
-    private static final int LONGEST_ID = 128;
-    private static final Pattern SECONDS = Pattern.compile("\\d{1,4}(\\.\\d{0,9})?|\\.\\d{1,9}");
-    private static final Pattern WHOLE_MICROS = Pattern.compile("\\d{1,12}(\\.\\d{0,9})?");
-    private static final double MICROS = 1_000_000;
-    private static final String ABSOLUTE = "http://";
+    private static final int MAX_READS_PER_EVENT = 4;
+    private static final int MAX_REQUEST_ID_LENGTH = 128;
+    private static final Pattern SECONDS_PATTERN = Pattern.compile("\\d{1,4}(\\.\\d{0,9})?|\\.\\d{1,9}");
+    private static final Pattern MICROS_PATTERN = Pattern.compile("\\d{1,12}(\\.\\d{0,9})?");
+    private static final double MICROS_PER_SECOND = 1_000_000;
+    private static final String ABSOLUTE_FORM_PREFIX = "http://";
     /** Stands for the pipelined request that comes next. */
-    private static final String NEXT = "";
+    private static final String NEXT_REQUEST = "";
 
-    private final RequestTable table;
+    private final RequestTable requestTable;
     private final Counters counters;
-    private final BufferLimit buffers;
-    private final int fullMost;
-    private int most;
-    private final BooleanSupplier ready;
-    private final Map<String, ServiceClass> classes = new HashMap<>();
-    private final Set<Connection> connections = new HashSet<>();
-    private final Set<Connection> idle = new LinkedHashSet<>(); // the one that was idle longest is first
+    private final BufferLimit bufferLimit;
+    private final int configuredMaxConnections;
+    private int maxConnections;
+    private final BooleanSupplier readiness;
+    private final Map<String, ServiceClass> serviceClasses = new HashMap<>();
+    private final Set<ClientConnection> connections = new HashSet<>();
+    private final Set<ClientConnection> idleConnections =
+        new LinkedHashSet<>(); // the one that was idle longest is first
     private Channel listener;
-    private boolean closing, evicting;
-    private long lastAnswer;
-    private int pauses; // in accepting, for want of room
-    private Runnable whenEmpty;
-
-    ClientFrontend(RequestTable table, Iterable<ServiceClass> classes, int most, BooleanSupplier ready,
-               Counters counters, BufferLimit buffers) {
-        this.buffers = buffers;
-        this.table = table;
+    private boolean draining, evictionScheduled;
+    private long drainDeadlineNanos;
+    private int acceptPauses; // in accepting, for want of room
+    private Runnable allClosedAction;
+
+    ClientFrontend(RequestTable requestTable, Iterable<ServiceClass> serviceClasses, int maxConnections,
+        BooleanSupplier readiness,
+               Counters counters, BufferLimit bufferLimit) {
+        this.bufferLimit = bufferLimit;
+        this.requestTable = requestTable;
         this.counters = counters;
         counters.registerGauge("clients", connections::size);
-        this.fullMost = most;
-        this.most = most;
-        this.ready = ready;
-        for (ServiceClass spec : classes) {
-            this.classes.put(spec.name(), spec);
+        this.configuredMaxConnections = maxConnections;
+        this.maxConnections = maxConnections;
+        this.readiness = readiness;
+        for (ServiceClass serviceClass : serviceClasses) {
+            this.serviceClasses.put(serviceClass.name(), serviceClass);
         }
     }
 
@@ -125,17 +128,19 @@
         bootstrap.childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, BufferLimit.WATER_MARKS)
             // Read on until nothing is there: an end behind a request is seen before that is sent on.
             .childOption(ChannelOption.RECVBUF_ALLOCATOR,
-                BufferLimit.reads().respectMaybeMoreData(false).maxMessagesPerRead(READS))
+                BufferLimit.receiveAllocator().respectMaybeMoreData(false)
+                .maxMessagesPerRead(MAX_READS_PER_EVENT))
             .childHandler(new ChannelInitializer<Channel>() {
                 @Override
                 protected void initChannel(Channel channel) {
-                    RequestTimeout timeout = new RequestTimeout();
-                    channel.pipeline().addLast(timeout, new HttpServerCodec(), new Connection(timeout));
+                    RequestTimeout requestTimeout = new RequestTimeout();
+                    channel.pipeline()
+                        .addLast(requestTimeout, new HttpServerCodec(), new ClientConnection(requestTimeout));
                 }
             });
-        ChannelFuture bound = address == null ? bootstrap.register() : bootstrap.bind(address);
-        listener = bound.channel();
-        return bound;
+        ChannelFuture bindFuture = address == null ? bootstrap.register() : bootstrap.bind(address);
+        listener = bindFuture.channel();
+        return bindFuture;
     }
 
     int connectionCount() {
@@ -143,15 +148,15 @@
     }
 
     /** Keeps to so many connections, as there are no more descriptors. */
-    void limitConnections(int left) {
-        most = Math.max(1, Math.min(fullMost, left));
-        makeRoom();
+    void limitConnections(int availableDescriptors) {
+        maxConnections = Math.max(1, Math.min(configuredMaxConnections, availableDescriptors));
+        enforceConnectionLimit();
     }
 
     /** From now on each answer ends its connection; none is of use after this time of the nano clock. */
-    void startDraining(long until) {
-        closing = true;
-        lastAnswer = until;
+    void startDraining(long deadlineNanos) {
+        draining = true;
+        drainDeadlineNanos = deadlineNanos;
     }
 
     /**
@@ -164,14 +169,14 @@
 
     /** Runs this once no connection is left. */
     void whenAllClosed(Runnable action) {
-        whenEmpty = action;
-        checkEmpty();
+        allClosedAction = action;
+        checkAllClosed();
     }
 
-    private void checkEmpty() {
-        if (whenEmpty != null && connections.isEmpty()) {
-            Runnable action = whenEmpty;
-            whenEmpty = null;
+    private void checkAllClosed() {
+        if (allClosedAction != null && connections.isEmpty()) {
+            Runnable action = allClosedAction;
+            allClosedAction = null;
             action.run();
         }
     }
@@ -180,33 +185,33 @@
      * Stops accepting once there was room for so long that all that had come is accepted: closing the
      * listener would reset what is in its backlog, requests and all.
      */
-    void stopAcceptingOnceBacklogEmpty(long lookMillis, Runnable then) {
-        int before = pauses;
+    void stopAcceptingOnceBacklogEmpty(long periodMillis, Runnable onClosed) {
+        int pausesBefore = acceptPauses;
         listener.eventLoop().schedule(() -> {
-            if (pauses == before && listener.config().isAutoRead()) {
+            if (acceptPauses == pausesBefore && listener.config().isAutoRead()) {
                 listener.close();
-                then.run();
+                onClosed.run();
             } else {
-                stopAcceptingOnceBacklogEmpty(lookMillis, then);
+                stopAcceptingOnceBacklogEmpty(periodMillis, onClosed);
             }
-        }, lookMillis, TimeUnit.MILLISECONDS);
+        }, periodMillis, TimeUnit.MILLISECONDS);
     }
 
     /** Ends what has rested for so long that it may be ended: on the others a request may be coming. */
     void closeLongIdle() {
         long now = System.nanoTime();
-        for (Connection connection : Set.copyOf(connections)) {
-            if (connection.rests() && now - connection.restingSince >= REST_NANOS) {
-                connection.retire(false);
+        for (ClientConnection connection : Set.copyOf(connections)) {
+            if (connection.isIdle() && now - connection.idleSinceNanos >= MIN_IDLE_NANOS) {
+                connection.closeGracefully(false);
             }
         }
     }
 
     /** Ends what has no request in hand or coming in. */
     void closeIdle() {
-        for (Connection connection : Set.copyOf(connections)) {
-            if (connection.rests()) {
-                connection.retire(true);
+        for (ClientConnection connection : Set.copyOf(connections)) {
+            if (connection.isIdle()) {
+                connection.closeGracefully(true);
             }
         }
     }
@@ -220,114 +225,115 @@
      * Guards against running out of descriptors: a connection between requests may be closed at any time,
      * and while none is to be had, new ones wait in the backlog.
      */
-    private void makeRoom() {
-        boolean room = connections.size() < most;
+    private void enforceConnectionLimit() {
+        boolean hasRoom = connections.size() < maxConnections;
         if (listener == null || !listener.isRegistered()) {
             return; // it is not this process's yet, or another one's now
         }
-        if (listener.config().isAutoRead() != room) {
-            listener.config().setAutoRead(room);
-            pauses += room ? 0 : 1;
+        if (listener.config().isAutoRead() != hasRoom) {
+            listener.config().setAutoRead(hasRoom);
+            acceptPauses += hasRoom ? 0 : 1;
         }
-        if (!room && !evicting) {
-            evicting = true;
-            listener.eventLoop().execute(this::evict); // what has come in by now is read first
+        if (!hasRoom && !evictionScheduled) {
+            evictionScheduled = true;
+            listener.eventLoop().execute(this::evictConnections); // what has come in by now is read first
         }
     }
 
-    private void evict() {
-        evicting = false;
-        if (connections.size() < most || !listener.isRegistered()) {
+    private void evictConnections() {
+        evictionScheduled = false;
+        if (connections.size() < maxConnections || !listener.isRegistered()) {
             return;
         }
-        if (!idle.isEmpty()) {
+        if (!idleConnections.isEmpty()) {
             long now = System.nanoTime();
-            int left = Math.max(1, most / EVICTED_PART);
+            int remaining = Math.max(1, maxConnections / EVICTION_DIVISOR);
             boolean first = true;
-            for (Connection longest : List.copyOf(idle)) {
-                if (left-- == 0 || !first && now - longest.restingSince < REST_NANOS) {
+            for (ClientConnection longestIdle : List.copyOf(idleConnections)) {
+                if (remaining-- == 0 || !first && now - longestIdle.idleSinceNanos < MIN_IDLE_NANOS) {
                     return;
                 }
                 first = false;
                 counters.increment(Count.EVICTED);
-                longest.retire(false);
+                longestIdle.closeGracefully(false);
             }
             return;
         }
-        Connection quietest = null;
-        for (Connection connection : connections) {
-            if (connection.isWaiting() && (quietest == null
-                || connection.timeout.heardAt() - quietest.timeout.heardAt() < 0)) {
-                quietest = connection;
+        ClientConnection longestSilent = null;
+        for (ClientConnection connection : connections) {
+            if (connection.hasNoRequestInFlight() && (longestSilent == null
+                || connection.requestTimeout.lastReadNanos() - longestSilent.requestTimeout.lastReadNanos()
+                < 0)) {
+                longestSilent = connection;
             }
         }
-        if (quietest == null) {
+        if (longestSilent == null) {
             return; // all are in use
         }
-        long left = quietest.timeout.heardAt() + QUIET_NANOS - System.nanoTime();
-        if (left <= 0) {
+        long remaining = longestSilent.requestTimeout.lastReadNanos() + MIN_SILENCE_NANOS - System.nanoTime();
+        if (remaining <= 0) {
             counters.increment(Count.EVICTED);
-            quietest.retire(true);
+            longestSilent.closeGracefully(true);
         } else {
-            evicting = true;
-            listener.eventLoop().schedule(this::evict, left, TimeUnit.NANOSECONDS);
+            evictionScheduled = true;
+            listener.eventLoop().schedule(this::evictConnections, remaining, TimeUnit.NANOSECONDS);
         }
     }
 
     /** Guards against ending connections in use while others that nobody uses keep their places. */
-    private boolean closeLongestAtRest() {
-        Iterator<Connection> resting = idle.iterator();
-        if (!resting.hasNext()) {
+    private boolean closeLongestIdle() {
+        Iterator<ClientConnection> iterator = idleConnections.iterator();
+        if (!iterator.hasNext()) {
             return false;
         }
-        Connection longest = resting.next();
-        if (System.nanoTime() - longest.restingSince < REST_NANOS) {
+        ClientConnection longestIdle = iterator.next();
+        if (System.nanoTime() - longestIdle.idleSinceNanos < MIN_IDLE_NANOS) {
             return false;
         }
         counters.increment(Count.EVICTED);
-        longest.retire(false);
+        longestIdle.closeGracefully(false);
         return true;
     }
 
     /** Ends connections with their answers well before any must be closed: no request crosses that. */
-    private boolean crowded() {
-        return connections.size() >= most * CROWDED;
+    private boolean isNearLimit() {
+        return connections.size() >= maxConnections * NEAR_LIMIT_RATIO;
     }
 
     /** A request with its message. */
-    private record Whole(Request request, FullHttpRequest message) {
+    private record BufferedRequest(Request request, FullHttpRequest message) {
     }
 
     /** One client connection: one request in hand, pipelined ones wait. */
-    private final class Connection extends SimpleChannelInboundHandler<HttpObject>
-        implements RequestTable.Reply, Body.Source, Body.Sink {
-        private final Deque<HttpObject> early = new ArrayDeque<>();
-        private final RequestTimeout timeout;
+    private final class ClientConnection extends SimpleChannelInboundHandler<HttpObject>
+        implements RequestTable.ResponseWriter, Body.Source, Body.Sink {
+        private final Deque<HttpObject> pipelinedObjects = new ArrayDeque<>();
+        private final RequestTimeout requestTimeout;
         private Channel channel;
-        private HttpRequest head; // of the request that is coming in, else null
-        private ByteBuf gathered;
-        private long received;
+        private HttpRequest requestHead; // of the request that is coming in, else null
+        private ByteBuf bufferedBody;
+        private long receivedBytes;
         private Body upload; // of the request that is coming in, where it is passed on as it comes
-        private BufferLimit.Reading reading; // of the upload
-        private Body answer; // that is passed on as it comes
-        private String inHand;
-        private Whole whole; // not handed on before all that has come is read
-        private long restingSince;
-        private int earlyBytes;
-        private boolean keep, ending, last, old, retiring;
-
-        Connection(RequestTimeout timeout) {
+        private BufferLimit.FlowControl uploadFlow; // of the upload
+        private Body responseBody; // that is passed on as it comes
+        private String inFlightId;
+        private BufferedRequest completeRequest; // not handed on before all that has come is read
+        private long idleSinceNanos;
+        private int pipelinedBytes;
+        private boolean keepAlive, closing, lastResponse, http10, closeScheduled;
+
+        ClientConnection(RequestTimeout requestTimeout) {
             super(false);
-            this.timeout = timeout;
+            this.requestTimeout = requestTimeout;
         }
 
         @Override
         public void channelActive(ChannelHandlerContext context) {
             channel = context.channel();
-            restingSince = System.nanoTime();
+            idleSinceNanos = System.nanoTime();
             connections.add(this);
             counters.increment(Count.ACCEPTED);
-            makeRoom();
+            enforceConnectionLimit();
         }
 
         /**
@@ -335,13 +341,13 @@
          * been accepted: its first request may be there unread, and ending it would lose the request.
          * One that never sends any is closed by its timeout.
          */
-        private void rest() {
-            if (inHand == null && head == null && !ending && channel.isActive()) {
-                if (idle.add(this)) {
-                    restingSince = System.nanoTime();
+        private void markIdle() {
+            if (inFlightId == null && requestHead == null && !closing && channel.isActive()) {
+                if (idleConnections.add(this)) {
+                    idleSinceNanos = System.nanoTime();
                 }
                 if (!listener.config().isAutoRead()) {
-                    makeRoom();
+                    enforceConnectionLimit();
                 }
             }
         }
@@ -349,49 +355,50 @@
         @Override
         public void channelInactive(ChannelHandlerContext context) {
             connections.remove(this);
-            idle.remove(this);
-            makeRoom();
-            releaseEarly();
-            drop();
-            if (answer != null) {
-                answer.release();
-                answer = null;
+            idleConnections.remove(this);
+            enforceConnectionLimit();
+            releasePipelined();
+            dropRequest();
+            if (responseBody != null) {
+                responseBody.release();
+                responseBody = null;
             }
-            checkEmpty();
+            checkAllClosed();
         }
 
         /** Ends the request that is in hand or coming in, without an answer. */
-        private void drop() {
-            if (whole != null) {
-                whole.message.release();
-                whole = null;
+        private void dropRequest() {
+            if (completeRequest != null) {
+                completeRequest.message.release();
+                completeRequest = null;
                 counters.increment(Count.GONE);
             }
-            if (gathered != null) {
-                gathered.release();
-                gathered = null;
+            if (bufferedBody != null) {
+                bufferedBody.release();
+                bufferedBody = null;
             }
-            if (inHand != null) {
-                table.clientGone(inHand);
-                inHand = null;
+            if (inFlightId != null) {
+                requestTable.clientDisconnected(inFlightId);
+                inFlightId = null;
             }
             if (upload != null) {
-                upload.fail();
+                upload.abort();
                 upload = null;
             }
         }
 
         @Override
         public void userEventTriggered(ChannelHandlerContext context, Object event) {
-            if (event instanceof RequestTimeout.Late late && !ending) {
-                if (inHand != null && upload == null) {
-                    timeout.again(); // what came behind the request in hand has its time after that
-                } else if (late == RequestTimeout.Late.NOT_WHOLE && answer == null) {
+            if (event instanceof RequestTimeout.TimeoutEvent timeoutEvent && !closing) {
+                if (inFlightId != null && upload == null) {
+                    requestTimeout.restart(); // what came behind the request in hand has its time after that
+                } else if (timeoutEvent == RequestTimeout.TimeoutEvent.INCOMPLETE_REQUEST
+                && responseBody == null) {
                     counters.increment(Count.LATE);
-                    end(HttpResponseStatus.REQUEST_TIMEOUT);
-                } else if (answer == null) {
+                    respondAndClose(HttpResponseStatus.REQUEST_TIMEOUT);
+                } else if (responseBody == null) {
                     counters.increment(Count.LATE);
-                    retire(false); // its first request may be on its way just now
+                    closeGracefully(false); // its first request may be on its way just now
                 } else {
                     counters.increment(Count.LATE);
                     context.close();
@@ -401,13 +408,13 @@
         }
 
         @Override
-        protected void channelRead0(ChannelHandlerContext context, HttpObject part) {
-            if (ending) {
-                discard(part);
-            } else if (inHand != null && upload == null) {
-                wait(part);
+        protected void channelRead0(ChannelHandlerContext context, HttpObject httpObject) {
+            if (closing) {
+                discard(httpObject);
+            } else if (inFlightId != null && upload == null) {
+                queuePipelined(httpObject);
             } else {
-                read(part);
+                handle(httpObject);
             }
         }
 
@@ -415,47 +422,48 @@
          * One request at a time: what comes behind it waits. It is read all the same, as a client that leaves
          * is seen by reading only; one that sends more than there is room for has no claim to what it sends.
          */
-        private void wait(HttpObject part) {
-            if (timeout.isDiscarding()) {
-                ReferenceCountUtil.release(part);
+        private void queuePipelined(HttpObject httpObject) {
+            if (requestTimeout.isDiscarding()) {
+                ReferenceCountUtil.release(httpObject);
                 return;
             }
-            early.add(part);
-            earlyBytes += bytes(part);
-            if (earlyBytes > Math.min(MOST_EARLY, buffers.mostWhole())) {
-                overrun();
+            pipelinedObjects.add(httpObject);
+            pipelinedBytes += sizeInBytes(httpObject);
+            if (pipelinedBytes > Math.min(MAX_PIPELINED_BYTES, bufferLimit.maxBufferedMessageBytes())) {
+                discardExcessInput();
             }
         }
 
         /** From here on its bytes are dropped as they come, and the answer that is due ends it. */
-        private void overrun() {
+        private void discardExcessInput() {
             counters.increment(Count.IMPROPER);
             Log.write("improper", "more behind a request than there is room for, from "
                 + channel.remoteAddress());
-            keep = false;
-            timeout.discard();
-            releaseEarly();
-            if (NEXT.equals(inHand)) {
-                inHand = null;
-                ending = true;
-                endSending();
+            keepAlive = false;
+            requestTimeout.discard();
+            releasePipelined();
+            if (NEXT_REQUEST.equals(inFlightId)) {
+                inFlightId = null;
+                closing = true;
+                closeAfterLinger();
             }
         }
 
-        private static int bytes(HttpObject part) {
-            return EARLY_PART + (part instanceof HttpContent content ? content.content().readableBytes() : 0);
+        private static int sizeInBytes(HttpObject httpObject) {
+            return PIPELINED_OBJECT_OVERHEAD_BYTES
+                + (httpObject instanceof HttpContent content ? content.content().readableBytes() : 0);
         }
 
-        private HttpObject nextEarly() {
-            HttpObject next = early.poll();
-            earlyBytes -= bytes(next);
+        private HttpObject pollPipelined() {
+            HttpObject next = pipelinedObjects.poll();
+            pipelinedBytes -= sizeInBytes(next);
             return next;
         }
 
-        private void releaseEarly() {
-            early.forEach(ReferenceCountUtil::release);
-            early.clear();
-            earlyBytes = 0;
+        private void releasePipelined() {
+            pipelinedObjects.forEach(ReferenceCountUtil::release);
+            pipelinedObjects.clear();
+            pipelinedBytes = 0;
         }
 
         /**
@@ -464,170 +472,175 @@
          * anew. Closing over unread bytes would reset the connection in place of that. One on which a part
          * of a request has come is left alone, unless there is no time for the rest of it.
          */
-        private void retire(boolean halfAsWell) {
-            idle.remove(this);
-            if (retiring) {
+        private void closeGracefully(boolean evenIfPartial) {
+            idleConnections.remove(this);
+            if (closeScheduled) {
                 return;
             }
-            retiring = true;
+            closeScheduled = true;
             // Later than now, as sockets are looked at before what is due.
             channel.eventLoop().schedule(() -> {
-                retiring = false;
-                if (isWaiting() && channel.isActive()
-                    && (halfAsWell || head == null && !timeout.isPartial())) {
-                    ending = true;
-                    drop();
-                    endSending(LINGER_REST_MILLIS);
+                closeScheduled = false;
+                if (hasNoRequestInFlight() && channel.isActive()
+                    && (evenIfPartial || requestHead == null && !requestTimeout.isRequestIncomplete())) {
+                    closing = true;
+                    dropRequest();
+                    closeAfterLinger(IDLE_LINGER_MILLIS);
                 }
             }, 1, TimeUnit.MILLISECONDS);
         }
 
         /** What comes after the answer is read: closing with bytes unread would take the answer with it. */
-        private void discard(HttpObject part) {
-            ReferenceCountUtil.release(part);
-            if (part instanceof LastHttpContent && head != null) {
-                head = null;
-                channel.eventLoop().execute(this::endSending);
+        private void discard(HttpObject httpObject) {
+            ReferenceCountUtil.release(httpObject);
+            if (httpObject instanceof LastHttpContent && requestHead != null) {
+                requestHead = null;
+                channel.eventLoop().execute(this::closeAfterLinger);
             }
         }
 
-        private void read(HttpObject part) {
-            if (part instanceof HttpRequest start) {
-                begin(start);
+        private void handle(HttpObject httpObject) {
+            if (httpObject instanceof HttpRequest newHead) {
+                handleHead(newHead);
             }
-            if (part instanceof HttpContent content) {
-                if (head == null || ending) {
+            if (httpObject instanceof HttpContent content) {
+                if (requestHead == null || closing) {
                     discard(content);
                 } else if (content.decoderResult().isFailure()) {
                     content.release();
-                    improper(HttpResponseStatus.BAD_REQUEST, content.decoderResult().cause());
+                    reject(HttpResponseStatus.BAD_REQUEST, content.decoderResult().cause());
                 } else {
-                    take(content);
+                    handleContent(content);
                 }
             }
         }
 
-        private void begin(HttpRequest start) {
-            idle.remove(this);
-            head = start;
-            received = 0;
-            keep = HttpUtil.isKeepAlive(start);
-            old = start.protocolVersion().equals(HttpVersion.HTTP_1_0);
-            HttpResponseStatus wrong;
+        private void handleHead(HttpRequest newHead) {
+            idleConnections.remove(this);
+            requestHead = newHead;
+            receivedBytes = 0;
+            keepAlive = HttpUtil.isKeepAlive(newHead);
+            http10 = newHead.protocolVersion().equals(HttpVersion.HTTP_1_0);
+            HttpResponseStatus errorStatus;
             try {
-                wrong = wrong(start);
+                errorStatus = validateHead(newHead);
             } catch (RuntimeException e) {
                 Log.error("client", e); // guards against one bad request taking the loop along
-                wrong = HttpResponseStatus.INTERNAL_SERVER_ERROR;
+                errorStatus = HttpResponseStatus.INTERNAL_SERVER_ERROR;
             }
-            if (wrong != null) {
-                improper(wrong, start.decoderResult().cause());
+            if (errorStatus != null) {
+                reject(errorStatus, newHead.decoderResult().cause());
                 return;
             }
-            if (HttpUtil.is100ContinueExpected(start)) {
+            if (HttpUtil.is100ContinueExpected(newHead)) {
                 channel.writeAndFlush(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
                     HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
             }
-            if (HttpUtil.getContentLength(start, 0L) > buffers.mostWhole()) {
-                stream();
+            if (HttpUtil.getContentLength(newHead, 0L) > bufferLimit.maxBufferedMessageBytes()) {
+                startStreaming();
             }
         }
 
-        private void take(HttpContent content) {
-            received += content.content().readableBytes();
-            boolean whole = content instanceof LastHttpContent;
-            if (received > MOST_BODY) {
+        private void handleContent(HttpContent content) {
+            receivedBytes += content.content().readableBytes();
+            boolean isLast = content instanceof LastHttpContent;
+            if (receivedBytes > MAX_BODY_BYTES) {
                 content.release();
-                improper(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, null);
+                reject(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, null);
             } else if (upload != null) {
                 Body body = upload;
-                if (whole) {
-                    timeout.arrived();
-                    head = null;
+                if (isLast) {
+                    requestTimeout.requestReceived();
+                    requestHead = null;
                     upload = null;
-                    table.whole(inHand);
+                    requestTable.requestReceived(inFlightId);
                 }
                 body.add(content);
-                if (whole) {
-                    reading.end();
+                if (isLast) {
+                    uploadFlow.stop();
                 } else {
-                    reading.read();
+                    uploadFlow.afterRead();
                 }
             } else {
-                gathered = Body.gather(gathered, content, channel.alloc());
-                if (whole) {
-                    timeout.arrived();
-                    accept();
-                } else if (received > buffers.mostWhole()) {
-                    stream();
+                bufferedBody = Body.append(bufferedBody, content, channel.alloc());
+                if (isLast) {
+                    requestTimeout.requestReceived();
+                    handleBufferedRequest();
+                } else if (receivedBytes > bufferLimit.maxBufferedMessageBytes()) {
+                    startStreaming();
                 }
             }
         }
 
         /** The request is there whole. */
-        private void accept() {
-            FullHttpRequest message = new DefaultFullHttpRequest(head.protocolVersion(), head.method(),
-                head.uri(), gathered == null ? Unpooled.EMPTY_BUFFER : gathered, head.headers(),
+        private void handleBufferedRequest() {
+            FullHttpRequest message =
+                new DefaultFullHttpRequest(requestHead.protocolVersion(), requestHead.method(),
+                requestHead.uri(), bufferedBody == null ? Unpooled.EMPTY_BUFFER : bufferedBody,
+                requestHead.headers(),
                 EmptyHttpHeaders.INSTANCE);
-            gathered = null;
-            head = null;
+            bufferedBody = null;
+            requestHead = null;
             if (isHealthCheck(message)) {
                 message.release();
-                answer(RequestTable.plain(
-                    ready.getAsBoolean() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE));
+                respond(RequestTable.emptyResponse(
+                    readiness.getAsBoolean() ? HttpResponseStatus.OK
+                    : HttpResponseStatus.SERVICE_UNAVAILABLE));
                 return;
             }
-            HttpResponseStatus wrong = bodyWrong(message);
-            if (wrong != null) {
+            HttpResponseStatus errorStatus = validateBody(message);
+            if (errorStatus != null) {
                 message.release();
-                improper(wrong, null);
+                reject(errorStatus, null);
                 return;
             }
-            whole = new Whole(request(message, false), message);
-            inHand = whole.request.id();
-            channel.eventLoop().execute(this::handOn);
+            completeRequest = new BufferedRequest(toRequest(message, false), message);
+            inFlightId = completeRequest.request.id();
+            channel.eventLoop().execute(this::forwardCompleteRequest);
         }
 
         /**
          * All that has come is read: a client that has left by now is owed nothing, and nothing is sent
          * on.
          */
-        private void handOn() {
-            Whole next = whole;
-            whole = null;
-            if (next == null) {
+        private void forwardCompleteRequest() {
+            BufferedRequest bufferedRequest = completeRequest;
+            completeRequest = null;
+            if (bufferedRequest == null) {
                 return;
             }
             if (!channel.isActive()) {
                 counters.increment(Count.GONE);
-                next.message.release();
-            } else if (table.holds(next.request.id())) {
-                next.message.release();
-                inHand = null;
-                improper(HttpResponseStatus.CONFLICT, null);
+                bufferedRequest.message.release();
+            } else if (requestTable.isInFlight(bufferedRequest.request.id())) {
+                bufferedRequest.message.release();
+                inFlightId = null;
+                reject(HttpResponseStatus.CONFLICT, null);
             } else {
-                table.take(next.request, next.message, this);
+                requestTable.accept(bufferedRequest.request, bufferedRequest.message, this);
             }
         }
 
         /** The request is long: it goes on as it comes. */
-        private void stream() {
-            HttpResponseStatus wrong = isHealthCheck(head) ? HttpResponseStatus.BAD_REQUEST : bodyWrong(head);
-            if (wrong != null) {
-                improper(wrong, null);
+        private void startStreaming() {
+            HttpResponseStatus errorStatus = isHealthCheck(requestHead) ? HttpResponseStatus.BAD_REQUEST
+                : validateBody(requestHead);
+            if (errorStatus != null) {
+                reject(errorStatus, null);
                 return;
             }
-            reading = buffers.new Reading(channel);
+            uploadFlow = bufferLimit.new FlowControl(channel);
             Body body = new Body(this, BufferLimit.MAX_BUFFERED_MESSAGE_BYTES);
-            if (gathered != null) {
-                body.add(new DefaultHttpContent(gathered));
-                gathered = null;
+            if (bufferedBody != null) {
+                body.add(new DefaultHttpContent(bufferedBody));
+                bufferedBody = null;
             }
             upload = body;
-            Request request = request(head, true);
-            inHand = request.id();
-            table.take(request, new DefaultFullHttpRequest(head.protocolVersion(), head.method(), head.uri(),
-                Unpooled.EMPTY_BUFFER, head.headers(), EmptyHttpHeaders.INSTANCE), body, this);
+            Request request = toRequest(requestHead, true);
+            inFlightId = request.id();
+            requestTable.accept(request, new DefaultFullHttpRequest(requestHead.protocolVersion(),
+                requestHead.method(), requestHead.uri(),
+                Unpooled.EMPTY_BUFFER, requestHead.headers(), EmptyHttpHeaders.INSTANCE), body, this);
         }
 
         private static boolean isHealthCheck(HttpRequest message) {
@@ -635,30 +648,30 @@
         }
 
         private static String path(HttpRequest message) {
-            int query = message.uri().indexOf('?');
-            return query < 0 ? message.uri() : message.uri().substring(0, query);
+            int queryStart = message.uri().indexOf('?');
+            return queryStart < 0 ? message.uri() : message.uri().substring(0, queryStart);
         }
 
         /** The status that says what is wrong with a request by its head alone; null where nothing is. */
-        private HttpResponseStatus wrong(HttpRequest message) {
+        private HttpResponseStatus validateHead(HttpRequest message) {
             if (message.decoderResult().isFailure()) {
-                return unparsable(message.decoderResult().cause());
+                return statusForDecodingError(message.decoderResult().cause());
             }
             HttpVersion version = message.protocolVersion();
             if (!version.equals(HttpVersion.HTTP_1_1) && !version.equals(HttpVersion.HTTP_1_0)) {
                 return HttpResponseStatus.HTTP_VERSION_NOT_SUPPORTED;
             }
             HttpHeaders headers = message.headers();
-            List<String> codings = headers.getAll(HttpHeaderNames.TRANSFER_ENCODING);
-            if (!codings.isEmpty() && (codings.size() > 1
-                || !HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(codings.get(0).trim()))) {
+            List<String> transferCodings = headers.getAll(HttpHeaderNames.TRANSFER_ENCODING);
+            if (!transferCodings.isEmpty() && (transferCodings.size() > 1
+                || !HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(transferCodings.get(0).trim()))) {
                 return HttpResponseStatus.BAD_REQUEST; // where its body ends cannot be known for sure
             }
-            String expected = headers.get(HttpHeaderNames.EXPECT);
-            if (expected != null && !HttpHeaderValues.CONTINUE.contentEqualsIgnoreCase(expected)) {
+            String expectation = headers.get(HttpHeaderNames.EXPECT);
+            if (expectation != null && !HttpHeaderValues.CONTINUE.contentEqualsIgnoreCase(expectation)) {
                 return HttpResponseStatus.EXPECTATION_FAILED;
             }
-            if (HttpUtil.getContentLength(message, 0L) > MOST_BODY) {
+            if (HttpUtil.getContentLength(message, 0L) > MAX_BODY_BYTES) {
                 return HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE;
             }
             message.setUri(originForm(message.uri()));
@@ -666,28 +679,31 @@
                 return null;
             }
             String path = path(message);
-            int end = path.indexOf('/', 1);
-            String first = path.isEmpty() ? "" : path.substring(1, end < 0 ? path.length() : end);
-            ServiceClass spec = classes.get(first);
-            if (spec == null || path.charAt(0) != '/') {
+            int segmentEnd = path.indexOf('/', 1);
+            String className = path.isEmpty() ? ""
+                : path.substring(1, segmentEnd < 0 ? path.length() : segmentEnd);
+            ServiceClass serviceClass = serviceClasses.get(className);
+            if (serviceClass == null || path.charAt(0) != '/') {
                 return HttpResponseStatus.NOT_FOUND;
             }
-            boolean keyed = headers.contains(Headers.IDEMPOTENCY_KEY);
-            boolean safe = spec.idempotency() == Idempotency.IDEMPOTENT;
-            if (!message.method().equals(safe ? HttpMethod.GET : HttpMethod.POST)) {
+            boolean hasIdempotencyKey = headers.contains(Headers.IDEMPOTENCY_KEY);
+            boolean idempotent = serviceClass.idempotency() == Idempotency.IDEMPOTENT;
+            if (!message.method().equals(idempotent ? HttpMethod.GET : HttpMethod.POST)) {
                 return HttpResponseStatus.METHOD_NOT_ALLOWED;
             }
-            String id = headers.get(Headers.REQUEST_ID);
-            String asked = headers.get(Headers.TIMEOUT);
-            String cost = headers.get(Headers.COST);
-            boolean hosted = version.equals(HttpVersion.HTTP_1_0) || headers.contains(HttpHeaderNames.HOST);
-            if (!hosted || Headers.isAmbiguous(headers)) {
+            String requestId = headers.get(Headers.REQUEST_ID);
+            String timeoutText = headers.get(Headers.TIMEOUT);
+            String costText = headers.get(Headers.COST);
+            boolean hasHost = version.equals(HttpVersion.HTTP_1_0) || headers.contains(HttpHeaderNames.HOST);
+            if (!hasHost || Headers.hasDuplicates(headers)) {
                 return HttpResponseStatus.BAD_REQUEST;
             }
-            if (!first.equals(headers.get(Headers.SERVICE_CLASS)) || id == null || id.isEmpty()
-                || id.length() > LONGEST_ID || asked == null || !SECONDS.matcher(asked).matches()
-                || cost != null && !WHOLE_MICROS.matcher(cost).matches()
-                || spec.idempotency() == Idempotency.DEDUPLICATED && !keyed) {
+            if (!className.equals(headers.get(Headers.SERVICE_CLASS)) || requestId == null
+                || requestId.isEmpty()
+                || requestId.length() > MAX_REQUEST_ID_LENGTH || timeoutText == null
+                || !SECONDS_PATTERN.matcher(timeoutText).matches()
+                || costText != null && !MICROS_PATTERN.matcher(costText).matches()
+                || serviceClass.idempotency() == Idempotency.DEDUPLICATED && !hasIdempotencyKey) {
                 return HttpResponseStatus.BAD_REQUEST;
             }
             return null;
@@ -695,10 +711,10 @@
 
         /** The absolute form is as good as the usual one (RFC 9112, 3.2.2); backends get the usual one. */
         private static String originForm(String uri) {
-            if (!uri.regionMatches(true, 0, ABSOLUTE, 0, ABSOLUTE.length())) {
+            if (!uri.regionMatches(true, 0, ABSOLUTE_FORM_PREFIX, 0, ABSOLUTE_FORM_PREFIX.length())) {
                 return uri;
             }
-            for (int i = ABSOLUTE.length(); i < uri.length(); i++) {
+            for (int i = ABSOLUTE_FORM_PREFIX.length(); i < uri.length(); i++) {
                 if (uri.charAt(i) == '/' || uri.charAt(i) == '?') {
                     return (uri.charAt(i) == '?' ? "/" : "") + uri.substring(i);
                 }
@@ -707,44 +723,46 @@
         }
 
         /** What is wrong with a request now that it has a body, or has come whole. */
-        private HttpResponseStatus bodyWrong(HttpRequest message) {
-            boolean body = received > 0 || HttpUtil.getContentLength(message, 0L) > 0;
-            if (body && HttpMethod.GET.equals(message.method())) {
+        private HttpResponseStatus validateBody(HttpRequest message) {
+            boolean hasBody = receivedBytes > 0 || HttpUtil.getContentLength(message, 0L) > 0;
+            if (hasBody && HttpMethod.GET.equals(message.method())) {
                 return HttpResponseStatus.BAD_REQUEST;
             }
-            return table.holds(message.headers().get(Headers.REQUEST_ID))
+            return requestTable.isInFlight(message.headers().get(Headers.REQUEST_ID))
                 ? HttpResponseStatus.CONFLICT : null; // ids are new with every request
         }
 
-        private Request request(HttpRequest message, boolean streamed) {
+        private Request toRequest(HttpRequest message, boolean streamed) {
             HttpHeaders headers = message.headers();
             String path = path(message);
-            int end = path.indexOf('/', 1);
-            String cost = headers.get(Headers.COST);
+            int segmentEnd = path.indexOf('/', 1);
+            String costText = headers.get(Headers.COST);
             return new Request(headers.get(Headers.REQUEST_ID), headers.get(Headers.SERVICE_CLASS),
-                headers.get(Headers.TENANT), end < 0 ? null : path.substring(path.lastIndexOf('/') + 1),
-                budget((long) (Double.parseDouble(headers.get(Headers.TIMEOUT)) * MICROS)),
-                cost == null ? 0 : (long) Double.parseDouble(cost),
+                headers.get(Headers.TENANT),
+                segmentEnd < 0 ? null : path.substring(path.lastIndexOf('/') + 1),
+                timeBudget((long) (Double.parseDouble(headers.get(Headers.TIMEOUT)) * MICROS_PER_SECOND)),
+                costText == null ? 0 : (long) Double.parseDouble(costText),
                 "1".equals(headers.get(Headers.RETRIED)), streamed);
         }
 
         /** Guards against a request that is still in hand when this process is killed: that one is lost. */
-        private long budget(long asked) {
-            return closing && lastAnswer != Long.MAX_VALUE
-                ? Math.min(asked, TimeUnit.NANOSECONDS.toMicros(lastAnswer - System.nanoTime())) : asked;
+        private long timeBudget(long requestedMicros) {
+            return draining && drainDeadlineNanos != Long.MAX_VALUE
+                ? Math.min(requestedMicros,
+                TimeUnit.NANOSECONDS.toMicros(drainDeadlineNanos - System.nanoTime())) : requestedMicros;
         }
 
         /** Whether nothing of a request has been read that is not answered. */
-        private boolean rests() {
-            return inHand == null && head == null && early.isEmpty() && !ending;
+        private boolean isIdle() {
+            return inFlightId == null && requestHead == null && pipelinedObjects.isEmpty() && !closing;
         }
 
         /** Whether no request of this one is in hand: its peer has sent none, or only a part of one. */
-        private boolean isWaiting() {
-            return inHand == null && !ending;
+        private boolean hasNoRequestInFlight() {
+            return inFlightId == null && !closing;
         }
 
-        private HttpResponseStatus unparsable(Throwable cause) {
+        private HttpResponseStatus statusForDecodingError(Throwable cause) {
             if (cause instanceof TooLongHttpLineException) {
                 return HttpResponseStatus.REQUEST_URI_TOO_LONG;
             } else if (cause instanceof TooLongHttpHeaderException) {
@@ -753,126 +771,127 @@
             return HttpResponseStatus.BAD_REQUEST;
         }
 
-        private void improper(HttpResponseStatus status, Throwable cause) {
+        private void reject(HttpResponseStatus status, Throwable cause) {
             counters.increment(Count.IMPROPER);
             Log.write("improper",
                 status + " to " + channel.remoteAddress() + (cause == null ? "" : ": " + cause));
-            end(status);
+            respondAndClose(status);
         }
 
         /** Ends the connection with this: a peer that speaks badly has no claim to a place. */
-        private void end(HttpResponseStatus status) {
-            keep = false;
-            drop();
-            if (answer == null) {
-                answer(RequestTable.plain(status));
+        private void respondAndClose(HttpResponseStatus status) {
+            keepAlive = false;
+            dropRequest();
+            if (responseBody == null) {
+                respond(RequestTable.emptyResponse(status));
             } else {
                 channel.close(); // in the middle of an answer there is no place for another
             }
         }
 
         /** Whether the next answer ends the connection; it does while the rest of its request is to come. */
-        private boolean isLast() {
-            boolean ends = !keep || closing || head != null;
-            if (!ends && crowded() && !closeLongestAtRest()) {
+        private boolean isLastResponse() {
+            boolean closesConnection = !keepAlive || draining || requestHead != null;
+            if (!closesConnection && isNearLimit() && !closeLongestIdle()) {
                 counters.increment(Count.CROWDED);
-                ends = true;
+                closesConnection = true;
             }
-            return ends;
+            return closesConnection;
         }
 
         @Override
-        public void answer(FullHttpResponse response) {
-            Headers.dropHopByHop(response.headers());
+        public void respond(FullHttpResponse response) {
+            Headers.removeHopByHop(response.headers());
             response.headers().set(HttpHeaderNames.CONTENT_LENGTH, response.content().readableBytes());
-            last = isLast();
-            if (last) {
+            lastResponse = isLastResponse();
+            if (lastResponse) {
                 response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
             }
-            finish(channel.writeAndFlush(response));
+            finishResponse(channel.writeAndFlush(response));
         }
 
         @Override
-        public void begin(HttpResponse start, Body body) {
+        public void beginStreaming(HttpResponse streamedHead, Body body) {
             HttpResponse response =
-                new DefaultHttpResponse(HttpVersion.HTTP_1_1, start.status(), start.headers().copy());
-            Headers.dropHopByHop(response.headers());
-            boolean unending = !HttpUtil.isContentLengthSet(start);
-            HttpUtil.setTransferEncodingChunked(response, unending && !old);
-            keep &= !(unending && old); // an old client knows the end by that of the connection
-            last = isLast();
-            if (last) {
+                new DefaultHttpResponse(HttpVersion.HTTP_1_1, streamedHead.status(),
+                streamedHead.headers().copy());
+            Headers.removeHopByHop(response.headers());
+            boolean unknownLength = !HttpUtil.isContentLengthSet(streamedHead);
+            HttpUtil.setTransferEncodingChunked(response, unknownLength && !http10);
+            keepAlive &= !(unknownLength && http10); // an old client knows the end by that of the connection
+            lastResponse = isLastResponse();
+            if (lastResponse) {
                 response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
             }
-            answer = body;
+            responseBody = body;
             channel.write(response);
-            body.to(this);
+            body.attach(this);
             channel.flush();
         }
 
         @Override
-        public void part(HttpContent part) {
-            ChannelFuture written = channel.writeAndFlush(part);
-            if (part instanceof LastHttpContent) {
-                answer.release();
-                answer = null;
-                finish(written);
+        public void onContent(HttpContent content) {
+            ChannelFuture writeFuture = channel.writeAndFlush(content);
+            if (content instanceof LastHttpContent) {
+                responseBody.release();
+                responseBody = null;
+                finishResponse(writeFuture);
             } else if (!channel.isWritable()) {
-                answer.flow(false);
+                responseBody.setSinkWritable(false);
             }
         }
 
         /** The client is to see that its answer is not whole. */
         @Override
-        public void broken() {
+        public void onAborted() {
             channel.config().setOption(ChannelOption.SO_LINGER, 0); // an end may pass for the body's
             channel.close();
         }
 
         /** The answer is on its way whole. */
-        private void finish(ChannelFuture written) {
-            inHand = null;
-            if (last || !keep) {
-                ending = true;
+        private void finishResponse(ChannelFuture writeFuture) {
+            inFlightId = null;
+            if (lastResponse || !keepAlive) {
+                closing = true;
                 if (upload != null) {
                     upload.release();
                     upload = null;
-                    reading.end();
+                    uploadFlow.stop();
                     channel.config().setAutoRead(true);
                 }
-                written.addListener((ChannelFutureListener) done -> endSending());
-            } else if (!early.isEmpty()) {
+                writeFuture.addListener((ChannelFutureListener) done -> closeAfterLinger());
+            } else if (!pipelinedObjects.isEmpty()) {
                 // Not from within the answer: a long pipeline must not deepen the stack.
-                inHand = NEXT;
-                channel.eventLoop().execute(this::readEarly);
+                inFlightId = NEXT_REQUEST;
+                channel.eventLoop().execute(this::handlePipelined);
             } else {
                 channel.config().setAutoRead(true);
-                written.addListener(done -> rest()); // not before the answer is out whole
+                writeFuture.addListener(done -> markIdle()); // not before the answer is out whole
             }
         }
 
-        private void readEarly() {
+        private void handlePipelined() {
             if (!channel.isActive()) {
                 return;
             }
-            inHand = null;
-            while (!early.isEmpty() && (ending || inHand == null || upload != null)) {
-                if (ending) {
-                    discard(nextEarly());
+            inFlightId = null;
+            while (!pipelinedObjects.isEmpty() && (closing || inFlightId == null || upload != null)) {
+                if (closing) {
+                    discard(pollPipelined());
                 } else {
-                    read(nextEarly());
+                    handle(pollPipelined());
                 }
             }
-            if (early.isEmpty()) {
+            if (pipelinedObjects.isEmpty()) {
                 channel.config().setAutoRead(true);
             }
         }
 
-        private void endSending() {
-            endSending(head == null ? LINGER_MILLIS : LINGER_UPLOAD_MILLIS);
+        private void closeAfterLinger() {
+            closeAfterLinger(requestHead == null ? LINGER_MILLIS : UPLOAD_LINGER_MILLIS);
         }
 
-        private void endSending(long lingerMillis) {
+        private void closeAfterLinger(long lingerMillis) {
             if (channel instanceof DuplexChannel duplex && channel.isActive()) {
                 duplex.shutdownOutput();
                 channel.config().setAutoRead(true);
@@ -883,28 +902,28 @@
         }
 
         @Override
-        public void flow(boolean on) {
-            reading.flow(on);
+        public void setReadEnabled(boolean enabled) {
+            uploadFlow.setReadEnabled(enabled);
         }
 
         @Override
-        public void dropped() {
+        public void onDiscarded() {
             // the answer says so
         }
 
         @Override
         public void channelWritabilityChanged(ChannelHandlerContext context) {
-            if (answer != null) {
-                answer.flow(channel.isWritable());
+            if (responseBody != null) {
+                responseBody.setSinkWritable(channel.isWritable());
             }
             context.fireChannelWritabilityChanged();
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            if (cause instanceof CodecException && inHand != null && upload == null && !ending) {
-                if (!timeout.isDiscarding()) {
-                    overrun(); // the request before is owed its answer all the same
+            if (cause instanceof CodecException && inFlightId != null && upload == null && !closing) {
+                if (!requestTimeout.isDiscarding()) {
+                    discardExcessInput(); // the request before is owed its answer all the same
                 }
                 return;
             }
--- a/proxy/src/main/java/dockrelay/proxy/RequestTable.java
+++ b/proxy/src/main/java/dockrelay/proxy/RequestTable.java
@@ -51,43 +51,43 @@
  */
 final class RequestTable implements Balancer.Actions {
     /** Attempts end this long before the client stops waiting, so that the module still can answer. */
-    private static final long ATTEMPT_MARGIN = 12_000;
+    private static final long ATTEMPT_MARGIN_MICROS = 12_000;
     /** The host's own answer, where the module gave none; the way back to the client takes some of it. */
-    private static final long ANSWER_MARGIN = 6_000;
+    private static final long RESPONSE_MARGIN_MICROS = 6_000;
     /** ...but of a short time budget each takes this part at most: else a hasty client's is all margin. */
-    private static final long ATTEMPT_MARGIN_PART = 10;
-    private static final long ANSWER_MARGIN_PART = 20;
+    private static final long ATTEMPT_MARGIN_DIVISOR = 10;
+    private static final long RESPONSE_MARGIN_DIVISOR = 20;
     /** A repeat takes a moment to the backend, which forgets the first attempt when its window is over. */
-    private static final long WINDOW_MARGIN = 10_000;
-    private static final long WINDOW_MARGIN_PART = 10;
-    private static final double MICROS = 1_000_000;
+    private static final long DEDUP_MARGIN_MICROS = 10_000;
+    private static final long DEDUP_MARGIN_DIVISOR = 10;
+    private static final double MICROS_PER_SECOND = 1_000_000;
     /** An answer is passed on for so long past its time: a body may stand still for as long. */
-    private static final long UNENDING = 10_000_000;
+    private static final long STREAMING_GRACE_MICROS = 10_000_000;
 
-    private final EventLoop loop;
-    private final BackendConnectionPool pool;
+    private final EventLoop eventLoop;
+    private final BackendConnectionPool connectionPool;
     private final Counters counters;
-    private final LongSupplier clock;
+    private final LongSupplier clockMicros;
     private final int maxAttempts;
-    private final boolean retryAfter;
-    private final long probeTimeout;
-    private final Map<String, ServiceClass> classes = new HashMap<>();
-    private final Set<String> streaming;
-    private final Map<String, Pending> pending = new HashMap<>();
-    private final Deque<Event> events = new ArrayDeque<>();
-    private boolean inside;
-    private Balancer module;
-    private Runnable subscriber;
-    private Consumer<String> messenger;
-    private Runnable whenEmpty;
+    private final boolean sendsRetryAfter;
+    private final long probeTimeoutMicros;
+    private final Map<String, ServiceClass> serviceClasses = new HashMap<>();
+    private final Set<String> streamingClasses;
+    private final Map<String, Entry> entries = new HashMap<>();
+    private final Deque<Event> queuedEvents = new ArrayDeque<>();
+    private boolean dispatching;
+    private Balancer decisionModule;
+    private Runnable subscribeCallback;
+    private Consumer<String> broadcastCallback;
+    private Runnable emptyAction;
 
     /** Where a request's one answer goes. */
-    interface Reply {
-        void answer(FullHttpResponse response);
+    interface ResponseWriter {
+        void respond(FullHttpResponse response);
 
         /** A long answer begins, and is the reply's to pass on. */
-        default void begin(HttpResponse head, Body body) {
-            body.drop();
+        default void beginStreaming(HttpResponse head, Body body) {
+            body.discard();
         }
     }
 
@@ -99,258 +99,262 @@
         }
     }
 
-    private record Event(Pending about, Runnable body) {
+    private record Event(Entry entry, Runnable action) {
     }
 
     /** A request in hand, until it is answered and none of its attempts is out. */
-    private static final class Pending {
+    private static final class Entry {
         final Request request;
         final FullHttpRequest message;
         final Body body; // of a request that is passed on as it comes, else null
-        final Reply reply;
-        long deadline;
-        long wholeAt, beganAt;
-        BackendConnectionPool.Exchange streaming;
+        final ResponseWriter responseWriter;
+        long deadlineMicros;
+        long receivedAtMicros, responseStartMicros;
+        BackendConnectionPool.Exchange streamingExchange;
         final List<BackendConnectionPool.Exchange> attempts = new ArrayList<>(2);
         Future<?> timer;
-        int out;
+        int openAttempts;
         boolean answered;
 
         /** The attempts that the pool has taken so far. */
-        List<BackendConnectionPool.Exchange> exchanges() {
+        List<BackendConnectionPool.Exchange> startedExchanges() {
             return attempts.stream().filter(Objects::nonNull).toList();
         }
 
-        Pending(Request request, FullHttpRequest message, Body body, Reply reply) {
+        Entry(Request request, FullHttpRequest message, Body body, ResponseWriter responseWriter) {
             this.request = request;
             this.message = message;
             this.body = body;
-            this.reply = reply;
+            this.responseWriter = responseWriter;
         }
     }
 
-    RequestTable(EventLoop loop, BackendConnectionPool pool, LongSupplier clock, Config config, Counters counters) {
-        this.loop = loop;
-        this.pool = pool;
+    RequestTable(EventLoop eventLoop, BackendConnectionPool connectionPool, LongSupplier clockMicros,
+        Config config, Counters counters) {
+        this.eventLoop = eventLoop;
+        this.connectionPool = connectionPool;
         this.counters = counters;
-        counters.registerGauge("in-hand", pending::size);
-        this.clock = clock;
+        counters.registerGauge("in-hand", entries::size);
+        this.clockMicros = clockMicros;
         this.maxAttempts = config.settings().limits().maxAttempts();
-        this.retryAfter = config.sendsRetryAfter();
-        this.probeTimeout = config.connectTimeoutMicros();
-        this.streaming = config.streamingClasses();
-        for (ServiceClass spec : config.settings().classes()) {
-            classes.put(spec.name(), spec);
+        this.sendsRetryAfter = config.sendsRetryAfter();
+        this.probeTimeoutMicros = config.connectTimeoutMicros();
+        this.streamingClasses = config.streamingClasses();
+        for (ServiceClass serviceClass : config.settings().classes()) {
+            serviceClasses.put(serviceClass.name(), serviceClass);
         }
     }
 
     /** The module that decides; it is made with this table as its actions. */
-    void attachBalancer(Balancer balancer, Runnable subscribe, Consumer<String> tell) {
-        module = balancer;
-        subscriber = subscribe;
-        messenger = tell;
+    void attachBalancer(Balancer balancer, Runnable onSubscribe, Consumer<String> onBroadcast) {
+        decisionModule = balancer;
+        subscribeCallback = onSubscribe;
+        broadcastCallback = onBroadcast;
     }
 
     /**
      * Hands one event to the module. An event that comes up while the module acts waits until it has
      * returned, as it must not be entered again. A fault fails the request it was about and nothing else.
      */
-    private void enter(Pending about, Runnable body) {
-        events.add(new Event(about, body));
-        if (inside) {
+    private void dispatch(Entry entry, Runnable action) {
+        queuedEvents.add(new Event(entry, action));
+        if (dispatching) {
             return;
         }
-        inside = true;
+        dispatching = true;
         try {
-            Event event = events.poll();
+            Event event = queuedEvents.poll();
             while (event != null) {
                 try {
-                    event.body.run();
+                    event.action.run();
                 } catch (RuntimeException e) {
                     Log.error("module", e);
-                    if (event.about != null) {
-                        conclude(event.about, plain(HttpResponseStatus.INTERNAL_SERVER_ERROR));
+                    if (event.entry != null) {
+                        finish(event.entry, emptyResponse(HttpResponseStatus.INTERNAL_SERVER_ERROR));
                     }
                 }
-                event = events.poll();
+                event = queuedEvents.poll();
             }
         } finally {
-            inside = false;
+            dispatching = false;
         }
     }
 
-    boolean holds(String requestId) {
-        return pending.containsKey(requestId);
+    boolean isInFlight(String requestId) {
+        return entries.containsKey(requestId);
     }
 
     String balancerStatus() {
-        return module.status(clock.getAsLong());
+        return decisionModule.status(clockMicros.getAsLong());
     }
 
     int inFlightCount() {
-        return pending.size();
+        return entries.size();
     }
 
     /** Runs this once nothing is in hand any more. */
     void whenEmpty(Runnable action) {
-        whenEmpty = action;
+        emptyAction = action;
         checkEmpty();
     }
 
     private void checkEmpty() {
-        if (whenEmpty != null && pending.isEmpty()) {
-            Runnable action = whenEmpty;
-            whenEmpty = null;
+        if (emptyAction != null && entries.isEmpty()) {
+            Runnable action = emptyAction;
+            emptyAction = null;
             action.run();
         }
     }
 
     /** Takes a request whose last byte came just now. The message is this table's to keep. */
-    void take(Request request, FullHttpRequest message, Reply reply) {
-        Pending p = new Pending(request, message, null, reply);
-        startTime(p);
-        take(p);
+    void accept(Request request, FullHttpRequest message, ResponseWriter responseWriter) {
+        Entry entry = new Entry(request, message, null, responseWriter);
+        startDeadline(entry);
+        accept(entry);
     }
 
     /** Takes a request of which more is to come; its time starts with {@link #whole}. */
-    void take(Request request, FullHttpRequest message, Body body, Reply reply) {
+    void accept(Request request, FullHttpRequest message, Body body, ResponseWriter responseWriter) {
         counters.increment(Count.UPLOADED);
-        take(new Pending(request, message, body, reply));
+        accept(new Entry(request, message, body, responseWriter));
     }
 
-    private void take(Pending p) {
-        pending.put(p.request.id(), p);
+    private void accept(Entry entry) {
+        entries.put(entry.request.id(), entry);
         counters.increment(Count.TAKEN);
-        enter(p, () -> module.onRequest(clock.getAsLong(), p.request));
+        dispatch(entry, () -> decisionModule.onRequest(clockMicros.getAsLong(), entry.request));
     }
 
-    private void startTime(Pending p) {
-        p.wholeAt = clock.getAsLong();
-        p.deadline = p.wholeAt + p.request.timeBudget();
-        long left = Math.max(0, answerBy(p.request.timeBudget()));
-        p.timer = loop.schedule(() -> overdue(p), left, TimeUnit.MICROSECONDS);
+    private void startDeadline(Entry entry) {
+        entry.receivedAtMicros = clockMicros.getAsLong();
+        entry.deadlineMicros = entry.receivedAtMicros + entry.request.timeBudget();
+        long remainingMicros = Math.max(0, responseDeadline(entry.request.timeBudget()));
+        entry.timer = eventLoop.schedule(() -> timeOut(entry), remainingMicros, TimeUnit.MICROSECONDS);
     }
 
     /** The last byte of a request that was taken before has come just now. */
-    void whole(String requestId) {
-        Pending p = pending.get(requestId);
-        if (p != null && !p.answered) {
-            startTime(p);
+    void requestReceived(String requestId) {
+        Entry entry = entries.get(requestId);
+        if (entry != null && !entry.answered) {
+            startDeadline(entry);
         }
     }
 
     /** When attempts end, from the start of a request with this time budget. */
-    static long attemptsUntil(long budget) {
-        return budget - Math.min(ATTEMPT_MARGIN, budget / ATTEMPT_MARGIN_PART);
+    static long attemptDeadline(long budgetMicros) {
+        return budgetMicros - Math.min(ATTEMPT_MARGIN_MICROS, budgetMicros / ATTEMPT_MARGIN_DIVISOR);
     }
 
     /** When the host answers itself. */
-    static long answerBy(long budget) {
-        return budget - Math.min(ANSWER_MARGIN, budget / ANSWER_MARGIN_PART);
+    static long responseDeadline(long budgetMicros) {
+        return budgetMicros - Math.min(RESPONSE_MARGIN_MICROS, budgetMicros / RESPONSE_MARGIN_DIVISOR);
     }
 
     /** The host's own deadline: the module has let the client's time run out. */
-    private void overdue(Pending p) {
-        if (!p.answered) {
+    private void timeOut(Entry entry) {
+        if (!entry.answered) {
             counters.increment(Count.OVERDUE);
-            conclude(p, plain(HttpResponseStatus.GATEWAY_TIMEOUT));
-            enter(p, () -> module.onClientDisconnected(clock.getAsLong(), p.request.id()));
-            callOffUnsent(p);
+            finish(entry, emptyResponse(HttpResponseStatus.GATEWAY_TIMEOUT));
+            dispatch(entry, () ->
+                decisionModule.onClientDisconnected(clockMicros.getAsLong(), entry.request.id()));
+            cancelUnsentAttempts(entry);
         }
     }
 
     /** The client closed its connection: nothing is owed any more. */
-    void clientGone(String requestId) {
-        Pending p = pending.get(requestId);
-        if (p == null || p.answered && p.streaming == null) {
+    void clientDisconnected(String requestId) {
+        Entry entry = entries.get(requestId);
+        if (entry == null || entry.answered && entry.streamingExchange == null) {
             return;
         }
         counters.increment(Count.GONE);
-        conclude(p, null);
-        enter(p, () -> module.onClientDisconnected(clock.getAsLong(), requestId));
-        callOffUnsent(p);
-        if (p.streaming != null) {
-            p.streaming.cancel();
+        finish(entry, null);
+        dispatch(entry, () -> decisionModule.onClientDisconnected(clockMicros.getAsLong(), requestId));
+        cancelUnsentAttempts(entry);
+        if (entry.streamingExchange != null) {
+            entry.streamingExchange.cancel();
         }
     }
 
-    void updateBackends(ListUpdateType scope, List<ListedBackend> members) {
-        List<Backend> entries = new ArrayList<>(members.size());
-        if (scope == ListUpdateType.FULL || scope == ListUpdateType.CACHED) {
-            pool.learnAll(members);
+    void updateBackends(ListUpdateType updateType, List<ListedBackend> listedBackends) {
+        List<Backend> backends = new ArrayList<>(listedBackends.size());
+        if (updateType == ListUpdateType.FULL || updateType == ListUpdateType.CACHED) {
+            connectionPool.replaceBackends(listedBackends);
         } else {
-            members.forEach(pool::learn);
+            listedBackends.forEach(connectionPool::updateBackend);
         }
-        for (ListedBackend member : members) {
-            entries.add(member.backend);
+        for (ListedBackend listed : listedBackends) {
+            backends.add(listed.backend);
         }
-        enter(null, () -> module.onBackendList(clock.getAsLong(), scope, entries));
+        dispatch(null, () -> decisionModule.onBackendList(clockMicros.getAsLong(), updateType, backends));
     }
 
     /** The final answer, the first time only; null where the client is gone. */
-    private void conclude(Pending p, FullHttpResponse response) {
-        if (p.answered) {
+    private void finish(Entry entry, FullHttpResponse response) {
+        if (entry.answered) {
             if (response != null) {
                 response.release();
             }
             return;
         }
-        p.answered = true;
-        stopTime(p);
+        entry.answered = true;
+        cancelTimer(entry);
         if (response != null) {
-            counters.increment(answer(response.status()));
-            p.reply.answer(response);
+            counters.increment(resultCounter(response.status()));
+            entry.responseWriter.respond(response);
         }
-        retire(p);
+        removeIfDone(entry);
     }
 
     /** Whatever the settings say of calling off: of a request that is over nothing begins any more. */
-    private static void callOffUnsent(Pending p) {
-        for (BackendConnectionPool.Exchange attempt : List.copyOf(p.exchanges())) {
-            attempt.cancelUnlessBegun();
+    private static void cancelUnsentAttempts(Entry entry) {
+        for (BackendConnectionPool.Exchange attempt : List.copyOf(entry.startedExchanges())) {
+            attempt.cancelIfUnsent();
         }
     }
 
-    private static void stopTime(Pending p) {
-        if (p.timer != null) {
-            p.timer.cancel(false);
+    private static void cancelTimer(Entry entry) {
+        if (entry.timer != null) {
+            entry.timer.cancel(false);
         }
     }
 
-    private static Count answer(HttpResponseStatus status) {
+    private static Count resultCounter(HttpResponseStatus status) {
         if (status.equals(HttpResponseStatus.OK)) {
             return Count.SERVED;
         }
         return status.equals(HttpResponseStatus.SERVICE_UNAVAILABLE) ? Count.REFUSED : Count.FAILED;
     }
 
-    private void retire(Pending p) {
-        if (p.answered && p.out == 0 && pending.remove(p.request.id(), p)) {
-            stopTime(p);
-            p.message.release();
-            if (p.body != null) {
-                p.body.release();
+    private void removeIfDone(Entry entry) {
+        if (entry.answered && entry.openAttempts == 0 && entries.remove(entry.request.id(), entry)) {
+            cancelTimer(entry);
+            entry.message.release();
+            if (entry.body != null) {
+                entry.body.release();
             }
             checkEmpty();
         }
     }
 
     /** A long answer begins: the request is this attempt's from here on. */
-    private void began(Pending p, int attempt, long backend, long sentAt, HttpResponse head, Body body) {
-        if (p.answered) {
-            body.drop();
+    private void streamingStarted(Entry entry, int attempt, long backend, long sentAtMicros,
+        HttpResponse head, Body body) {
+        if (entry.answered) {
+            body.discard();
             return;
         }
-        p.answered = true;
-        stopTime(p);
-        p.beganAt = clock.getAsLong();
-        p.streaming = p.attempts.get(attempt);
+        entry.answered = true;
+        cancelTimer(entry);
+        entry.responseStartMicros = clockMicros.getAsLong();
+        entry.streamingExchange = entry.attempts.get(attempt);
         counters.increment(Count.SERVED);
-        p.reply.begin(head, body);
-        enter(p, () -> module.onStreamStart(clock.getAsLong(), p.request.id(), attempt, backend,
-            latency(p, sentAt, p.beganAt)));
-        callOffUnsent(p);
-        endByItsTime(p);
+        entry.responseWriter.beginStreaming(head, body);
+        dispatch(entry, () ->
+            decisionModule.onStreamStart(clockMicros.getAsLong(), entry.request.id(), attempt, backend,
+            latency(entry, sentAtMicros, entry.responseStartMicros)));
+        cancelUnsentAttempts(entry);
+        scheduleStreamingTimeout(entry);
     }
 
     /**
@@ -358,33 +362,35 @@
      * broken off. Not as soon as its time is up: a long answer may come in pieces with seconds between, and
      * until 64 kB of it have come nothing tells the two apart.
      */
-    private void endByItsTime(Pending p) {
-        if (p.wholeAt == 0 || streaming.contains(p.request.serviceClass())) {
+    private void scheduleStreamingTimeout(Entry entry) {
+        if (entry.receivedAtMicros == 0 || streamingClasses.contains(entry.request.serviceClass())) {
             return;
         }
-        p.timer = loop.schedule(() -> {
-            if (!p.streaming.hasEnded() && !p.streaming.isLong()) {
+        entry.timer = eventLoop.schedule(() -> {
+            if (!entry.streamingExchange.hasEnded() && !entry.streamingExchange.isLongResponse()) {
                 counters.increment(Count.OVERDUE);
-                p.streaming.timeOut();
+                entry.streamingExchange.timeOut();
             }
-        }, Math.max(0, p.deadline - clock.getAsLong()) + UNENDING, TimeUnit.MICROSECONDS);
+        }, Math.max(0, entry.deadlineMicros - clockMicros.getAsLong()) + STREAMING_GRACE_MICROS,
+            TimeUnit.MICROSECONDS);
     }
 
     /** Whether a first byte may go out now that was decided on some time ago. */
-    private boolean mayBegin(Pending p, int attempt) {
-        ServiceClass spec = classes.get(p.request.serviceClass());
-        if (p.answered) {
+    private boolean maySend(Entry entry, int attempt) {
+        ServiceClass serviceClass = serviceClasses.get(entry.request.serviceClass());
+        if (entry.answered) {
             return false;
         }
-        for (int i = 0; i < p.attempts.size(); i++) {
-            BackendConnectionPool.Exchange other = p.attempts.get(i);
-            if (i == attempt || other == null || !other.mayHaveRun() || spec == null) {
+        for (int i = 0; i < entry.attempts.size(); i++) {
+            BackendConnectionPool.Exchange other = entry.attempts.get(i);
+            if (i == attempt || other == null || !other.mayHaveExecuted() || serviceClass == null) {
                 continue;
             }
-            long window = spec.dedupWindow();
-            long margin = Math.min(WINDOW_MARGIN, window / WINDOW_MARGIN_PART);
-            if (spec.idempotency() == Idempotency.AT_MOST_ONCE
-                || spec.idempotency() == Idempotency.DEDUPLICATED && other.sinceBegun() > window - margin) {
+            long windowMicros = serviceClass.dedupWindow();
+            long marginMicros = Math.min(DEDUP_MARGIN_MICROS, windowMicros / DEDUP_MARGIN_DIVISOR);
+            if (serviceClass.idempotency() == Idempotency.AT_MOST_ONCE
+                || serviceClass.idempotency() == Idempotency.DEDUPLICATED
+                && other.microsSinceSendStart() > windowMicros - marginMicros) {
                 return false;
             }
         }
@@ -392,181 +398,189 @@
     }
 
     /** How long the backend took; what the client took to send its request is not the backend's time. */
-    private static long latency(Pending p, long sentAt, long until) {
-        return Math.max(0, until - Math.max(sentAt, p.wholeAt));
+    private static long latency(Entry entry, long sentAtMicros, long endMicros) {
+        return Math.max(0, endMicros - Math.max(sentAtMicros, entry.receivedAtMicros));
     }
 
-    private void ended(Pending p, int attempt, long backend, long sentAt, Outcome outcome,
+    private void attemptEnded(Entry entry, int attempt, long backend, long sentAtMicros, Outcome outcome,
                        LoadReport report, FullHttpResponse response) {
         if (outcome == Outcome.OK && response != null) {
-            conclude(p, response);
-        }
-        boolean closed = p.answered;
-        enter(p, () -> {
-            long now = clock.getAsLong();
-            p.out--;
-            boolean streamed = p.streaming != null && p.streaming == p.attempts.get(attempt);
+            finish(entry, response);
+        }
+        boolean answeredBefore = entry.answered;
+        dispatch(entry, () -> {
+            long nowMicros = clockMicros.getAsLong();
+            entry.openAttempts--;
+            boolean streamed = entry.streamingExchange != null
+                && entry.streamingExchange == entry.attempts.get(attempt);
             // While an answer is being passed on, the end of another attempt does not close the request.
-            boolean over = streamed || p.streaming == null && (closed || p.answered);
-            module.onOutcome(now, p.request.id(), attempt, backend, outcome,
-                latency(p, sentAt, streamed ? p.beganAt : now), over, report);
-            retire(p);
+            boolean closesRequest = streamed || entry.streamingExchange == null
+                && (answeredBefore || entry.answered);
+            decisionModule.onOutcome(nowMicros, entry.request.id(), attempt, backend, outcome,
+                latency(entry, sentAtMicros, streamed ? entry.responseStartMicros : nowMicros),
+                closesRequest, report);
+            removeIfDone(entry);
         });
-        if (p.answered) {
-            callOffUnsent(p); // after the event: the module is to hear of the winner first
+        if (entry.answered) {
+            cancelUnsentAttempts(entry); // after the event: the module is to hear of the winner first
         }
     }
 
     @Override
-    public void send(String requestId, long backend, long timeout) {
-        Pending p = pending.get(requestId);
-        if (p == null) {
+    public void send(String requestId, long backend, long timeoutMicros) {
+        Entry entry = entries.get(requestId);
+        if (entry == null) {
             Log.write("module", "a send for a request that is not in hand");
             return;
         }
-        int attempt = p.attempts.size();
-        long now = clock.getAsLong();
-        long left = attemptsUntil(p.request.timeBudget());
-        if (p.wholeAt > 0) {
-            left -= now - p.wholeAt;
-        }
-        left = timeout == 0 ? left : Math.min(left, timeout);
-        if (p.answered || attempt >= maxAttempts || p.body != null && !p.body.isReplayable()) {
-            left = 0; // nothing goes out for a request that is over, or whose first bytes are gone
-        }
-        p.attempts.add(null);
-        p.out++;
-        BackendConnectionPool.Exchange exchange = pool.send(backend, outgoing(p, left), p.body, left,
-            new BackendConnectionPool.Listener() {
+        int attempt = entry.attempts.size();
+        long nowMicros = clockMicros.getAsLong();
+        long remainingMicros = attemptDeadline(entry.request.timeBudget());
+        if (entry.receivedAtMicros > 0) {
+            remainingMicros -= nowMicros - entry.receivedAtMicros;
+        }
+        remainingMicros = timeoutMicros == 0 ? remainingMicros : Math.min(remainingMicros, timeoutMicros);
+        if (entry.answered || attempt >= maxAttempts || entry.body != null && !entry.body.isReplayable()) {
+            remainingMicros = 0; // nothing goes out for a request that is over, or whose first bytes are gone
+        }
+        entry.attempts.add(null);
+        entry.openAttempts++;
+        BackendConnectionPool.Exchange exchange = connectionPool.send(backend,
+            toBackendRequest(entry, remainingMicros), entry.body, remainingMicros,
+            new BackendConnectionPool.ExchangeListener() {
                 @Override
-                public void began(HttpResponse head, Body body) {
-                    RequestTable.this.began(p, attempt, backend, now, head, body);
+                public void onStreamStart(HttpResponse head, Body body) {
+                    RequestTable.this.streamingStarted(entry, attempt, backend, nowMicros, head, body);
                 }
 
                 @Override
-                public boolean mayBegin() {
-                    return RequestTable.this.mayBegin(p, attempt);
+                public boolean maySend() {
+                    return RequestTable.this.maySend(entry, attempt);
                 }
 
                 @Override
-                public void ended(Outcome outcome, LoadReport report, FullHttpResponse response) {
-                    RequestTable.this.ended(p, attempt, backend, now, outcome, report, response);
+                public void onEnd(Outcome outcome, LoadReport report, FullHttpResponse response) {
+                    RequestTable.this.attemptEnded(entry, attempt, backend, nowMicros, outcome, report,
+                        response);
                 }
             });
-        p.attempts.set(attempt, exchange);
+        entry.attempts.set(attempt, exchange);
     }
 
     /** The request as the backend gets it: all as it came but what is between the client and this proxy. */
-    private static HttpRequest outgoing(Pending p, long left) {
-        FullHttpRequest message = p.message;
+    private static HttpRequest toBackendRequest(Entry entry, long remainingMicros) {
+        FullHttpRequest message = entry.message;
         HttpHeaders headers = message.headers().copy();
-        HttpRequest copy = p.body != null
+        HttpRequest copy = entry.body != null
             ? new DefaultHttpRequest(HttpVersion.HTTP_1_1, message.method(), message.uri(), headers)
             : new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, message.method(), message.uri(),
                 message.content().retainedDuplicate(), headers, EmptyHttpHeaders.INSTANCE);
-        Headers.dropHopByHop(headers);
-        if (p.body != null) {
+        Headers.removeHopByHop(headers);
+        if (entry.body != null) {
             HttpUtil.setTransferEncodingChunked(copy, !HttpUtil.isContentLengthSet(message));
         } else if (message.content().isReadable() || !HttpMethod.GET.equals(message.method())) {
             copy.headers().set(HttpHeaderNames.CONTENT_LENGTH, message.content().readableBytes());
         }
-        if (p.body != null) {
-            Headers.timeout(copy, left); // a whole one is told as it is written
+        if (entry.body != null) {
+            Headers.setTimeout(copy, remainingMicros); // a whole one is told as it is written
         }
         return copy;
     }
 
     @Override
     public void cancel(String requestId, int attempt) {
-        Pending p = pending.get(requestId);
-        if (p != null && attempt < p.attempts.size() && p.attempts.get(attempt) != null) {
-            p.attempts.get(attempt).cancel();
+        Entry entry = entries.get(requestId);
+        if (entry != null && attempt < entry.attempts.size() && entry.attempts.get(attempt) != null) {
+            entry.attempts.get(attempt).cancel();
         }
     }
 
     @Override
     public void refuse(String requestId, long retryAfterMicros) {
-        FullHttpResponse response = plain(HttpResponseStatus.SERVICE_UNAVAILABLE);
-        if (retryAfterMicros > 0 && retryAfter) {
+        FullHttpResponse response = emptyResponse(HttpResponseStatus.SERVICE_UNAVAILABLE);
+        if (retryAfterMicros > 0 && sendsRetryAfter) {
             response.headers().set(HttpHeaderNames.RETRY_AFTER,
-                String.format(Locale.ROOT, "%.3f", retryAfterMicros / MICROS));
+                String.format(Locale.ROOT, "%.3f", retryAfterMicros / MICROS_PER_SECOND));
         }
-        conclude(requestId, response);
+        finish(requestId, response);
     }
 
     @Override
     public void fail(String requestId) {
-        conclude(requestId, plain(HttpResponseStatus.BAD_GATEWAY));
+        finish(requestId, emptyResponse(HttpResponseStatus.BAD_GATEWAY));
     }
 
-    private void conclude(String requestId, FullHttpResponse response) {
-        Pending p = pending.get(requestId);
-        if (p != null) {
-            conclude(p, response);
-            callOffUnsent(p);
+    private void finish(String requestId, FullHttpResponse response) {
+        Entry entry = entries.get(requestId);
+        if (entry != null) {
+            finish(entry, response);
+            cancelUnsentAttempts(entry);
         }
     }
 
     @Override
-    public void setTimer(long delay, long token) {
-        loop.schedule(() -> enter(null, () -> module.onTimer(clock.getAsLong(), token)), delay,
+    public void setTimer(long delayMicros, long token) {
+        eventLoop.schedule(() ->
+            dispatch(null, () -> decisionModule.onTimer(clockMicros.getAsLong(), token)), delayMicros,
             TimeUnit.MICROSECONDS);
     }
 
     @Override
     public void probe(long backend) {
-        long now = clock.getAsLong();
+        long sentAtMicros = clockMicros.getAsLong();
         FullHttpRequest request =
             new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/healthz");
-        pool.send(backend, request, probeTimeout, (outcome, report, response) -> {
+        connectionPool.send(backend, request, probeTimeoutMicros, (outcome, report, response) -> {
             if (response != null) {
                 response.release();
             }
-            enter(null, () -> {
-                long then = clock.getAsLong();
-                module.onProbeResult(then, backend, outcome, then - now, report);
+            dispatch(null, () -> {
+                long endedAtMicros = clockMicros.getAsLong();
+                decisionModule.onProbeResult(endedAtMicros, backend, outcome, endedAtMicros - sentAtMicros,
+                    report);
             });
         });
     }
 
     @Override
     public void closeIdleConnections(long backend) {
-        pool.hangUp(backend);
+        connectionPool.closeIdleConnections(backend);
     }
 
     @Override
     public void subscribe() {
-        subscriber.run();
+        subscribeCallback.run();
     }
 
     @Override
     public void broadcastToPeers(String message) {
-        messenger.accept(message);
+        broadcastCallback.accept(message);
     }
 
     void updateFleetView(FleetView fleet) {
-        enter(null, () -> module.onFleetView(clock.getAsLong(), fleet));
+        dispatch(null, () -> decisionModule.onFleetView(clockMicros.getAsLong(), fleet));
     }
 
     /** What may be spent of the fleet's budgets, for so many microseconds from now. */
-    void budgets(long telling, long lasts, List<BudgetShare> parts) {
-        enter(null, () -> module.onBudgetShares(clock.getAsLong(), telling, clock.getAsLong() + lasts, parts));
+    void budgets(long updateNumber, long validMicros, List<BudgetShare> shares) {
+        dispatch(null, () -> decisionModule.onBudgetShares(clockMicros.getAsLong(), updateNumber,
+            clockMicros.getAsLong() + validMicros, shares));
     }
 
     List<BudgetUse> budgets() {
-        return module.budgetUsage(clock.getAsLong());
+        return decisionModule.budgetUsage(clockMicros.getAsLong());
     }
 
     EventLoop eventLoop() {
-        return loop;
+        return eventLoop;
     }
 
-    void deliverPeerMessage(int from, String message) {
-        enter(null, () -> module.onPeerMessage(clock.getAsLong(), from, message));
+    void deliverPeerMessage(int sender, String message) {
+        dispatch(null, () -> decisionModule.onPeerMessage(clockMicros.getAsLong(), sender, message));
     }
 
     /** An answer of this proxy's own: the status alone says it. */
-    static FullHttpResponse plain(HttpResponseStatus status) {
+    static FullHttpResponse emptyResponse(HttpResponseStatus status) {
         ByteBuf body = Unpooled.EMPTY_BUFFER;
         FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, body);
         response.headers().set(HttpHeaderNames.CONTENT_LENGTH, 0);
--- a/proxy/src/main/java/dockrelay/proxy/RequestTimeout.java
+++ b/proxy/src/main/java/dockrelay/proxy/RequestTimeout.java
@@ -13,60 +13,60 @@
  */
 final class RequestTimeout extends ChannelInboundHandlerAdapter {
     /** The events it fires. */
-    enum Late { NOTHING_CAME, NOT_WHOLE }
+    enum TimeoutEvent { NO_DATA, INCOMPLETE_REQUEST }
 
     /** A head may take 2 s, and a peer that sends no proper request is owed an answer or a close within 3. */
-    static final long MILLIS = 2_600;
+    static final long HEAD_TIMEOUT_MILLIS = 2_600;
     /** A body may take as long as it lasts at 64 kB a second: each byte that comes puts the end off. */
-    private static final long BYTES_PER_MILLI = 64;
+    private static final long MIN_BYTES_PER_MILLI = 64;
 
     private ChannelHandlerContext context;
     private Future<?> timer;
-    private boolean partial, discarding;
-    private long heardAt = System.nanoTime();
-    private long bytes; // that came since the timer was set
+    private boolean incomplete, discarding;
+    private long lastReadNanos = System.nanoTime();
+    private long bytesSinceTimerStart; // that came since the timer was set
 
     @Override
-    public void channelActive(ChannelHandlerContext active) {
-        context = active;
-        arm(MILLIS);
-        active.fireChannelActive();
+    public void channelActive(ChannelHandlerContext channelContext) {
+        context = channelContext;
+        startTimer(HEAD_TIMEOUT_MILLIS);
+        channelContext.fireChannelActive();
     }
 
     @Override
-    public void channelInactive(ChannelHandlerContext inactive) {
-        disarm();
-        inactive.fireChannelInactive();
+    public void channelInactive(ChannelHandlerContext channelContext) {
+        stopTimer();
+        channelContext.fireChannelInactive();
     }
 
     @Override
-    public void channelRead(ChannelHandlerContext reading, Object bytesOf) {
+    public void channelRead(ChannelHandlerContext channelContext, Object data) {
         if (discarding) {
-            ReferenceCountUtil.release(bytesOf);
+            ReferenceCountUtil.release(data);
             return;
         }
-        partial = true;
-        heardAt = System.nanoTime();
-        bytes += bytesOf instanceof ByteBuf buffer ? buffer.readableBytes() : 0;
-        reading.fireChannelRead(bytesOf);
+        incomplete = true;
+        lastReadNanos = System.nanoTime();
+        bytesSinceTimerStart += data instanceof ByteBuf buffer ? buffer.readableBytes() : 0;
+        channelContext.fireChannelRead(data);
     }
 
     @Override
-    public void channelReadComplete(ChannelHandlerContext reading) {
-        if (partial && timer == null) {
-            arm(MILLIS);
+    public void channelReadComplete(ChannelHandlerContext channelContext) {
+        if (incomplete && timer == null) {
+            startTimer(HEAD_TIMEOUT_MILLIS);
         }
-        reading.fireChannelReadComplete();
+        channelContext.fireChannelReadComplete();
     }
 
     /** When its peer was heard of last, by the nano clock. */
-    long heardAt() {
-        return heardAt;
+    long lastReadNanos() {
+        return lastReadNanos;
     }
 
     /** Whether bytes have come of which no request has arrived whole. */
-    boolean isPartial() {
-        return partial;
+    boolean isRequestIncomplete() {
+        return incomplete;
     }
 
     /** From now on what comes is read and goes nowhere. */
@@ -79,32 +79,33 @@
     }
 
     /** A request has arrived whole. */
-    void arrived() {
-        partial = false;
-        disarm();
+    void requestReceived() {
+        incomplete = false;
+        stopTimer();
     }
 
     /** Whoever heard of it is busy with what came before: it is told again. */
-    void again() {
+    void restart() {
         if (timer == null && context.channel().isActive()) {
-            arm(MILLIS);
+            startTimer(HEAD_TIMEOUT_MILLIS);
         }
     }
 
-    private void arm(long millis) {
-        bytes = 0;
+    private void startTimer(long millis) {
+        bytesSinceTimerStart = 0;
         timer = context.executor().schedule(() -> {
             timer = null;
-            boolean held = !context.channel().config().isAutoRead(); // this side does not read
-            if (held || bytes >= BYTES_PER_MILLI) {
-                arm(held ? MILLIS : bytes / BYTES_PER_MILLI);
+            boolean readPaused = !context.channel().config().isAutoRead(); // this side does not read
+            if (readPaused || bytesSinceTimerStart >= MIN_BYTES_PER_MILLI) {
+                startTimer(readPaused ? HEAD_TIMEOUT_MILLIS : bytesSinceTimerStart / MIN_BYTES_PER_MILLI);
                 return;
             }
-            context.fireUserEventTriggered(partial ? Late.NOT_WHOLE : Late.NOTHING_CAME);
+            context.fireUserEventTriggered(incomplete ? TimeoutEvent.INCOMPLETE_REQUEST
+                : TimeoutEvent.NO_DATA);
         }, millis, TimeUnit.MILLISECONDS);
     }
 
-    private void disarm() {
+    private void stopTimer() {
         if (timer != null) {
             timer.cancel(false);
             timer = null;
--- a/proxy/src/main/java/dockrelay/proxy/ResponseDecoder.java
+++ b/proxy/src/main/java/dockrelay/proxy/ResponseDecoder.java
@@ -21,23 +21,24 @@
  * behind it is not as long as was said.
  */
 final class ResponseDecoder extends HttpResponseDecoder {
-    private boolean interim;
+    private boolean informational;
 
     @Override
     protected void decode(ChannelHandlerContext context, ByteBuf in, List<Object> out) throws Exception {
-        int before = out.size();
+        int firstNew = out.size();
         super.decode(context, in, out);
-        for (int i = before; i < out.size(); i++) {
+        for (int i = firstNew; i < out.size(); i++) {
             if (out.get(i) instanceof HttpResponse head) {
-                interim = head.status().codeClass() == HttpStatusClass.INFORMATIONAL;
-                String wrong = head.decoderResult().isSuccess() ? doubt(head) : null;
-                if (wrong != null) {
-                    head.setDecoderResult(failure(wrong));
+                informational = head.status().codeClass() == HttpStatusClass.INFORMATIONAL;
+                String framingError = head.decoderResult().isSuccess() ? findFramingError(head) : null;
+                if (framingError != null) {
+                    head.setDecoderResult(failure(framingError));
                 }
             }
-            if (out.get(i) instanceof LastHttpContent end && end.decoderResult().isSuccess() && !interim
+            if (out.get(i) instanceof LastHttpContent last && last.decoderResult().isSuccess()
+                && !informational
                 && in.isReadable()) {
-                LastHttpContent failed = new DefaultLastHttpContent(end.content());
+                LastHttpContent failed = new DefaultLastHttpContent(last.content());
                 failed.setDecoderResult(failure("bytes after the end"));
                 out.set(i, failed);
             }
@@ -57,27 +58,27 @@
         return super.splitHeaderName(line, start, length);
     }
 
-    private static DecoderResult failure(String why) {
-        return DecoderResult.failure(new IllegalArgumentException(why));
+    private static DecoderResult failure(String reason) {
+        return DecoderResult.failure(new IllegalArgumentException(reason));
     }
 
     /** What is doubtful about an answer by its head alone; null where nothing is. */
-    private static String doubt(HttpResponse head) {
+    private static String findFramingError(HttpResponse head) {
         if (head.status().code() == 101) {
             return "a switch of protocols that nobody asked for";
         } else if (head.protocolVersion().majorVersion() != HttpVersion.HTTP_1_1.majorVersion()) {
             return "version " + head.protocolVersion();
         }
-        List<String> codings = head.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
-        if (codings.isEmpty()) {
+        List<String> transferCodings = head.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
+        if (transferCodings.isEmpty()) {
             boolean bodiless = head.status().codeClass() == HttpStatusClass.INFORMATIONAL
                 || head.status().code() == 204 || head.status().code() == 304;
             // Where the end of the connection is said to be that of the body, only a reset cuts it short.
             boolean untilClose = !HttpUtil.isKeepAlive(head);
             return bodiless || untilClose || HttpUtil.isContentLengthSet(head) ? null : "no length";
         }
-        boolean plain = codings.size() == 1
-            && HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(codings.get(0));
-        return plain ? null : "transfer coding " + codings;
+        boolean onlyChunked = transferCodings.size() == 1
+            && HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(transferCodings.get(0));
+        return onlyChunked ? null : "transfer coding " + transferCodings;
     }
 }
--- a/proxy/src/test/java/dockrelay/proxy/RestingTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/ConnectionCloseRaceTest.java
@@ -18,18 +18,19 @@
 import org.junit.jupiter.api.Test;
 
 /** Requests that cross the end of a connection, which the proxy closes, or of its listener. */
-class RestingTest {
+class ConnectionCloseRaceTest {
     private final FakeBackend backend = new FakeBackend(request -> Fakes.httpResponse("200 OK", "", "one"));
     private final FakeDiscovery discovery = new FakeDiscovery();
     private Proxy proxy;
 
-    private void start(int sockets) throws IOException {
-        discovery.setFirstList(FakeDiscovery.listJson(2, true, Fakes.entryJson("s-1", backend.port(), "active")));
-        proxy = new Proxy(Fakes.config(discovery.port(), sockets));
+    private void start(int maxSockets) throws IOException {
+        discovery.setFirstList(FakeDiscovery.listJson(2, true,
+            Fakes.entryJson("s-1", backend.port(), "active")));
+        proxy = new Proxy(Fakes.config(discovery.port(), maxSockets));
     }
 
     @AfterEach
-    void close() throws IOException {
+    void tearDown() throws IOException {
         if (proxy != null) {
             proxy.stop();
         }
@@ -38,11 +39,11 @@
     }
 
     @Test
-    void aRequestThatComesAsItsRestingConnectionIsAboutToBeClosedIsServed() throws Exception {
+    void requestArrivingBeforeIdleCloseIsServed() throws Exception {
         start(1024);
         try (FakeClient client = new FakeClient(proxy)) {
             assertEquals(200, client.send(FakeClient.getRequest("4.0")).readStatus());
-            Fakes.whileHeld(proxy.eventLoop(), () -> proxy.clientSide().closeIdle(), () -> {
+            Fakes.whileBlocked(proxy.eventLoop(), () -> proxy.clientSide().closeIdle(), () -> {
                 client.send(FakeClient.getRequest("4.0"));
             });
             assertEquals(200, client.readStatus());
@@ -54,32 +55,32 @@
      * end.
      */
     @Test
-    void whatCrossesTheEndOfARestingConnectionGoesNowhereAndIsNotReset() throws Exception {
+    void partialRequestCrossingCloseIsDiscardedWithoutReset() throws Exception {
         start(1024);
         try (FakeClient client = new FakeClient(proxy)) {
             assertEquals(200, client.send(FakeClient.getRequest("4.0")).readStatus());
             String request = FakeClient.postRequest("put", "4.0");
-            Fakes.whileHeld(proxy.eventLoop(), () -> proxy.clientSide().closeIdle(), () -> {
+            Fakes.whileBlocked(proxy.eventLoop(), () -> proxy.clientSide().closeIdle(), () -> {
                 client.send(request.substring(0, 20));
             });
             assertNull(client.readResponse(), "an end in good order, and no reset over what was not read");
             client.send(request.substring(20));
         }
         Fakes.await("it is gone", () -> proxy.clientConnectionCount() == 0);
-        try (FakeClient marker = new FakeClient(proxy)) {
-            assertEquals(200, marker.send(FakeClient.getRequest("4.0")).readStatus());
+        try (FakeClient laterClient = new FakeClient(proxy)) {
+            assertEquals(200, laterClient.send(FakeClient.getRequest("4.0")).readStatus());
         }
         assertTrue(backend.requests.stream().noneMatch(request -> request.startsWith("POST")));
     }
 
     /** Half a request has come on one that is to make room: it is served, others make room. */
     @Test
-    void halfARequestKeepsItsConnection() throws Exception {
+    void partialRequestPreventsEviction() throws Exception {
         start(1024);
         try (FakeClient client = new FakeClient(proxy)) {
             assertEquals(200, client.send(FakeClient.getRequest("4.0")).readStatus());
             String request = FakeClient.getRequest("4.0");
-            Fakes.whileHeld(proxy.eventLoop(), () -> proxy.clientSide().limitConnections(1), () -> {
+            Fakes.whileBlocked(proxy.eventLoop(), () -> proxy.clientSide().limitConnections(1), () -> {
                 client.send(request.substring(0, 20));
             });
             client.send(request.substring(20));
@@ -89,43 +90,44 @@
 
     /** All places are taken as SIGTERM comes, and more knock: closing the listener would reset those. */
     @Test
-    void whatWaitsInTheBacklogAtSigtermIsServed() throws Exception {
-        CountDownLatch answers = new CountDownLatch(1);
+    void backlogIsServedAfterSigterm() throws Exception {
+        CountDownLatch responsesReleased = new CountDownLatch(1);
         backend.responder = request -> {
             try {
-                answers.await();
+                responsesReleased.await();
             } catch (InterruptedException e) {
                 throw new IllegalStateException(e);
             }
             return Fakes.httpResponse("200 OK", "", "one");
         };
         start(1024);
-        List<FakeClient> busy = new ArrayList<>();
+        List<FakeClient> activeClients = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
-            busy.add(new FakeClient(proxy).send(FakeClient.postRequest("save", "4.0")));
+            activeClients.add(new FakeClient(proxy).send(FakeClient.postRequest("save", "4.0")));
         }
         Fakes.await("they are out", () -> backend.requests.size() == 3);
         proxy.eventLoop().submit(() -> proxy.clientSide().limitConnections(3)).sync();
         int port = proxy.listenAddress().getPort();
-        Thread stopping = new Thread(proxy::stop);
-        stopping.start();
+        Thread stopThread = new Thread(proxy::stop);
+        stopThread.start();
         Fakes.await("it is asked to end", proxy::isStopping);
-        List<FakeClient> waiting = new ArrayList<>();
+        List<FakeClient> backlogClients = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
             Socket socket = new Socket(InetAddress.getLoopbackAddress(), port);
-            waiting.add(new FakeClient(socket).send(FakeClient.getRequest("4.0")));
+            backlogClients.add(new FakeClient(socket).send(FakeClient.getRequest("4.0")));
         }
         // By the loop's own clock, after the time at which nothing new need be taken any more.
-        proxy.eventLoop().schedule(answers::countDown, Proxy.ACCEPT_AFTER_STOP_MILLIS + 100, TimeUnit.MILLISECONDS);
-        for (FakeClient one : busy) {
-            assertEquals(200, one.readStatus());
-            one.close();
+        proxy.eventLoop().schedule(responsesReleased::countDown, Proxy.ACCEPT_AFTER_STOP_MILLIS + 100,
+            TimeUnit.MILLISECONDS);
+        for (FakeClient client : activeClients) {
+            assertEquals(200, client.readStatus());
+            client.close();
         }
-        for (FakeClient one : waiting) {
-            assertEquals(200, one.readStatus());
-            one.close();
+        for (FakeClient client : backlogClients) {
+            assertEquals(200, client.readStatus());
+            client.close();
         }
-        stopping.join();
+        stopThread.join();
         proxy = null;
     }
 }
--- a/proxy/src/test/java/dockrelay/proxy/Fakes.java
+++ b/proxy/src/test/java/dockrelay/proxy/Fakes.java
@@ -22,17 +22,17 @@
 
 /** The proxy's neighbours on loopback sockets: backends, discovery and a client, as far as the tests need. */
 final class Fakes {
-    private static final int PATIENCE_MILLIS = 20_000;
+    private static final int TIMEOUT_MILLIS = 20_000;
 
     private Fakes() {
     }
 
     /** Waits until a condition holds; only a hopelessly long wait fails. */
-    static void await(String what, BooleanSupplier condition) {
-        long end = System.nanoTime() + PATIENCE_MILLIS * 1_000_000L;
+    static void await(String description, BooleanSupplier condition) {
+        long deadlineNanos = System.nanoTime() + TIMEOUT_MILLIS * 1_000_000L;
         while (!condition.getAsBoolean()) {
-            if (System.nanoTime() > end) {
-                throw new AssertionError("never came: " + what);
+            if (System.nanoTime() > deadlineNanos) {
+                throw new AssertionError("never came: " + description);
             }
             try {
                 Thread.sleep(2);
@@ -43,43 +43,48 @@
     }
 
     /** A configuration with a safe, an unsafe and a keyed class. */
-    static Config config(int discoveryPort, int sockets) {
-        return config(0, discoveryPort, sockets, "", "");
+    static Config config(int discoveryPort, int maxSockets) {
+        return config(0, discoveryPort, maxSockets, "", "");
     }
 
     /** The same with a port to listen at, what it last knew of the backends, and further settings. */
-    static Config config(int port, int discoveryPort, int sockets, String known, String more) {
-        return parseConfig(configJson(port, discoveryPort, sockets, known, more));
+    static Config config(int port, int discoveryPort, int maxSockets, String knownBackends,
+        String extraSettings) {
+        return parseConfig(configJson(port, discoveryPort, maxSockets, knownBackends, extraSettings));
     }
 
     /** The same as it stands in its file. */
-    static String configJson(int port, int discoveryPort, int sockets, String known, String more) {
-        String service = "{\"Name\":\"%s\",\"Aim\":1.0,\"HardLimit\":5.0,\"Idempotency\":\"%s\","
+    static String configJson(int port, int discoveryPort, int maxSockets, String knownBackends,
+        String extraSettings) {
+        String serviceTemplate = "{\"Name\":\"%s\",\"Aim\":1.0,\"HardLimit\":5.0,\"Idempotency\":\"%s\","
             + "\"DedupScope\":\"all\",\"MemorySpan\":5.0}";
         return "{\"name\":\"n0\",\"listen\":\"127.0.0.1:" + port + "\",\"discovery\":\"127.0.0.1:"
-            + discoveryPort + "\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"sockets\":" + sockets + "},"
-            + "\"known\":{\"version\":1,\"full\":true,\"servers\":[" + known + "]},"
-            + "\"settings\":{\"Zone\":\"a\"," + more + "\"Services\":["
-            + service.formatted("look", "idempotent") + "," + service.formatted("put", "at_most_once") + ","
-            + service.formatted("save", "deduplicated") + "],\"Permissions\":{\"MaxAttempts\":5,"
+            + discoveryPort + "\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"sockets\":" + maxSockets + "},"
+            + "\"known\":{\"version\":1,\"full\":true,\"servers\":[" + knownBackends + "]},"
+            + "\"settings\":{\"Zone\":\"a\"," + extraSettings + "\"Services\":["
+            + serviceTemplate.formatted("look", "idempotent") + ","
+            + serviceTemplate.formatted("put", "at_most_once") + ","
+            + serviceTemplate.formatted("save", "deduplicated") + "],\"Permissions\":{\"MaxAttempts\":5,"
             + "\"MayCancel\":true,\"SecondCopies\":true,\"ConnectTimeout\":0.5,\"ConnIdle\":15.0}}}";
     }
 
-    static Config parseConfig(String text) {
+    static Config parseConfig(String json) {
         try {
-            return Config.parse(text);
+            return Config.parse(json);
         } catch (IOException e) {
             throw new IllegalStateException(e);
         }
     }
 
     /** The configuration of one of two proxies that may talk to each other. */
-    static Config peers(List<Integer> ports, int me) {
-        String list = ports.stream().map(port -> "\"127.0.0.1:" + port + "\"")
+    static Config peersConfig(List<Integer> ports, int ownIndex) {
+        String addresses = ports.stream().map(port -> "\"127.0.0.1:" + port + "\"")
             .collect(Collectors.joining(","));
         return parseConfig("{\"name\":\"n\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:1\","
-            + "\"seed\":\"1\",\"peer_listen\":\"127.0.0.1:" + ports.get(me) + "\",\"peers\":[" + list + "],"
-            + "\"settings\":{\"Balancers\":2,\"Me\":" + me + ",\"Services\":[{\"Name\":\"look\",\"Aim\":1.0,"
+            + "\"seed\":\"1\",\"peer_listen\":\"127.0.0.1:" + ports.get(ownIndex) + "\",\"peers\":["
+            + addresses + "],"
+            + "\"settings\":{\"Balancers\":2,\"Me\":" + ownIndex
+            + ",\"Services\":[{\"Name\":\"look\",\"Aim\":1.0,"
             + "\"HardLimit\":5.0}]}}");
     }
 
@@ -91,29 +96,30 @@
     /** The head of an HTTP message with its body, or null where the connection ended before it. */
     static String readMessage(InputStream in) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-        int need = Integer.MAX_VALUE;
-        while (bytes.size() < need) {
-            int next = in.read();
-            if (next < 0) {
+        int messageLength = Integer.MAX_VALUE;
+        while (bytes.size() < messageLength) {
+            int nextByte = in.read();
+            if (nextByte < 0) {
                 return null;
             }
-            bytes.write(next);
-            boolean line = next == '\n' && need == Integer.MAX_VALUE;
-            String text = line ? bytes.toString(StandardCharsets.UTF_8) : "";
-            if (text.endsWith("\r\n\r\n")) {
-                int at = text.toLowerCase().indexOf("content-length: ");
-                need = text.length() + (at < 0 ? 0
-                    : Integer.parseInt(text.substring(at + 16, text.indexOf('\r', at))));
+            bytes.write(nextByte);
+            boolean atHeadLineEnd = nextByte == '\n' && messageLength == Integer.MAX_VALUE;
+            String headText = atHeadLineEnd ? bytes.toString(StandardCharsets.UTF_8) : "";
+            if (headText.endsWith("\r\n\r\n")) {
+                int lengthIndex = headText.toLowerCase().indexOf("content-length: ");
+                messageLength = headText.length() + (lengthIndex < 0 ? 0
+                    : Integer.parseInt(headText.substring(lengthIndex + 16,
+                    headText.indexOf('\r', lengthIndex))));
             }
         }
         return bytes.toString(StandardCharsets.UTF_8);
     }
 
     /** What the operators' address answers to this line. */
-    static String callConsole(Proxy at, String raw) {
-        try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), at.consoleAddress().getPort())) {
-            socket.getOutputStream().write(raw.getBytes(StandardCharsets.UTF_8));
-            if (!raw.endsWith("\n")) {
+    static String callConsole(Proxy proxy, String line) {
+        try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), proxy.consoleAddress().getPort())) {
+            socket.getOutputStream().write(line.getBytes(StandardCharsets.UTF_8));
+            if (!line.endsWith("\n")) {
                 socket.shutdownOutput();
             }
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
@@ -128,94 +134,96 @@
     }
 
     /** Half of an answer on a connection that is about to end. */
-    static void half(Socket connection) {
+    static void writeIncompleteResponse(Socket connection) {
         try {
-            String part = "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf";
-            connection.getOutputStream().write(part.getBytes(StandardCharsets.UTF_8));
+            String incompleteResponse = "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf";
+            connection.getOutputStream().write(incompleteResponse.getBytes(StandardCharsets.UTF_8));
         } catch (IOException e) {
             throw new IllegalStateException(e);
         }
     }
 
     /** Something that may fail. */
-    interface Step {
+    interface ThrowingAction {
         void run() throws Exception;
     }
 
     /** Holds an event loop still after this, so that what comes in the step is found there all at once. */
-    static void whileHeld(EventLoop loop, Runnable first, Step step) throws Exception {
-        CountDownLatch held = new CountDownLatch(1), released = new CountDownLatch(1);
+    static void whileBlocked(EventLoop loop, Runnable beforeBlocking,
+        ThrowingAction action) throws Exception {
+        CountDownLatch blocked = new CountDownLatch(1), released = new CountDownLatch(1);
         loop.execute(() -> {
-            first.run();
-            held.countDown();
+            beforeBlocking.run();
+            blocked.countDown();
             try {
                 released.await();
             } catch (InterruptedException e) {
                 throw new IllegalStateException(e);
             }
         });
-        held.await();
+        blocked.await();
         try {
-            step.run();
+            action.run();
         } finally {
             released.countDown();
         }
     }
 
     /** Listens, but with a full queue: what knocks hears nothing, as of a machine that has vanished. */
-    static final class Deaf implements AutoCloseable {
-        private static final int KNOCK_MILLIS = 300;
-        private final ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-        private final List<Socket> filling = new ArrayList<>();
-
-        Deaf() throws IOException {
-            for (int dropped = 0; dropped < 2;) {
-                Socket next = new Socket();
+    static final class UnresponsiveServer implements AutoCloseable {
+        private static final int CONNECT_TIMEOUT_MILLIS = 300;
+        private final ServerSocket serverSocket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
+        private final List<Socket> queueFillers = new ArrayList<>();
+
+        UnresponsiveServer() throws IOException {
+            for (int timedOut = 0; timedOut < 2;) {
+                Socket filler = new Socket();
                 try {
-                    next.connect(socket.getLocalSocketAddress(), KNOCK_MILLIS);
-                    filling.add(next);
+                    filler.connect(serverSocket.getLocalSocketAddress(), CONNECT_TIMEOUT_MILLIS);
+                    queueFillers.add(filler);
                 } catch (SocketTimeoutException e) {
-                    dropped++;
+                    timedOut++;
                 }
             }
         }
 
         int port() {
-            return socket.getLocalPort();
+            return serverSocket.getLocalPort();
         }
 
         /** Takes what fills the queue, and then the next connection that comes up. */
-        Socket open() throws IOException {
-            socket.setSoTimeout(PATIENCE_MILLIS);
+        Socket acceptNext() throws IOException {
+            serverSocket.setSoTimeout(TIMEOUT_MILLIS);
             while (true) {
-                Socket next = socket.accept();
-                if (filling.stream().noneMatch(other -> other.getLocalPort() == next.getPort())) {
-                    next.setSoTimeout(PATIENCE_MILLIS);
-                    return next;
+                Socket connection = serverSocket.accept();
+                if (queueFillers.stream()
+                    .noneMatch(filler -> filler.getLocalPort() == connection.getPort())) {
+                    connection.setSoTimeout(TIMEOUT_MILLIS);
+                    return connection;
                 }
-                next.close();
+                connection.close();
             }
         }
 
         @Override
         public void close() throws IOException {
-            socket.close();
-            for (Socket next : filling) {
-                next.close();
+            serverSocket.close();
+            for (Socket filler : queueFillers) {
+                filler.close();
             }
         }
     }
 
     /** Listens on a port of its own and serves each connection on a thread. */
     abstract static class FakeServer implements AutoCloseable {
-        final ServerSocket socket;
+        final ServerSocket serverSocket;
         final List<Socket> openConnections = new CopyOnWriteArrayList<>();
-        final AtomicInteger ended = new AtomicInteger();
-        private final Thread acceptor = new Thread(this::accept);
+        final AtomicInteger closedCount = new AtomicInteger();
+        private final Thread acceptor = new Thread(this::acceptConnections);
 
         FakeServer() {
             try {
-                socket = new ServerSocket(0, 100, InetAddress.getLoopbackAddress());
+                serverSocket = new ServerSocket(0, 100, InetAddress.getLoopbackAddress());
             } catch (IOException e) {
                 throw new IllegalStateException(e);
             }
@@ -224,15 +232,15 @@
         }
 
         int port() {
-            return socket.getLocalPort();
+            return serverSocket.getLocalPort();
         }
 
-        private void accept() {
+        private void acceptConnections() {
             try {
                 while (true) {
-                    Socket connection = socket.accept();
+                    Socket connection = serverSocket.accept();
                     openConnections.add(connection);
-                    Thread thread = new Thread(() -> run(connection));
+                    Thread thread = new Thread(() -> serveAndClose(connection));
                     thread.setDaemon(true);
                     thread.start();
                 }
@@ -241,14 +249,14 @@
             }
         }
 
-        private void run(Socket connection) {
+        private void serveAndClose(Socket connection) {
             try (connection) {
                 serve(connection);
             } catch (IOException e) {
                 // the other side reset it: ended as well
             } finally {
                 openConnections.remove(connection);
-                ended.incrementAndGet();
+                closedCount.incrementAndGet();
             }
         }
 
@@ -257,7 +265,7 @@
         /** Waits for the acceptor: until it has left its call, the kernel keeps a closed listener open. */
         @Override
         public void close() throws IOException {
-            socket.close();
+            serverSocket.close();
             try {
                 acceptor.join();
             } catch (InterruptedException e) {
@@ -270,17 +278,17 @@
     }
 
     /** What a backend does with a request. */
-    interface Script {
+    interface Responder {
         /** The raw answer; an empty one closes the connection, a null one leaves it silent. */
-        String answer(String request);
+        String respond(String request);
     }
 
     static final class FakeBackend extends FakeServer {
         final List<String> requests = new CopyOnWriteArrayList<>();
-        volatile Script responder;
+        volatile Responder responder;
 
-        FakeBackend(Script script) {
-            this.responder = script;
+        FakeBackend(Responder responder) {
+            this.responder = responder;
         }
 
         @Override
@@ -288,11 +296,11 @@
             String request = readMessage(connection.getInputStream());
             while (request != null) {
                 requests.add(request);
-                String answer = responder.answer(request);
-                if (answer != null && answer.isEmpty()) {
+                String response = responder.respond(request);
+                if (response != null && response.isEmpty()) {
                     return;
-                } else if (answer != null) {
-                    connection.getOutputStream().write(answer.getBytes(StandardCharsets.UTF_8));
+                } else if (response != null) {
+                    connection.getOutputStream().write(response.getBytes(StandardCharsets.UTF_8));
                 }
                 request = readMessage(connection.getInputStream());
             }
@@ -300,15 +308,16 @@
     }
 
     /** A backend as a list has it. */
-    static RequestTable.ListedBackend member(long id, InetSocketAddress address, boolean ready) {
-        return new RequestTable.ListedBackend(new Backend(id, "a", "k", 0, ready ? Phase.READY : Phase.DRAINING, 1,
+    static RequestTable.ListedBackend listedBackend(long id, InetSocketAddress address, boolean ready) {
+        return new RequestTable.ListedBackend(new Backend(id, "a", "k", 0,
+            ready ? Phase.READY : Phase.DRAINING, 1,
             0), address);
     }
 
     static class FakeDiscovery extends FakeServer {
         final List<String> requests = new CopyOnWriteArrayList<>();
         volatile boolean rejecting;
-        private volatile String first = "";
+        private volatile String firstList = "";
 
         @Override
         void serve(Socket connection) throws IOException {
@@ -320,7 +329,7 @@
                 return;
             }
             connection.getOutputStream().write(("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-                + chunk(first)).getBytes(StandardCharsets.UTF_8));
+                + chunk(firstList)).getBytes(StandardCharsets.UTF_8));
             requests.add(request);
             while (connection.getInputStream().read() >= 0) {
                 continue; // until the watch ends
@@ -337,8 +346,8 @@
         }
 
         /** What the next watch is told first. */
-        void setFirstList(String line) {
-            first = line;
+        void setFirstList(String listJson) {
+            firstList = listJson;
         }
 
         void push(String line) throws IOException {
@@ -350,35 +359,36 @@
 
     /** A client's connection, byte by byte. */
     static final class FakeClient implements AutoCloseable {
-        private static final AtomicInteger IDS = new AtomicInteger();
+        private static final AtomicInteger LAST_ID = new AtomicInteger();
         final Socket socket;
 
         FakeClient(Proxy proxy) throws IOException {
             this(new Socket(InetAddress.getLoopbackAddress(), proxy.listenAddress().getPort()));
         }
 
-        FakeClient(Socket connected) throws IOException {
-            socket = connected;
-            socket.setSoTimeout(PATIENCE_MILLIS);
+        FakeClient(Socket connectedSocket) throws IOException {
+            socket = connectedSocket;
+            socket.setSoTimeout(TIMEOUT_MILLIS);
         }
 
-        FakeClient send(String raw) throws IOException {
-            socket.getOutputStream().write(raw.getBytes(StandardCharsets.UTF_8));
+        FakeClient send(String text) throws IOException {
+            socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
             return this;
         }
 
-        static String request(String method, String spec, String headers) {
-            return method + " /" + spec + "/thing HTTP/1.1\r\nHost: app\r\nX-Priority-Class: " + spec
-                + "\r\nX-Request-ID: id-" + IDS.incrementAndGet() + "\r\n" + headers + "\r\n";
+        static String request(String method, String serviceClass, String headers) {
+            return method + " /" + serviceClass + "/thing HTTP/1.1\r\nHost: app\r\nX-Priority-Class: "
+                + serviceClass
+                + "\r\nX-Request-ID: id-" + LAST_ID.incrementAndGet() + "\r\n" + headers + "\r\n";
         }
 
         static String getRequest(String timeout) {
             return request("GET", "look", "X-Timeout: " + timeout + "\r\n");
         }
 
-        static String postRequest(String spec, String timeout) {
-            return request("POST", spec, "X-Timeout: " + timeout + "\r\nContent-Length: 0\r\n"
-                + ("save".equals(spec) ? "Idempotency-Key: k\r\n" : ""));
+        static String postRequest(String serviceClass, String timeout) {
+            return request("POST", serviceClass, "X-Timeout: " + timeout + "\r\nContent-Length: 0\r\n"
+                + ("save".equals(serviceClass) ? "Idempotency-Key: k\r\n" : ""));
         }
 
         /** The next whole answer, or null where the connection ended without one. */
@@ -387,8 +397,8 @@
         }
 
         int readStatus() throws IOException {
-            String answer = readResponse();
-            return answer == null ? 0 : Integer.parseInt(answer.substring(9, 12));
+            String response = readResponse();
+            return response == null ? 0 : Integer.parseInt(response.substring(9, 12));
         }
 
         @Override
