--- a/proxy/src/test/java/dockrelay/proxy/ProxyTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/ProxyTest.java
@@ -30,31 +30,32 @@
 
 /** The whole proxy between a client, two backends and discovery, on loopback sockets. */
 class ProxyTest {
-    private static final String SERVED = Fakes.httpResponse("200 OK", "", "a rate");
-    private static final String HEALTH = "GET /healthz HTTP/1.1\r\nHost: app\r\n\r\n";
-    private static final int USUAL_SOCKETS = 1024;
+    private static final String RESPONSE = Fakes.httpResponse("200 OK", "", "a rate");
+    private static final String HEALTH_CHECK = "GET /healthz HTTP/1.1\r\nHost: app\r\n\r\n";
+    private static final int DEFAULT_MAX_SOCKETS = 1024;
 
     private final FakeDiscovery discovery = new FakeDiscovery();
-    private final FakeBackend one = new FakeBackend(request -> SERVED);
-    private final FakeBackend two = new FakeBackend(request -> SERVED);
+    private final FakeBackend backend1 = new FakeBackend(request -> RESPONSE);
+    private final FakeBackend backend2 = new FakeBackend(request -> RESPONSE);
     private Proxy proxy;
 
     @BeforeEach
     void start() throws Exception {
-        start(USUAL_SOCKETS);
+        start(DEFAULT_MAX_SOCKETS);
     }
 
-    private void start(int sockets) throws Exception {
-        discovery.setFirstList(FakeDiscovery.listJson(2, true, Fakes.entryJson("s-1", one.port(), "active"),
-            Fakes.entryJson("s-2", two.port(), "active")));
-        proxy = new Proxy(Fakes.config(discovery.port(), sockets));
+    private void start(int maxSockets) throws Exception {
+        discovery.setFirstList(FakeDiscovery.listJson(2, true,
+            Fakes.entryJson("s-1", backend1.port(), "active"),
+            Fakes.entryJson("s-2", backend2.port(), "active")));
+        proxy = new Proxy(Fakes.config(discovery.port(), maxSockets));
         awaitReady();
     }
 
     private void awaitReady() {
         Fakes.await("healthz 200", () -> {
             try (FakeClient client = new FakeClient(proxy)) {
-                return client.send(HEALTH).readStatus() == 200;
+                return client.send(HEALTH_CHECK).readStatus() == 200;
             } catch (java.io.IOException e) {
                 return false;
             }
@@ -62,76 +63,81 @@
     }
 
     @AfterEach
-    void end() throws Exception {
+    void tearDown() throws Exception {
         if (proxy != null) {
             proxy.stop();
         }
-        one.close();
-        two.close();
+        backend1.close();
+        backend2.close();
         discovery.close();
     }
 
-    private int seen() {
-        return one.requests.size() + two.requests.size();
+    private int forwardedCount() {
+        return backend1.requests.size() + backend2.requests.size();
     }
 
-    private void both(Fakes.Script script) {
-        one.responder = script;
-        two.responder = script;
+    private void setResponder(Fakes.Responder responder) {
+        backend1.responder = responder;
+        backend2.responder = responder;
     }
 
     @Test
-    void aRequestIsPassedOnAndItsAnswerComesBackUnchanged() throws Exception {
+    void requestAndResponseAreForwardedUnchanged() throws Exception {
         try (FakeClient client = new FakeClient(proxy)) {
-            String answer = client.send(FakeClient.getRequest("2.000")).readResponse();
-            assertTrue(answer.startsWith("HTTP/1.1 200"), answer);
-            assertTrue(answer.endsWith("\r\n\r\na rate"), answer);
-            String body = "POST /save/q?x=1 HTTP/1.1\r\nHost: app\r\nX-Priority-Class: save\r\n"
+            String response = client.send(FakeClient.getRequest("2.000")).readResponse();
+            assertTrue(response.startsWith("HTTP/1.1 200"), response);
+            assertTrue(response.endsWith("\r\n\r\na rate"), response);
+            String requestWithBody = "POST /save/q?x=1 HTTP/1.1\r\nHost: app\r\nX-Priority-Class: save\r\n"
                 + "X-Request-ID: own\r\nX-Timeout: 2\r\n"
                 + "Idempotency-Key: key-7\r\nConnection: close, X-Mine\r\nX-Mine: 1\r\n"
                 + "Content-Length: 5\r\n\r\nhello";
-            assertEquals(200, client.send(body).readStatus());
+            assertEquals(200, client.send(requestWithBody).readStatus());
             assertNull(client.readResponse(), "closed, as the client asked");
         }
-        String sent = (one.requests.toString() + two.requests).toLowerCase();
-        assertTrue(sent.contains("post /save/q?x=1 http/1.1"), sent);
-        assertTrue(sent.contains("idempotency-key: key-7") && sent.contains("x-request-id: own"), sent);
-        assertTrue(sent.contains("\r\n\r\nhello"), sent);
-        assertTrue(!sent.contains("x-mine") && !sent.contains("connection: close"), sent);
-        int at = sent.indexOf("x-timeout: ") + 11;
-        double left = Double.parseDouble(sent.substring(at, sent.indexOf('\r', at)));
-        assertTrue(left > 0 && left <= 1, "how long the proxy waits, not how long the client does: " + left);
+        String forwarded = (backend1.requests.toString() + backend2.requests).toLowerCase();
+        assertTrue(forwarded.contains("post /save/q?x=1 http/1.1"), forwarded);
+        assertTrue(forwarded.contains("idempotency-key: key-7") && forwarded.contains("x-request-id: own"),
+            forwarded);
+        assertTrue(forwarded.contains("\r\n\r\nhello"), forwarded);
+        assertTrue(!forwarded.contains("x-mine") && !forwarded.contains("connection: close"), forwarded);
+        int index = forwarded.indexOf("x-timeout: ") + 11;
+        double forwardedTimeout =
+            Double.parseDouble(forwarded.substring(index, forwarded.indexOf('\r', index)));
+        assertTrue(forwardedTimeout > 0 && forwardedTimeout <= 1,
+            "how long the proxy waits, not how long the client does: " + forwardedTimeout);
     }
 
     /** An unsafe request is refused where nothing ran and failed where something may have. */
     @ParameterizedTest
     @CsvSource({"500 Oops,'',502,1", "503 Full,X-Not-Processed: 1,503,2",
         "504 Over,X-Not-Processed: 1,503,2", "503 Who knows,'',502,1", "404 Nothing,'',502,1"})
-    void eachAnswerOfABackendIsTakenAsTheTableSays(String status, String headers, int answer, int attempts)
+    void backendStatusDeterminesClientStatusAndAttempts(String backendStatus, String backendHeaders,
+    int clientStatus, int attempts)
         throws Exception {
-        both(request -> Fakes.httpResponse(status, headers.isEmpty() ? "" : headers + "\r\n", ""));
+        setResponder(request ->
+            Fakes.httpResponse(backendStatus, backendHeaders.isEmpty() ? "" : backendHeaders + "\r\n", ""));
         try (FakeClient client = new FakeClient(proxy)) {
-            assertEquals(answer, client.send(FakeClient.postRequest("put", "3.0")).readStatus());
+            assertEquals(clientStatus, client.send(FakeClient.postRequest("put", "3.0")).readStatus());
         }
-        assertEquals(attempts, seen());
+        assertEquals(attempts, forwardedCount());
     }
 
     @Test
-    void aConnectionThatBreaksAfterTheRequestMayHaveRunIt() throws Exception {
-        both(request -> "");
+    void unsafeRequestIsNotRetriedAfterConnectionLoss() throws Exception {
+        setResponder(request -> "");
         try (FakeClient client = new FakeClient(proxy)) {
             assertEquals(502, client.send(FakeClient.postRequest("put", "3.0")).readStatus());
         }
-        assertEquals(1, seen(), "an unsafe request goes out once");
+        assertEquals(1, forwardedCount(), "an unsafe request goes out once");
     }
 
     @Test
-    void anAnswerCutShortIsNoAnswer() throws Exception {
-        one.responder = request -> {
-            one.openConnections.forEach(Fakes::half);
+    void truncatedResponseIsNotForwarded() throws Exception {
+        backend1.responder = request -> {
+            backend1.openConnections.forEach(Fakes::writeIncompleteResponse);
             return "";
         };
-        two.responder = one.responder;
+        backend2.responder = backend1.responder;
         try (FakeClient client = new FakeClient(proxy)) {
             assertEquals(502, client.send(FakeClient.postRequest("put", "3.0")).readStatus());
         }
@@ -146,118 +152,127 @@
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip, chunked\r\n\r\n6\r\na rate\r\n0\r\n\r\n",
         "HTTP/1.1 200 OK\r\nno colon here\r\nContent-Length: 6\r\n\r\na rate",
         "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n"})
-    void anAnswerOfDoubtfulFramingIsNotPassedOnAndEndsItsConnection(String doubtful) throws Exception {
-        both(request -> seen() == 1 ? doubtful : SERVED);
+    void responseWithAmbiguousFramingClosesConnection(String ambiguousResponse) throws Exception {
+        setResponder(request -> forwardedCount() == 1 ? ambiguousResponse : RESPONSE);
         try (FakeClient client = new FakeClient(proxy)) {
             assertEquals(502, client.send(FakeClient.postRequest("put", "3.0")).readStatus());
-            Fakes.await("its connection closed", () -> one.ended.get() + two.ended.get() == 1);
-            String next = client.send(FakeClient.postRequest("put", "3.0")).readResponse();
-            assertTrue(next.startsWith("HTTP/1.1 200") && next.endsWith("a rate"), next);
+            Fakes.await("its connection closed", () ->
+                backend1.closedCount.get() + backend2.closedCount.get() == 1);
+            String nextResponse = client.send(FakeClient.postRequest("put", "3.0")).readResponse();
+            assertTrue(nextResponse.startsWith("HTTP/1.1 200") && nextResponse.endsWith("a rate"),
+                nextResponse);
         }
     }
 
     @Test
-    void anInterimAnswerIsNotTheAnswer() throws Exception {
-        both(request -> "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + SERVED);
+    void interimResponseIsSkipped() throws Exception {
+        setResponder(request -> "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + RESPONSE);
         try (FakeClient client = new FakeClient(proxy)) {
             for (int i = 0; i < 3; i++) {
-                String answer = client.send(FakeClient.postRequest("put", "3.0")).readResponse();
-                assertTrue(answer.startsWith("HTTP/1.1 200") && answer.endsWith("a rate"), answer);
+                String response = client.send(FakeClient.postRequest("put", "3.0")).readResponse();
+                assertTrue(response.startsWith("HTTP/1.1 200") && response.endsWith("a rate"), response);
             }
         }
-        assertEquals(3, seen());
+        assertEquals(3, forwardedCount());
     }
 
     /** Bytes that come while nothing is asked would be read as the start of the next answer. */
     @Test
-    void bytesOnAnIdleConnectionEndIt() throws Exception {
+    void bytesOnIdleConnectionCloseIt() throws Exception {
         try (FakeClient client = new FakeClient(proxy)) {
             assertEquals(200, client.send(FakeClient.postRequest("put", "3.0")).readStatus());
-            one.openConnections.forEach(Fakes::half);
-            two.openConnections.forEach(Fakes::half);
-            Fakes.await("its connection closed", () -> one.openConnections.isEmpty() && two.openConnections.isEmpty());
-            String next = client.send(FakeClient.postRequest("put", "3.0")).readResponse();
-            assertTrue(next.endsWith("a rate"), next);
+            backend1.openConnections.forEach(Fakes::writeIncompleteResponse);
+            backend2.openConnections.forEach(Fakes::writeIncompleteResponse);
+            Fakes.await("its connection closed", () ->
+                backend1.openConnections.isEmpty() && backend2.openConnections.isEmpty());
+            String nextResponse = client.send(FakeClient.postRequest("put", "3.0")).readResponse();
+            assertTrue(nextResponse.endsWith("a rate"), nextResponse);
         }
     }
 
     @Test
-    void aBackendThatIsDownNeverRanTheRequest() throws Exception {
-        one.close();
-        two.close();
+    void refusedConnectionsGive503() throws Exception {
+        backend1.close();
+        backend2.close();
         try (FakeClient client = new FakeClient(proxy)) {
             assertEquals(503, client.send(FakeClient.postRequest("put", "3.0")).readStatus());
         }
     }
 
     @Test
-    void silentBackendsEndInAnAnswerInTime() throws Exception {
-        both(request -> null);
+    void silentBackendsGiveErrorResponseInTime() throws Exception {
+        setResponder(request -> null);
         try (FakeClient client = new FakeClient(proxy)) {
             assertEquals(502, client.send(FakeClient.postRequest("put", "0.3")).readStatus());
             assertEquals(503, client.send(FakeClient.getRequest("0.3")).readStatus());
         }
-        Fakes.await("all attempts called off", () -> one.openConnections.isEmpty() && two.openConnections.isEmpty());
+        Fakes.await("all attempts called off", () ->
+            backend1.openConnections.isEmpty() && backend2.openConnections.isEmpty());
     }
 
     @Test
-    void theLoserOfTwoCopiesIsCalledOff() throws Exception {
-        both(request -> seen() < 2 ? null : SERVED);
+    void losingRedundantAttemptIsCancelled() throws Exception {
+        setResponder(request -> forwardedCount() < 2 ? null : RESPONSE);
         try (FakeClient client = new FakeClient(proxy)) {
             assertEquals(200, client.send(FakeClient.getRequest("4.0")).readStatus());
-            Fakes.await("the loser's connection closed", () -> one.ended.get() + two.ended.get() == 1);
-            assertEquals(2, seen());
+            Fakes.await("the loser's connection closed", () ->
+                backend1.closedCount.get() + backend2.closedCount.get() == 1);
+            assertEquals(2, forwardedCount());
         }
     }
 
     @Test
-    void nothingNewGoesToABackendThatDrains() throws Exception {
+    void drainingBackendGetsNoNewRequests() throws Exception {
         try (FakeClient client = new FakeClient(proxy)) {
-            while (one.openConnections.isEmpty()) {
+            while (backend1.openConnections.isEmpty()) {
                 assertEquals(200, client.send(FakeClient.getRequest("4.0")).readStatus());
             }
-            int before = one.requests.size();
-            discovery.push(FakeDiscovery.listJson(3, false, Fakes.entryJson("s-1", one.port(), "leaving")));
-            Fakes.await("idle connections closed", () -> one.openConnections.isEmpty());
+            int requestsBefore = backend1.requests.size();
+            discovery.push(FakeDiscovery.listJson(3, false,
+                Fakes.entryJson("s-1", backend1.port(), "leaving")));
+            Fakes.await("idle connections closed", () -> backend1.openConnections.isEmpty());
             for (int i = 0; i < 20; i++) {
                 assertEquals(200, client.send(FakeClient.getRequest("4.0")).readStatus());
             }
-            assertEquals(before, one.requests.size());
+            assertEquals(requestsBefore, backend1.requests.size());
         }
     }
 
     @Test
-    void aKeptConnectionThatTheBackendClosedIsNotUsedAgain() throws Exception {
+    void connectionClosedByBackendIsNotReused() throws Exception {
         try (FakeClient client = new FakeClient(proxy)) {
             for (int i = 0; i < 5; i++) {
                 assertEquals(200, client.send(FakeClient.postRequest("put", "4.0")).readStatus());
-                for (FakeBackend backend : List.of(one, two)) {
+                for (FakeBackend backend : List.of(backend1, backend2)) {
                     for (Socket socket : backend.openConnections) {
                         socket.shutdownOutput();
                     }
                 }
-                Fakes.await("closed by the proxy as well", () -> one.openConnections.isEmpty() && two.openConnections.isEmpty());
+                Fakes.await("closed by the proxy as well", () ->
+                    backend1.openConnections.isEmpty() && backend2.openConnections.isEmpty());
             }
         }
-        assertEquals(5, seen());
+        assertEquals(5, forwardedCount());
     }
 
     @Test
-    void aClientThatLeavesHasItsAttemptsCalledOff() throws Exception {
-        both(request -> null);
+    void attemptsAreCancelledWhenClientDisconnects() throws Exception {
+        setResponder(request -> null);
         try (FakeClient client = new FakeClient(proxy)) {
             client.send(FakeClient.postRequest("put", "4.0"));
-            Fakes.await("the attempt", () -> seen() == 1);
+            Fakes.await("the attempt", () -> forwardedCount() == 1);
         }
-        Fakes.await("the attempt called off", () -> one.ended.get() + two.ended.get() == 1);
+        Fakes.await("the attempt called off", () ->
+            backend1.closedCount.get() + backend2.closedCount.get() == 1);
     }
 
     @Test
-    void whatIsNoProperRequestIsAnsweredAtOnce() throws Exception {
-        List<String> bad = new ArrayList<>(List.of(
+    void malformedRequestsAreRejected() throws Exception {
+        List<String> statusesAndRequests = new ArrayList<>(List.of(
             "404GET /nothing/x HTTP/1.1\r\nHost: app\r\n\r\n", "404GET / HTTP/1.1\r\nHost: app\r\n\r\n",
             "400GET /look/x HTTP/1.1\r\nHost: app\r\nX-Priority-Class: look\r\nX-Request-ID: i\r\n\r\n",
-            "400" + FakeClient.getRequest("soon"), "400" + FakeClient.getRequest("-1"), "400" + FakeClient.getRequest("NaN"),
+            "400" + FakeClient.getRequest("soon"), "400" + FakeClient.getRequest("-1"),
+            "400" + FakeClient.getRequest("NaN"),
             "400" + FakeClient.getRequest("1e9"), "405" + FakeClient.postRequest("look", "1"),
             "400" + FakeClient.request("POST", "save", "X-Timeout: 1\r\nContent-Length: 0\r\n"),
             "400" + FakeClient.request("GET", "look", "X-Timeout: 1\r\nX-Cost: much\r\n"),
@@ -269,13 +284,14 @@
             "400 /look/x nonsense\r\n\r\n", "414GET /look/" + "x".repeat(9000) + " HTTP/1.1\r\n\r\n",
             "431" + FakeClient.request("GET", "look", "X-Long: " + "x".repeat(20_000) + "\r\n"),
             "413" + FakeClient.request("POST", "put", "X-Timeout: 1\r\nContent-Length: 33554433\r\n")));
-        for (String raw : bad) {
+        for (String statusAndRequest : statusesAndRequests) {
             try (FakeClient client = new FakeClient(proxy)) {
-                client.send(raw.substring(3));
-                assertEquals(Integer.parseInt(raw.substring(0, 3)), client.readStatus(), raw.substring(0, 12));
+                client.send(statusAndRequest.substring(3));
+                assertEquals(Integer.parseInt(statusAndRequest.substring(0, 3)), client.readStatus(),
+                    statusAndRequest.substring(0, 12));
             }
         }
-        assertEquals(0, seen());
+        assertEquals(0, forwardedCount());
         try (FakeClient client = new FakeClient(proxy)) {
             assertEquals(200, client.send(FakeClient.getRequest("4.0")).readStatus());
         }
@@ -295,7 +311,7 @@
         "Content-Length: 0, 90\r\n\r\n", "Content-Length : 90\r\n\r\n", "Content-Length: 90\n\r\n\r\n",
         "Expect: 200-ok\r\nContent-Length: 999\r\n\r\n",
         "Expect: 100-continue\r\nContent-Length: 33554433\r\n\r\n"})
-    void aRequestInsideTheBodyOfAnotherGoesNowhere(String framing) throws Exception {
+    void smuggledRequestIsNotForwarded(String framing) throws Exception {
         try (FakeClient client = new FakeClient(proxy)) {
             String head = FakeClient.request("POST", "save", "X-Timeout: 4\r\nIdempotency-Key: k\r\n");
             client.send(head.substring(0, head.length() - 2) + framing + FakeClient.getRequest("4.0"));
@@ -303,40 +319,42 @@
             assertTrue(status >= 400 && status < 500, framing + status);
             assertNull(client.readResponse(), "what follows may be its body");
         }
-        assertEquals(0, seen());
+        assertEquals(0, forwardedCount());
     }
 
     @Test
-    void aChunkedBodyAndAnExpectedContinueAreUnderstood() throws Exception {
+    void chunkedBodyAndExpectContinueAreSupported() throws Exception {
         try (FakeClient client = new FakeClient(proxy)) {
             String head = FakeClient.request("POST", "save", "X-Timeout: 4\r\nIdempotency-Key: k\r\n"
                 + "Expect: 100-continue\r\nTransfer-Encoding: chunked\r\n");
             assertEquals(100, client.send(head).readStatus());
             assertEquals(200, client.send("5;a=b\r\nhello\r\n4\r\n you\r\n0\r\n\r\n").readStatus());
         }
-        String sent = one.requests.toString() + two.requests;
-        assertTrue(sent.contains("hello you") && !sent.toLowerCase().contains("chunked"), sent);
+        String forwarded = backend1.requests.toString() + backend2.requests;
+        assertTrue(forwarded.contains("hello you") && !forwarded.toLowerCase().contains("chunked"),
+            forwarded);
     }
 
     @Test
-    void aPeerThatSaysNothingOrNeverEndsItsRequestIsSentAway() throws Exception {
-        try (FakeClient silent = new FakeClient(proxy); FakeClient slow = new FakeClient(proxy);
-             FakeClient kept = new FakeClient(proxy)) {
-            slow.send("GET /look/x HTTP/1.1\r\nX-Slow: ");
-            assertEquals(200, kept.send(FakeClient.postRequest("put", "4.0")).readStatus());
-            kept.send(FakeClient.postRequest("put", "4.0").replace("Length: 0", "Length: 9"));
-            assertNull(silent.readResponse());
-            assertEquals(408, slow.readStatus());
-            assertNull(slow.readResponse());
-            assertEquals(408, kept.readStatus());
+    void silentAndSlowClientsAreTimedOut() throws Exception {
+        try (FakeClient silentClient = new FakeClient(proxy); FakeClient slowClient = new FakeClient(proxy);
+             FakeClient reusedClient = new FakeClient(proxy)) {
+            slowClient.send("GET /look/x HTTP/1.1\r\nX-Slow: ");
+            assertEquals(200, reusedClient.send(FakeClient.postRequest("put", "4.0")).readStatus());
+            reusedClient.send(FakeClient.postRequest("put", "4.0").replace("Length: 0", "Length: 9"));
+            assertNull(silentClient.readResponse());
+            assertEquals(408, slowClient.readStatus());
+            assertNull(slowClient.readResponse());
+            assertEquals(408, reusedClient.readStatus());
         }
-        assertEquals(1, seen(), "the one whole request");
+        assertEquals(1, forwardedCount(), "the one whole request");
     }
 
     @Test
-    void pipelinedRequestsAreAnsweredInTurn() throws Exception {
+    void pipelinedRequestsAreAnsweredInOrder() throws Exception {
         try (FakeClient client = new FakeClient(proxy)) {
-            client.send(FakeClient.getRequest("4.0") + FakeClient.getRequest("4.0") + FakeClient.getRequest("x"));
+            client.send(FakeClient.getRequest("4.0") + FakeClient.getRequest("4.0")
+                + FakeClient.getRequest("x"));
             assertEquals(200, client.readStatus());
             assertEquals(200, client.readStatus());
             assertEquals(400, client.readStatus());
@@ -344,31 +362,33 @@
     }
 
     @Test
-    void aBrokenWatchIsTakenUpAgainFromTheVersionAtHand() throws Exception {
-        discovery.setFirstList(FakeDiscovery.listJson(5, false, Fakes.entryJson("s-1", one.port(), "left")));
+    void brokenWatchIsResumedFromLastVersion() throws Exception {
+        discovery.setFirstList(FakeDiscovery.listJson(5, false,
+            Fakes.entryJson("s-1", backend1.port(), "left")));
         for (Socket watch : discovery.openConnections) {
             watch.close();
         }
         Fakes.await("a second watch", () -> discovery.requests.size() == 2);
         assertTrue(discovery.requests.get(1).startsWith("GET /v1/servers?watch=1&after=2 "));
-        discovery.push(FakeDiscovery.listJson(3, false, Fakes.entryJson("s-2", two.port(), "left"))); // old news
-        discovery.push(FakeDiscovery.listJson(6, false, Fakes.entryJson("s-3", two.port(), "active")));
-        discovery.push(FakeDiscovery.listJson(7, false, Fakes.entryJson("s-3", two.port(), "left")));
+        discovery.push(FakeDiscovery.listJson(3, false,
+            Fakes.entryJson("s-2", backend2.port(), "left"))); // old news
+        discovery.push(FakeDiscovery.listJson(6, false, Fakes.entryJson("s-3", backend2.port(), "active")));
+        discovery.push(FakeDiscovery.listJson(7, false, Fakes.entryJson("s-3", backend2.port(), "left")));
         try (FakeClient client = new FakeClient(proxy)) {
             for (int i = 0; i < 10; i++) {
                 assertEquals(200, client.send(FakeClient.getRequest("4.0")).readStatus());
             }
         }
-        assertEquals(10, two.requests.size());
+        assertEquals(10, backend2.requests.size());
     }
 
     /** The fake's watch sends no empty lines: nothing tells it from one whose other end has vanished. */
     @Test
-    void aWatchThatFallsSilentIsTakenUpAgain() throws Exception {
+    void silentWatchIsReplaced() throws Exception {
         Fakes.await("a second watch", () -> discovery.requests.size() == 2);
         assertTrue(discovery.requests.get(1).startsWith("GET /v1/servers?watch=1&after=2 "));
-        discovery.push(FakeDiscovery.listJson(3, false, Fakes.entryJson("s-1", one.port(), "left")));
-        Fakes.await("the first watch closed", () -> discovery.ended.get() == 1);
+        discovery.push(FakeDiscovery.listJson(3, false, Fakes.entryJson("s-1", backend1.port(), "left")));
+        Fakes.await("the first watch closed", () -> discovery.closedCount.get() == 1);
         try (FakeClient client = new FakeClient(proxy)) {
             for (int i = 0; i < 10; i++) {
                 assertEquals(200, client.send(FakeClient.getRequest("4.0")).readStatus());
@@ -378,23 +398,23 @@
 
     /** The module asks; whatever ends a watch reaches it as a failure, and it asks again in its own time. */
     @Test
-    void whereDiscoveryIsAskedTheModuleAsksAgainAfterEachFailure() throws Exception {
+    void decisionModuleResubscribesAfterEachFailure() throws Exception {
         proxy.stop();
         discovery.requests.clear();
         discovery.rejecting = true;
-        proxy = new Proxy(Fakes.config(0, discovery.port(), USUAL_SOCKETS, "",
+        proxy = new Proxy(Fakes.config(0, discovery.port(), DEFAULT_MAX_SOCKETS, "",
             "\"Discovery\":\"ask\",\"Obligations\":{\"AskWithin\":0.1},"));
         Fakes.await("asked again after a 503", () -> discovery.requests.size() >= 2);
         try (FakeClient client = new FakeClient(proxy)) {
-            assertEquals(503, client.send(HEALTH).readStatus());
+            assertEquals(503, client.send(HEALTH_CHECK).readStatus());
         }
         discovery.rejecting = false;
         awaitReady();
-        int before = discovery.requests.size();
+        int requestsBefore = discovery.requests.size();
         for (Socket watch : discovery.openConnections) {
             watch.close();
         }
-        Fakes.await("asked again after the watch ended", () -> discovery.requests.size() > before);
+        Fakes.await("asked again after the watch ended", () -> discovery.requests.size() > requestsBefore);
         try (FakeClient client = new FakeClient(proxy)) {
             assertEquals(200, client.send(FakeClient.getRequest("4.0")).readStatus());
         }
@@ -402,19 +422,20 @@
 
     /** A full accept queue drops what knocks, as a machine does that has vanished. */
     @Test
-    void aConnectionThatNeverComesUpNeverRanTheRequest() throws Exception {
-        List<Socket> filling = new ArrayList<>();
-        try (ServerSocket deaf = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            for (int dropped = 0; dropped < 2;) {
-                Socket socket = new Socket();
-                filling.add(socket);
+    void connectTimeoutsGive503() throws Exception {
+        List<Socket> queueFillers = new ArrayList<>();
+        try (ServerSocket unresponsiveServer = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            for (int timedOut = 0; timedOut < 2;) {
+                Socket filler = new Socket();
+                queueFillers.add(filler);
                 try {
-                    socket.connect(deaf.getLocalSocketAddress(), 300);
+                    filler.connect(unresponsiveServer.getLocalSocketAddress(), 300);
                 } catch (SocketTimeoutException e) {
-                    dropped++;
+                    timedOut++;
                 }
             }
-            discovery.push(FakeDiscovery.listJson(3, true, Fakes.entryJson("s-9", deaf.getLocalPort(), "active")));
+            discovery.push(FakeDiscovery.listJson(3, true,
+                Fakes.entryJson("s-9", unresponsiveServer.getLocalPort(), "active")));
             try (FakeClient client = new FakeClient(proxy)) {
                 int status = 200; // until the proxy has heard of the change
                 while (status == 200) {
@@ -423,48 +444,49 @@
                 assertEquals(503, status, "nothing ran");
             }
         } finally {
-            for (Socket socket : filling) {
-                socket.close();
+            for (Socket filler : queueFillers) {
+                filler.close();
             }
         }
     }
 
     @Test
-    void askedToEndItAnswersWhatItHasAndWhatStillComes() throws Exception {
-        CountDownLatch late = new CountDownLatch(1);
-        both(request -> {
+    void stopServesInFlightAndLateRequests() throws Exception {
+        CountDownLatch responsesReleased = new CountDownLatch(1);
+        setResponder(request -> {
             try {
-                late.await();
+                responsesReleased.await();
             } catch (InterruptedException e) {
                 throw new IllegalStateException(e);
             }
-            return SERVED;
+            return RESPONSE;
         });
-        Thread stop = new Thread(proxy::stop);
-        try (FakeClient before = new FakeClient(proxy); FakeClient kept = new FakeClient(proxy)) {
-            before.send(FakeClient.getRequest("4.0"));
-            Fakes.await("the request", () -> seen() > 0);
-            stop.start();
+        Thread stopThread = new Thread(proxy::stop);
+        try (FakeClient waitingClient = new FakeClient(proxy); FakeClient idleClient =
+            new FakeClient(proxy)) {
+            waitingClient.send(FakeClient.getRequest("4.0"));
+            Fakes.await("the request", () -> forwardedCount() > 0);
+            stopThread.start();
             Fakes.await("not ready any more", () -> {
                 try (FakeClient client = new FakeClient(proxy)) {
-                    return client.send(HEALTH).readStatus() == 503;
+                    return client.send(HEALTH_CHECK).readStatus() == 503;
                 } catch (java.io.IOException e) {
                     return true;
                 }
             });
-            kept.send(FakeClient.getRequest("4.0"));
-            late.countDown();
-            String answer = before.readResponse();
-            assertTrue(answer.startsWith("HTTP/1.1 200"), answer);
-            assertTrue(answer.toLowerCase().contains("connection: close"), answer);
-            assertEquals(200, kept.readStatus());
-            stop.join();
+            idleClient.send(FakeClient.getRequest("4.0"));
+            responsesReleased.countDown();
+            String response = waitingClient.readResponse();
+            assertTrue(response.startsWith("HTTP/1.1 200"), response);
+            assertTrue(response.toLowerCase().contains("connection: close"), response);
+            assertEquals(200, idleClient.readStatus());
+            stopThread.join();
             proxy = null;
         }
     }
 
     @Test
-    void shortOfDescriptorsItClosesWhatIsIdleAndServesOn() throws Exception {
+    void idleConnectionsAreEvictedAtConnectionLimit() throws Exception {
         proxy.stop();
         start(37); // leaves three connections for the clients and two for the backends
         List<FakeClient> clients = new ArrayList<>();
@@ -479,39 +501,42 @@
     }
 
     @Test
-    void shortOfDescriptorsWhatIsLongAtRestMakesRoomForWhatIsInUse() throws Exception {
+    void longestIdleConnectionIsEvictedBeforeActiveOnes() throws Exception {
         proxy.stop();
         start(40); // leaves five connections for the clients
-        try (FakeClient oldest = new FakeClient(proxy); FakeClient second = new FakeClient(proxy);
-             FakeClient third = new FakeClient(proxy)) {
-            for (FakeClient resting : List.of(oldest, second, third)) {
-                assertEquals(200, resting.send(HEALTH).readStatus());
+        try (FakeClient longestIdleClient = new FakeClient(proxy); FakeClient secondClient =
+        new FakeClient(proxy);
+             FakeClient thirdClient = new FakeClient(proxy)) {
+            for (FakeClient idleClient : List.of(longestIdleClient, secondClient, thirdClient)) {
+                assertEquals(200, idleClient.send(HEALTH_CHECK).readStatus());
             }
             Fakes.await("an answer that does not end its connection", () -> {
                 try (FakeClient client = new FakeClient(proxy)) {
-                    return !client.send(HEALTH).readResponse().toLowerCase().contains("connection: close");
+                    return !client.send(HEALTH_CHECK).readResponse().toLowerCase()
+                        .contains("connection: close");
                 } catch (java.io.IOException e) {
                     throw new IllegalStateException(e);
                 }
             });
-            assertNull(oldest.readResponse(), "closed to make room");
-            assertEquals(200, third.send(HEALTH).readStatus());
+            assertNull(longestIdleClient.readResponse(), "closed to make room");
+            assertEquals(200, thirdClient.send(HEALTH_CHECK).readStatus());
         }
     }
 
     /** Closing a kept one later, to make room, could cross its next request. */
     @Test
-    void shortOfDescriptorsAnAnswerEndsItsConnection() throws Exception {
+    void responseClosesConnectionNearLimit() throws Exception {
         proxy.stop();
         start(40); // leaves five connections for the clients
         List<FakeClient> clients = new ArrayList<>();
-        String last = "";
+        String lastResponse = "";
         for (int i = 0; i < 4; i++) {
             FakeClient client = new FakeClient(proxy);
             clients.add(client);
-            last = client.send(HEALTH).readResponse(); // answered: so the proxy has this connection on its list
+            lastResponse = client.send(HEALTH_CHECK)
+                .readResponse(); // answered: so the proxy has this connection on its list
         }
-        assertTrue(last.toLowerCase().contains("connection: close"), last);
+        assertTrue(lastResponse.toLowerCase().contains("connection: close"), lastResponse);
         assertNull(clients.get(3).readResponse(), "closed after its answer");
         for (FakeClient client : clients) {
             client.close();
@@ -519,7 +544,7 @@
     }
 
     @Test
-    void shortOfDescriptorsNoConnectionIsClosedBeforeItsFirstRequestIsRead() throws Exception {
+    void newConnectionIsNotEvictedBeforeItsFirstRequest() throws Exception {
         proxy.stop();
         start(37);
         List<FakeClient> clients = new ArrayList<>();
@@ -534,33 +559,33 @@
 
     /** One that is timed out gets 408, one that makes room nothing. */
     @Test
-    void shortOfDescriptorsWhatIsSilentWithinARequestMakesRoomBeforeItsTimeIsUp() throws Exception {
+    void silentPartialRequestIsEvictedBeforeItsTimeout() throws Exception {
         proxy.stop();
         start(37);
-        List<FakeClient> halves = new ArrayList<>();
+        List<FakeClient> partialClients = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
-            halves.add(new FakeClient(proxy).send("GET /look"));
+            partialClients.add(new FakeClient(proxy).send("GET /look"));
         }
-        try (FakeClient whole = new FakeClient(proxy)) {
-            assertEquals(200, whole.send(FakeClient.getRequest("4.0")).readStatus());
-            assertNull(halves.get(0).readResponse(), "the quietest made room");
+        try (FakeClient client = new FakeClient(proxy)) {
+            assertEquals(200, client.send(FakeClient.getRequest("4.0")).readStatus());
+            assertNull(partialClients.get(0).readResponse(), "the quietest made room");
         }
-        for (FakeClient half : halves) {
-            half.close();
+        for (FakeClient partialClient : partialClients) {
+            partialClient.close();
         }
     }
 
     @Test
-    void theFirstConnectionItTakesFindsItReady() throws Exception {
+    void firstAcceptedConnectionFindsProxyReady() throws Exception {
         int port;
-        try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            port = free.getLocalPort();
+        try (ServerSocket portFinder = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            port = portFinder.getLocalPort();
         }
-        String known = Fakes.entryJson("s-1", one.port(), "active");
-        Config config = Fakes.config(port, discovery.port(), USUAL_SOCKETS, known, "");
+        String knownBackends = Fakes.entryJson("s-1", backend1.port(), "active");
+        Config config = Fakes.config(port, discovery.port(), DEFAULT_MAX_SOCKETS, knownBackends, "");
         proxy.stop();
-        FutureTask<Proxy> starting = new FutureTask<>(() -> new Proxy(config));
-        new Thread(starting).start();
+        FutureTask<Proxy> startTask = new FutureTask<>(() -> new Proxy(config));
+        new Thread(startTask).start();
         Socket socket = new Socket();
         while (!socket.isConnected()) {
             socket = new Socket();
@@ -574,63 +599,68 @@
             }
         }
         try (FakeClient client = new FakeClient(socket)) {
-            assertEquals(200, client.send(HEALTH).readStatus());
+            assertEquals(200, client.send(HEALTH_CHECK).readStatus());
         }
-        proxy = starting.get();
+        proxy = startTask.get();
     }
 
     /** The other discovery counts its versions anew: lower than the last one known here. */
     @ParameterizedTest
     @ValueSource(strings = {"", "\"Discovery\":\"ask\",\"Obligations\":{\"AskWithin\":0.1},"})
-    void aReloadMovesDiscoveryAndABrokenFileChangesNothing(String asked, @TempDir Path folder)
+    void reloadChangesDiscoveryAddressAndIgnoresBrokenFile(String extraSettings, @TempDir Path folder)
         throws Exception {
         proxy.stop();
-        proxy = new Proxy(Fakes.config(0, discovery.port(), USUAL_SOCKETS, "", asked));
+        proxy = new Proxy(Fakes.config(0, discovery.port(), DEFAULT_MAX_SOCKETS, "", extraSettings));
         awaitReady();
         Path file = folder.resolve("config.json");
         Files.writeString(file, "{\"name\":");
         proxy.reload(file);
-        try (FakeDiscovery other = new FakeDiscovery(); FakeClient client = new FakeClient(proxy)) {
-            other.setFirstList(FakeDiscovery.listJson(1, true, Fakes.entryJson("s-2", two.port(), "active")));
-            Files.writeString(file, Fakes.configJson(0, other.port(), USUAL_SOCKETS, "", asked));
+        try (FakeDiscovery newDiscovery = new FakeDiscovery(); FakeClient client = new FakeClient(proxy)) {
+            newDiscovery.setFirstList(FakeDiscovery.listJson(1, true,
+                Fakes.entryJson("s-2", backend2.port(), "active")));
+            Files.writeString(file,
+                Fakes.configJson(0, newDiscovery.port(), DEFAULT_MAX_SOCKETS, "", extraSettings));
             proxy.reload(file);
-            Fakes.await("asked at the new address", () -> !other.requests.isEmpty());
-            assertTrue(other.requests.get(0).startsWith("GET /v1/servers?watch=1 "), other.requests.get(0));
-            Fakes.await("s-1 out of use", () -> one.openConnections.isEmpty() && discovery.openConnections.isEmpty());
-            int before = one.requests.size();
+            Fakes.await("asked at the new address", () -> !newDiscovery.requests.isEmpty());
+            assertTrue(newDiscovery.requests.get(0).startsWith("GET /v1/servers?watch=1 "),
+                newDiscovery.requests.get(0));
+            Fakes.await("s-1 out of use", () ->
+                backend1.openConnections.isEmpty() && discovery.openConnections.isEmpty());
+            int requestsBefore = backend1.requests.size();
             for (int i = 0; i < 10; i++) {
                 assertEquals(200, client.send(FakeClient.getRequest("4.0")).readStatus());
             }
-            other.push(FakeDiscovery.listJson(2, false, Fakes.entryJson("s-2", two.port(), "left")));
-            Fakes.await("news from the new address", () -> two.openConnections.isEmpty());
-            assertEquals(before, one.requests.size());
+            newDiscovery.push(FakeDiscovery.listJson(2, false,
+                Fakes.entryJson("s-2", backend2.port(), "left")));
+            Fakes.await("news from the new address", () -> backend2.openConnections.isEmpty());
+            assertEquals(requestsBefore, backend1.requests.size());
         }
     }
 
     @Test
-    void aHangUpDoesNotEndTheProgram() throws Exception {
-        AtomicInteger told = new AtomicInteger();
-        Signals.onHangUp(told::incrementAndGet);
+    void hangUpSignalDoesNotStopProcess() throws Exception {
+        AtomicInteger signalCount = new AtomicInteger();
+        Signals.onHangUp(signalCount::incrementAndGet);
         Object hangUp = Signals.hangUpSignal();
         hangUp.getClass().getMethod("raise", hangUp.getClass()).invoke(null, hangUp);
-        Fakes.await("the signal", () -> told.get() == 1);
+        Fakes.await("the signal", () -> signalCount.get() == 1);
     }
 
     /** The build archives what a start has loaded, once the start is over. */
     @Test
-    void aRehearsedStartEndsByItself() {
+    void classArchiveTrainingTerminates() {
         assertDoesNotThrow(Proxy::runClassArchiveTraining);
     }
 
     @Test
-    void oneBadEntryInAListDoesNotHideTheOthers() throws Exception {
+    void invalidListEntryDoesNotAffectOthers() throws Exception {
         try (FakeClient client = new FakeClient(proxy)) {
-            while (two.openConnections.isEmpty()) {
+            while (backend2.openConnections.isEmpty()) {
                 assertEquals(200, client.send(FakeClient.getRequest("4.0")).readStatus());
             }
             discovery.push(FakeDiscovery.listJson(3, false, "{\"addr\":7}",
-                Fakes.entryJson("s-2", two.port(), "left")));
-            Fakes.await("s-2 known to be gone", () -> two.openConnections.isEmpty());
+                Fakes.entryJson("s-2", backend2.port(), "left")));
+            Fakes.await("s-2 known to be gone", () -> backend2.openConnections.isEmpty());
             assertEquals(200, client.send(FakeClient.getRequest("4.0")).readStatus());
         }
     }
--- a/proxy/src/test/java/dockrelay/proxy/CrossedSettingsTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/RequestIsolationTest.java
@@ -20,74 +20,80 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Nothing of one request, or of one configuration, reaches the next on the same connections. */
-class CrossedSettingsTest {
+class RequestIsolationTest {
     private final FakeBackend backend = new FakeBackend(request -> Fakes.httpResponse("200 OK", "", "one"));
     private final FakeDiscovery discovery = new FakeDiscovery();
     private Proxy proxy;
 
     @BeforeEach
     void start() throws IOException {
-        discovery.setFirstList(FakeDiscovery.listJson(2, true, Fakes.entryJson("s-1", backend.port(), "active")));
+        discovery.setFirstList(FakeDiscovery.listJson(2, true,
+            Fakes.entryJson("s-1", backend.port(), "active")));
         proxy = new Proxy(Fakes.config(discovery.port(), 1024));
     }
 
     @AfterEach
-    void close() throws IOException {
+    void tearDown() throws IOException {
         proxy.stop();
         discovery.close();
         backend.close();
     }
 
-    private static String request(String method, String spec, String id, String tenant, String timeout,
-                                  String key) {
-        return method + " /" + spec + "/thing HTTP/1.1\r\nHost: app\r\nX-Priority-Class: " + spec
-            + "\r\nX-Request-ID: " + id + "\r\nX-Timeout: " + timeout + "\r\n"
+    private static String request(String method, String serviceClass, String requestId, String tenant,
+        String timeout,
+                                  String idempotencyKey) {
+        return method + " /" + serviceClass + "/thing HTTP/1.1\r\nHost: app\r\nX-Priority-Class: "
+            + serviceClass
+            + "\r\nX-Request-ID: " + requestId + "\r\nX-Timeout: " + timeout + "\r\n"
             + (tenant == null ? "" : "X-Tenant-Id: " + tenant + "\r\n")
-            + (key == null ? "" : "Idempotency-Key: " + key + "\r\n")
+            + (idempotencyKey == null ? "" : "Idempotency-Key: " + idempotencyKey + "\r\n")
             + ("POST".equals(method) ? "Content-Length: 0\r\n" : "") + "\r\n";
     }
 
     private static String header(String request, String name) {
-        String from = request.toLowerCase();
-        int at = from.indexOf("\r\n" + name + ": ");
-        return at < 0 ? null : request.substring(at + name.length() + 4, request.indexOf('\r', at + 2));
+        String lowerCase = request.toLowerCase();
+        int index = lowerCase.indexOf("\r\n" + name + ": ");
+        return index < 0 ? null
+            : request.substring(index + name.length() + 4, request.indexOf('\r', index + 2));
     }
 
     /** One after the other, and in one write; in between one that is wrong, and one that is refused. */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void eachRequestGoesOutWithWhatIsItsOwn(boolean together) throws Exception {
-        List<String> all = List.of(request("POST", "save", "a", "red", "4.0", "k-1"),
+    void eachRequestIsForwardedWithItsOwnHeaders(boolean pipelined) throws Exception {
+        List<String> requests = List.of(request("POST", "save", "a", "red", "4.0", "k-1"),
             request("POST", "put", "b", null, "0.7", null), request("GET", "look", "c", "blue", "2.0", null),
             request("POST", "save", "d", null, "0.9", "k-2"),
             request("POST", "put", "e", "red", "3.0", null));
         try (FakeClient client = new FakeClient(proxy)) {
-            if (together) {
-                client.send(String.join("", all));
+            if (pipelined) {
+                client.send(String.join("", requests));
             }
-            for (String one : all) {
-                if (!together) {
-                    client.send(one);
+            for (String request : requests) {
+                if (!pipelined) {
+                    client.send(request);
                 }
                 assertEquals(200, client.readStatus());
             }
         }
-        assertEquals(all.size(), backend.requests.size());
-        for (int i = 0; i < all.size(); i++) {
-            String sent = all.get(i), got = backend.requests.get(i);
+        assertEquals(requests.size(), backend.requests.size());
+        for (int i = 0; i < requests.size(); i++) {
+            String sentRequest = requests.get(i), receivedRequest = backend.requests.get(i);
             for (String name : List.of("x-request-id", "x-priority-class", "x-tenant-id",
                 "idempotency-key")) {
-                assertEquals(header(sent, name), header(got, name), name + " of " + got);
+                assertEquals(header(sentRequest, name), header(receivedRequest, name),
+                    name + " of " + receivedRequest);
             }
-            double left = Double.parseDouble(header(got, "x-timeout"));
-            double own = Double.parseDouble(header(sent, "x-timeout"));
-            assertTrue(left > 0 && left <= Math.min(own, 1.0), left + " of its own " + own + ", aim 1.0");
+            double forwardedTimeout = Double.parseDouble(header(receivedRequest, "x-timeout"));
+            double requestedTimeout = Double.parseDouble(header(sentRequest, "x-timeout"));
+            assertTrue(forwardedTimeout > 0 && forwardedTimeout <= Math.min(requestedTimeout, 1.0),
+                forwardedTimeout + " of its own " + requestedTimeout + ", aim 1.0");
         }
     }
 
     /** What a reload does not take up stays as it was for all: here which class is safe to repeat. */
     @Test
-    void aReloadChangesNoClass(@TempDir Path folder) throws Exception {
+    void reloadDoesNotChangeServiceClasses(@TempDir Path folder) throws Exception {
         Path file = folder.resolve("config.json");
         Files.writeString(file, Fakes.configJson(0, discovery.port(), 1024, "", "")
             .replace("\"at_most_once\"", "\"idempotent\""));
@@ -109,14 +115,16 @@
         "\"discovery\":\"127|\"discovery\":\"127.0.0.1|discovery = \"127.0.0.1",
         "\"MaxAttempts\":5|\"MaxAttempts\":0|setting missing or out of range: limits maxAttempts",
         "\"settings\":{|\"settings\":[|line 1 = "})
-    void aWrongValueIsNamedAndChangesNothing(String change, @TempDir Path folder) throws Exception {
-        String[] parts = change.split("\\|");
+    void invalidValueIsReportedAndChangesNothing(String replacementAndMessage,
+    @TempDir Path folder) throws Exception {
+        String[] replacementParts = replacementAndMessage.split("\\|");
         Path file = folder.resolve("config.json");
-        Files.writeString(file, Fakes.configJson(0, discovery.port(), 1024, "", "").replace(parts[0], parts[1]));
-        ConfigException wrong =
+        Files.writeString(file, Fakes.configJson(0, discovery.port(), 1024, "", "")
+            .replace(replacementParts[0], replacementParts[1]));
+        ConfigException error =
             assertThrows(ConfigException.class, () -> Config.read(file));
-        assertTrue(wrong.getMessage().startsWith(file + ": " + parts[2]), wrong.getMessage());
-        assertFalse(wrong.getMessage().contains("\n"), wrong.getMessage());
+        assertTrue(error.getMessage().startsWith(file + ": " + replacementParts[2]), error.getMessage());
+        assertFalse(error.getMessage().contains("\n"), error.getMessage());
         proxy.reload(file);
         try (FakeClient client = new FakeClient(proxy)) {
             assertEquals(200, client.send(FakeClient.getRequest("4.0")).readStatus());
--- a/proxy/src/test/java/dockrelay/proxy/RequestTableTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/RequestTableTest.java
@@ -33,102 +33,104 @@
 
 /** One final answer in time, whatever the module does: here it is a made-up one. */
 class RequestTableTest {
-    private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    private final EventLoopGroup eventLoopGroup =
+        new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final Config config = Fakes.config(1, 1024);
-    private final BackendConnectionPool pool = new BackendConnectionPool(new Bootstrap().group(group)
-        .channel(NioSocketChannel.class), group.next(), 8, 500_000, 15_000_000, new Counters(),
+    private final BackendConnectionPool pool = new BackendConnectionPool(new Bootstrap().group(eventLoopGroup)
+        .channel(NioSocketChannel.class), eventLoopGroup.next(), 8, 500_000, 15_000_000, new Counters(),
         new BufferLimit(() -> 0, 144));
     private final RequestTable table =
-        new RequestTable(group.next(), pool, () -> System.nanoTime() / 1000, config, new Counters());
-    private final List<FullHttpResponse> answers = new CopyOnWriteArrayList<>();
-    private final List<String> calls = new CopyOnWriteArrayList<>();
+        new RequestTable(eventLoopGroup.next(), pool, () -> System.nanoTime() / 1000, config, new Counters());
+    private final List<FullHttpResponse> responses = new CopyOnWriteArrayList<>();
+    private final List<String> moduleCalls = new CopyOnWriteArrayList<>();
 
     @AfterEach
-    void end() {
-        group.shutdownGracefully();
+    void tearDown() {
+        eventLoopGroup.shutdownGracefully();
     }
 
     /** A module that does this with each event, given its name and arguments. */
-    private void module(BiConsumer<String, Object[]> does) {
-        Balancer made = (Balancer) Proxy.newProxyInstance(getClass().getClassLoader(),
-            new Class<?>[] {Balancer.class}, (self, method, arguments) -> {
-                calls.add(method.getName());
-                does.accept(method.getName(), arguments);
-                calls.add("end");
+    private void installModule(BiConsumer<String, Object[]> onEvent) {
+        Balancer scriptedModule = (Balancer) Proxy.newProxyInstance(getClass().getClassLoader(),
+            new Class<?>[] {Balancer.class}, (proxyInstance, method, arguments) -> {
+                moduleCalls.add(method.getName());
+                onEvent.accept(method.getName(), arguments);
+                moduleCalls.add("end");
                 return null;
             });
-        table.attachBalancer(made, () -> { }, message -> { });
+        table.attachBalancer(scriptedModule, () -> { }, message -> { });
     }
 
-    private void take(long budget) {
+    private void acceptRequest(long budgetMicros) {
         FullHttpRequest message = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/look/x");
-        group.submit(() -> table.take(new Request("r", "look", null, null, budget, 0, false), message,
-            answers::add)).syncUninterruptibly();
+        eventLoopGroup.submit(() ->
+            table.accept(new Request("r", "look", null, null, budgetMicros, 0, false), message,
+            responses::add)).syncUninterruptibly();
     }
 
-    private int status() {
-        Fakes.await("an answer", () -> !answers.isEmpty());
-        assertEquals(1, answers.size());
-        return answers.get(0).status().code();
+    private int awaitStatus() {
+        Fakes.await("an answer", () -> !responses.isEmpty());
+        assertEquals(1, responses.size());
+        return responses.get(0).status().code();
     }
 
     @Test
-    void aRefusalCarriesTheAdviceThatThereIs() {
-        module((event, arguments) -> table.refuse("r", 250_000));
-        take(1_000_000);
-        assertEquals(503, status());
-        assertEquals("0.250", answers.get(0).headers().get("Retry-After"));
-        assertFalse(table.holds("r"));
+    void refusalCarriesRetryAfter() {
+        installModule((event, arguments) -> table.refuse("r", 250_000));
+        acceptRequest(1_000_000);
+        assertEquals(503, awaitStatus());
+        assertEquals("0.250", responses.get(0).headers().get("Retry-After"));
+        assertFalse(table.isInFlight("r"));
     }
 
     @Test
-    void aRefusalWithoutAdviceCarriesNone() {
-        module((event, arguments) -> table.refuse("r", 0));
-        take(1_000_000);
-        assertEquals(503, status());
-        assertNull(answers.get(0).headers().get("Retry-After"));
+    void refusalWithoutDelayHasNoRetryAfter() {
+        installModule((event, arguments) -> table.refuse("r", 0));
+        acceptRequest(1_000_000);
+        assertEquals(503, awaitStatus());
+        assertNull(responses.get(0).headers().get("Retry-After"));
     }
 
     @Test
-    void aModuleThatHoldsARequestForEverHasItAnsweredByTheHost() {
-        module((event, arguments) -> { });
-        take(50_000);
-        assertEquals(504, status());
-        Fakes.await("the module told", () -> calls.contains("onClientGone"));
-        assertFalse(table.holds("r"));
+    void requestIgnoredByModuleTimesOut() {
+        installModule((event, arguments) -> { });
+        acceptRequest(50_000);
+        assertEquals(504, awaitStatus());
+        Fakes.await("the module told", () -> moduleCalls.contains("onClientGone"));
+        assertFalse(table.isInFlight("r"));
     }
 
     @Test
-    void aHastyClientsTimeIsSpentOnItsAttempts() {
-        assertEquals(1_000_000 - 12_000, RequestTable.attemptsUntil(1_000_000));
-        assertEquals(1_000_000 - 6_000, RequestTable.answerBy(1_000_000));
-        assertEquals(18_000, RequestTable.attemptsUntil(20_000));
-        assertEquals(19_000, RequestTable.answerBy(20_000));
+    void marginsAreBoundedForShortBudgets() {
+        assertEquals(1_000_000 - 12_000, RequestTable.attemptDeadline(1_000_000));
+        assertEquals(1_000_000 - 6_000, RequestTable.responseDeadline(1_000_000));
+        assertEquals(18_000, RequestTable.attemptDeadline(20_000));
+        assertEquals(19_000, RequestTable.responseDeadline(20_000));
     }
 
     @Test
-    void aModuleThatThrowsFailsThatRequestOnly() {
-        module((event, arguments) -> {
+    void moduleExceptionFailsItsRequest() {
+        installModule((event, arguments) -> {
             throw new IllegalStateException("made up");
         });
-        take(1_000_000);
-        assertEquals(500, status());
+        acceptRequest(1_000_000);
+        assertEquals(500, awaitStatus());
     }
 
     @Test
-    void onlyTheFirstFinalAnswerGoesOut() {
-        module((event, arguments) -> {
+    void onlyFirstFinalResponseIsSent() {
+        installModule((event, arguments) -> {
             table.fail("r");
             table.refuse("r", 0);
             table.send("r", 1, 0);
         });
-        take(1_000_000);
-        assertEquals(502, status());
+        acceptRequest(1_000_000);
+        assertEquals(502, awaitStatus());
     }
 
     @Test
-    void theModuleIsNotEnteredWhileItActs() {
-        module((event, arguments) -> {
+    void moduleIsNotReentered() {
+        installModule((event, arguments) -> {
             if ("onRequest".equals(event)) {
                 table.send("r", 99, 0); // a backend that no list has named: over before it began
             } else if ("onOutcome".equals(event)) {
@@ -136,56 +138,59 @@
                 table.refuse("r", 0);
             }
         });
-        take(1_000_000);
-        assertEquals(503, status());
-        Fakes.await("both events", () -> calls.size() == 4);
-        assertEquals(List.of("onRequest", "end", "onOutcome", "end"), calls);
-        assertTrue(answers.size() == 1);
+        acceptRequest(1_000_000);
+        assertEquals(503, awaitStatus());
+        Fakes.await("both events", () -> moduleCalls.size() == 4);
+        assertEquals(List.of("onRequest", "end", "onOutcome", "end"), moduleCalls);
+        assertTrue(responses.size() == 1);
     }
 
     /** Else the module takes the request for over, and calls off the attempt that is being passed on. */
     @Test
-    void theEndOfALosingAttemptDoesNotCloseARequestWhoseAnswerIsBeingPassedOn() throws Exception {
-        String half = "HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\nhalf";
-        try (Fakes.FakeBackend winner = new Fakes.FakeBackend(request -> half);
-             Fakes.FakeBackend loser = new Fakes.FakeBackend(request -> null)) {
-            module((event, arguments) -> {
+    void endOfLosingAttemptDoesNotCloseStreamingRequest() throws Exception {
+        String incompleteResponse = "HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\nhalf";
+        try (Fakes.FakeBackend winningBackend = new Fakes.FakeBackend(request -> incompleteResponse);
+             Fakes.FakeBackend losingBackend = new Fakes.FakeBackend(request -> null)) {
+            installModule((event, arguments) -> {
                 if ("onRequest".equals(event)) {
                     table.send("r", 2, 0);
                     table.send("r", 1, 0);
                 } else if ("onStreamStart".equals(event)) {
                     table.cancel("r", 0);
                 } else if ("onOutcome".equals(event)) {
-                    calls.add(arguments[2] + " " + arguments[4] + " closed " + arguments[6]);
+                    moduleCalls.add(arguments[2] + " " + arguments[4] + " closed " + arguments[6]);
                 }
             });
-            RequestTable.Reply reply = new RequestTable.Reply() {
+            RequestTable.ResponseWriter responseWriter = new RequestTable.ResponseWriter() {
                 @Override
-                public void answer(FullHttpResponse response) {
-                    answers.add(response);
+                public void respond(FullHttpResponse response) {
+                    responses.add(response);
                 }
 
                 @Override
-                public void begin(HttpResponse head, Body body) {
-                    calls.add("begins");
+                public void beginStreaming(HttpResponse head, Body body) {
+                    moduleCalls.add("begins");
                 }
             };
-            group.submit(() -> {
-                InetAddress here = InetAddress.getLoopbackAddress();
-                pool.learn(Fakes.member(1, new InetSocketAddress(here, winner.port()), true));
-                pool.learn(Fakes.member(2, new InetSocketAddress(here, loser.port()), true));
-                table.take(new Request("r", "look", null, null, 5_000_000, 0, false),
-                    new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/look/x"), reply);
+            eventLoopGroup.submit(() -> {
+                InetAddress loopback = InetAddress.getLoopbackAddress();
+                pool.updateBackend(Fakes.listedBackend(1,
+                    new InetSocketAddress(loopback, winningBackend.port()), true));
+                pool.updateBackend(Fakes.listedBackend(2,
+                    new InetSocketAddress(loopback, losingBackend.port()), true));
+                table.accept(new Request("r", "look", null, null, 5_000_000, 0, false),
+                    new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/look/x"),
+                    responseWriter);
             }).syncUninterruptibly();
-            Fakes.await("the loser's end", () -> calls.contains("0 CANCELLED closed false"));
-            assertTrue(calls.contains("begins"));
-            winner.openConnections.forEach(RequestTableTest::end);
-            Fakes.await("the winner's end", () -> calls.contains("1 RESET closed true"));
-            assertTrue(answers.isEmpty());
+            Fakes.await("the loser's end", () -> moduleCalls.contains("0 CANCELLED closed false"));
+            assertTrue(moduleCalls.contains("begins"));
+            winningBackend.openConnections.forEach(RequestTableTest::tearDown);
+            Fakes.await("the winner's end", () -> moduleCalls.contains("1 RESET closed true"));
+            assertTrue(responses.isEmpty());
         }
     }
 
-    private static void end(Socket connection) {
+    private static void tearDown(Socket connection) {
         try {
             connection.close();
         } catch (IOException e) {
@@ -194,23 +199,24 @@
     }
 
     @Test
-    void aLoadReportIsReadByItsNamesAndWhatItLacksIsNoNumber() {
-        Balancer.LoadReport report = BackendConnectionPool.report("TEXT inflight=7, queue=2, util=0.61, odd=x");
-        assertEquals(7, report.outstanding());
-        assertEquals(2, report.queued());
-        assertEquals(0.61, report.utilization());
-        assertTrue(Double.isNaN(report.latencyMs()));
-        assertNull(BackendConnectionPool.report(null));
+    void missingLoadReportValuesAreNaN() {
+        Balancer.LoadReport loadReport =
+            BackendConnectionPool.parseLoadReport("TEXT inflight=7, queue=2, util=0.61, odd=x");
+        assertEquals(7, loadReport.outstanding());
+        assertEquals(2, loadReport.queued());
+        assertEquals(0.61, loadReport.utilization());
+        assertTrue(Double.isNaN(loadReport.latencyMs()));
+        assertNull(BackendConnectionPool.parseLoadReport(null));
     }
 
     @Test
-    void theLogIsNotForgedByWhatPeersWrite() {
+    void logLinesAreSanitized() {
         assertEquals("a?start: b?", Log.sanitize("a\nstart: b\u00e9"));
         assertEquals("x".repeat(500) + "...", Log.sanitize("x".repeat(10_000)));
     }
 
     @Test
-    void countersTellWhatWasCountedSinceTheLineBefore() {
+    void countersAreResetAfterEachLine() {
         Counters counters = new Counters();
         counters.registerGauge("in-hand", () -> 4);
         counters.increment(Counters.Count.TAKEN);
@@ -221,16 +227,16 @@
     }
 
     @Test
-    void aMessageReachesTheOtherProxiesUnderItsSendersNumber() throws Exception {
+    void peerMessageCarriesSenderIndex() throws Exception {
         List<Integer> ports = new CopyOnWriteArrayList<>();
         for (int i = 0; i < 2; i++) {
-            try (DatagramSocket free = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
-                ports.add(free.getLocalPort());
+            try (DatagramSocket portFinder = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
+                ports.add(portFinder.getLocalPort());
             }
         }
-        module((event, arguments) -> calls.add(arguments[1] + " " + arguments[2]));
-        new PeerTransport(group.next(), Fakes.peers(ports, 0), table);
-        new PeerTransport(group.next(), Fakes.peers(ports, 1), table).broadcast("hello");
-        Fakes.await("the message", () -> calls.contains("1 hello"));
+        installModule((event, arguments) -> moduleCalls.add(arguments[1] + " " + arguments[2]));
+        new PeerTransport(eventLoopGroup.next(), Fakes.peersConfig(ports, 0), table);
+        new PeerTransport(eventLoopGroup.next(), Fakes.peersConfig(ports, 1), table).broadcast("hello");
+        Fakes.await("the message", () -> moduleCalls.contains("1 hello"));
     }
 }
--- a/proxy/src/test/java/dockrelay/proxy/RequestTimeoutTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/RequestTimeoutTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import dockrelay.proxy.RequestTimeout.Late;
+import dockrelay.proxy.RequestTimeout.TimeoutEvent;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
@@ -27,7 +27,7 @@
             @Override
             public void channelRead(ChannelHandlerContext context, Object bytes) {
                 if (bytes.toString().endsWith(".")) {
-                    timeout.arrived();
+                    timeout.requestReceived();
                 }
             }
 
@@ -39,74 +39,74 @@
         channel.pipeline().fireChannelActive();
     }
 
-    private void pass(long millis) {
+    private void advanceTime(long millis) {
         channel.advanceTimeBy(millis, TimeUnit.MILLISECONDS);
         channel.runScheduledPendingTasks();
     }
 
     @Test
-    void aSilentConnectionIsToldOfOnce() {
-        pass(RequestTimeout.MILLIS - 1);
+    void silentConnectionFiresOneEvent() {
+        advanceTime(RequestTimeout.HEAD_TIMEOUT_MILLIS - 1);
         assertEquals(List.of(), events);
-        pass(1);
-        pass(RequestTimeout.MILLIS * 9);
-        assertEquals(List.of(Late.NOTHING_CAME), events);
+        advanceTime(1);
+        advanceTime(RequestTimeout.HEAD_TIMEOUT_MILLIS * 9);
+        assertEquals(List.of(TimeoutEvent.NO_DATA), events);
     }
 
     @Test
-    void aTrickleOfBytesDoesNotPutTheEndOff() {
+    void slowBytesDoNotExtendTimeout() {
         for (int i = 0; i < 3; i++) {
             channel.writeInbound("G");
-            pass(RequestTimeout.MILLIS / 3 + 1);
+            advanceTime(RequestTimeout.HEAD_TIMEOUT_MILLIS / 3 + 1);
         }
-        assertEquals(List.of(Late.NOT_WHOLE), events);
+        assertEquals(List.of(TimeoutEvent.INCOMPLETE_REQUEST), events);
     }
 
     @Test
-    void aBodyMayTakeAsLongAsItLastsAt64KilobytesASecond() {
+    void bodyAtMinimumRateExtendsTimeout() {
         channel.writeInbound("head");
         for (int i = 0; i < 100; i++) {
             channel.writeInbound(Unpooled.wrappedBuffer(new byte[6_400]));
-            pass(100);
+            advanceTime(100);
         }
         assertEquals(List.of(), events);
-        for (int i = 0; i < RequestTimeout.MILLIS / 100; i++) {
-            pass(100);
+        for (int i = 0; i < RequestTimeout.HEAD_TIMEOUT_MILLIS / 100; i++) {
+            advanceTime(100);
         }
-        assertEquals(List.of(Late.NOT_WHOLE), events);
+        assertEquals(List.of(TimeoutEvent.INCOMPLETE_REQUEST), events);
     }
 
     /** Where this side does not read, the peer is not to blame. */
     @Test
-    void whatIsNotReadIsNotLate() {
+    void pausedReadingExtendsTimeout() {
         channel.writeInbound("half");
         channel.config().setAutoRead(false);
-        pass(RequestTimeout.MILLIS * 9);
+        advanceTime(RequestTimeout.HEAD_TIMEOUT_MILLIS * 9);
         assertEquals(List.of(), events);
         channel.config().setAutoRead(true);
-        pass(RequestTimeout.MILLIS);
-        assertEquals(List.of(Late.NOT_WHOLE), events);
+        advanceTime(RequestTimeout.HEAD_TIMEOUT_MILLIS);
+        assertEquals(List.of(TimeoutEvent.INCOMPLETE_REQUEST), events);
     }
 
     @Test
-    void aConnectionBetweenRequestsMayRest() {
+    void idleConnectionBetweenRequestsFiresNoEvent() {
         channel.writeInbound("whole.");
-        pass(RequestTimeout.MILLIS * 9);
+        advanceTime(RequestTimeout.HEAD_TIMEOUT_MILLIS * 9);
         assertEquals(List.of(), events);
         channel.writeInbound("half");
-        pass(RequestTimeout.MILLIS - 1);
+        advanceTime(RequestTimeout.HEAD_TIMEOUT_MILLIS - 1);
         channel.writeInbound(" of it.");
-        pass(RequestTimeout.MILLIS * 9);
+        advanceTime(RequestTimeout.HEAD_TIMEOUT_MILLIS * 9);
         assertEquals(List.of(), events);
         channel.writeInbound("half");
-        pass(RequestTimeout.MILLIS);
-        assertEquals(List.of(Late.NOT_WHOLE), events);
+        advanceTime(RequestTimeout.HEAD_TIMEOUT_MILLIS);
+        assertEquals(List.of(TimeoutEvent.INCOMPLETE_REQUEST), events);
     }
 
     @Test
-    void aClosedConnectionIsNotToldOf() {
+    void closedConnectionFiresNoEvent() {
         channel.close();
-        pass(RequestTimeout.MILLIS * 2);
+        advanceTime(RequestTimeout.HEAD_TIMEOUT_MILLIS * 2);
         assertEquals(List.of(), events);
     }
 }
--- a/proxy/src/test/java/dockrelay/proxy/ResponseDecoderTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/ResponseDecoderTest.java
@@ -14,59 +14,65 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class ResponseDecoderTest {
-    private static final String OK = "HTTP/1.1 200 OK\r\n";
+    private static final String OK_STATUS_LINE = "HTTP/1.1 200 OK\r\n";
     private final EmbeddedChannel channel =
-        new EmbeddedChannel(new ResponseDecoder(), new HttpObjectAggregator(BufferLimit.MAX_BUFFERED_MESSAGE_BYTES));
+        new EmbeddedChannel(new ResponseDecoder(),
+        new HttpObjectAggregator(BufferLimit.MAX_BUFFERED_MESSAGE_BYTES));
 
-    private FullHttpResponse read(String raw) {
-        channel.writeInbound(Unpooled.copiedBuffer(raw, StandardCharsets.ISO_8859_1));
+    private FullHttpResponse decode(String rawResponse) {
+        channel.writeInbound(Unpooled.copiedBuffer(rawResponse, StandardCharsets.ISO_8859_1));
         return channel.readInbound();
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {OK + "\r\n",
-        OK + "Content-Length: 2\r\n\r\nhi!", OK + "Content-Length: 0\r\n\r\n!",
-        OK + "Content-Length: 2\r\nContent-Length: 3\r\n\r\nhi!", OK + "Content-Length: -2\r\n\r\nhi",
-        OK + "Content-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n",
-        OK + "Transfer-Encoding: gzip\r\nContent-Length: 2\r\n\r\nhi",
-        OK + "Transfer-Encoding: identity\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n",
-        OK + "Transfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n!",
-        OK + "Transfer-Encoding: chunked\r\n\r\n100000002\r\nhi\r\n0\r\n\r\n",
-        OK + "no colon here\r\nContent-Length: 2\r\n\r\nhi", OK + "no-colon\r\nContent-Length: 2\r\n\r\nhi",
-        OK + "no colon: x\r\nContent-Length: 2\r\n\r\nhi", OK + ": x\r\nContent-Length: 2\r\n\r\nhi",
-        OK + "Content-Length: 2\r\nno colon \r\n\r\nhi",
+    @ValueSource(strings = {OK_STATUS_LINE + "\r\n",
+        OK_STATUS_LINE + "Content-Length: 2\r\n\r\nhi!", OK_STATUS_LINE + "Content-Length: 0\r\n\r\n!",
+        OK_STATUS_LINE + "Content-Length: 2\r\nContent-Length: 3\r\n\r\nhi!",
+        OK_STATUS_LINE + "Content-Length: -2\r\n\r\nhi",
+        OK_STATUS_LINE + "Content-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n",
+        OK_STATUS_LINE + "Transfer-Encoding: gzip\r\nContent-Length: 2\r\n\r\nhi",
+        OK_STATUS_LINE
+        + "Transfer-Encoding: identity\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n",
+        OK_STATUS_LINE + "Transfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n!",
+        OK_STATUS_LINE + "Transfer-Encoding: chunked\r\n\r\n100000002\r\nhi\r\n0\r\n\r\n",
+        OK_STATUS_LINE + "no colon here\r\nContent-Length: 2\r\n\r\nhi",
+        OK_STATUS_LINE + "no-colon\r\nContent-Length: 2\r\n\r\nhi",
+        OK_STATUS_LINE + "no colon: x\r\nContent-Length: 2\r\n\r\nhi",
+        OK_STATUS_LINE + ": x\r\nContent-Length: 2\r\n\r\nhi",
+        OK_STATUS_LINE + "Content-Length: 2\r\nno colon \r\n\r\nhi",
         "HTTP/9.9 200 OK\r\nContent-Length: 2\r\n\r\nhi", "200 OK\r\nContent-Length: 2\r\n\r\nhi",
         "HTTP/1.1 101 Switching Protocols\r\n\r\n"})
-    void anAnswerWhoseEndIsInDoubtHasFailed(String raw) {
-        assertTrue(read(raw).decoderResult().isFailure(), raw);
+    void responseWithAmbiguousFramingFails(String rawResponse) {
+        assertTrue(decode(rawResponse).decoderResult().isFailure(), rawResponse);
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {OK + "Content-Length: 2\r\n\r\nhi",
-        OK + "Transfer-Encoding: Chunked\r\n\r\n2;a=b\r\nhi\r\n0\r\nX-Trailer: t\r\n\r\n",
-        OK + "Content-Length : 2\r\nX-Empty:\r\n\r\nhi",
-        OK + "Content-Length: 2\r\nX-Folded: a\r\n b\r\n\r\nhi",
+    @ValueSource(strings = {OK_STATUS_LINE + "Content-Length: 2\r\n\r\nhi",
+        OK_STATUS_LINE + "Transfer-Encoding: Chunked\r\n\r\n2;a=b\r\nhi\r\n0\r\nX-Trailer: t\r\n\r\n",
+        OK_STATUS_LINE + "Content-Length : 2\r\nX-Empty:\r\n\r\nhi",
+        OK_STATUS_LINE + "Content-Length: 2\r\nX-Folded: a\r\n b\r\n\r\nhi",
         "HTTP/1.0 200 OK\r\nContent-Length: 2\r\n\r\nhi"})
-    void anAnswerWithAPlainEndIsRead(String raw) {
-        FullHttpResponse answer = read(raw);
-        assertTrue(answer.decoderResult().isSuccess(), raw);
-        assertEquals("hi", answer.content().toString(StandardCharsets.US_ASCII));
+    void responseWithUnambiguousFramingIsDecoded(String rawResponse) {
+        FullHttpResponse response = decode(rawResponse);
+        assertTrue(response.decoderResult().isSuccess(), rawResponse);
+        assertEquals("hi", response.content().toString(StandardCharsets.US_ASCII));
     }
 
     @Test
-    void whatFollowsAnInterimAnswerIsTheAnswer() {
-        assertEquals(100, read("HTTP/1.1 100 Continue\r\n\r\n" + OK + "Content-Length: 2\r\n\r\nhi")
+    void finalResponseFollowsInterimResponse() {
+        assertEquals(100,
+            decode("HTTP/1.1 100 Continue\r\n\r\n" + OK_STATUS_LINE + "Content-Length: 2\r\n\r\nhi")
             .status().code());
-        FullHttpResponse answer = channel.readInbound();
-        assertFalse(answer.decoderResult().isFailure());
-        assertEquals(200, answer.status().code());
+        FullHttpResponse response = channel.readInbound();
+        assertFalse(response.decoderResult().isFailure());
+        assertEquals(200, response.status().code());
     }
 
     @Test
-    void oneAnswerAfterAnotherIsRead() {
+    void successiveResponsesAreDecoded() {
         for (int i = 0; i < 3; i++) {
-            assertTrue(read(OK + "Content-Length: 2\r\n\r\nhi").decoderResult().isSuccess());
-            assertTrue(read("HTTP/1.1 204 No Content\r\n\r\n").decoderResult().isSuccess());
+            assertTrue(decode(OK_STATUS_LINE + "Content-Length: 2\r\n\r\nhi").decoderResult().isSuccess());
+            assertTrue(decode("HTTP/1.1 204 No Content\r\n\r\n").decoderResult().isSuccess());
         }
     }
 }
--- a/proxy/src/test/java/dockrelay/proxy/SequentialClient.java
+++ b/proxy/src/test/java/dockrelay/proxy/SequentialClient.java
@@ -10,25 +10,25 @@
     private final FutureTask<Integer> task;
 
     /** Starts at once on a thread of its own; counts what is served from one moment to the other. */
-    SequentialClient(ProxyProcess proxy, long countedFrom, long until) {
-        task = new FutureTask<>(() -> run(proxy, countedFrom, until));
+    SequentialClient(ProxyProcess proxy, long countFromNanos, long untilNanos) {
+        task = new FutureTask<>(() -> run(proxy, countFromNanos, untilNanos));
         new Thread(task).start();
     }
 
-    private static int run(ProxyProcess proxy, long countedFrom, long until)
+    private static int run(ProxyProcess proxy, long countFromNanos, long untilNanos)
         throws IOException, InterruptedException {
-        int served = 0;
+        int servedCount = 0;
         try (FakeClient client = proxy.connectClient()) {
-            while (System.nanoTime() < until) {
+            while (System.nanoTime() < untilNanos) {
                 int status = client.send(FakeClient.getRequest("4.0")).readStatus();
                 if (status == 0) {
                     throw new IOException("closed without an answer, log:\n" + proxy.readLog());
                 }
-                served += status == 200 && System.nanoTime() > countedFrom ? 1 : 0;
+                servedCount += status == 200 && System.nanoTime() > countFromNanos ? 1 : 0;
                 Thread.sleep(PAUSE_MILLIS);
             }
         }
-        return served;
+        return servedCount;
     }
 
     /** How many requests were served in that time, once it is over. */
