--- a/proxy/src/main/java/dockrelay/proxy/BackendConnectionPool.java
+++ b/proxy/src/main/java/dockrelay/proxy/BackendConnectionPool.java
@@ -47,28 +47,37 @@
 import java.util.regex.Pattern;
 
 /**
- * Connections to the backends: kept alive, one request each, at most so many in all. A request goes out once;
- * what became of it is told by one outcome. All on the event loop's thread.
+ * Pool of persistent connections to the backends, bounded in total, with one request at a time on each. A
+ * request is sent at most once, and its result is reported as exactly one outcome. All on the event loop's
+ * thread.
  */
 final class BackendConnectionPool {
-    /** A kept connection is dropped this share of its idle time before the backend may drop it. */
+    /** Idle connections are closed after this fraction of the time after which the backend may close them. */
     private static final double IDLE_TIMEOUT_FRACTION = 0.85;
     private static final long SWEEP_INTERVAL_MICROS = 500_000;
     /**
-     * A backend may answer twice, the second time some milliseconds later: a connection is used again once it
-     * has been quiet for so long after its answer, as nothing would tell such an answer from the next one's.
+     * How long a connection must stay silent after a response before it is used again. A backend may respond
+     * twice, the second time some milliseconds later, and that could not be told from the response to the
+     * next request.
      */
     static final long REUSE_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(3);
-    /** ...for so long where an answer that could not be read has come of late from any of them. */
+    /** The reuse delay while any backend has recently sent a response that could not be parsed. */
     private static final long REUSE_DELAY_AFTER_UNREADABLE_NANOS = TimeUnit.MILLISECONDS.toNanos(12);
-    /** ...and for so long where it came from this one, and nobody had asked for it. */
+    /** The reuse delay for a backend that has recently sent an unsolicited response. */
     private static final long REUSE_DELAY_AFTER_UNSOLICITED_NANOS = TimeUnit.MILLISECONDS.toNanos(40);
+    /** How long an unreadable or unsolicited response lengthens the reuse delay. */
     private static final long ANOMALY_WINDOW_NANOS = TimeUnit.SECONDS.toNanos(30);
-    /** A long answer is not longer than that. */
+    /** Bound on the body of a streamed response. */
     private static final long MAX_BODY_BYTES = 32 << 20;
-    /** An answer of unknown length is held for this part of its time at most, to see whether it is short. */
+    /**
+     * A response of unknown length is buffered for at most the attempt's timeout divided by this number, in
+     * case it turns out to be short; after that it is streamed.
+     */
     private static final long BUFFERING_TIME_DIVISOR = 8;
-    /** Peers take seconds to read or write, and no longer: what stands still keeps its place from others. */
+    /**
+     * A body without progress for this long is aborted: clients and backends may pause for seconds, no
+     * longer.
+     */
     private static final long STALL_TIMEOUT_SECONDS = 10;
     private static final Pattern LOAD_VALUE_PATTERN = Pattern.compile("(\\w+)=(\\d{1,12}(?:\\.\\d{1,12})?)");
 
@@ -80,22 +89,29 @@
     private int maxConnections;
     private final long maxIdleNanos, reuseDelayNanos;
     private LongObjectMap<RequestTable.ListedBackend> listedBackends = BackendRegistry.newIdMap(0);
-    private final LongObjectMap<BackendState> backendStates =
-        BackendRegistry.newIdMap(0); // those of them that were sent to
-    private final Set<BackendConnection> idleConnections =
-    new LinkedHashSet<>(); // the first one was used first
+    private final LongObjectMap<BackendState> backendStates = BackendRegistry.newIdMap(0); // created on use
+    private final Set<BackendConnection> idleConnections = new LinkedHashSet<>(); // longest idle first
     private int connectionCount;
     private boolean unreadableSeen;
-    private long lastUnreadableNanos; // when an answer last could not be read
+    private long lastUnreadableNanos; // when a response last could not be parsed
 
-    /** Told once how an exchange ended; the response comes with OK only and is the listener's to release. */
+    /**
+     * Is called once when an exchange ends. A buffered response is passed with the outcome OK only, and the
+     * listener releases it.
+     */
     interface ExchangeListener {
-        /** A good answer that is too long to be kept whole begins; with its body's end comes OK alone. */
+        /**
+         * A successful response that is too long to be buffered begins. When its body ends, the outcome OK
+         * follows without a response.
+         */
         default void onStreamStart(HttpResponse head, Body body) {
             body.discard();
         }
 
-        /** Asked right before its first byte goes out, which a late connection may have put off. */
+        /**
+         * Called right before the first byte is sent, which a slow connect may have delayed; false cancels
+         * it.
+         */
         default boolean maySend() {
             return true;
         }
@@ -103,29 +119,35 @@
         void onEnd(Outcome outcome, LoadReport report, FullHttpResponse response);
     }
 
+    /** The connection state of a backend that requests have been sent to. */
     private static final class BackendState {
         final long id;
         SocketAddress address;
         boolean acceptsRequests, unsolicitedSeen;
         long lastUnsolicitedNanos;
         int openConnections;
-        final Deque<BackendConnection> idleConnections = new ArrayDeque<>(); // the last one was used last
+        final Deque<BackendConnection> idleConnections = new ArrayDeque<>(); // most recently used last
 
         BackendState(long id) {
             this.id = id;
         }
     }
 
+    /**
+     * Creates an empty pool.
+     *
+     * @param connectionIdleMicros time after which backends may close an idle connection
+     */
     BackendConnectionPool(Bootstrap template, EventLoop eventLoop, int maxConnections,
-        long connectTimeoutMicros, long connectionIdleMicros,
-                Counters counters, BufferLimit bufferLimit) {
+                          long connectTimeoutMicros, long connectionIdleMicros, Counters counters,
+                          BufferLimit bufferLimit) {
         this(template, eventLoop, maxConnections, connectTimeoutMicros, connectionIdleMicros, counters,
             bufferLimit, REUSE_DELAY_NANOS);
     }
 
     BackendConnectionPool(Bootstrap template, EventLoop eventLoop, int maxConnections,
-        long connectTimeoutMicros, long connectionIdleMicros,
-                Counters counters, BufferLimit bufferLimit, long reuseDelayNanos) {
+                          long connectTimeoutMicros, long connectionIdleMicros, Counters counters,
+                          BufferLimit bufferLimit, long reuseDelayNanos) {
         this.reuseDelayNanos = reuseDelayNanos;
         this.bufferLimit = bufferLimit;
         this.eventLoop = eventLoop;
@@ -153,16 +175,16 @@
         return connectionCount;
     }
 
-    /** Keeps to so many connections, as there are no more descriptors. */
+    /** Limits the number of connections to the file descriptors that are left. */
     void limitConnections(int availableDescriptors) {
         maxConnections = Math.max(1, Math.min(configuredMaxConnections, availableDescriptors));
         int excess = connectionCount - maxConnections;
         while (excess-- > 0 && evictLongestIdle()) {
-            continue; // what is idle goes now, what is busy with its answer
+            continue; // idle connections are closed now, busy ones after their response
         }
     }
 
-    /** Where a backend listens now, and whether it may be sent anything new. */
+    /** Updates a backend's address and whether it accepts new requests. */
     void updateBackend(RequestTable.ListedBackend listed) {
         long id = listed.backend().id();
         if (listed.backend().phase() == Phase.GONE) {
@@ -176,7 +198,7 @@
         }
     }
 
-    /** Likewise of all there are: none but these may be sent anything. */
+    /** Replaces the list of backends: only these may be sent requests. */
     void replaceBackends(List<RequestTable.ListedBackend> listed) {
         listedBackends = BackendRegistry.newIdMap(listed.size());
         for (RequestTable.ListedBackend listedBackend : listed) {
@@ -201,7 +223,7 @@
         removeIfUnused(backend);
     }
 
-    /** What is listed is there to be sent to at any time; of what is not, only what is open still matters. */
+    /** Removes the state of a backend that is no longer listed once its last connection has closed. */
     private void removeIfUnused(BackendState backend) {
         if (backend.openConnections == 0 && !listedBackends.containsKey(backend.id)
             && backendStates.get(backend.id) == backend) {
@@ -209,7 +231,7 @@
         }
     }
 
-    /** One that is sent to; null where no list has it. */
+    /** The state of a backend that a request is sent to, created on first use; null if it is not listed. */
     private BackendState stateOf(long backendId) {
         BackendState state = backendStates.get(backendId);
         RequestTable.ListedBackend listed = state == null ? listedBackends.get(backendId) : null;
@@ -221,12 +243,12 @@
         return state;
     }
 
-    /** Backends that it knows more of than where they are. */
+    /** The number of backends with connection state, as opposed to those that are only listed. */
     int backendStateCount() {
         return backendStates.size();
     }
 
-    /** Closes the connections to a backend that carry nothing now. */
+    /** Closes the idle connections to a backend. */
     void closeIdleConnections(long backendId) {
         BackendState backend = backendStates.get(backendId);
         if (backend != null) {
@@ -248,14 +270,17 @@
         connection.channel.close();
     }
 
-    /** Sends a request that is there whole, at once or never; the timeout is in microseconds. */
+    /** Sends a completely buffered request at once or not at all; the timeout is in microseconds. */
     Exchange send(long backendId, FullHttpRequest request, long timeoutMicros, ExchangeListener listener) {
         return send(backendId, request, null, timeoutMicros, listener);
     }
 
-    /** Sends a request whose body, if there is one, goes on as it comes: the timeout starts with its end. */
+    /**
+     * Sends a request. If it has a body, this is streamed as it arrives, and the timeout (in microseconds)
+     * starts at its end.
+     */
     Exchange send(long backendId, HttpRequest request, Body body, long timeoutMicros,
-        ExchangeListener listener) {
+                  ExchangeListener listener) {
         BackendState backend = stateOf(backendId);
         Exchange exchange = new Exchange(backend, request, body, timeoutMicros, listener);
         if (backend == null || backend.address == null || timeoutMicros <= 0) {
@@ -272,25 +297,27 @@
         } else if (connectionCount < maxConnections || evictLongestIdle()) {
             connect(exchange);
         } else {
-            Log.write("pool", "all " + maxConnections + " connections are busy");
-            exchange.end(Outcome.NOT_SENT, null); // our own lack, not the backend's
+            Log.write("pool", "request not sent: all " + maxConnections + " connections are in use");
+            exchange.end(Outcome.NOT_SENT, null); // a limit of this proxy, not a fault of the backend
         }
         return exchange;
     }
 
+    /** Removes and returns the most recently used connection that may be reused; null if there is none. */
     private BackendConnection takeIdle(BackendState backend) {
         Iterator<BackendConnection> candidates = backend.idleConnections.descendingIterator();
         long now = System.nanoTime();
         long requiredDelay = backend.unsolicitedSeen
-            && now - backend.lastUnsolicitedNanos < ANOMALY_WINDOW_NANOS ? REUSE_DELAY_AFTER_UNSOLICITED_NANOS
+            && now - backend.lastUnsolicitedNanos < ANOMALY_WINDOW_NANOS
+            ? REUSE_DELAY_AFTER_UNSOLICITED_NANOS
             : unreadableSeen && now - lastUnreadableNanos < ANOMALY_WINDOW_NANOS
-            ? Math.max(reuseDelayNanos, REUSE_DELAY_AFTER_UNREADABLE_NANOS)
-            : reuseDelayNanos;
+                ? Math.max(reuseDelayNanos, REUSE_DELAY_AFTER_UNREADABLE_NANOS)
+                : reuseDelayNanos;
         while (candidates.hasNext()) {
             BackendConnection candidate = candidates.next();
             if (candidate.readInProgress
                 || now - candidate.idleSinceNanos < Math.min(requiredDelay, maxIdleNanos / 2)) {
-                continue; // what else comes on it may belong to the answer it just gave
+                continue; // further bytes may still belong to its last response
             }
             candidates.remove();
             idleConnections.remove(candidate);
@@ -302,7 +329,9 @@
         return null;
     }
 
-    /** Makes room for a new connection by closing the one that was idle longest. */
+    /**
+     * Makes room for a new connection by closing the one that has been idle longest; false if none is idle.
+     */
     private boolean evictLongestIdle() {
         Iterator<BackendConnection> iterator = idleConnections.iterator();
         boolean found = iterator.hasNext();
@@ -322,7 +351,7 @@
         connectFuture.addListener(done -> {
             if (!done.isSuccess()) {
                 connectionClosed(exchange.backend);
-                // No socket to be had is our own lack: the backend is not to blame.
+                // A failure to create a socket is this proxy's fault, not the backend's.
                 exchange.end(done.cause() instanceof ChannelException ? Outcome.NOT_SENT
                     : Outcome.CONNECT_FAILURE, null);
                 return;
@@ -332,7 +361,7 @@
             if (exchange.ended) {
                 channel.close();
             } else if (!exchange.backend.acceptsRequests) {
-                channel.close(); // guards against a first send after a drain's grace
+                channel.close(); // guards against sending after the grace period of a drain
                 exchange.end(Outcome.CONNECT_FAILURE, null);
             } else {
                 BackendConnection connection = channel.pipeline().get(BackendConnection.class);
@@ -349,7 +378,7 @@
         removeIfUnused(backend);
     }
 
-    /** Drops what has stood idle so long that the backend may be about to close it. */
+    /** Closes connections that have been idle for so long that the backend may be about to close them. */
     private void closeExpiredConnections() {
         long now = System.nanoTime();
         while (!idleConnections.isEmpty()
@@ -358,7 +387,7 @@
         }
     }
 
-    /** A request on its way, up to its one outcome. */
+    /** One attempt to send a request to a backend, up to its outcome. */
     final class Exchange implements Body.Sink {
         private final BackendState backend;
         private final HttpRequest request;
@@ -374,7 +403,7 @@
         private long sendStartNanos;
 
         private Exchange(BackendState backend, HttpRequest request, Body body, long timeoutMicros,
-            ExchangeListener listener) {
+                         ExchangeListener listener) {
             this.backend = backend;
             this.request = request;
             this.body = body;
@@ -403,7 +432,7 @@
             sendStarted = true;
             sendStartNanos = System.nanoTime();
             if (body == null) {
-                // A connection may come up late: what it is told is what is left now.
+                // The connect may have taken long: the backend is given the time that is left now.
                 Headers.setTimeout(request,
                     timeoutMicros - TimeUnit.NANOSECONDS.toMicros(sendStartNanos - createdAtNanos));
                 channel.writeAndFlush(ReferenceCountUtil.retain(request)).addListener(this::writeFinished);
@@ -431,7 +460,7 @@
         public void onContent(HttpContent content) {
             boolean isLast = content instanceof LastHttpContent;
             if (isLast && responseBody == null) {
-                startTimer(); // from here on it is the backend's time
+                startTimer(); // the backend's time starts with the end of the request
             }
             ChannelFuture writeFuture = channel.writeAndFlush(content);
             if (isLast) {
@@ -440,7 +469,7 @@
             }
             writeFuture.addListener(done -> {
                 if (!done.isSuccess()) {
-                    writeFinished(done); // a reset, which must not pass for the end of an answer without a length
+                    writeFinished(done); // a reset must not pass for the end of a response without a length
                 }
             });
             if (!channel.isWritable()) {
@@ -450,16 +479,17 @@
 
         @Override
         public void onAborted() {
-            end(Outcome.CANCELLED, null); // the backend must not take it for whole
+            end(Outcome.CANCELLED, null); // the backend must not take the request for complete
         }
 
-        /** A body that moves at all may take its time; one that stands still is broken off. */
+        /** Aborts the exchange if the body makes no progress; a slow body may take as long as it needs. */
         private void watchProgress(Body transfer) {
             lastProgress = transfer.sentContentCount();
             stopTimer();
             timer = eventLoop.schedule(() -> {
                 if (transfer.sentContentCount() == lastProgress) {
-                    Log.write("pool", "a body stood still for " + STALL_TIMEOUT_SECONDS + " s");
+                    Log.write("pool",
+                        "body transfer aborted: no progress for " + STALL_TIMEOUT_SECONDS + " s");
                     timeOut();
                 } else {
                     watchProgress(transfer);
@@ -467,14 +497,17 @@
             }, STALL_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         }
 
-        /** Whether its answer is a long one: said to be, or seen to be. */
+        /**
+         * Whether the response is longer than the buffering limit, by its declared length or by its bytes so
+         * far.
+         */
         boolean isLongResponse() {
             BackendConnection connection = channel == null ? null
                 : channel.pipeline().get(BackendConnection.class);
-            return connection != null && connection.currentExchange == this && (connection.streamedBytes
-                > BufferLimit.MAX_BUFFERED_MESSAGE_BYTES
-                || HttpUtil.getContentLength(connection.responseHead,
-                0L) > BufferLimit.MAX_BUFFERED_MESSAGE_BYTES);
+            return connection != null && connection.currentExchange == this
+                && (connection.streamedBytes > BufferLimit.MAX_BUFFERED_MESSAGE_BYTES
+                    || HttpUtil.getContentLength(connection.responseHead, 0L)
+                        > BufferLimit.MAX_BUFFERED_MESSAGE_BYTES);
         }
 
         private void startStreaming(HttpResponse head, Body streamedBody) {
@@ -484,17 +517,17 @@
             listener.onStreamStart(head, streamedBody);
         }
 
-        /** Its time is over, whatever has come of an answer. */
+        /** Ends the exchange because its time is over, even if a part of the response has arrived. */
         void timeOut() {
             end(requestWritten ? Outcome.TIMEOUT : Outcome.CONNECT_FAILURE, null);
         }
 
-        /** How long ago its first byte went out, in microseconds. */
+        /** The time since the first byte was sent, in microseconds. */
         long microsSinceSendStart() {
             return TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - sendStartNanos);
         }
 
-        /** Whether the backend may have run it, or may yet. */
+        /** Whether the backend may have executed the request or may still do so. */
         boolean mayHaveExecuted() {
             return sendStarted && !notExecuted;
         }
@@ -503,24 +536,26 @@
             return ended;
         }
 
-        /** Calls it off unless a byte of it has gone out. */
+        /** Cancels the exchange unless a byte of the request has been sent. */
         void cancelIfUnsent() {
             if (!sendStarted && !ended) {
                 cancel();
             }
         }
 
-        /** Stops waiting and closes the connection, which calls the request off. */
+        /**
+         * Stops waiting for the response and closes the connection, which cancels the request at the backend.
+         */
         void cancel() {
             end(Outcome.CANCELLED, null);
         }
 
-        /** Ends it; the connection goes too unless a whole answer came. */
+        /** Ends the exchange, and closes its connection unless a complete response has arrived. */
         private void end(Outcome outcome, FullHttpResponse response) {
             if (ended) {
                 return;
             }
-            ended = true; // before the close: what it ends calls back
+            ended = true; // before closing, which calls back into this exchange
             if (response == null && channel != null) {
                 channel.close();
             }
@@ -540,7 +575,7 @@
                 body.detach(this);
             }
             if (responseBody != null) {
-                responseBody.abort(); // nothing where it is whole
+                responseBody.abort(); // has no effect on a complete body
             }
             listener.onEnd(outcome, report, outcome == Outcome.OK ? response : null);
             if (outcome != Outcome.OK && response != null) {
@@ -549,8 +584,9 @@
         }
     }
 
-    /** One connection to a backend. */
-    private final class BackendConnection extends SimpleChannelInboundHandler<HttpObject> implements Body.Source {
+    /** A connection to a backend, with at most one exchange at a time. */
+    private final class BackendConnection extends SimpleChannelInboundHandler<HttpObject>
+        implements Body.Source {
         private Channel channel;
         private BackendState backend;
         private SocketAddress address;
@@ -580,11 +616,11 @@
                     backend.lastUnsolicitedNanos = System.nanoTime();
                 }
                 if (channel.isOpen()) {
-                    reportUnreadable(exchange == null ? "an answer to nothing"
+                    reportUnreadable(exchange == null ? "unsolicited response"
                         : httpObject.decoderResult().toString());
                 }
                 ReferenceCountUtil.release(httpObject);
-                abort(context); // nobody asked, or not HTTP: what was asked ends as a reset
+                abort(context); // unsolicited or not HTTP: a pending exchange ends as a reset
                 return;
             }
             if (httpObject instanceof HttpResponse newHead) {
@@ -602,7 +638,7 @@
                 && HttpUtil.getContentLength(newHead, 0L) > bufferLimit.maxBufferedMessageBytes()) {
                 startStreaming();
             } else if (successful && !HttpUtil.isContentLengthSet(newHead)) {
-                // Nobody knows how much is to come: its first bytes must not wait for the rest too long.
+                // The length is unknown: the first bytes must not be held back for too long.
                 Exchange exchange = currentExchange;
                 eventLoop.schedule(() -> {
                     if (currentExchange == exchange && responseHead == newHead && streamedBody == null) {
@@ -619,7 +655,7 @@
             return flowControl;
         }
 
-        /** From here on the answer is passed on as it comes. */
+        /** Switches to streaming: from here on the response is forwarded as it arrives. */
         private void startStreaming() {
             streamedBody = new Body(this, BufferLimit.MAX_BUFFERED_MESSAGE_BYTES);
             streamedBytes = bufferedBody == null ? 0 : bufferedBody.readableBytes();
@@ -636,7 +672,7 @@
                 content.release();
             } else if (responseHead.status().codeClass() == HttpStatusClass.INFORMATIONAL) {
                 content.release();
-                responseHead = isLast ? null : responseHead; // the final answer is yet to come
+                responseHead = isLast ? null : responseHead; // the final response is still to come
             } else if (streamedBody != null) {
                 Body body = streamedBody;
                 streamedBytes += content.content().readableBytes();
@@ -644,7 +680,7 @@
                     finish(context, body, content);
                 } else if (streamedBytes > MAX_BODY_BYTES) {
                     content.release();
-                    reportUnreadable("an answer without end");
+                    reportUnreadable("response body exceeds the size limit");
                     abort(context);
                 } else {
                     body.add(content);
@@ -659,26 +695,25 @@
                 } else if (tooLong && responseHead.status().code() == 200) {
                     startStreaming();
                 } else if (tooLong) {
-                    reportUnreadable("a long answer of " + responseHead.status());
+                    reportUnreadable("body too long for a response with status " + responseHead.status());
                     currentExchange.requestWritten = true;
                     abort(context);
                 }
             }
         }
 
-        /** The answer is there whole. */
+        /** Completes the exchange with a buffered response. */
         private void finish(ChannelHandlerContext context) {
             Exchange exchange = currentExchange;
-            FullHttpResponse response =
-                new DefaultFullHttpResponse(responseHead.protocolVersion(), responseHead.status(),
-                bufferedBody == null ? Unpooled.EMPTY_BUFFER : bufferedBody, responseHead.headers(),
-                EmptyHttpHeaders.INSTANCE);
+            FullHttpResponse response = new DefaultFullHttpResponse(responseHead.protocolVersion(),
+                responseHead.status(), bufferedBody == null ? Unpooled.EMPTY_BUFFER : bufferedBody,
+                responseHead.headers(), EmptyHttpHeaders.INSTANCE);
             bufferedBody = null;
             releaseConnection(context);
             exchange.end(toOutcome(response), response);
         }
 
-        /** The answer has been passed on whole with this part. */
+        /** Completes the exchange with the last content of a streamed response. */
         private void finish(ChannelHandlerContext context, Body body, HttpContent last) {
             Exchange exchange = currentExchange;
             LoadReport report = parseLoadReport(responseHead.headers().get(Headers.SERVER_LOAD));
@@ -689,10 +724,12 @@
             }
         }
 
+        /**
+         * Returns the connection to the pool after a complete response, or closes it if it cannot be reused.
+         */
         private void releaseConnection(ChannelHandlerContext context) {
             boolean reusable = HttpUtil.isKeepAlive(responseHead) && currentExchange.requestWritten
-                && backend.acceptsRequests
-                && address.equals(backend.address);
+                && backend.acceptsRequests && address.equals(backend.address);
             currentExchange = null;
             responseHead = null;
             streamedBody = null;
@@ -730,7 +767,10 @@
             context.fireChannelWritabilityChanged();
         }
 
-        /** Bytes on a connection that waits for no answer are the rest of an earlier one, or nobody's. */
+        /**
+         * Closes an idle connection that receives bytes, which are unsolicited or belong to an earlier
+         * response.
+         */
         @Override
         public void channelReadComplete(ChannelHandlerContext context) {
             if (currentExchange == null && !readInProgress) {
@@ -740,6 +780,7 @@
             context.fireChannelReadComplete();
         }
 
+        /** Counts and logs a response that could not be parsed, and lengthens the reuse delay. */
         private void reportUnreadable(String reason) {
             counters.increment(Count.UNREADABLE);
             unreadableSeen = true;
@@ -752,7 +793,7 @@
             abort(context);
         }
 
-        /** Ends what was asked at once: what else was read by now must not pass for its answer. */
+        /** Ends a pending exchange at once, so that bytes read later cannot pass for its response. */
         private void abort(ChannelHandlerContext context) {
             Exchange exchange = currentExchange;
             currentExchange = null;
@@ -773,7 +814,7 @@
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
             if (cause instanceof CodecException) {
-                reportUnreadable(cause.toString()); // too large, or cut short
+                reportUnreadable(cause.toString()); // head too long, or response truncated
             } else if (!(cause instanceof IOException)) {
                 Log.error("backend", cause);
             }
@@ -781,7 +822,9 @@
         }
     }
 
-    /** Only a marked refusal proves that the backend did not run the request. */
+    /**
+     * Classifies a response. Only a marked 503 or 504 proves that the backend did not execute the request.
+     */
     private static Outcome toOutcome(FullHttpResponse response) {
         int status = response.status().code();
         if (status == 200) {
@@ -791,7 +834,9 @@
         return (status == 503 || status == 504) && notProcessed ? Outcome.REJECTED : Outcome.ERROR;
     }
 
-    /** A report such as {@code TEXT inflight=7, queue=2}; null where there is none. */
+    /**
+     * Parses a load report such as {@code TEXT inflight=7, queue=2}; null for null. Missing values are NaN.
+     */
     static LoadReport parseLoadReport(String text) {
         if (text == null) {
             return null;
@@ -802,12 +847,12 @@
             values.put(matcher.group(1), Double.parseDouble(matcher.group(2)));
         }
         return new LoadReport(loadValue(values, "inflight", "outstanding"),
-            loadValue(values, "queue", "backlog"),
-            loadValue(values, "util", "utilization"), loadValue(values, "latency_ms", "recent_ms"),
-            loadValue(values, "qps", "throughput"), loadValue(values, "eps", "errors_per_s"));
+            loadValue(values, "queue", "backlog"), loadValue(values, "util", "utilization"),
+            loadValue(values, "latency_ms", "recent_ms"), loadValue(values, "qps", "throughput"),
+            loadValue(values, "eps", "errors_per_s"));
     }
 
-    /** A figure goes by either of two names, the bench's own or the wire's. */
+    /** A value that is sent under either of two names, the protocol's or the simulator's. */
     private static double loadValue(Map<String, Double> values, String name, String alias) {
         return values.getOrDefault(name, values.getOrDefault(alias, Double.NaN));
     }
--- a/proxy/src/main/java/dockrelay/proxy/Body.java
+++ b/proxy/src/main/java/dockrelay/proxy/Body.java
@@ -10,26 +10,27 @@
 import java.util.Deque;
 
 /**
- * A body that is passed on as it comes, between the connection it comes from and the one it goes to. Its
- * first bytes are kept until more than these went out: so far another sink can have it all. Nothing else is
- * kept: a sink that cannot take more stops the source. All on the event loop's thread.
+ * A message body that is streamed from a source connection to a sink connection. Its first bytes are kept
+ * until further bytes are sent, so that up to then the whole body can be replayed to another sink. Nothing
+ * else is kept: a sink that cannot accept more pauses the source (backpressure). All on the event loop's
+ * thread.
  */
 final class Body {
-    /** The connection it comes from. */
+    /** The connection that the body is read from. */
     interface Source {
-        /** Whether more is wanted now. */
+        /** Resumes or pauses reading. */
         void setReadEnabled(boolean enabled);
 
-        /** Nobody wants the rest any more. */
+        /** The rest of the body is no longer needed. */
         void onDiscarded();
     }
 
-    /** The connection it goes to. */
+    /** The connection that the body is written to. */
     interface Sink {
-        /** The next part, the sink's to release; the last one is a {@link LastHttpContent}. */
+        /** Receives the next content, which the sink releases; the last one is a {@link LastHttpContent}. */
         void onContent(HttpContent content);
 
-        /** There will be no more, though the body is not whole. */
+        /** The body was aborted before its end. */
         void onAborted();
     }
 
@@ -41,17 +42,22 @@
     private boolean complete, aborted, startReleased;
     private Sink sink;
 
-    /** Keeps so many bytes, and one part more, until there is a sink. */
+    /**
+     * A body that keeps up to this many bytes, plus one content that may exceed them, until it has a sink.
+     */
     Body(Source source, int maxKeptBytes) {
         this.source = source;
         this.maxKeptBytes = maxKeptBytes;
     }
 
-    /** Adds a part to what there is of a message, which may be nothing yet; copied, as parts may be tiny. */
+    /**
+     * Appends a content to the buffer of a message, which may be null at first, and releases it. The bytes
+     * are copied, since contents may be tiny compared with the buffers that hold them.
+     */
     static ByteBuf append(ByteBuf buffer, HttpContent content, ByteBufAllocator allocator) {
         ByteBuf added = content.content();
-        ByteBuf result = buffer == null && added.isReadable() ? allocator.buffer(added.readableBytes())
-            : buffer;
+        ByteBuf result = buffer == null && added.isReadable()
+            ? allocator.buffer(added.readableBytes()) : buffer;
         if (added.isReadable()) {
             result.writeBytes(added);
         }
@@ -59,7 +65,7 @@
         return result;
     }
 
-    /** The next part as it comes from the source; this body's to release. */
+    /** Accepts the next content from the source; this body takes over the reference. */
     void add(HttpContent content) {
         if (complete || aborted) {
             content.release();
@@ -69,7 +75,8 @@
         if (content instanceof LastHttpContent last) {
             complete = true;
             if (!last.trailingHeaders().isEmpty()) {
-                forwarded = new DefaultLastHttpContent(last.content()); // trailers hold for one connection only
+                // Trailers apply to one connection only.
+                forwarded = new DefaultLastHttpContent(last.content());
             }
         }
         if (sink == null && !startReleased) {
@@ -94,7 +101,7 @@
         }
     }
 
-    /** Breaks it off from the source's side. */
+    /** Aborts the body from the source's side; without effect if it is complete. */
     void abort() {
         if (!complete && !aborted) {
             aborted = true;
@@ -105,25 +112,25 @@
         }
     }
 
-    /** Sends it to this sink, from its start; only if it is all there still. */
+    /** Sends the body to this sink from its start; the body must be replayable. */
     void attach(Sink newSink) {
         sink = newSink;
         for (HttpContent content : keptContents.toArray(new HttpContent[0])) {
-            if (sink == newSink) { // a sink may end at any part
+            if (sink == newSink) { // a sink may detach after any content
                 send(content.retainedDuplicate());
             }
         }
         setSinkWritable(true);
     }
 
-    /** This sink takes no more of it; another one may have it while it is all there. */
+    /** Detaches this sink; while the body is replayable, another one may be attached. */
     void detach(Sink oldSink) {
         if (sink == oldSink) {
             sink = null;
         }
     }
 
-    /** Nobody takes it any more. */
+    /** Discards the body and tells the source that the rest is not needed. */
     void discard() {
         releaseKept();
         startReleased = true;
@@ -131,24 +138,24 @@
         source.onDiscarded();
     }
 
-    /** Whether the sink has room for more now. */
+    /** Tells the source whether the sink can accept more. */
     void setSinkWritable(boolean writable) {
         if (!complete && !aborted) {
             source.setReadEnabled(writable);
         }
     }
 
-    /** Whether it has come to its end. */
+    /** Whether the last content has arrived. */
     boolean isComplete() {
         return complete;
     }
 
-    /** Whether all of it can still be sent: nothing went out but what is kept. */
+    /** Whether the body can still be sent from its start: nothing was sent except the bytes that are kept. */
     boolean isReplayable() {
         return !startReleased && !aborted;
     }
 
-    /** How many parts went on so far: it moves while this does. */
+    /** The number of contents sent so far, which shows whether the transfer makes progress. */
     long sentContentCount() {
         return sentCount;
     }
@@ -159,7 +166,7 @@
         keptBytes = 0;
     }
 
-    /** Gives back what is kept. */
+    /** Releases the kept bytes; the body is no longer replayable. */
     void release() {
         releaseKept();
         startReleased = true;
--- a/proxy/src/main/java/dockrelay/proxy/BufferLimit.java
+++ b/proxy/src/main/java/dockrelay/proxy/BufferLimit.java
@@ -8,21 +8,23 @@
 import java.util.function.LongSupplier;
 
 /**
- * The one bound on all bytes that are on their way through this process, whoever sends or reads them slowly.
- * Up to it messages of some length are kept whole; beyond it all but short ones are passed on as they come,
- * and nothing more is read of those until there is room again. All on the event loop's thread.
+ * Limits the memory of all messages in transit through this process, whichever client or backend is slow.
+ * Below the limit, messages up to a moderate length are buffered completely. Above it, all but short messages
+ * are streamed, and reading of streamed bodies pauses until there is room again. All on the event loop's
+ * thread.
  */
 final class BufferLimit {
-    /** Of the memory limit: most of it is the runtime's. */
+    /** Buffers may use the memory limit divided by this number; the Java runtime needs most of the rest. */
     private static final int MEMORY_DIVISOR = 8;
     private static final long BYTES_PER_MEGABYTE = 1 << 20;
-    /** Below the runtime's own limit on such memory (32 MB): past that, buffers fail. */
+    /** Stays below the runtime's limit on direct memory (32 MB), beyond which allocating a buffer fails. */
     private static final long MAX_BUFFER_MEGABYTES = 24;
     private static final int MAX_READ_BYTES = 16 * 1024;
     static final int MAX_BUFFERED_MESSAGE_BYTES = 64 * 1024;
+    /** How often a paused read checks whether memory is available again. */
     private static final long MEMORY_RECHECK_MILLIS = 50;
     private static final int MAX_BUFFERED_MESSAGE_BYTES_WHEN_FULL = 8 * 1024;
-    /** What a connection holds of a body on its way out: from the second figure on its source is stopped. */
+    /** Low and high water mark of a connection's output: above the high one, the body's source is paused. */
     static final WriteBufferWaterMark WATER_MARKS = new WriteBufferWaterMark(16 * 1024, 32 * 1024);
 
     private final LongSupplier usedBytes;
@@ -30,26 +32,32 @@
 
     BufferLimit(LongSupplier usedBytes, int memoryMegabytes) {
         this.usedBytes = usedBytes;
-        this.limitBytes = Math.min(MAX_BUFFER_MEGABYTES,
-            Math.max(1, memoryMegabytes / MEMORY_DIVISOR)) * BYTES_PER_MEGABYTE;
+        this.limitBytes =
+            Math.min(MAX_BUFFER_MEGABYTES, Math.max(1, memoryMegabytes / MEMORY_DIVISOR))
+                * BYTES_PER_MEGABYTE;
     }
 
-    /** Those of an allocator, which are its chunks: what it holds rather than what is filled. */
+    /** A limit on the direct memory that an allocator has reserved in chunks, whether or not it is filled. */
     static BufferLimit forAllocator(PooledByteBufAllocator allocator, int memoryMegabytes) {
         return new BufferLimit(() -> allocator.metric().usedDirectMemory(), memoryMegabytes);
     }
 
-    /** A short read at a time: what is read of a body before its source is stopped comes on top. */
+    /**
+     * An allocator for short reads: bytes that are read before a source is paused come on top of the limit.
+     */
     static AdaptiveRecvByteBufAllocator receiveAllocator() {
         return new AdaptiveRecvByteBufAllocator(64, 2048, MAX_READ_BYTES);
     }
 
-    /** Whether there is room for more of what may wait. */
+    /** Whether the memory in use is below the limit. */
     boolean hasRoom() {
         return usedBytes.getAsLong() < limitBytes;
     }
 
-    /** The reading of one connection's body: it stops where nobody takes more, or where there is no room. */
+    /**
+     * Flow control for reading one connection's body: pauses reading while the sink cannot accept more or
+     * memory is short.
+     */
     final class FlowControl {
         private final Channel channel;
         private boolean demand;
@@ -58,7 +66,7 @@
             this.channel = channel;
         }
 
-        /** Whether more is wanted. */
+        /** Resumes or pauses reading as the sink asks; while memory is short, resuming is retried. */
         void setReadEnabled(boolean enabled) {
             demand = enabled;
             boolean readNow = enabled && hasRoom();
@@ -72,20 +80,20 @@
             }
         }
 
-        /** Something came: what comes next may have to wait for room. */
+        /** Called after each read: pauses reading if memory has become short. */
         void afterRead() {
             if (demand && !hasRoom()) {
                 setReadEnabled(true);
             }
         }
 
-        /** The body is over: the connection reads on as it will. */
+        /** The body has ended: flow control no longer affects the connection. */
         void stop() {
             demand = false;
         }
     }
 
-    /** The longest message that is kept whole now. */
+    /** The longest message, in bytes, that is buffered completely at the moment. */
     int maxBufferedMessageBytes() {
         return hasRoom() ? MAX_BUFFERED_MESSAGE_BYTES : MAX_BUFFERED_MESSAGE_BYTES_WHEN_FULL;
     }
--- a/proxy/src/main/java/dockrelay/proxy/ClientFrontend.java
+++ b/proxy/src/main/java/dockrelay/proxy/ClientFrontend.java
@@ -54,42 +54,58 @@
 import java.util.function.BooleanSupplier;
 import java.util.regex.Pattern;
 
-/** The listener and the clients' connections. What is no proper request is answered here, at once. */
+/**
+ * Accepts client connections and reads their HTTP/1.1 requests. Complete requests go to the
+ * {@link RequestTable}; malformed ones are answered here at once with an error status. All methods run on the
+ * event loop's thread.
+ */
 final class ClientFrontend {
-    /** After an answer that ends a connection: closing with bytes unread would take the answer with it. */
+    /**
+     * How long a connection is still read after its last response was sent. Closing a socket with unread
+     * bytes resets it, and the client may then lose the response.
+     */
     private static final long LINGER_MILLIS = 500;
-    /** From this share of the connections on, the one longest at rest is closed, else answers end theirs. */
+    /**
+     * Above this share of the connection limit, each response closes the connection that has been idle
+     * longest or, if none has been idle long enough, its own connection.
+     */
     private static final double NEAR_LIMIT_RATIO = 0.75;
-    /** A connection with no request open may be closed after 2 s. */
+    /** A connection without an open request may be closed after 2 s of idling; this leaves a margin. */
     private static final long MIN_IDLE_NANOS =
         TimeUnit.MILLISECONDS.toNanos(RequestTimeout.HEAD_TIMEOUT_MILLIS);
+    /** How long an idle connection whose output was shut down waits for the client to close its side. */
+    private static final long IDLE_LINGER_MILLIS = 100;
     /**
-     * A connection at rest that is told to end, and whose peer says nothing to that, is closed after
-     * this.
+     * The linger time if the last response was sent before its request had arrived completely: the rest of
+     * the upload that is already under way is read and discarded first.
      */
-    private static final long IDLE_LINGER_MILLIS = 100;
-    /** ...and after one that came before its request was whole: what is on its way is read first. */
     private static final long UPLOAD_LINGER_MILLIS = 2_500;
     private static final long MAX_BODY_BYTES = 32 << 20;
     /**
-     * Short of places, one that was silent this long within a request, or before its first, makes room. A
-     * slow client, with 2 s for a head, is heard of in between; one that holds a place for nothing is not.
+     * At the connection limit, a connection that has sent nothing for this long, in the middle of a request
+     * or before its first one, is closed to make room. A slow client, which may take 2 s for a request head,
+     * sends some bytes within this time; a connection that only occupies a slot does not.
      */
     private static final long MIN_SILENCE_NANOS = TimeUnit.MILLISECONDS.toNanos(1_000);
-    /** Short of places, this part of them is freed at once: each takes a moment to end in good order. */
+    /**
+     * At the connection limit, up to one in this many connections is closed at once, since each graceful
+     * close takes a moment.
+     */
     private static final int EVICTION_DIVISOR = 16;
-    /** What comes behind a request may wait up to this; the decoder takes 128 requests at most. */
+    /**
+     * Bound on pipelined data held while a request is in flight; the decoder accepts at most 128 requests.
+     */
     private static final int MAX_PIPELINED_BYTES = 32 * 1024;
-    /** What one more part of a pipelined request takes beside its bytes. */
+    /** Estimated memory of a queued pipelined object in addition to its content bytes. */
     private static final int PIPELINED_OBJECT_OVERHEAD_BYTES = 256;
-    /** Looks at a connection that has something to read; one more than most requests need. */
+    /** Reads per readiness event of a connection: one more than most requests need. */
     private static final int MAX_READS_PER_EVENT = 4;
     private static final int MAX_REQUEST_ID_LENGTH = 128;
     private static final Pattern SECONDS_PATTERN = Pattern.compile("\\d{1,4}(\\.\\d{0,9})?|\\.\\d{1,9}");
     private static final Pattern MICROS_PATTERN = Pattern.compile("\\d{1,12}(\\.\\d{0,9})?");
     private static final double MICROS_PER_SECOND = 1_000_000;
     private static final String ABSOLUTE_FORM_PREFIX = "http://";
-    /** Stands for the pipelined request that comes next. */
+    /** Placeholder request id while the next pipelined request is scheduled to be read. */
     private static final String NEXT_REQUEST = "";
 
     private final RequestTable requestTable;
@@ -100,17 +116,20 @@
     private final BooleanSupplier readiness;
     private final Map<String, ServiceClass> serviceClasses = new HashMap<>();
     private final Set<ClientConnection> connections = new HashSet<>();
-    private final Set<ClientConnection> idleConnections =
-        new LinkedHashSet<>(); // the one that was idle longest is first
+    private final Set<ClientConnection> idleConnections = new LinkedHashSet<>(); // longest idle first
     private Channel listener;
     private boolean draining, evictionScheduled;
     private long drainDeadlineNanos;
-    private int acceptPauses; // in accepting, for want of room
+    private int acceptPauses; // times accepting was paused at the connection limit
     private Runnable allClosedAction;
 
+    /**
+     * Creates the front end without listening yet.
+     *
+     * @param readiness whether the proxy is ready, as reported to health checks
+     */
     ClientFrontend(RequestTable requestTable, Iterable<ServiceClass> serviceClasses, int maxConnections,
-        BooleanSupplier readiness,
-               Counters counters, BufferLimit bufferLimit) {
+                   BooleanSupplier readiness, Counters counters, BufferLimit bufferLimit) {
         this.bufferLimit = bufferLimit;
         this.requestTable = requestTable;
         this.counters = counters;
@@ -123,13 +142,18 @@
         }
     }
 
-    /** Listens at an address; with none, the bootstrap's channel is a listening socket as it comes. */
+    /**
+     * Starts accepting connections.
+     *
+     * @param address the address to bind, or null if the bootstrap's channel already is a listening socket
+     */
     ChannelFuture listen(ServerBootstrap bootstrap, SocketAddress address) {
         bootstrap.childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, BufferLimit.WATER_MARKS)
-            // Read on until nothing is there: an end behind a request is seen before that is sent on.
+            // Read until the socket is drained, so that a connection closed right after its request is
+            // noticed before the request is forwarded.
             .childOption(ChannelOption.RECVBUF_ALLOCATOR,
                 BufferLimit.receiveAllocator().respectMaybeMoreData(false)
-                .maxMessagesPerRead(MAX_READS_PER_EVENT))
+                    .maxMessagesPerRead(MAX_READS_PER_EVENT))
             .childHandler(new ChannelInitializer<Channel>() {
                 @Override
                 protected void initChannel(Channel channel) {
@@ -147,27 +171,30 @@
         return connections.size();
     }
 
-    /** Keeps to so many connections, as there are no more descriptors. */
+    /** Limits the number of client connections to the file descriptors that are left. */
     void limitConnections(int availableDescriptors) {
         maxConnections = Math.max(1, Math.min(configuredMaxConnections, availableDescriptors));
         enforceConnectionLimit();
     }
 
-    /** From now on each answer ends its connection; none is of use after this time of the nano clock. */
+    /**
+     * From now on every response closes its connection, and the time budgets of new requests are cut to end
+     * by the given {@link System#nanoTime} value.
+     */
     void startDraining(long deadlineNanos) {
         draining = true;
         drainDeadlineNanos = deadlineNanos;
     }
 
     /**
-     * Leaves the listening socket to another process. It stays open: closing an inherited one makes the
-     * runtime point the log at nothing.
+     * Stops accepting and leaves the listening socket to another process. The socket is not closed: when an
+     * inherited socket is closed, the Java runtime redirects the log output to nowhere.
      */
     void releaseListener() {
         listener.deregister();
     }
 
-    /** Runs this once no connection is left. */
+    /** Runs the action once, when no client connection is left. */
     void whenAllClosed(Runnable action) {
         allClosedAction = action;
         checkAllClosed();
@@ -182,8 +209,8 @@
     }
 
     /**
-     * Stops accepting once there was room for so long that all that had come is accepted: closing the
-     * listener would reset what is in its backlog, requests and all.
+     * Closes the listener once accepting has not been paused for the given period, by which time the backlog
+     * is empty. Closing it earlier would reset the connections in the backlog together with their requests.
      */
     void stopAcceptingOnceBacklogEmpty(long periodMillis, Runnable onClosed) {
         int pausesBefore = acceptPauses;
@@ -197,7 +224,7 @@
         }, periodMillis, TimeUnit.MILLISECONDS);
     }
 
-    /** Ends what has rested for so long that it may be ended: on the others a request may be coming. */
+    /** Closes connections that have been idle long enough; on the others a request may be on its way. */
     void closeLongIdle() {
         long now = System.nanoTime();
         for (ClientConnection connection : Set.copyOf(connections)) {
@@ -207,7 +234,7 @@
         }
     }
 
-    /** Ends what has no request in hand or coming in. */
+    /** Closes all connections that have no request in flight or partly received. */
     void closeIdle() {
         for (ClientConnection connection : Set.copyOf(connections)) {
             if (connection.isIdle()) {
@@ -216,19 +243,19 @@
         }
     }
 
-    /** Where clients connect. */
+    /** The address that clients connect to. */
     SocketAddress localAddress() {
         return listener.localAddress();
     }
 
     /**
-     * Guards against running out of descriptors: a connection between requests may be closed at any time,
-     * and while none is to be had, new ones wait in the backlog.
+     * Guards against running out of file descriptors. At the connection limit, accepting is paused so that
+     * new connections wait in the backlog, and a connection between two requests is closed.
      */
     private void enforceConnectionLimit() {
         boolean hasRoom = connections.size() < maxConnections;
         if (listener == null || !listener.isRegistered()) {
-            return; // it is not this process's yet, or another one's now
+            return; // this process does not own the listener yet, or has released it
         }
         if (listener.config().isAutoRead() != hasRoom) {
             listener.config().setAutoRead(hasRoom);
@@ -236,7 +263,7 @@
         }
         if (!hasRoom && !evictionScheduled) {
             evictionScheduled = true;
-            listener.eventLoop().execute(this::evictConnections); // what has come in by now is read first
+            listener.eventLoop().execute(this::evictConnections); // after pending reads have been handled
         }
     }
 
@@ -261,14 +288,14 @@
         }
         ClientConnection longestSilent = null;
         for (ClientConnection connection : connections) {
-            if (connection.hasNoRequestInFlight() && (longestSilent == null
-                || connection.requestTimeout.lastReadNanos() - longestSilent.requestTimeout.lastReadNanos()
-                < 0)) {
+            if (connection.hasNoRequestInFlight()
+                && (longestSilent == null || connection.requestTimeout.lastReadNanos()
+                    - longestSilent.requestTimeout.lastReadNanos() < 0)) {
                 longestSilent = connection;
             }
         }
         if (longestSilent == null) {
-            return; // all are in use
+            return; // every connection has a request in flight
         }
         long remaining = longestSilent.requestTimeout.lastReadNanos() + MIN_SILENCE_NANOS - System.nanoTime();
         if (remaining <= 0) {
@@ -280,7 +307,10 @@
         }
     }
 
-    /** Guards against ending connections in use while others that nobody uses keep their places. */
+    /**
+     * Closes the connection that has been idle longest, if it has been idle long enough; returns whether it
+     * did. Guards against closing active connections while idle ones occupy slots.
+     */
     private boolean closeLongestIdle() {
         Iterator<ClientConnection> iterator = idleConnections.iterator();
         if (!iterator.hasNext()) {
@@ -295,29 +325,32 @@
         return true;
     }
 
-    /** Ends connections with their answers well before any must be closed: no request crosses that. */
+    /**
+     * Whether responses should close their connections. This starts well below the limit, because a close
+     * that follows a response cannot cross a new request, which eviction at the limit can.
+     */
     private boolean isNearLimit() {
         return connections.size() >= maxConnections * NEAR_LIMIT_RATIO;
     }
 
-    /** A request with its message. */
+    /** A completely received request with its HTTP message. */
     private record BufferedRequest(Request request, FullHttpRequest message) {
     }
 
-    /** One client connection: one request in hand, pipelined ones wait. */
+    /** One client connection. One request is in flight at a time; pipelined ones wait. */
     private final class ClientConnection extends SimpleChannelInboundHandler<HttpObject>
         implements RequestTable.ResponseWriter, Body.Source, Body.Sink {
         private final Deque<HttpObject> pipelinedObjects = new ArrayDeque<>();
         private final RequestTimeout requestTimeout;
         private Channel channel;
-        private HttpRequest requestHead; // of the request that is coming in, else null
+        private HttpRequest requestHead; // of the request being received, else null
         private ByteBuf bufferedBody;
         private long receivedBytes;
-        private Body upload; // of the request that is coming in, where it is passed on as it comes
-        private BufferLimit.FlowControl uploadFlow; // of the upload
-        private Body responseBody; // that is passed on as it comes
+        private Body upload; // streamed body of the request being received, else null
+        private BufferLimit.FlowControl uploadFlow; // flow control of the upload
+        private Body responseBody; // streamed response body, else null
         private String inFlightId;
-        private BufferedRequest completeRequest; // not handed on before all that has come is read
+        private BufferedRequest completeRequest; // held back until all received bytes have been read
         private long idleSinceNanos;
         private int pipelinedBytes;
         private boolean keepAlive, closing, lastResponse, http10, closeScheduled;
@@ -337,9 +370,9 @@
         }
 
         /**
-         * From here on this connection may be closed to make room. Guards against closing one that has just
-         * been accepted: its first request may be there unread, and ending it would lose the request.
-         * One that never sends any is closed by its timeout.
+         * Marks this connection as idle, so that it may be closed to make room. A connection is not marked
+         * when it is accepted, because its first request may still be unread and closing it would lose that
+         * request; one that never sends a request is closed by its timeout.
          */
         private void markIdle() {
             if (inFlightId == null && requestHead == null && !closing && channel.isActive()) {
@@ -366,7 +399,7 @@
             checkAllClosed();
         }
 
-        /** Ends the request that is in hand or coming in, without an answer. */
+        /** Drops the request that is in flight or being received, without a response. */
         private void dropRequest() {
             if (completeRequest != null) {
                 completeRequest.message.release();
@@ -391,14 +424,14 @@
         public void userEventTriggered(ChannelHandlerContext context, Object event) {
             if (event instanceof RequestTimeout.TimeoutEvent timeoutEvent && !closing) {
                 if (inFlightId != null && upload == null) {
-                    requestTimeout.restart(); // what came behind the request in hand has its time after that
+                    requestTimeout.restart(); // pipelined data is timed after the request in flight
                 } else if (timeoutEvent == RequestTimeout.TimeoutEvent.INCOMPLETE_REQUEST
-                && responseBody == null) {
+                    && responseBody == null) {
                     counters.increment(Count.LATE);
                     respondAndClose(HttpResponseStatus.REQUEST_TIMEOUT);
                 } else if (responseBody == null) {
                     counters.increment(Count.LATE);
-                    closeGracefully(false); // its first request may be on its way just now
+                    closeGracefully(false); // the first request may be on its way just now
                 } else {
                     counters.increment(Count.LATE);
                     context.close();
@@ -419,8 +452,8 @@
         }
 
         /**
-         * One request at a time: what comes behind it waits. It is read all the same, as a client that leaves
-         * is seen by reading only; one that sends more than there is room for has no claim to what it sends.
+         * Queues pipelined data until the request in flight is answered. It is read nevertheless, because
+         * only reading reveals that the client has closed the connection. Data beyond the bound is discarded.
          */
         private void queuePipelined(HttpObject httpObject) {
             if (requestTimeout.isDiscarding()) {
@@ -434,10 +467,10 @@
             }
         }
 
-        /** From here on its bytes are dropped as they come, and the answer that is due ends it. */
+        /** Discards all further input; the response to the request in flight closes the connection. */
         private void discardExcessInput() {
             counters.increment(Count.IMPROPER);
-            Log.write("improper", "more behind a request than there is room for, from "
+            Log.write("improper", "too much pipelined data behind a request, from "
                 + channel.remoteAddress());
             keepAlive = false;
             requestTimeout.discard();
@@ -467,10 +500,11 @@
         }
 
         /**
-         * Ends a connection that carries nothing, in good order: what has come by now is read and served
-         * first, and what crosses the end is read and goes nowhere; its client sees the end and sends it
-         * anew. Closing over unread bytes would reset the connection in place of that. One on which a part
-         * of a request has come is left alone, unless there is no time for the rest of it.
+         * Closes a connection without a request in flight gracefully. Requests that have already arrived are
+         * read and served first. Bytes that cross the close are read and discarded: the client sees the end
+         * of the stream and sends its request again, whereas closing with unread bytes would reset the
+         * connection. A connection with a partly received request is left open unless {@code evenIfPartial}
+         * is set.
          */
         private void closeGracefully(boolean evenIfPartial) {
             idleConnections.remove(this);
@@ -478,7 +512,7 @@
                 return;
             }
             closeScheduled = true;
-            // Later than now, as sockets are looked at before what is due.
+            // Scheduled rather than run at once: the event loop handles socket events before due tasks.
             channel.eventLoop().schedule(() -> {
                 closeScheduled = false;
                 if (hasNoRequestInFlight() && channel.isActive()
@@ -490,7 +524,10 @@
             }, 1, TimeUnit.MILLISECONDS);
         }
 
-        /** What comes after the answer is read: closing with bytes unread would take the answer with it. */
+        /**
+         * Discards input that arrives after the last response. It has to be read, because closing a socket
+         * with unread bytes resets it and the client may lose the response.
+         */
         private void discard(HttpObject httpObject) {
             ReferenceCountUtil.release(httpObject);
             if (httpObject instanceof LastHttpContent && requestHead != null) {
@@ -525,7 +562,7 @@
             try {
                 errorStatus = validateHead(newHead);
             } catch (RuntimeException e) {
-                Log.error("client", e); // guards against one bad request taking the loop along
+                Log.error("client", e); // a faulty request must not end the event loop
                 errorStatus = HttpResponseStatus.INTERNAL_SERVER_ERROR;
             }
             if (errorStatus != null) {
@@ -572,12 +609,11 @@
             }
         }
 
-        /** The request is there whole. */
+        /** Handles a request that has been received and buffered completely. */
         private void handleBufferedRequest() {
-            FullHttpRequest message =
-                new DefaultFullHttpRequest(requestHead.protocolVersion(), requestHead.method(),
-                requestHead.uri(), bufferedBody == null ? Unpooled.EMPTY_BUFFER : bufferedBody,
-                requestHead.headers(),
+            FullHttpRequest message = new DefaultFullHttpRequest(requestHead.protocolVersion(),
+                requestHead.method(), requestHead.uri(),
+                bufferedBody == null ? Unpooled.EMPTY_BUFFER : bufferedBody, requestHead.headers(),
                 EmptyHttpHeaders.INSTANCE);
             bufferedBody = null;
             requestHead = null;
@@ -585,7 +621,7 @@
                 message.release();
                 respond(RequestTable.emptyResponse(
                     readiness.getAsBoolean() ? HttpResponseStatus.OK
-                    : HttpResponseStatus.SERVICE_UNAVAILABLE));
+                        : HttpResponseStatus.SERVICE_UNAVAILABLE));
                 return;
             }
             HttpResponseStatus errorStatus = validateBody(message);
@@ -600,8 +636,8 @@
         }
 
         /**
-         * All that has come is read: a client that has left by now is owed nothing, and nothing is sent
-         * on.
+         * Passes the request on once all received bytes have been read. If the client has disconnected by
+         * then, nothing is forwarded.
          */
         private void forwardCompleteRequest() {
             BufferedRequest bufferedRequest = completeRequest;
@@ -621,7 +657,7 @@
             }
         }
 
-        /** The request is long: it goes on as it comes. */
+        /** Switches to streaming: a long request is forwarded as it arrives. */
         private void startStreaming() {
             HttpResponseStatus errorStatus = isHealthCheck(requestHead) ? HttpResponseStatus.BAD_REQUEST
                 : validateBody(requestHead);
@@ -639,8 +675,8 @@
             Request request = toRequest(requestHead, true);
             inFlightId = request.id();
             requestTable.accept(request, new DefaultFullHttpRequest(requestHead.protocolVersion(),
-                requestHead.method(), requestHead.uri(),
-                Unpooled.EMPTY_BUFFER, requestHead.headers(), EmptyHttpHeaders.INSTANCE), body, this);
+                requestHead.method(), requestHead.uri(), Unpooled.EMPTY_BUFFER, requestHead.headers(),
+                EmptyHttpHeaders.INSTANCE), body, this);
         }
 
         private static boolean isHealthCheck(HttpRequest message) {
@@ -652,7 +688,7 @@
             return queryStart < 0 ? message.uri() : message.uri().substring(0, queryStart);
         }
 
-        /** The status that says what is wrong with a request by its head alone; null where nothing is. */
+        /** Validates a request by its head alone; returns the error status, or null if it is valid. */
         private HttpResponseStatus validateHead(HttpRequest message) {
             if (message.decoderResult().isFailure()) {
                 return statusForDecodingError(message.decoderResult().cause());
@@ -665,7 +701,7 @@
             List<String> transferCodings = headers.getAll(HttpHeaderNames.TRANSFER_ENCODING);
             if (!transferCodings.isEmpty() && (transferCodings.size() > 1
                 || !HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(transferCodings.get(0).trim()))) {
-                return HttpResponseStatus.BAD_REQUEST; // where its body ends cannot be known for sure
+                return HttpResponseStatus.BAD_REQUEST; // the end of the body would be ambiguous
             }
             String expectation = headers.get(HttpHeaderNames.EXPECT);
             if (expectation != null && !HttpHeaderValues.CONTINUE.contentEqualsIgnoreCase(expectation)) {
@@ -698,10 +734,9 @@
             if (!hasHost || Headers.hasDuplicates(headers)) {
                 return HttpResponseStatus.BAD_REQUEST;
             }
-            if (!className.equals(headers.get(Headers.SERVICE_CLASS)) || requestId == null
-                || requestId.isEmpty()
-                || requestId.length() > MAX_REQUEST_ID_LENGTH || timeoutText == null
-                || !SECONDS_PATTERN.matcher(timeoutText).matches()
+            if (!className.equals(headers.get(Headers.SERVICE_CLASS))
+                || requestId == null || requestId.isEmpty() || requestId.length() > MAX_REQUEST_ID_LENGTH
+                || timeoutText == null || !SECONDS_PATTERN.matcher(timeoutText).matches()
                 || costText != null && !MICROS_PATTERN.matcher(costText).matches()
                 || serviceClass.idempotency() == Idempotency.DEDUPLICATED && !hasIdempotencyKey) {
                 return HttpResponseStatus.BAD_REQUEST;
@@ -709,7 +744,9 @@
             return null;
         }
 
-        /** The absolute form is as good as the usual one (RFC 9112, 3.2.2); backends get the usual one. */
+        /**
+         * Converts an absolute-form request target, which must be accepted (RFC 9112, 3.2.2), to origin form.
+         */
         private static String originForm(String uri) {
             if (!uri.regionMatches(true, 0, ABSOLUTE_FORM_PREFIX, 0, ABSOLUTE_FORM_PREFIX.length())) {
                 return uri;
@@ -722,14 +759,14 @@
             return "/";
         }
 
-        /** What is wrong with a request now that it has a body, or has come whole. */
+        /** Checks that need the body or a complete request; returns the error status, or null. */
         private HttpResponseStatus validateBody(HttpRequest message) {
             boolean hasBody = receivedBytes > 0 || HttpUtil.getContentLength(message, 0L) > 0;
             if (hasBody && HttpMethod.GET.equals(message.method())) {
                 return HttpResponseStatus.BAD_REQUEST;
             }
             return requestTable.isInFlight(message.headers().get(Headers.REQUEST_ID))
-                ? HttpResponseStatus.CONFLICT : null; // ids are new with every request
+                ? HttpResponseStatus.CONFLICT : null; // request ids must be unique
         }
 
         private Request toRequest(HttpRequest message, boolean streamed) {
@@ -745,19 +782,23 @@
                 "1".equals(headers.get(Headers.RETRIED)), streamed);
         }
 
-        /** Guards against a request that is still in hand when this process is killed: that one is lost. */
+        /**
+         * The time budget of a request, in microseconds. While draining it ends before this process does: a
+         * request that is still in flight when the process is killed would be lost.
+         */
         private long timeBudget(long requestedMicros) {
             return draining && drainDeadlineNanos != Long.MAX_VALUE
                 ? Math.min(requestedMicros,
-                TimeUnit.NANOSECONDS.toMicros(drainDeadlineNanos - System.nanoTime())) : requestedMicros;
+                    TimeUnit.NANOSECONDS.toMicros(drainDeadlineNanos - System.nanoTime()))
+                : requestedMicros;
         }
 
-        /** Whether nothing of a request has been read that is not answered. */
+        /** Whether every byte that was read belongs to a request that has been answered. */
         private boolean isIdle() {
             return inFlightId == null && requestHead == null && pipelinedObjects.isEmpty() && !closing;
         }
 
-        /** Whether no request of this one is in hand: its peer has sent none, or only a part of one. */
+        /** Whether no request is in flight: the client has sent none, or only a part of one. */
         private boolean hasNoRequestInFlight() {
             return inFlightId == null && !closing;
         }
@@ -778,18 +819,20 @@
             respondAndClose(status);
         }
 
-        /** Ends the connection with this: a peer that speaks badly has no claim to a place. */
+        /**
+         * Sends an error status and closes the connection, since a misbehaving client should not hold a slot.
+         */
         private void respondAndClose(HttpResponseStatus status) {
             keepAlive = false;
             dropRequest();
             if (responseBody == null) {
                 respond(RequestTable.emptyResponse(status));
             } else {
-                channel.close(); // in the middle of an answer there is no place for another
+                channel.close(); // a streamed response has begun, so that no other can be sent
             }
         }
 
-        /** Whether the next answer ends the connection; it does while the rest of its request is to come. */
+        /** Whether the next response closes the connection; always so if its request is not yet complete. */
         private boolean isLastResponse() {
             boolean closesConnection = !keepAlive || draining || requestHead != null;
             if (!closesConnection && isNearLimit() && !closeLongestIdle()) {
@@ -814,11 +857,11 @@
         public void beginStreaming(HttpResponse streamedHead, Body body) {
             HttpResponse response =
                 new DefaultHttpResponse(HttpVersion.HTTP_1_1, streamedHead.status(),
-                streamedHead.headers().copy());
+                    streamedHead.headers().copy());
             Headers.removeHopByHop(response.headers());
             boolean unknownLength = !HttpUtil.isContentLengthSet(streamedHead);
             HttpUtil.setTransferEncodingChunked(response, unknownLength && !http10);
-            keepAlive &= !(unknownLength && http10); // an old client knows the end by that of the connection
+            keepAlive &= !(unknownLength && http10); // in HTTP/1.0 the end of the connection ends such a body
             lastResponse = isLastResponse();
             if (lastResponse) {
                 response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
@@ -841,14 +884,14 @@
             }
         }
 
-        /** The client is to see that its answer is not whole. */
+        /** Resets the connection, so that the client notices that the response is incomplete. */
         @Override
         public void onAborted() {
-            channel.config().setOption(ChannelOption.SO_LINGER, 0); // an end may pass for the body's
+            channel.config().setOption(ChannelOption.SO_LINGER, 0); // a FIN could pass for the body's end
             channel.close();
         }
 
-        /** The answer is on its way whole. */
+        /** Prepares the connection for its next request, or closes it, after a complete response. */
         private void finishResponse(ChannelFuture writeFuture) {
             inFlightId = null;
             if (lastResponse || !keepAlive) {
@@ -861,12 +904,12 @@
                 }
                 writeFuture.addListener((ChannelFutureListener) done -> closeAfterLinger());
             } else if (!pipelinedObjects.isEmpty()) {
-                // Not from within the answer: a long pipeline must not deepen the stack.
+                // Scheduled rather than called, so that a long pipeline does not deepen the stack.
                 inFlightId = NEXT_REQUEST;
                 channel.eventLoop().execute(this::handlePipelined);
             } else {
                 channel.config().setAutoRead(true);
-                writeFuture.addListener(done -> markIdle()); // not before the answer is out whole
+                writeFuture.addListener(done -> markIdle()); // only after the response was written
             }
         }
 
@@ -908,7 +951,7 @@
 
         @Override
         public void onDiscarded() {
-            // the answer says so
+            // the response to the client reports it
         }
 
         @Override
@@ -923,7 +966,7 @@
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
             if (cause instanceof CodecException && inFlightId != null && upload == null && !closing) {
                 if (!requestTimeout.isDiscarding()) {
-                    discardExcessInput(); // the request before is owed its answer all the same
+                    discardExcessInput(); // the request in flight still gets its response
                 }
                 return;
             }
--- a/proxy/src/main/java/dockrelay/proxy/Headers.java
+++ b/proxy/src/main/java/dockrelay/proxy/Headers.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Locale;
 
-/** Names of the protocol's headers, and which headers hold for one connection only. */
+/** Names of the protocol's headers, and rules for duplicate and hop-by-hop headers. */
 final class Headers {
     static final AsciiString REQUEST_ID = AsciiString.cached("X-Request-ID");
     static final AsciiString SERVICE_CLASS = AsciiString.cached("X-Priority-Class");
@@ -23,21 +23,24 @@
         HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderNames.UPGRADE, HttpHeaderNames.EXPECT,
         HttpHeaderNames.PROXY_AUTHENTICATE, HttpHeaderNames.PROXY_AUTHORIZATION);
 
-    /** Said twice, one of these could be read one way here and another way by the next. */
-    private static final List<AsciiString> SINGLE_VALUE_HEADERS =
-        List.of(HttpHeaderNames.HOST, REQUEST_ID, SERVICE_CLASS, TENANT,
-        TIMEOUT, RETRIED, COST, IDEMPOTENCY_KEY);
+    /**
+     * Headers that may occur once only: this proxy and a backend could pick different values of a duplicate.
+     */
+    private static final List<AsciiString> SINGLE_VALUE_HEADERS = List.of(HttpHeaderNames.HOST, REQUEST_ID,
+        SERVICE_CLASS, TENANT, TIMEOUT, RETRIED, COST, IDEMPOTENCY_KEY);
 
     private Headers() {
     }
 
-    /** Tells a backend how long its answer is waited for, in microseconds. */
+    /** Sets the header that tells a backend how long its response is awaited; the time is in microseconds. */
     static void setTimeout(HttpMessage message, long remainingMicros) {
-        message.headers()
-            .set(TIMEOUT, String.format(Locale.ROOT, "%.6f", Math.max(0, remainingMicros) / 1_000_000.0));
+        message.headers().set(TIMEOUT,
+            String.format(Locale.ROOT, "%.6f", Math.max(0, remainingMicros) / 1_000_000.0));
     }
 
-    /** Whether a header that settles what a request is and how often it may run is there more than once. */
+    /**
+     * Whether a header that determines a request's identity or how often it may run occurs more than once.
+     */
     static boolean hasDuplicates(HttpHeaders headers) {
         for (AsciiString name : SINGLE_VALUE_HEADERS) {
             if (headers.getAll(name).size() > 1) {
@@ -47,7 +50,7 @@
         return false;
     }
 
-    /** Takes out what is between this proxy and its neighbour, and what Connection names besides. */
+    /** Removes the hop-by-hop headers, including those that are named in {@code Connection}. */
     static void removeHopByHop(HttpHeaders headers) {
         for (String connectionValue : headers.getAll(HttpHeaderNames.CONNECTION)) {
             for (String name : connectionValue.split(",")) {
--- a/proxy/src/main/java/dockrelay/proxy/RequestTable.java
+++ b/proxy/src/main/java/dockrelay/proxy/RequestTable.java
@@ -45,23 +45,34 @@
 import java.util.function.LongSupplier;
 
 /**
- * The module's host: the requests in hand, their attempts, deadlines and timers. Socket events become the
- * module's events here and its actions become sends and answers. This is the one place that sees to it that
- * each request gets exactly one final answer, in time, whatever the module does.
+ * The requests in flight with their attempts, deadlines and timers. It hosts the decision module: socket
+ * events are passed to the module, and the module's actions are carried out here. This class alone guarantees
+ * that each request gets exactly one final response in time, whatever the module does. All on the event
+ * loop's thread.
  */
 final class RequestTable implements Balancer.Actions {
-    /** Attempts end this long before the client stops waiting, so that the module still can answer. */
+    /** Attempts end this long before the client's deadline, so that the module can still respond. */
     private static final long ATTEMPT_MARGIN_MICROS = 12_000;
-    /** The host's own answer, where the module gave none; the way back to the client takes some of it. */
+    /**
+     * If the module has not responded this long before the client's deadline, this class does; the margin
+     * also covers the way back to the client.
+     */
     private static final long RESPONSE_MARGIN_MICROS = 6_000;
-    /** ...but of a short time budget each takes this part at most: else a hasty client's is all margin. */
+    /**
+     * Each margin is at most the time budget divided by this number; otherwise the margins would use up a
+     * short time budget.
+     */
     private static final long ATTEMPT_MARGIN_DIVISOR = 10;
     private static final long RESPONSE_MARGIN_DIVISOR = 20;
-    /** A repeat takes a moment to the backend, which forgets the first attempt when its window is over. */
+    /**
+     * A retry is sent only until this long before the deduplication window ends: it takes a moment to reach
+     * the backend, which forgets the first attempt at the end of the window.
+     */
     private static final long DEDUP_MARGIN_MICROS = 10_000;
+    /** The deduplication margin is at most the window divided by this number. */
     private static final long DEDUP_MARGIN_DIVISOR = 10;
     private static final double MICROS_PER_SECOND = 1_000_000;
-    /** An answer is passed on for so long past its time: a body may stand still for as long. */
+    /** A response is streamed for this long past its deadline, as a body may stall for as long. */
     private static final long STREAMING_GRACE_MICROS = 10_000_000;
 
     private final EventLoop eventLoop;
@@ -81,32 +92,33 @@
     private Consumer<String> broadcastCallback;
     private Runnable emptyAction;
 
-    /** Where a request's one answer goes. */
+    /** Receives the single response to a request. */
     interface ResponseWriter {
         void respond(FullHttpResponse response);
 
-        /** A long answer begins, and is the reply's to pass on. */
+        /** Begins a streamed response, whose body this writer forwards. */
         default void beginStreaming(HttpResponse head, Body body) {
             body.discard();
         }
     }
 
-    /** A backend as discovery has it; the address is null where the entry gives none. */
+    /** A backend as listed by discovery; the address is null if the entry has none. */
     record ListedBackend(String name, Backend backend, SocketAddress address) {
-        /** One that has no name. */
+        /** A backend without a name. */
         ListedBackend(Backend backend, SocketAddress address) {
             this("", backend, address);
         }
     }
 
+    /** An event for the decision module; the entry is the request that it is about, or null. */
     private record Event(Entry entry, Runnable action) {
     }
 
-    /** A request in hand, until it is answered and none of its attempts is out. */
+    /** A request that is unanswered or still has attempts in flight. */
     private static final class Entry {
         final Request request;
         final FullHttpRequest message;
-        final Body body; // of a request that is passed on as it comes, else null
+        final Body body; // of a streamed request, else null
         final ResponseWriter responseWriter;
         long deadlineMicros;
         long receivedAtMicros, responseStartMicros;
@@ -116,7 +128,7 @@
         int openAttempts;
         boolean answered;
 
-        /** The attempts that the pool has taken so far. */
+        /** The attempts that the connection pool has accepted so far. */
         List<BackendConnectionPool.Exchange> startedExchanges() {
             return attempts.stream().filter(Objects::nonNull).toList();
         }
@@ -130,7 +142,7 @@
     }
 
     RequestTable(EventLoop eventLoop, BackendConnectionPool connectionPool, LongSupplier clockMicros,
-        Config config, Counters counters) {
+                 Config config, Counters counters) {
         this.eventLoop = eventLoop;
         this.connectionPool = connectionPool;
         this.counters = counters;
@@ -145,7 +157,10 @@
         }
     }
 
-    /** The module that decides; it is made with this table as its actions. */
+    /**
+     * Sets the decision module, which was created with this table as its actions, and the callbacks that
+     * subscribe to discovery and broadcast a message to the peers on behalf of the module.
+     */
     void attachBalancer(Balancer balancer, Runnable onSubscribe, Consumer<String> onBroadcast) {
         decisionModule = balancer;
         subscribeCallback = onSubscribe;
@@ -153,8 +168,8 @@
     }
 
     /**
-     * Hands one event to the module. An event that comes up while the module acts waits until it has
-     * returned, as it must not be entered again. A fault fails the request it was about and nothing else.
+     * Passes one event to the module. The module is not reentrant: an event that arises while it runs is
+     * queued until it has returned. An exception fails only the request that the event is about.
      */
     private void dispatch(Entry entry, Runnable action) {
         queuedEvents.add(new Event(entry, action));
@@ -192,7 +207,7 @@
         return entries.size();
     }
 
-    /** Runs this once nothing is in hand any more. */
+    /** Runs the action once, when no request is in flight any more. */
     void whenEmpty(Runnable action) {
         emptyAction = action;
         checkEmpty();
@@ -206,14 +221,19 @@
         }
     }
 
-    /** Takes a request whose last byte came just now. The message is this table's to keep. */
+    /**
+     * Accepts a request whose last byte has just been received. The table takes over the message's reference.
+     */
     void accept(Request request, FullHttpRequest message, ResponseWriter responseWriter) {
         Entry entry = new Entry(request, message, null, responseWriter);
         startDeadline(entry);
         accept(entry);
     }
 
-    /** Takes a request of which more is to come; its time starts with {@link #whole}. */
+    /**
+     * Accepts a request whose body is still being received. Its time budget starts with
+     * {@link #requestReceived}.
+     */
     void accept(Request request, FullHttpRequest message, Body body, ResponseWriter responseWriter) {
         counters.increment(Count.UPLOADED);
         accept(new Entry(request, message, body, responseWriter));
@@ -232,7 +252,7 @@
         entry.timer = eventLoop.schedule(() -> timeOut(entry), remainingMicros, TimeUnit.MICROSECONDS);
     }
 
-    /** The last byte of a request that was taken before has come just now. */
+    /** The last byte of a streamed request has just been received: its time budget starts. */
     void requestReceived(String requestId) {
         Entry entry = entries.get(requestId);
         if (entry != null && !entry.answered) {
@@ -240,17 +260,17 @@
         }
     }
 
-    /** When attempts end, from the start of a request with this time budget. */
+    /** The time after the start of a request at which its attempts end, in microseconds like the budget. */
     static long attemptDeadline(long budgetMicros) {
         return budgetMicros - Math.min(ATTEMPT_MARGIN_MICROS, budgetMicros / ATTEMPT_MARGIN_DIVISOR);
     }
 
-    /** When the host answers itself. */
+    /** The time after the start of a request at which this class responds itself, in microseconds. */
     static long responseDeadline(long budgetMicros) {
         return budgetMicros - Math.min(RESPONSE_MARGIN_MICROS, budgetMicros / RESPONSE_MARGIN_DIVISOR);
     }
 
-    /** The host's own deadline: the module has let the client's time run out. */
+    /** Responds with a time-out, because the module has let the client's time budget run out. */
     private void timeOut(Entry entry) {
         if (!entry.answered) {
             counters.increment(Count.OVERDUE);
@@ -261,7 +281,7 @@
         }
     }
 
-    /** The client closed its connection: nothing is owed any more. */
+    /** The client has closed its connection, so that no response is due any more. */
     void clientDisconnected(String requestId) {
         Entry entry = entries.get(requestId);
         if (entry == null || entry.answered && entry.streamingExchange == null) {
@@ -276,6 +296,7 @@
         }
     }
 
+    /** Passes a list of backends, or changes to the list, to the connection pool and the module. */
     void updateBackends(ListUpdateType updateType, List<ListedBackend> listedBackends) {
         List<Backend> backends = new ArrayList<>(listedBackends.size());
         if (updateType == ListUpdateType.FULL || updateType == ListUpdateType.CACHED) {
@@ -289,7 +310,7 @@
         dispatch(null, () -> decisionModule.onBackendList(clockMicros.getAsLong(), updateType, backends));
     }
 
-    /** The final answer, the first time only; null where the client is gone. */
+    /** Sends the final response unless one was sent before; null if the client has disconnected. */
     private void finish(Entry entry, FullHttpResponse response) {
         if (entry.answered) {
             if (response != null) {
@@ -306,7 +327,10 @@
         removeIfDone(entry);
     }
 
-    /** Whatever the settings say of calling off: of a request that is over nothing begins any more. */
+    /**
+     * Cancels attempts that have not sent anything yet, whether or not the settings permit cancelling: once a
+     * request has ended, none of its attempts may start.
+     */
     private static void cancelUnsentAttempts(Entry entry) {
         for (BackendConnectionPool.Exchange attempt : List.copyOf(entry.startedExchanges())) {
             attempt.cancelIfUnsent();
@@ -337,9 +361,9 @@
         }
     }
 
-    /** A long answer begins: the request is this attempt's from here on. */
+    /** A streamed response begins: it is the request's final response. */
     private void streamingStarted(Entry entry, int attempt, long backend, long sentAtMicros,
-        HttpResponse head, Body body) {
+                                  HttpResponse head, Body body) {
         if (entry.answered) {
             body.discard();
             return;
@@ -350,17 +374,16 @@
         entry.streamingExchange = entry.attempts.get(attempt);
         counters.increment(Count.SERVED);
         entry.responseWriter.beginStreaming(head, body);
-        dispatch(entry, () ->
-            decisionModule.onStreamStart(clockMicros.getAsLong(), entry.request.id(), attempt, backend,
-            latency(entry, sentAtMicros, entry.responseStartMicros)));
+        dispatch(entry, () -> decisionModule.onStreamStart(clockMicros.getAsLong(), entry.request.id(),
+            attempt, backend, latency(entry, sentAtMicros, entry.responseStartMicros)));
         cancelUnsentAttempts(entry);
         scheduleStreamingTimeout(entry);
     }
 
     /**
-     * One that goes on for ever must not keep its client waiting for an end; the client sees that it was
-     * broken off. Not as soon as its time is up: a long answer may come in pieces with seconds between, and
-     * until 64 kB of it have come nothing tells the two apart.
+     * Aborts an endless response some time after the deadline, so that its client does not wait forever; the
+     * client sees the reset. It is not aborted right at the deadline, because a long response may arrive in
+     * pieces with seconds between them, and the two cannot be told apart before 64 kB have arrived.
      */
     private void scheduleStreamingTimeout(Entry entry) {
         if (entry.receivedAtMicros == 0 || streamingClasses.contains(entry.request.serviceClass())) {
@@ -375,7 +398,10 @@
             TimeUnit.MICROSECONDS);
     }
 
-    /** Whether a first byte may go out now that was decided on some time ago. */
+    /**
+     * Whether an attempt may still send its first byte. The module decided on it some time ago; meanwhile
+     * another attempt may have run, or the deduplication window may have ended.
+     */
     private boolean maySend(Entry entry, int attempt) {
         ServiceClass serviceClass = serviceClasses.get(entry.request.serviceClass());
         if (entry.answered) {
@@ -390,14 +416,14 @@
             long marginMicros = Math.min(DEDUP_MARGIN_MICROS, windowMicros / DEDUP_MARGIN_DIVISOR);
             if (serviceClass.idempotency() == Idempotency.AT_MOST_ONCE
                 || serviceClass.idempotency() == Idempotency.DEDUPLICATED
-                && other.microsSinceSendStart() > windowMicros - marginMicros) {
+                    && other.microsSinceSendStart() > windowMicros - marginMicros) {
                 return false;
             }
         }
         return true;
     }
 
-    /** How long the backend took; what the client took to send its request is not the backend's time. */
+    /** The backend's latency, which excludes the time that the client took to send its request. */
     private static long latency(Entry entry, long sentAtMicros, long endMicros) {
         return Math.max(0, endMicros - Math.max(sentAtMicros, entry.receivedAtMicros));
     }
@@ -413,7 +439,7 @@
             entry.openAttempts--;
             boolean streamed = entry.streamingExchange != null
                 && entry.streamingExchange == entry.attempts.get(attempt);
-            // While an answer is being passed on, the end of another attempt does not close the request.
+            // While a response is being streamed, the end of another attempt does not close the request.
             boolean closesRequest = streamed || entry.streamingExchange == null
                 && (answeredBefore || entry.answered);
             decisionModule.onOutcome(nowMicros, entry.request.id(), attempt, backend, outcome,
@@ -422,7 +448,7 @@
             removeIfDone(entry);
         });
         if (entry.answered) {
-            cancelUnsentAttempts(entry); // after the event: the module is to hear of the winner first
+            cancelUnsentAttempts(entry); // after the event: the module is told of the success first
         }
     }
 
@@ -430,7 +456,7 @@
     public void send(String requestId, long backend, long timeoutMicros) {
         Entry entry = entries.get(requestId);
         if (entry == null) {
-            Log.write("module", "a send for a request that is not in hand");
+            Log.write("module", "attempt ignored: the request is not in flight");
             return;
         }
         int attempt = entry.attempts.size();
@@ -441,7 +467,7 @@
         }
         remainingMicros = timeoutMicros == 0 ? remainingMicros : Math.min(remainingMicros, timeoutMicros);
         if (entry.answered || attempt >= maxAttempts || entry.body != null && !entry.body.isReplayable()) {
-            remainingMicros = 0; // nothing goes out for a request that is over, or whose first bytes are gone
+            remainingMicros = 0; // not sent: the request has ended or the start of its body is gone
         }
         entry.attempts.add(null);
         entry.openAttempts++;
@@ -467,7 +493,7 @@
         entry.attempts.set(attempt, exchange);
     }
 
-    /** The request as the backend gets it: all as it came but what is between the client and this proxy. */
+    /** The request as sent to the backend: unchanged except for hop-by-hop headers and framing. */
     private static HttpRequest toBackendRequest(Entry entry, long remainingMicros) {
         FullHttpRequest message = entry.message;
         HttpHeaders headers = message.headers().copy();
@@ -482,7 +508,7 @@
             copy.headers().set(HttpHeaderNames.CONTENT_LENGTH, message.content().readableBytes());
         }
         if (entry.body != null) {
-            Headers.setTimeout(copy, remainingMicros); // a whole one is told as it is written
+            Headers.setTimeout(copy, remainingMicros); // for a buffered request the pool sets it when writing
         }
         return copy;
     }
@@ -520,9 +546,9 @@
 
     @Override
     public void setTimer(long delayMicros, long token) {
-        eventLoop.schedule(() ->
-            dispatch(null, () -> decisionModule.onTimer(clockMicros.getAsLong(), token)), delayMicros,
-            TimeUnit.MICROSECONDS);
+        eventLoop.schedule(
+            () -> dispatch(null, () -> decisionModule.onTimer(clockMicros.getAsLong(), token)),
+            delayMicros, TimeUnit.MICROSECONDS);
     }
 
     @Override
@@ -561,12 +587,18 @@
         dispatch(null, () -> decisionModule.onFleetView(clockMicros.getAsLong(), fleet));
     }
 
-    /** What may be spent of the fleet's budgets, for so many microseconds from now. */
+    /**
+     * Tells the module which shares of the fleet's budgets this proxy may spend.
+     *
+     * @param updateNumber number of this update
+     * @param validMicros how long the shares are valid from now, in microseconds
+     */
     void budgets(long updateNumber, long validMicros, List<BudgetShare> shares) {
         dispatch(null, () -> decisionModule.onBudgetShares(clockMicros.getAsLong(), updateNumber,
             clockMicros.getAsLong() + validMicros, shares));
     }
 
+    /** What this proxy has spent and requested of the fleet's budgets. */
     List<BudgetUse> budgets() {
         return decisionModule.budgetUsage(clockMicros.getAsLong());
     }
@@ -579,7 +611,7 @@
         dispatch(null, () -> decisionModule.onPeerMessage(clockMicros.getAsLong(), sender, message));
     }
 
-    /** An answer of this proxy's own: the status alone says it. */
+    /** An empty response with the given status, sent by the proxy itself. */
     static FullHttpResponse emptyResponse(HttpResponseStatus status) {
         ByteBuf body = Unpooled.EMPTY_BUFFER;
         FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, body);
--- a/proxy/src/main/java/dockrelay/proxy/RequestTimeout.java
+++ b/proxy/src/main/java/dockrelay/proxy/RequestTimeout.java
@@ -8,23 +8,27 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Tells a connection when a request takes too long to arrive whole: the first one counted from the start of
- * the connection, a later one from its first bytes. It comes before the decoder, as it must see every byte.
+ * Fires an event when a request takes too long to arrive completely. The first request is timed from the
+ * start of the connection, later ones from their first bytes. The handler precedes the decoder, as it must
+ * see every byte.
  */
 final class RequestTimeout extends ChannelInboundHandlerAdapter {
-    /** The events it fires. */
+    /** The events fired: no byte has arrived, or a request has arrived only in part. */
     enum TimeoutEvent { NO_DATA, INCOMPLETE_REQUEST }
 
-    /** A head may take 2 s, and a peer that sends no proper request is owed an answer or a close within 3. */
+    /**
+     * Time limit for a request head. A client may take 2 s to send one, and a client that sends no valid
+     * request must get a response or a close within 3 s.
+     */
     static final long HEAD_TIMEOUT_MILLIS = 2_600;
-    /** A body may take as long as it lasts at 64 kB a second: each byte that comes puts the end off. */
+    /** The minimum rate of a body, 64 kB/s: each byte that arrives extends the time limit accordingly. */
     private static final long MIN_BYTES_PER_MILLI = 64;
 
     private ChannelHandlerContext context;
     private Future<?> timer;
     private boolean incomplete, discarding;
     private long lastReadNanos = System.nanoTime();
-    private long bytesSinceTimerStart; // that came since the timer was set
+    private long bytesSinceTimerStart;
 
     @Override
     public void channelActive(ChannelHandlerContext channelContext) {
@@ -59,17 +63,17 @@
         channelContext.fireChannelReadComplete();
     }
 
-    /** When its peer was heard of last, by the nano clock. */
+    /** When the client last sent anything, as a {@link System#nanoTime} value. */
     long lastReadNanos() {
         return lastReadNanos;
     }
 
-    /** Whether bytes have come of which no request has arrived whole. */
+    /** Whether bytes of an incomplete request have arrived. */
     boolean isRequestIncomplete() {
         return incomplete;
     }
 
-    /** From now on what comes is read and goes nowhere. */
+    /** From now on, input is read and discarded. */
     void discard() {
         discarding = true;
     }
@@ -78,13 +82,13 @@
         return discarding;
     }
 
-    /** A request has arrived whole. */
+    /** Reports that a request has arrived completely, which stops the timer. */
     void requestReceived() {
         incomplete = false;
         stopTimer();
     }
 
-    /** Whoever heard of it is busy with what came before: it is told again. */
+    /** Restarts the timer after an event that could not be handled yet because a request is in flight. */
     void restart() {
         if (timer == null && context.channel().isActive()) {
             startTimer(HEAD_TIMEOUT_MILLIS);
@@ -95,7 +99,7 @@
         bytesSinceTimerStart = 0;
         timer = context.executor().schedule(() -> {
             timer = null;
-            boolean readPaused = !context.channel().config().isAutoRead(); // this side does not read
+            boolean readPaused = !context.channel().config().isAutoRead(); // the proxy has paused reading
             if (readPaused || bytesSinceTimerStart >= MIN_BYTES_PER_MILLI) {
                 startTimer(readPaused ? HEAD_TIMEOUT_MILLIS : bytesSinceTimerStart / MIN_BYTES_PER_MILLI);
                 return;
--- a/proxy/src/main/java/dockrelay/proxy/ResponseDecoder.java
+++ b/proxy/src/main/java/dockrelay/proxy/ResponseDecoder.java
@@ -16,9 +16,9 @@
 import java.util.List;
 
 /**
- * Reads answers whose end is beyond doubt (RFC 9112, 6.3), and marks all others as failed: a body that lasts
- * until the connection ends, without a word of that in its head, may have been cut short, and one with more
- * behind it is not as long as was said.
+ * Decodes responses whose length is unambiguous (RFC 9112, 6.3) and marks all others as failed. A body
+ * delimited by the end of the connection may have been truncated unless the head announces the close, and a
+ * body that is followed by further bytes does not have its declared length.
  */
 final class ResponseDecoder extends HttpResponseDecoder {
     private boolean informational;
@@ -36,24 +36,23 @@
                 }
             }
             if (out.get(i) instanceof LastHttpContent last && last.decoderResult().isSuccess()
-                && !informational
-                && in.isReadable()) {
+                && !informational && in.isReadable()) {
                 LastHttpContent failed = new DefaultLastHttpContent(last.content());
-                failed.setDecoderResult(failure("bytes after the end"));
+                failed.setDecoderResult(failure("bytes after the end of the response"));
                 out.set(i, failed);
             }
         }
     }
 
-    /** Guards against a line without a colon, which the library takes for a header without a value. */
+    /** Rejects a line without a colon, which Netty takes for a header without a value. */
     @Override
     protected AsciiString splitHeaderName(byte[] line, int start, int length) {
         int end = start + length;
         while (end < line.length && (line[end] == ' ' || line[end] == '\t')) {
-            end++; // RFC 9112, 5.1: in an answer such whitespace is taken out
+            end++; // RFC 9112, 5.1: a proxy removes such whitespace from a response
         }
         if (length == 0 || end == line.length || line[end] != ':') {
-            throw new IllegalArgumentException("no header line");
+            throw new IllegalArgumentException("header line without a name or colon");
         }
         return super.splitHeaderName(line, start, length);
     }
@@ -62,23 +61,24 @@
         return DecoderResult.failure(new IllegalArgumentException(reason));
     }
 
-    /** What is doubtful about an answer by its head alone; null where nothing is. */
+    /** Explains why the framing of a response is ambiguous, judged by its head; null if it is not. */
     private static String findFramingError(HttpResponse head) {
         if (head.status().code() == 101) {
-            return "a switch of protocols that nobody asked for";
+            return "unsolicited protocol switch";
         } else if (head.protocolVersion().majorVersion() != HttpVersion.HTTP_1_1.majorVersion()) {
-            return "version " + head.protocolVersion();
+            return "unsupported version " + head.protocolVersion();
         }
         List<String> transferCodings = head.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
         if (transferCodings.isEmpty()) {
             boolean bodiless = head.status().codeClass() == HttpStatusClass.INFORMATIONAL
                 || head.status().code() == 204 || head.status().code() == 304;
-            // Where the end of the connection is said to be that of the body, only a reset cuts it short.
+            // If the head announces the close, the end of the connection ends the body and only a reset
+            // truncates it.
             boolean untilClose = !HttpUtil.isKeepAlive(head);
-            return bodiless || untilClose || HttpUtil.isContentLengthSet(head) ? null : "no length";
+            return bodiless || untilClose || HttpUtil.isContentLengthSet(head) ? null : "unknown body length";
         }
         boolean onlyChunked = transferCodings.size() == 1
             && HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(transferCodings.get(0));
-        return onlyChunked ? null : "transfer coding " + transferCodings;
+        return onlyChunked ? null : "unsupported transfer coding " + transferCodings;
     }
 }
