--- a/proxy/src/test/java/dockrelay/proxy/BackendRaceTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/BackendRaceTest.java
@@ -41,7 +41,10 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Answers, ends and late connections of backends that cross what the proxy does just then. */
+/**
+ * Races between the proxy and its backends: responses, connection ends and slow connects that coincide with
+ * decisions of the proxy.
+ */
 class BackendRaceTest {
     private static final long VERY_LONG_NANOS = Long.MAX_VALUE / 4;
     private final EventLoopGroup eventLoopGroup =
@@ -66,19 +69,19 @@
     }
 
     /**
-     * Parts of a proxy with a made-up module, connections that may take long to come up, and a short
-     * window.
+     * Sets up a connection pool and request table with a scripted decision module, a long connect time-out
+     * and a short deduplication window.
      */
     private void setUpTable(long reuseDelayNanos, BiConsumer<String, Object[]> onEvent) {
-        pool = new BackendConnectionPool(new Bootstrap().group(eventLoopGroup)
-            .channel(NioSocketChannel.class), eventLoop, 8,
+        pool = new BackendConnectionPool(
+            new Bootstrap().group(eventLoopGroup).channel(NioSocketChannel.class), eventLoop, 8,
             600_000_000, 15_000_000, new Counters(), new BufferLimit(() -> 0, 144), reuseDelayNanos);
         Config config = Fakes.parseConfig(Fakes.configJson(0, 1, 1024, "", "")
             .replace("\"MemorySpan\":5.0", "\"MemorySpan\":0.2"));
         table = new RequestTable(eventLoop, pool, () -> System.nanoTime() / 1000, config, new Counters());
-        Balancer scriptedModule =
-            (Balancer) java.lang.reflect.Proxy.newProxyInstance(getClass().getClassLoader(),
-            new Class<?>[] {Balancer.class}, (proxyInstance, method, arguments) -> {
+        Balancer scriptedModule = (Balancer) java.lang.reflect.Proxy.newProxyInstance(
+            getClass().getClassLoader(), new Class<?>[] {Balancer.class},
+            (proxyInstance, method, arguments) -> {
                 if ("onOutcome".equals(method.getName())) {
                     outcomes.add((Outcome) arguments[4]);
                 }
@@ -98,19 +101,21 @@
         submitRequest(id, serviceClass).syncUninterruptibly();
     }
 
+    /** Submits a request to the event loop without waiting until it has been accepted. */
     private Future<?> submitRequest(String id, String serviceClass) {
         FullHttpRequest message = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST,
             "/" + serviceClass + "/x");
-        return eventLoop.submit(() ->
-            table.accept(new Request(id, serviceClass, null, null, 3_600_000_000L, 0, false),
-            message, responses::add));
+        return eventLoop.submit(() -> table.accept(
+            new Request(id, serviceClass, null, null, 3_600_000_000L, 0, false), message, responses::add));
     }
 
     private static void awaitNoBytes(Socket connection) throws IOException {
-        assertEquals(-1, connection.getInputStream().read(), "no byte of it is sent");
+        assertEquals(-1, connection.getInputStream().read(), "expected no byte on this connection");
     }
 
-    /** A second answer may come some milliseconds later, and would pass for the next request's. */
+    /**
+     * A backend may send a second response some milliseconds later, which would pass for the next request's.
+     */
     @Test
     void connectionIsNotReusedDuringDelayAfterResponse() throws Exception {
         for (long reuseDelayNanos : new long[] {VERY_LONG_NANOS, 0}) {
@@ -124,17 +129,17 @@
             for (int i = 1; i <= 3; i++) {
                 int expectedCount = i;
                 acceptRequest("r" + i, "save");
-                Fakes.await("its answer", () -> outcomes.size() == expectedCount);
+                Fakes.await("the response", () -> outcomes.size() == expectedCount);
             }
             assertEquals(List.of(Outcome.OK, Outcome.OK, Outcome.OK), outcomes);
             int connections = backend.openConnections.size();
             assertEquals(reuseDelayNanos == 0 ? 1 : 3, connections);
             eventLoop.submit(() -> pool.closeIdleConnections(1)).syncUninterruptibly();
-            Fakes.await("they are closed", () -> backend.openConnections.isEmpty());
+            Fakes.await("the idle connections to be closed", () -> backend.openConnections.isEmpty());
         }
     }
 
-    /** What is kept of each grows with the list, and so does what each look at all of them costs. */
+    /** Otherwise memory, and the cost of each pass over all backends, would grow with the list. */
     @Test
     void connectionStateExistsOnlyForBackendsThatReceiveRequests() throws Exception {
         setUpTable(0, (event, arguments) -> {
@@ -150,11 +155,12 @@
         eventLoop.submit(() -> pool.replaceBackends(backends)).syncUninterruptibly();
         assertEquals(0, pool.backendStateCount());
         acceptRequest("r1", "save");
-        Fakes.await("its answer", () -> outcomes.size() == 1);
+        Fakes.await("the response", () -> outcomes.size() == 1);
         assertEquals(1, eventLoop.submit(pool::backendStateCount).get());
         eventLoop.submit(() -> pool.replaceBackends(backends.subList(1, 2_000))).syncUninterruptibly();
-        Fakes.await("its connection is closed", () -> backend.openConnections.isEmpty());
-        Fakes.await("it is forgotten", () -> backendStateCount() == 0);
+        Fakes.await("the connection of the delisted backend to be closed", () ->
+            backend.openConnections.isEmpty());
+        Fakes.await("the state of the delisted backend to be removed", () -> backendStateCount() == 0);
     }
 
     private int backendStateCount() {
@@ -173,7 +179,7 @@
         }
     }
 
-    /** The window for repeats is over by the time at which the connection for the repeat is up. */
+    /** The deduplication window ends before the connection for the retry is established. */
     @Test
     void retryIsNotSentAfterDedupWindow() throws Exception {
         AtomicLong sentAtNanos = new AtomicLong();
@@ -188,22 +194,23 @@
                     table.fail("r");
                 }
             });
-            backend.responder = request -> ""; // closed after the request: it may have run
+            backend.responder = request -> ""; // closes after the request, which may have been executed
             updateBackend(1, backend.port(), true);
             updateBackend(2, unresponsiveServer.port(), true);
             acceptRequest("r", "save");
-            Fakes.await("the first attempt's end", () -> outcomes.contains(Outcome.RESET));
-            Fakes.await("the window is over", () -> System.nanoTime() - sentAtNanos.get() > 300_000_000L);
+            Fakes.await("the first attempt to end with a reset", () -> outcomes.contains(Outcome.RESET));
+            Fakes.await("the end of the deduplication window",
+                () -> System.nanoTime() - sentAtNanos.get() > 300_000_000L);
             try (Socket lateConnection = unresponsiveServer.acceptNext()) {
                 awaitNoBytes(lateConnection);
             }
-            Fakes.await("the answer", () -> !responses.isEmpty());
+            Fakes.await("the response", () -> !responses.isEmpty());
             assertEquals(List.of(Outcome.RESET, Outcome.NOT_SENT), outcomes);
             assertEquals(502, responses.get(0).status().code());
         }
     }
 
-    /** What a backend is told to have is what the client still waits, not what it did at the decision. */
+    /** X-Timeout must be the time left when the request is written, not when the attempt was decided on. */
     @Test
     void timeoutHeaderExcludesConnectTime() throws Exception {
         AtomicLong decidedAtNanos = new AtomicLong();
@@ -211,14 +218,14 @@
             setUpTable(0, (event, arguments) -> {
                 if ("onRequest".equals(event)) {
                     table.send("r", 1, 20_000_000);
-                    decidedAtNanos.set(System.nanoTime()); // its time runs from before this on
+                    decidedAtNanos.set(System.nanoTime()); // the attempt's time started before this
                 } else {
                     table.fail("r");
                 }
             });
             updateBackend(1, unresponsiveServer.port(), true);
             acceptRequest("r", "save");
-            Fakes.await("it has waited", () -> decidedAtNanos.get() != 0
+            Fakes.await("50 ms since the decision", () -> decidedAtNanos.get() != 0
                 && System.nanoTime() - decidedAtNanos.get() > 50_000_000L);
             long waitedNanos = System.nanoTime() - decidedAtNanos.get();
             try (Socket lateConnection = unresponsiveServer.acceptNext()) {
@@ -229,7 +236,7 @@
                 assertTrue(timeoutSeconds <= 20 - waitedNanos / 1e9 + 1e-3 && timeoutSeconds > 0,
                     timeoutLine + " after " + waitedNanos);
             }
-            Fakes.await("nothing is in hand", () -> table.inFlightCount() == 0);
+            Fakes.await("no request in flight", () -> table.inFlightCount() == 0);
         }
     }
 
@@ -249,15 +256,15 @@
             try (Socket lateConnection = unresponsiveServer.acceptNext()) {
                 awaitNoBytes(lateConnection);
             }
-            Fakes.await("the answer", () -> !responses.isEmpty());
+            Fakes.await("the response", () -> !responses.isEmpty());
             assertEquals(List.of(Outcome.CONNECT_FAILURE), outcomes);
             assertEquals(503, responses.get(0).status().code());
         }
     }
 
     /**
-     * The loser waits for a connection as the winner answers, and the settings do not let it be called
-     * off.
+     * The losing attempt is still connecting when the other one succeeds, and the settings forbid cancelling
+     * it.
      */
     @Test
     void unsentRedundantAttemptIsCancelledByResponse() throws Exception {
@@ -271,8 +278,9 @@
             updateBackend(1, unresponsiveServer.port(), true);
             updateBackend(2, backend.port(), true);
             acceptRequest("r", "save");
-            Fakes.await("nothing is in hand", () -> table.inFlightCount() == 0);
-            assertEquals(List.of(Outcome.OK, Outcome.CANCELLED), outcomes, "the winner is told first");
+            Fakes.await("no request in flight", () -> table.inFlightCount() == 0);
+            assertEquals(List.of(Outcome.OK, Outcome.CANCELLED), outcomes,
+                "the successful attempt is reported first");
             assertEquals(200, responses.get(0).status().code());
         }
     }
@@ -283,15 +291,17 @@
         proxy = new Proxy(Fakes.config(discovery.port(), 1024));
     }
 
-    /** It goes on for ever, a little at a time: its client is not to wait for an end that never comes. */
+    /**
+     * The response continues forever in small pieces; its client must not wait for an end that never comes.
+     */
     @Test
     void endlessResponseIsAbortedAfterDeadline() throws Exception {
         backend.responder = request -> {
             try {
                 for (Socket connection : backend.openConnections) {
-                    connection.getOutputStream()
-                        .write(("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-                        .getBytes(StandardCharsets.UTF_8));
+                    connection.getOutputStream().write(
+                        ("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+                            .getBytes(StandardCharsets.UTF_8));
                     while (true) {
                         connection.getOutputStream().write("1\r\nx\r\n".getBytes(StandardCharsets.UTF_8));
                         Thread.sleep(20);
@@ -311,12 +321,12 @@
                 while (client.socket.getInputStream().read() >= 0) {
                     continue;
                 }
-            }, "a reset, so that it does not pass for whole");
+            }, "expected a reset, so that the response does not pass for complete");
         }
-        Fakes.await("its attempt is over as well", () -> proxy.inFlightRequestCount() == 0);
+        Fakes.await("the attempt to end", () -> proxy.inFlightRequestCount() == 0);
     }
 
-    /** An answer may last until its connection ends, but a reset is no end. */
+    /** The end of the connection may end a response, but a reset must not. */
     @Test
     void resetResponseWithoutLengthIsIncomplete() throws Exception {
         backend.responder = request -> {
@@ -336,7 +346,7 @@
         }
     }
 
-    /** Both lie there as the loop comes to look: one final answer, and the next request has its own. */
+    /** The event loop finds both at once: one final response is sent, and the next request gets its own. */
     @Test
     void simultaneousResponseAndDeadlineGiveOneResponse() throws Exception {
         CountDownLatch responseReleased = new CountDownLatch(1);
@@ -351,7 +361,7 @@
         startProxy();
         try (FakeClient client = new FakeClient(proxy)) {
             client.send(FakeClient.postRequest("put", "0.4"));
-            Fakes.await("it is out", () -> backend.requests.size() == 1);
+            Fakes.await("the request to reach the backend", () -> backend.requests.size() == 1);
             long deadlineNanos = System.nanoTime() + 400_000_000L;
             Fakes.whileBlocked(proxy.eventLoop(), () -> { }, () -> {
                 responseReleased.countDown();
@@ -365,7 +375,7 @@
         }
     }
 
-    /** Parts whose one backend has answered once, and keeps the connection. */
+    /** Sets up a pool with one idle connection, on which the backend has responded once. */
     private void setUpIdleConnection() {
         setUpTable(0, (event, arguments) -> {
             if ("onRequest".equals(event)) {
@@ -376,7 +386,7 @@
         });
         updateBackend(1, backend.port(), true);
         acceptRequest("r1", "put");
-        Fakes.await("its answer", () -> outcomes.size() == 1);
+        Fakes.await("the response", () -> outcomes.size() == 1);
     }
 
     private void closeIdleConnection() throws IOException {
@@ -384,28 +394,28 @@
         backend.openConnections.get(0).close();
     }
 
-    /** The backend's end lies there unread as its connection is taken: it may have run, and failed. */
+    /** The close by the backend is still unread when its connection is reused: the request may have run. */
     @Test
     void requestOnConnectionWithUnreadCloseIsNotRetried() throws Exception {
         setUpIdleConnection();
         Fakes.whileBlocked(eventLoop, () -> { }, () -> {
             closeIdleConnection();
-            submitRequest("r2", "put"); // in the held turn still, before a socket is looked at
+            submitRequest("r2", "put"); // runs before the event loop looks at any socket
         });
-        Fakes.await("its answer", () -> responses.size() == 2);
+        Fakes.await("the response", () -> responses.size() == 2);
         assertEquals(List.of(Outcome.OK, Outcome.RESET), outcomes);
         assertEquals(502, responses.get(1).status().code());
         assertEquals(1, backend.requests.size());
     }
 
-    /** It was read by then: what is sent goes out on a connection of its own, and runs once. */
+    /** The close has been read by then: the request is sent on a new connection and runs once. */
     @Test
     void closedConnectionIsNotReused() throws Exception {
         setUpIdleConnection();
         closeIdleConnection();
-        Fakes.await("its end is read", () -> connectionCount() == 0);
+        Fakes.await("the proxy to read the end of the connection", () -> connectionCount() == 0);
         acceptRequest("r2", "put");
-        Fakes.await("its answer", () -> responses.size() == 2);
+        Fakes.await("the response", () -> responses.size() == 2);
         assertEquals(List.of(Outcome.OK, Outcome.OK), outcomes);
         assertEquals(200, responses.get(1).status().code());
         assertEquals(2, backend.requests.size());
--- a/proxy/src/test/java/dockrelay/proxy/BufferLimitTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/BufferLimitTest.java
@@ -8,6 +8,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
+/** The memory limit of messages in transit, and the flow control that depends on it. */
 class BufferLimitTest {
     private static final int MEMORY_MEGABYTES = 144;
     private long usedBytes;
@@ -31,7 +32,7 @@
         assertTrue(channel.config().isAutoRead());
         usedBytes = Long.MAX_VALUE;
         flowControl.afterRead();
-        assertFalse(channel.config().isAutoRead(), "no room for what comes next");
+        assertFalse(channel.config().isAutoRead(), "reading must pause while memory is short");
         advanceTime(channel);
         assertFalse(channel.config().isAutoRead());
         usedBytes = 0;
@@ -42,7 +43,7 @@
         flowControl.setReadEnabled(false);
         usedBytes = 0;
         advanceTime(channel);
-        assertFalse(channel.config().isAutoRead(), "nobody takes more");
+        assertFalse(channel.config().isAutoRead(), "reading must stay paused while the sink accepts no more");
     }
 
     private static void advanceTime(EmbeddedChannel channel) {
--- a/proxy/src/test/java/dockrelay/proxy/ClientDisconnectTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/ClientDisconnectTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** A client that has closed its connection has gone: nothing of its request begins after that. */
+/** Once a client has closed its connection, no attempt for its request may start. */
 class ClientDisconnectTest {
     private static final String LONG_TIMEOUT_SECONDS = "3600";
     private static final String SHORT_AIM = "\"Aim\":1.0,\"HardLimit\":5.0";
@@ -39,7 +39,10 @@
         backend.close();
     }
 
-    /** It was in the backlog, or on a resting connection: the end of it lies right behind the request. */
+    /**
+     * The client sends its request on a new connection in the backlog or on an idle one, and closes right
+     * behind the request. The proxy reads both at once and must not forward the request.
+     */
     @Test
     void requestOfDisconnectedClientIsNotForwarded() throws Exception {
         start(backend.port(), "", "");
@@ -53,7 +56,7 @@
                     new Socket(InetAddress.getLoopbackAddress(), proxy.listenAddress().getPort());
                 new FakeClient(newSocket).send(FakeClient.postRequest("put", "4.0")).close();
             });
-            Fakes.await("both are gone", () -> proxy.clientConnectionCount() == 0);
+            Fakes.await("both client connections to be closed", () -> proxy.clientConnectionCount() == 0);
             try (FakeClient laterClient = new FakeClient(proxy)) {
                 assertEquals(200, laterClient.send(FakeClient.postRequest("save", "4.0")).readStatus());
             }
@@ -69,39 +72,38 @@
         try (FakeClient client = new FakeClient(proxy)) {
             client.send(FakeClient.postRequest("put", LONG_TIMEOUT_SECONDS))
                 .send(FakeClient.postRequest("put", LONG_TIMEOUT_SECONDS)
-                + FakeClient.postRequest("put", LONG_TIMEOUT_SECONDS).substring(0, 30));
-            Fakes.await("the first one is out", () -> backend.requests.size() == 1);
+                    + FakeClient.postRequest("put", LONG_TIMEOUT_SECONDS).substring(0, 30));
+            Fakes.await("the first request to reach the backend", () -> backend.requests.size() == 1);
         }
-        Fakes.await("it is called off", () -> backend.closedCount.get() == 1);
-        Fakes.await("nothing is in hand", () -> proxy.inFlightRequestCount() == 0);
+        Fakes.await("the attempt to be cancelled", () -> backend.closedCount.get() == 1);
+        Fakes.await("no request in flight", () -> proxy.inFlightRequestCount() == 0);
         assertEquals(1, backend.requests.size());
     }
 
-    /**
-     * What a client sends behind its request waits, but not without bound; then its answer is the last
-     * one.
-     */
+    /** Pipelined data is queued up to a bound; beyond it, the pending response closes the connection. */
     @Test
     void pipelinedDataIsBounded() throws Exception {
         backend.responder = request -> null;
         start(backend.port(), SHORT_AIM, LONG_AIM);
         try (FakeClient client = new FakeClient(proxy)) {
             client.send(FakeClient.postRequest("put", LONG_TIMEOUT_SECONDS));
-            Fakes.await("it is out", () -> backend.requests.size() == 1);
+            Fakes.await("the request to reach the backend", () -> backend.requests.size() == 1);
             String pipelinedRequest = FakeClient.getRequest(LONG_TIMEOUT_SECONDS);
-            for (int i = 0; i < 20; i++) { // some 300 kB, all of which is read, and some 2,000 in one write
+            for (int i = 0; i < 20; i++) { // about 300 kB in all, with 2,000 requests in the first write
                 client.send(i == 0 ? "GET /x HTTP/1.1\r\n\r\n".repeat(2_000) : pipelinedRequest.repeat(100));
             }
             backend.responder = request -> Fakes.httpResponse("200 OK", "", "other");
             String response = Fakes.httpResponse("200 OK", "", "one");
             backend.openConnections.get(0).getOutputStream().write(response.getBytes(StandardCharsets.UTF_8));
             assertTrue(client.readResponse().endsWith("one"));
-            Fakes.await("and that is the end of it", () -> proxy.clientConnectionCount() == 0);
+            Fakes.await("the client connection to be closed", () -> proxy.clientConnectionCount() == 0);
         }
-        assertEquals(1, backend.requests.size(), "of those behind it none was taken");
+        assertEquals(1, backend.requests.size(), "no pipelined request may be forwarded");
     }
 
-    /** Where the settings do not let attempts be called off, one that has not begun is not an attempt yet. */
+    /**
+     * An attempt that has sent nothing yet is cancelled even where the settings forbid cancelling attempts.
+     */
     @Test
     void connectingAttemptIsCancelledWhenClientDisconnects() throws Exception {
         try (UnresponsiveServer unresponsiveServer = new UnresponsiveServer()) {
@@ -114,9 +116,10 @@
             assertFalse(configJson.contains("\"MayCancel\":true"));
             try (FakeClient client = new FakeClient(proxy)) {
                 client.send(FakeClient.postRequest("put", LONG_TIMEOUT_SECONDS));
-                Fakes.await("it waits for its connection", () -> proxy.inFlightRequestCount() == 1);
+                Fakes.await("the attempt to wait for its connection", () ->
+                    proxy.inFlightRequestCount() == 1);
             }
-            Fakes.await("nothing waits any more", () -> proxy.inFlightRequestCount() == 0);
+            Fakes.await("no request in flight", () -> proxy.inFlightRequestCount() == 0);
         }
     }
 }
--- a/proxy/src/test/java/dockrelay/proxy/ConnectionCloseRaceTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/ConnectionCloseRaceTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Requests that cross the end of a connection, which the proxy closes, or of its listener. */
+/** Requests that arrive while the proxy closes their idle connection or its listener. */
 class ConnectionCloseRaceTest {
     private final FakeBackend backend = new FakeBackend(request -> Fakes.httpResponse("200 OK", "", "one"));
     private final FakeDiscovery discovery = new FakeDiscovery();
@@ -51,8 +51,7 @@
     }
 
     /**
-     * Half a line of a request is no reason to go on where there is no time left: its client sees the
-     * end.
+     * When time is up, a partly received request does not keep its connection open; the client sees the end.
      */
     @Test
     void partialRequestCrossingCloseIsDiscardedWithoutReset() throws Exception {
@@ -63,17 +62,20 @@
             Fakes.whileBlocked(proxy.eventLoop(), () -> proxy.clientSide().closeIdle(), () -> {
                 client.send(request.substring(0, 20));
             });
-            assertNull(client.readResponse(), "an end in good order, and no reset over what was not read");
+            assertNull(client.readResponse(), "expected an orderly close, not a reset over unread bytes");
             client.send(request.substring(20));
         }
-        Fakes.await("it is gone", () -> proxy.clientConnectionCount() == 0);
+        Fakes.await("the client connection to be closed", () -> proxy.clientConnectionCount() == 0);
         try (FakeClient laterClient = new FakeClient(proxy)) {
             assertEquals(200, laterClient.send(FakeClient.getRequest("4.0")).readStatus());
         }
         assertTrue(backend.requests.stream().noneMatch(request -> request.startsWith("POST")));
     }
 
-    /** Half a request has come on one that is to make room: it is served, others make room. */
+    /**
+     * A connection chosen for eviction has received a part of a request: it is kept and the request is
+     * served.
+     */
     @Test
     void partialRequestPreventsEviction() throws Exception {
         start(1024);
@@ -88,7 +90,9 @@
         }
     }
 
-    /** All places are taken as SIGTERM comes, and more knock: closing the listener would reset those. */
+    /**
+     * SIGTERM arrives at the connection limit with further connections waiting, which a close would reset.
+     */
     @Test
     void backlogIsServedAfterSigterm() throws Exception {
         CountDownLatch responsesReleased = new CountDownLatch(1);
@@ -105,18 +109,18 @@
         for (int i = 0; i < 3; i++) {
             activeClients.add(new FakeClient(proxy).send(FakeClient.postRequest("save", "4.0")));
         }
-        Fakes.await("they are out", () -> backend.requests.size() == 3);
+        Fakes.await("the requests to reach the backend", () -> backend.requests.size() == 3);
         proxy.eventLoop().submit(() -> proxy.clientSide().limitConnections(3)).sync();
         int port = proxy.listenAddress().getPort();
         Thread stopThread = new Thread(proxy::stop);
         stopThread.start();
-        Fakes.await("it is asked to end", proxy::isStopping);
+        Fakes.await("the proxy to start stopping", proxy::isStopping);
         List<FakeClient> backlogClients = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
             Socket socket = new Socket(InetAddress.getLoopbackAddress(), port);
             backlogClients.add(new FakeClient(socket).send(FakeClient.getRequest("4.0")));
         }
-        // By the loop's own clock, after the time at which nothing new need be taken any more.
+        // By the event loop's clock, after the period in which new connections still have to be accepted.
         proxy.eventLoop().schedule(responsesReleased::countDown, Proxy.ACCEPT_AFTER_STOP_MILLIS + 100,
             TimeUnit.MILLISECONDS);
         for (FakeClient client : activeClients) {
--- a/proxy/src/test/java/dockrelay/proxy/Fakes.java
+++ b/proxy/src/test/java/dockrelay/proxy/Fakes.java
@@ -20,19 +20,22 @@
 import java.util.function.BooleanSupplier;
 import java.util.stream.Collectors;
 
-/** The proxy's neighbours on loopback sockets: backends, discovery and a client, as far as the tests need. */
+/**
+ * Test doubles for the proxy's neighbours (backends, discovery, clients) on loopback sockets, and shared
+ * helpers.
+ */
 final class Fakes {
     private static final int TIMEOUT_MILLIS = 20_000;
 
     private Fakes() {
     }
 
-    /** Waits until a condition holds; only a hopelessly long wait fails. */
+    /** Waits until a condition holds; fails after a generous time-out. */
     static void await(String description, BooleanSupplier condition) {
         long deadlineNanos = System.nanoTime() + TIMEOUT_MILLIS * 1_000_000L;
         while (!condition.getAsBoolean()) {
             if (System.nanoTime() > deadlineNanos) {
-                throw new AssertionError("never came: " + description);
+                throw new AssertionError("timed out waiting for: " + description);
             }
             try {
                 Thread.sleep(2);
@@ -42,20 +45,23 @@
         }
     }
 
-    /** A configuration with a safe, an unsafe and a keyed class. */
+    /** A configuration with three service classes: idempotent, at-most-once and deduplicated by key. */
     static Config config(int discoveryPort, int maxSockets) {
         return config(0, discoveryPort, maxSockets, "", "");
     }
 
-    /** The same with a port to listen at, what it last knew of the backends, and further settings. */
+    /**
+     * The configuration of {@link #config(int, int)} with a listening port, a list of known backends as JSON
+     * entries and additional settings as JSON members.
+     */
     static Config config(int port, int discoveryPort, int maxSockets, String knownBackends,
-        String extraSettings) {
+                         String extraSettings) {
         return parseConfig(configJson(port, discoveryPort, maxSockets, knownBackends, extraSettings));
     }
 
-    /** The same as it stands in its file. */
+    /** The text of a configuration file with three service classes, as {@link #config(int, int)} uses it. */
     static String configJson(int port, int discoveryPort, int maxSockets, String knownBackends,
-        String extraSettings) {
+                             String extraSettings) {
         String serviceTemplate = "{\"Name\":\"%s\",\"Aim\":1.0,\"HardLimit\":5.0,\"Idempotency\":\"%s\","
             + "\"DedupScope\":\"all\",\"MemorySpan\":5.0}";
         return "{\"name\":\"n0\",\"listen\":\"127.0.0.1:" + port + "\",\"discovery\":\"127.0.0.1:"
@@ -76,24 +82,23 @@
         }
     }
 
-    /** The configuration of one of two proxies that may talk to each other. */
+    /** The configuration of one of several proxies that exchange peer messages. */
     static Config peersConfig(List<Integer> ports, int ownIndex) {
         String addresses = ports.stream().map(port -> "\"127.0.0.1:" + port + "\"")
             .collect(Collectors.joining(","));
         return parseConfig("{\"name\":\"n\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:1\","
-            + "\"seed\":\"1\",\"peer_listen\":\"127.0.0.1:" + ports.get(ownIndex) + "\",\"peers\":["
-            + addresses + "],"
-            + "\"settings\":{\"Balancers\":2,\"Me\":" + ownIndex
-            + ",\"Services\":[{\"Name\":\"look\",\"Aim\":1.0,"
-            + "\"HardLimit\":5.0}]}}");
+            + "\"seed\":\"1\",\"peer_listen\":\"127.0.0.1:" + ports.get(ownIndex)
+            + "\",\"peers\":[" + addresses + "]," + "\"settings\":{\"Balancers\":2,\"Me\":" + ownIndex
+            + ",\"Services\":[{\"Name\":\"look\",\"Aim\":1.0," + "\"HardLimit\":5.0}]}}");
     }
 
+    /** An entry of a list of backends as discovery sends it. */
     static String entryJson(String id, int port, String state) {
         return "{\"id\":\"" + id + "\",\"addr\":\"127.0.0.1:" + port + "\",\"zone\":\"a\",\"kind\":\"k\","
             + "\"cell\":1,\"state\":\"" + state + "\",\"weight\":1.0,\"started_ms\":0}";
     }
 
-    /** The head of an HTTP message with its body, or null where the connection ended before it. */
+    /** Reads an HTTP message with its body; null if the connection ends before the message is complete. */
     static String readMessage(InputStream in) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         int messageLength = Integer.MAX_VALUE;
@@ -107,15 +112,14 @@
             String headText = atHeadLineEnd ? bytes.toString(StandardCharsets.UTF_8) : "";
             if (headText.endsWith("\r\n\r\n")) {
                 int lengthIndex = headText.toLowerCase().indexOf("content-length: ");
-                messageLength = headText.length() + (lengthIndex < 0 ? 0
-                    : Integer.parseInt(headText.substring(lengthIndex + 16,
-                    headText.indexOf('\r', lengthIndex))));
+                messageLength = headText.length() + (lengthIndex < 0 ? 0 : Integer.parseInt(
+                    headText.substring(lengthIndex + 16, headText.indexOf('\r', lengthIndex))));
             }
         }
         return bytes.toString(StandardCharsets.UTF_8);
     }
 
-    /** What the operators' address answers to this line. */
+    /** Sends a line to the operators' console and returns the response. */
     static String callConsole(Proxy proxy, String line) {
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), proxy.consoleAddress().getPort())) {
             socket.getOutputStream().write(line.getBytes(StandardCharsets.UTF_8));
@@ -128,12 +132,13 @@
         }
     }
 
+    /** A raw HTTP/1.1 response with a Content-Length header; each of the given headers ends with CRLF. */
     static String httpResponse(String status, String headers, String body) {
         return "HTTP/1.1 " + status + "\r\n" + headers + "Content-Length: " + body.length() + "\r\n\r\n"
             + body;
     }
 
-    /** Half of an answer on a connection that is about to end. */
+    /** Writes an incomplete response to a connection. */
     static void writeIncompleteResponse(Socket connection) {
         try {
             String incompleteResponse = "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf";
@@ -143,14 +148,17 @@
         }
     }
 
-    /** Something that may fail. */
+    /** An action that may throw. */
     interface ThrowingAction {
         void run() throws Exception;
     }
 
-    /** Holds an event loop still after this, so that what comes in the step is found there all at once. */
-    static void whileBlocked(EventLoop loop, Runnable beforeBlocking,
-        ThrowingAction action) throws Exception {
+    /**
+     * Blocks an event loop after it has run {@code beforeBlocking}, runs the action and unblocks the loop,
+     * which then finds everything that the action has sent at once.
+     */
+    static void whileBlocked(EventLoop loop, Runnable beforeBlocking, ThrowingAction action)
+        throws Exception {
         CountDownLatch blocked = new CountDownLatch(1), released = new CountDownLatch(1);
         loop.execute(() -> {
             beforeBlocking.run();
@@ -169,7 +177,9 @@
         }
     }
 
-    /** Listens, but with a full queue: what knocks hears nothing, as of a machine that has vanished. */
+    /**
+     * A listener with a full accept queue: connection attempts get no reply, as from an unreachable machine.
+     */
     static final class UnresponsiveServer implements AutoCloseable {
         private static final int CONNECT_TIMEOUT_MILLIS = 300;
         private final ServerSocket serverSocket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
@@ -191,7 +201,7 @@
             return serverSocket.getLocalPort();
         }
 
-        /** Takes what fills the queue, and then the next connection that comes up. */
+        /** Accepts and closes the connections that fill the queue, then accepts and returns the next one. */
         Socket acceptNext() throws IOException {
             serverSocket.setSoTimeout(TIMEOUT_MILLIS);
             while (true) {
@@ -214,7 +224,7 @@
         }
     }
 
-    /** Listens on a port of its own and serves each connection on a thread. */
+    /** A server on an ephemeral port that serves each connection on its own thread. */
     abstract static class FakeServer implements AutoCloseable {
         final ServerSocket serverSocket;
         final List<Socket> openConnections = new CopyOnWriteArrayList<>();
@@ -245,7 +255,7 @@
                     thread.start();
                 }
             } catch (IOException e) {
-                return; // closed
+                return; // the server was closed
             }
         }
 
@@ -253,7 +263,7 @@
             try (connection) {
                 serve(connection);
             } catch (IOException e) {
-                // the other side reset it: ended as well
+                // reset by the other side, which also ends the connection
             } finally {
                 openConnections.remove(connection);
                 closedCount.incrementAndGet();
@@ -262,7 +272,9 @@
 
         abstract void serve(Socket connection) throws IOException;
 
-        /** Waits for the acceptor: until it has left its call, the kernel keeps a closed listener open. */
+        /**
+         * Closes the server. Waits for the acceptor: the kernel keeps the listener open until accept returns.
+         */
         @Override
         public void close() throws IOException {
             serverSocket.close();
@@ -277,12 +289,13 @@
         }
     }
 
-    /** What a backend does with a request. */
+    /** Determines how a backend responds to a request. */
     interface Responder {
-        /** The raw answer; an empty one closes the connection, a null one leaves it silent. */
+        /** Returns the raw response; an empty one closes the connection, and null sends nothing. */
         String respond(String request);
     }
 
+    /** A backend that records its requests and responds as its responder says. */
     static final class FakeBackend extends FakeServer {
         final List<String> requests = new CopyOnWriteArrayList<>();
         volatile Responder responder;
@@ -307,13 +320,13 @@
         }
     }
 
-    /** A backend as a list has it. */
+    /** A listed backend, either ready or draining. */
     static RequestTable.ListedBackend listedBackend(long id, InetSocketAddress address, boolean ready) {
-        return new RequestTable.ListedBackend(new Backend(id, "a", "k", 0,
-            ready ? Phase.READY : Phase.DRAINING, 1,
-            0), address);
+        return new RequestTable.ListedBackend(
+            new Backend(id, "a", "k", 0, ready ? Phase.READY : Phase.DRAINING, 1, 0), address);
     }
 
+    /** Discovery that serves watches: it sends a first list and then what the test pushes. */
     static class FakeDiscovery extends FakeServer {
         final List<String> requests = new CopyOnWriteArrayList<>();
         volatile boolean rejecting;
@@ -332,7 +345,7 @@
                 + chunk(firstList)).getBytes(StandardCharsets.UTF_8));
             requests.add(request);
             while (connection.getInputStream().read() >= 0) {
-                continue; // until the watch ends
+                continue; // waits for the end of the watch
             }
         }
 
@@ -345,11 +358,12 @@
                 + List.of(entries).stream().collect(Collectors.joining(",")) + "]}";
         }
 
-        /** What the next watch is told first. */
+        /** Sets the list that each new watch receives first. */
         void setFirstList(String listJson) {
             firstList = listJson;
         }
 
+        /** Sends a line to all open watches. */
         void push(String line) throws IOException {
             for (Socket watch : openConnections) {
                 watch.getOutputStream().write(chunk(line).getBytes(StandardCharsets.UTF_8));
@@ -357,7 +371,7 @@
         }
     }
 
-    /** A client's connection, byte by byte. */
+    /** A client connection that sends and reads raw HTTP. */
     static final class FakeClient implements AutoCloseable {
         private static final AtomicInteger LAST_ID = new AtomicInteger();
         final Socket socket;
@@ -376,26 +390,30 @@
             return this;
         }
 
+        /** A request head with a new request id; each of the given headers ends with CRLF. */
         static String request(String method, String serviceClass, String headers) {
             return method + " /" + serviceClass + "/thing HTTP/1.1\r\nHost: app\r\nX-Priority-Class: "
-                + serviceClass
-                + "\r\nX-Request-ID: id-" + LAST_ID.incrementAndGet() + "\r\n" + headers + "\r\n";
+                + serviceClass + "\r\nX-Request-ID: id-" + LAST_ID.incrementAndGet() + "\r\n" + headers
+                + "\r\n";
         }
 
+        /** A request of the idempotent class with a timeout in seconds. */
         static String getRequest(String timeout) {
             return request("GET", "look", "X-Timeout: " + timeout + "\r\n");
         }
 
+        /** A request with an empty body and a timeout in seconds; has a key if its class needs one. */
         static String postRequest(String serviceClass, String timeout) {
             return request("POST", serviceClass, "X-Timeout: " + timeout + "\r\nContent-Length: 0\r\n"
                 + ("save".equals(serviceClass) ? "Idempotency-Key: k\r\n" : ""));
         }
 
-        /** The next whole answer, or null where the connection ended without one. */
+        /** Reads the next complete response; null if the connection ends without one. */
         String readResponse() throws IOException {
             return readMessage(socket.getInputStream());
         }
 
+        /** Reads the next complete response and returns its status; 0 if the connection ends without one. */
         int readStatus() throws IOException {
             String response = readResponse();
             return response == null ? 0 : Integer.parseInt(response.substring(9, 12));
--- a/proxy/src/test/java/dockrelay/proxy/ProxyTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/ProxyTest.java
@@ -53,7 +53,7 @@
     }
 
     private void awaitReady() {
-        Fakes.await("healthz 200", () -> {
+        Fakes.await("healthz to return 200", () -> {
             try (FakeClient client = new FakeClient(proxy)) {
                 return client.send(HEALTH_CHECK).readStatus() == 200;
             } catch (java.io.IOException e) {
@@ -92,7 +92,7 @@
                 + "Idempotency-Key: key-7\r\nConnection: close, X-Mine\r\nX-Mine: 1\r\n"
                 + "Content-Length: 5\r\n\r\nhello";
             assertEquals(200, client.send(requestWithBody).readStatus());
-            assertNull(client.readResponse(), "closed, as the client asked");
+            assertNull(client.readResponse(), "expected the connection to be closed as the client requested");
         }
         String forwarded = (backend1.requests.toString() + backend2.requests).toLowerCase();
         assertTrue(forwarded.contains("post /save/q?x=1 http/1.1"), forwarded);
@@ -104,16 +104,15 @@
         double forwardedTimeout =
             Double.parseDouble(forwarded.substring(index, forwarded.indexOf('\r', index)));
         assertTrue(forwardedTimeout > 0 && forwardedTimeout <= 1,
-            "how long the proxy waits, not how long the client does: " + forwardedTimeout);
+            "X-Timeout must be the time the proxy waits, not the client's: " + forwardedTimeout);
     }
 
-    /** An unsafe request is refused where nothing ran and failed where something may have. */
+    /** An unsafe request gets 503 if no backend executed it, and 502 if one may have. */
     @ParameterizedTest
     @CsvSource({"500 Oops,'',502,1", "503 Full,X-Not-Processed: 1,503,2",
         "504 Over,X-Not-Processed: 1,503,2", "503 Who knows,'',502,1", "404 Nothing,'',502,1"})
     void backendStatusDeterminesClientStatusAndAttempts(String backendStatus, String backendHeaders,
-    int clientStatus, int attempts)
-        throws Exception {
+                                                         int clientStatus, int attempts) throws Exception {
         setResponder(request ->
             Fakes.httpResponse(backendStatus, backendHeaders.isEmpty() ? "" : backendHeaders + "\r\n", ""));
         try (FakeClient client = new FakeClient(proxy)) {
@@ -128,7 +127,7 @@
         try (FakeClient client = new FakeClient(proxy)) {
             assertEquals(502, client.send(FakeClient.postRequest("put", "3.0")).readStatus());
         }
-        assertEquals(1, forwardedCount(), "an unsafe request goes out once");
+        assertEquals(1, forwardedCount(), "an unsafe request must be sent once only");
     }
 
     @Test
@@ -143,7 +142,7 @@
         }
     }
 
-    /** What else comes with the first answer is no answer to the request that follows. */
+    /** Bytes that follow the first response must not pass for the response to the next request. */
     @ParameterizedTest
     @ValueSource(strings = {"HTTP/1.1 200 OK\r\n\r\na rate",
         "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\na rate",
@@ -156,7 +155,7 @@
         setResponder(request -> forwardedCount() == 1 ? ambiguousResponse : RESPONSE);
         try (FakeClient client = new FakeClient(proxy)) {
             assertEquals(502, client.send(FakeClient.postRequest("put", "3.0")).readStatus());
-            Fakes.await("its connection closed", () ->
+            Fakes.await("the backend connection to be closed", () ->
                 backend1.closedCount.get() + backend2.closedCount.get() == 1);
             String nextResponse = client.send(FakeClient.postRequest("put", "3.0")).readResponse();
             assertTrue(nextResponse.startsWith("HTTP/1.1 200") && nextResponse.endsWith("a rate"),
@@ -176,15 +175,15 @@
         assertEquals(3, forwardedCount());
     }
 
-    /** Bytes that come while nothing is asked would be read as the start of the next answer. */
+    /** Bytes that arrive while the connection is idle would be read as the start of the next response. */
     @Test
     void bytesOnIdleConnectionCloseIt() throws Exception {
         try (FakeClient client = new FakeClient(proxy)) {
             assertEquals(200, client.send(FakeClient.postRequest("put", "3.0")).readStatus());
             backend1.openConnections.forEach(Fakes::writeIncompleteResponse);
             backend2.openConnections.forEach(Fakes::writeIncompleteResponse);
-            Fakes.await("its connection closed", () ->
-                backend1.openConnections.isEmpty() && backend2.openConnections.isEmpty());
+            Fakes.await("the backend connection to be closed",
+                () -> backend1.openConnections.isEmpty() && backend2.openConnections.isEmpty());
             String nextResponse = client.send(FakeClient.postRequest("put", "3.0")).readResponse();
             assertTrue(nextResponse.endsWith("a rate"), nextResponse);
         }
@@ -206,7 +205,7 @@
             assertEquals(502, client.send(FakeClient.postRequest("put", "0.3")).readStatus());
             assertEquals(503, client.send(FakeClient.getRequest("0.3")).readStatus());
         }
-        Fakes.await("all attempts called off", () ->
+        Fakes.await("all attempts to be cancelled", () ->
             backend1.openConnections.isEmpty() && backend2.openConnections.isEmpty());
     }
 
@@ -215,8 +214,8 @@
         setResponder(request -> forwardedCount() < 2 ? null : RESPONSE);
         try (FakeClient client = new FakeClient(proxy)) {
             assertEquals(200, client.send(FakeClient.getRequest("4.0")).readStatus());
-            Fakes.await("the loser's connection closed", () ->
-                backend1.closedCount.get() + backend2.closedCount.get() == 1);
+            Fakes.await("the connection of the losing attempt to be closed",
+                () -> backend1.closedCount.get() + backend2.closedCount.get() == 1);
             assertEquals(2, forwardedCount());
         }
     }
@@ -230,7 +229,7 @@
             int requestsBefore = backend1.requests.size();
             discovery.push(FakeDiscovery.listJson(3, false,
                 Fakes.entryJson("s-1", backend1.port(), "leaving")));
-            Fakes.await("idle connections closed", () -> backend1.openConnections.isEmpty());
+            Fakes.await("the idle connections to be closed", () -> backend1.openConnections.isEmpty());
             for (int i = 0; i < 20; i++) {
                 assertEquals(200, client.send(FakeClient.getRequest("4.0")).readStatus());
             }
@@ -248,7 +247,7 @@
                         socket.shutdownOutput();
                     }
                 }
-                Fakes.await("closed by the proxy as well", () ->
+                Fakes.await("the proxy to close its side", () ->
                     backend1.openConnections.isEmpty() && backend2.openConnections.isEmpty());
             }
         }
@@ -260,9 +259,9 @@
         setResponder(request -> null);
         try (FakeClient client = new FakeClient(proxy)) {
             client.send(FakeClient.postRequest("put", "4.0"));
-            Fakes.await("the attempt", () -> forwardedCount() == 1);
+            Fakes.await("the attempt to reach a backend", () -> forwardedCount() == 1);
         }
-        Fakes.await("the attempt called off", () ->
+        Fakes.await("the attempt to be cancelled", () ->
             backend1.closedCount.get() + backend2.closedCount.get() == 1);
     }
 
@@ -272,8 +271,8 @@
             "404GET /nothing/x HTTP/1.1\r\nHost: app\r\n\r\n", "404GET / HTTP/1.1\r\nHost: app\r\n\r\n",
             "400GET /look/x HTTP/1.1\r\nHost: app\r\nX-Priority-Class: look\r\nX-Request-ID: i\r\n\r\n",
             "400" + FakeClient.getRequest("soon"), "400" + FakeClient.getRequest("-1"),
-            "400" + FakeClient.getRequest("NaN"),
-            "400" + FakeClient.getRequest("1e9"), "405" + FakeClient.postRequest("look", "1"),
+            "400" + FakeClient.getRequest("NaN"), "400" + FakeClient.getRequest("1e9"),
+            "405" + FakeClient.postRequest("look", "1"),
             "400" + FakeClient.request("POST", "save", "X-Timeout: 1\r\nContent-Length: 0\r\n"),
             "400" + FakeClient.request("GET", "look", "X-Timeout: 1\r\nX-Cost: much\r\n"),
             "400" + FakeClient.request("GET", "look", "X-Timeout: 1\r\nX-Timeout: 2\r\n"),
@@ -297,7 +296,9 @@
         }
     }
 
-    /** Each head leaves in doubt, to one reader or another, where its body ends; the body holds a request. */
+    /**
+     * Request smuggling: parsers may disagree on where the body of each head ends, and it contains a request.
+     */
     @ParameterizedTest
     @ValueSource(strings = {
         "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
@@ -317,7 +318,8 @@
             client.send(head.substring(0, head.length() - 2) + framing + FakeClient.getRequest("4.0"));
             int status = client.readStatus();
             assertTrue(status >= 400 && status < 500, framing + status);
-            assertNull(client.readResponse(), "what follows may be its body");
+            assertNull(client.readResponse(),
+                "expected no second response: the following bytes may be the body");
         }
         assertEquals(0, forwardedCount());
     }
@@ -347,7 +349,7 @@
             assertNull(slowClient.readResponse());
             assertEquals(408, reusedClient.readStatus());
         }
-        assertEquals(1, forwardedCount(), "the one whole request");
+        assertEquals(1, forwardedCount(), "only the complete request may reach a backend");
     }
 
     @Test
@@ -371,7 +373,7 @@
         Fakes.await("a second watch", () -> discovery.requests.size() == 2);
         assertTrue(discovery.requests.get(1).startsWith("GET /v1/servers?watch=1&after=2 "));
         discovery.push(FakeDiscovery.listJson(3, false,
-            Fakes.entryJson("s-2", backend2.port(), "left"))); // old news
+            Fakes.entryJson("s-2", backend2.port(), "left"))); // outdated
         discovery.push(FakeDiscovery.listJson(6, false, Fakes.entryJson("s-3", backend2.port(), "active")));
         discovery.push(FakeDiscovery.listJson(7, false, Fakes.entryJson("s-3", backend2.port(), "left")));
         try (FakeClient client = new FakeClient(proxy)) {
@@ -382,13 +384,15 @@
         assertEquals(10, backend2.requests.size());
     }
 
-    /** The fake's watch sends no empty lines: nothing tells it from one whose other end has vanished. */
+    /**
+     * The fake discovery sends no keep-alive lines, so that its watch looks like one whose peer has vanished.
+     */
     @Test
     void silentWatchIsReplaced() throws Exception {
         Fakes.await("a second watch", () -> discovery.requests.size() == 2);
         assertTrue(discovery.requests.get(1).startsWith("GET /v1/servers?watch=1&after=2 "));
         discovery.push(FakeDiscovery.listJson(3, false, Fakes.entryJson("s-1", backend1.port(), "left")));
-        Fakes.await("the first watch closed", () -> discovery.closedCount.get() == 1);
+        Fakes.await("the first watch to be closed", () -> discovery.closedCount.get() == 1);
         try (FakeClient client = new FakeClient(proxy)) {
             for (int i = 0; i < 10; i++) {
                 assertEquals(200, client.send(FakeClient.getRequest("4.0")).readStatus());
@@ -396,7 +400,10 @@
         }
     }
 
-    /** The module asks; whatever ends a watch reaches it as a failure, and it asks again in its own time. */
+    /**
+     * The module has to subscribe itself: any end of a watch is reported to it as a failure, and it
+     * resubscribes.
+     */
     @Test
     void decisionModuleResubscribesAfterEachFailure() throws Exception {
         proxy.stop();
@@ -404,7 +411,7 @@
         discovery.rejecting = true;
         proxy = new Proxy(Fakes.config(0, discovery.port(), DEFAULT_MAX_SOCKETS, "",
             "\"Discovery\":\"ask\",\"Obligations\":{\"AskWithin\":0.1},"));
-        Fakes.await("asked again after a 503", () -> discovery.requests.size() >= 2);
+        Fakes.await("a second subscription after a 503", () -> discovery.requests.size() >= 2);
         try (FakeClient client = new FakeClient(proxy)) {
             assertEquals(503, client.send(HEALTH_CHECK).readStatus());
         }
@@ -414,13 +421,14 @@
         for (Socket watch : discovery.openConnections) {
             watch.close();
         }
-        Fakes.await("asked again after the watch ended", () -> discovery.requests.size() > requestsBefore);
+        Fakes.await("a new subscription after the watch ended", () ->
+            discovery.requests.size() > requestsBefore);
         try (FakeClient client = new FakeClient(proxy)) {
             assertEquals(200, client.send(FakeClient.getRequest("4.0")).readStatus());
         }
     }
 
-    /** A full accept queue drops what knocks, as a machine does that has vanished. */
+    /** A full accept queue drops connection attempts, as an unreachable machine does. */
     @Test
     void connectTimeoutsGive503() throws Exception {
         List<Socket> queueFillers = new ArrayList<>();
@@ -437,11 +445,11 @@
             discovery.push(FakeDiscovery.listJson(3, true,
                 Fakes.entryJson("s-9", unresponsiveServer.getLocalPort(), "active")));
             try (FakeClient client = new FakeClient(proxy)) {
-                int status = 200; // until the proxy has heard of the change
+                int status = 200; // until the proxy has received the change
                 while (status == 200) {
                     status = client.send(FakeClient.postRequest("put", "4.0")).readStatus();
                 }
-                assertEquals(503, status, "nothing ran");
+                assertEquals(503, status, "the request was not executed anywhere");
             }
         } finally {
             for (Socket filler : queueFillers) {
@@ -462,12 +470,12 @@
             return RESPONSE;
         });
         Thread stopThread = new Thread(proxy::stop);
-        try (FakeClient waitingClient = new FakeClient(proxy); FakeClient idleClient =
-            new FakeClient(proxy)) {
+        try (FakeClient waitingClient = new FakeClient(proxy);
+             FakeClient idleClient = new FakeClient(proxy)) {
             waitingClient.send(FakeClient.getRequest("4.0"));
-            Fakes.await("the request", () -> forwardedCount() > 0);
+            Fakes.await("the request to reach a backend", () -> forwardedCount() > 0);
             stopThread.start();
-            Fakes.await("not ready any more", () -> {
+            Fakes.await("healthz to stop returning 200", () -> {
                 try (FakeClient client = new FakeClient(proxy)) {
                     return client.send(HEALTH_CHECK).readStatus() == 503;
                 } catch (java.io.IOException e) {
@@ -488,7 +496,7 @@
     @Test
     void idleConnectionsAreEvictedAtConnectionLimit() throws Exception {
         proxy.stop();
-        start(37); // leaves three connections for the clients and two for the backends
+        start(37); // leaves three client connections and two backend connections
         List<FakeClient> clients = new ArrayList<>();
         for (int i = 0; i < 12; i++) {
             FakeClient client = new FakeClient(proxy);
@@ -504,13 +512,13 @@
     void longestIdleConnectionIsEvictedBeforeActiveOnes() throws Exception {
         proxy.stop();
         start(40); // leaves five connections for the clients
-        try (FakeClient longestIdleClient = new FakeClient(proxy); FakeClient secondClient =
-        new FakeClient(proxy);
+        try (FakeClient longestIdleClient = new FakeClient(proxy);
+             FakeClient secondClient = new FakeClient(proxy);
              FakeClient thirdClient = new FakeClient(proxy)) {
             for (FakeClient idleClient : List.of(longestIdleClient, secondClient, thirdClient)) {
                 assertEquals(200, idleClient.send(HEALTH_CHECK).readStatus());
             }
-            Fakes.await("an answer that does not end its connection", () -> {
+            Fakes.await("a response that keeps its connection open", () -> {
                 try (FakeClient client = new FakeClient(proxy)) {
                     return !client.send(HEALTH_CHECK).readResponse().toLowerCase()
                         .contains("connection: close");
@@ -518,12 +526,13 @@
                     throw new IllegalStateException(e);
                 }
             });
-            assertNull(longestIdleClient.readResponse(), "closed to make room");
+            assertNull(longestIdleClient.readResponse(),
+                "expected the longest idle connection to be closed to make room");
             assertEquals(200, thirdClient.send(HEALTH_CHECK).readStatus());
         }
     }
 
-    /** Closing a kept one later, to make room, could cross its next request. */
+    /** Closing an idle connection later, to make room, could cross its next request. */
     @Test
     void responseClosesConnectionNearLimit() throws Exception {
         proxy.stop();
@@ -533,11 +542,10 @@
         for (int i = 0; i < 4; i++) {
             FakeClient client = new FakeClient(proxy);
             clients.add(client);
-            lastResponse = client.send(HEALTH_CHECK)
-                .readResponse(); // answered: so the proxy has this connection on its list
+            lastResponse = client.send(HEALTH_CHECK).readResponse(); // waits until the proxy has accepted it
         }
         assertTrue(lastResponse.toLowerCase().contains("connection: close"), lastResponse);
-        assertNull(clients.get(3).readResponse(), "closed after its answer");
+        assertNull(clients.get(3).readResponse(), "expected the connection to be closed after its response");
         for (FakeClient client : clients) {
             client.close();
         }
@@ -552,12 +560,12 @@
             clients.add(new FakeClient(proxy).send(FakeClient.getRequest("4.0")));
         }
         for (FakeClient client : clients) {
-            assertTrue(client.readStatus() > 0, "answered, be it with a refusal");
+            assertTrue(client.readStatus() > 0, "expected a response, whatever its status");
             client.close();
         }
     }
 
-    /** One that is timed out gets 408, one that makes room nothing. */
+    /** A request that times out gets 408, whereas a connection closed to make room gets no response. */
     @Test
     void silentPartialRequestIsEvictedBeforeItsTimeout() throws Exception {
         proxy.stop();
@@ -568,7 +576,8 @@
         }
         try (FakeClient client = new FakeClient(proxy)) {
             assertEquals(200, client.send(FakeClient.getRequest("4.0")).readStatus());
-            assertNull(partialClients.get(0).readResponse(), "the quietest made room");
+            assertNull(partialClients.get(0).readResponse(),
+                "expected the longest silent connection to be closed without a response");
         }
         for (FakeClient partialClient : partialClients) {
             partialClient.close();
@@ -589,7 +598,7 @@
         Socket socket = new Socket();
         while (!socket.isConnected()) {
             socket = new Socket();
-            socket.bind(new InetSocketAddress("127.0.0.2", 0)); // never the very port it connects to
+            socket.bind(new InetSocketAddress("127.0.0.2", 0)); // avoids connecting to its own ephemeral port
             try {
                 socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
             } catch (java.io.IOException e) {
@@ -604,7 +613,7 @@
         proxy = startTask.get();
     }
 
-    /** The other discovery counts its versions anew: lower than the last one known here. */
+    /** The new discovery counts its versions from the start, below the last version known to the proxy. */
     @ParameterizedTest
     @ValueSource(strings = {"", "\"Discovery\":\"ask\",\"Obligations\":{\"AskWithin\":0.1},"})
     void reloadChangesDiscoveryAddressAndIgnoresBrokenFile(String extraSettings, @TempDir Path folder)
@@ -621,18 +630,18 @@
             Files.writeString(file,
                 Fakes.configJson(0, newDiscovery.port(), DEFAULT_MAX_SOCKETS, "", extraSettings));
             proxy.reload(file);
-            Fakes.await("asked at the new address", () -> !newDiscovery.requests.isEmpty());
+            Fakes.await("a subscription at the new address", () -> !newDiscovery.requests.isEmpty());
             assertTrue(newDiscovery.requests.get(0).startsWith("GET /v1/servers?watch=1 "),
                 newDiscovery.requests.get(0));
-            Fakes.await("s-1 out of use", () ->
-                backend1.openConnections.isEmpty() && discovery.openConnections.isEmpty());
+            Fakes.await("s-1 and the old discovery to be disconnected",
+                () -> backend1.openConnections.isEmpty() && discovery.openConnections.isEmpty());
             int requestsBefore = backend1.requests.size();
             for (int i = 0; i < 10; i++) {
                 assertEquals(200, client.send(FakeClient.getRequest("4.0")).readStatus());
             }
             newDiscovery.push(FakeDiscovery.listJson(2, false,
                 Fakes.entryJson("s-2", backend2.port(), "left")));
-            Fakes.await("news from the new address", () -> backend2.openConnections.isEmpty());
+            Fakes.await("an update from the new address", () -> backend2.openConnections.isEmpty());
             assertEquals(requestsBefore, backend1.requests.size());
         }
     }
@@ -646,7 +655,7 @@
         Fakes.await("the signal", () -> signalCount.get() == 1);
     }
 
-    /** The build archives what a start has loaded, once the start is over. */
+    /** The build archives the classes that a start has loaded, once that start is over. */
     @Test
     void classArchiveTrainingTerminates() {
         assertDoesNotThrow(Proxy::runClassArchiveTraining);
@@ -660,7 +669,7 @@
             }
             discovery.push(FakeDiscovery.listJson(3, false, "{\"addr\":7}",
                 Fakes.entryJson("s-2", backend2.port(), "left")));
-            Fakes.await("s-2 known to be gone", () -> backend2.openConnections.isEmpty());
+            Fakes.await("the connections to s-2 to be closed", () -> backend2.openConnections.isEmpty());
             assertEquals(200, client.send(FakeClient.getRequest("4.0")).readStatus());
         }
     }
--- a/proxy/src/test/java/dockrelay/proxy/RequestIsolationTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/RequestIsolationTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Nothing of one request, or of one configuration, reaches the next on the same connections. */
+/** Requests on the same connections, and successive configurations, do not affect each other. */
 class RequestIsolationTest {
     private final FakeBackend backend = new FakeBackend(request -> Fakes.httpResponse("200 OK", "", "one"));
     private final FakeDiscovery discovery = new FakeDiscovery();
@@ -40,11 +40,9 @@
     }
 
     private static String request(String method, String serviceClass, String requestId, String tenant,
-        String timeout,
-                                  String idempotencyKey) {
+                                  String timeout, String idempotencyKey) {
         return method + " /" + serviceClass + "/thing HTTP/1.1\r\nHost: app\r\nX-Priority-Class: "
-            + serviceClass
-            + "\r\nX-Request-ID: " + requestId + "\r\nX-Timeout: " + timeout + "\r\n"
+            + serviceClass + "\r\nX-Request-ID: " + requestId + "\r\nX-Timeout: " + timeout + "\r\n"
             + (tenant == null ? "" : "X-Tenant-Id: " + tenant + "\r\n")
             + (idempotencyKey == null ? "" : "Idempotency-Key: " + idempotencyKey + "\r\n")
             + ("POST".equals(method) ? "Content-Length: 0\r\n" : "") + "\r\n";
@@ -57,7 +55,7 @@
             : request.substring(index + name.length() + 4, request.indexOf('\r', index + 2));
     }
 
-    /** One after the other, and in one write; in between one that is wrong, and one that is refused. */
+    /** Sends the requests one after the other, or pipelined in one write. */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void eachRequestIsForwardedWithItsOwnHeaders(boolean pipelined) throws Exception {
@@ -87,11 +85,11 @@
             double forwardedTimeout = Double.parseDouble(header(receivedRequest, "x-timeout"));
             double requestedTimeout = Double.parseDouble(header(sentRequest, "x-timeout"));
             assertTrue(forwardedTimeout > 0 && forwardedTimeout <= Math.min(requestedTimeout, 1.0),
-                forwardedTimeout + " of its own " + requestedTimeout + ", aim 1.0");
+                forwardedTimeout + " must not exceed the timeout " + requestedTimeout + " or the aim 1.0");
         }
     }
 
-    /** What a reload does not take up stays as it was for all: here which class is safe to repeat. */
+    /** A reload does not change the service classes: here, which of them are safe to retry. */
     @Test
     void reloadDoesNotChangeServiceClasses(@TempDir Path folder) throws Exception {
         Path file = folder.resolve("config.json");
@@ -103,10 +101,12 @@
         try (FakeClient client = new FakeClient(proxy)) {
             assertEquals(502, client.send(FakeClient.postRequest("put", "4.0")).readStatus());
         }
-        assertEquals(1, backend.requests.size(), "an unsafe request goes out once");
+        assertEquals(1, backend.requests.size(), "an unsafe request must be sent once only");
     }
 
-    /** A value that cannot be: one line with file, key, value and what is allowed, and the old one holds. */
+    /**
+     * An invalid value is reported in one line with file, key, value and range, and the old value is kept.
+     */
     @ParameterizedTest
     @ValueSource(strings = {
         "\"sockets\":1024|\"sockets\":3|limits.sockets = 3: allowed is a whole number of at least 34",
@@ -115,12 +115,13 @@
         "\"discovery\":\"127|\"discovery\":\"127.0.0.1|discovery = \"127.0.0.1",
         "\"MaxAttempts\":5|\"MaxAttempts\":0|setting missing or out of range: limits maxAttempts",
         "\"settings\":{|\"settings\":[|line 1 = "})
-    void invalidValueIsReportedAndChangesNothing(String replacementAndMessage,
-    @TempDir Path folder) throws Exception {
+    void invalidValueIsReportedAndChangesNothing(String replacementAndMessage, @TempDir Path folder)
+        throws Exception {
         String[] replacementParts = replacementAndMessage.split("\\|");
         Path file = folder.resolve("config.json");
-        Files.writeString(file, Fakes.configJson(0, discovery.port(), 1024, "", "")
-            .replace(replacementParts[0], replacementParts[1]));
+        Files.writeString(file,
+            Fakes.configJson(0, discovery.port(), 1024, "", "")
+                .replace(replacementParts[0], replacementParts[1]));
         ConfigException error =
             assertThrows(ConfigException.class, () -> Config.read(file));
         assertTrue(error.getMessage().startsWith(file + ": " + replacementParts[2]), error.getMessage());
--- a/proxy/src/test/java/dockrelay/proxy/RequestTableTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/RequestTableTest.java
@@ -31,7 +31,10 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** One final answer in time, whatever the module does: here it is a made-up one. */
+/**
+ * Each request gets one final response in time, whatever the decision module does; here the module is
+ * scripted.
+ */
 class RequestTableTest {
     private final EventLoopGroup eventLoopGroup =
         new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -49,7 +52,7 @@
         eventLoopGroup.shutdownGracefully();
     }
 
-    /** A module that does this with each event, given its name and arguments. */
+    /** Installs a module that passes the name and arguments of each event to the given action. */
     private void installModule(BiConsumer<String, Object[]> onEvent) {
         Balancer scriptedModule = (Balancer) Proxy.newProxyInstance(getClass().getClassLoader(),
             new Class<?>[] {Balancer.class}, (proxyInstance, method, arguments) -> {
@@ -63,13 +66,13 @@
 
     private void acceptRequest(long budgetMicros) {
         FullHttpRequest message = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/look/x");
-        eventLoopGroup.submit(() ->
-            table.accept(new Request("r", "look", null, null, budgetMicros, 0, false), message,
-            responses::add)).syncUninterruptibly();
+        eventLoopGroup.submit(() -> table.accept(
+            new Request("r", "look", null, null, budgetMicros, 0, false), message, responses::add))
+            .syncUninterruptibly();
     }
 
     private int awaitStatus() {
-        Fakes.await("an answer", () -> !responses.isEmpty());
+        Fakes.await("a response", () -> !responses.isEmpty());
         assertEquals(1, responses.size());
         return responses.get(0).status().code();
     }
@@ -96,7 +99,7 @@
         installModule((event, arguments) -> { });
         acceptRequest(50_000);
         assertEquals(504, awaitStatus());
-        Fakes.await("the module told", () -> moduleCalls.contains("onClientGone"));
+        Fakes.await("the module to be notified", () -> moduleCalls.contains("onClientDisconnected"));
         assertFalse(table.isInFlight("r"));
     }
 
@@ -111,7 +114,7 @@
     @Test
     void moduleExceptionFailsItsRequest() {
         installModule((event, arguments) -> {
-            throw new IllegalStateException("made up");
+            throw new IllegalStateException("fault injected by the test");
         });
         acceptRequest(1_000_000);
         assertEquals(500, awaitStatus());
@@ -132,7 +135,7 @@
     void moduleIsNotReentered() {
         installModule((event, arguments) -> {
             if ("onRequest".equals(event)) {
-                table.send("r", 99, 0); // a backend that no list has named: over before it began
+                table.send("r", 99, 0); // an unknown backend: the attempt ends before anything is sent
             } else if ("onOutcome".equals(event)) {
                 assertEquals(Outcome.NOT_SENT, arguments[4]);
                 table.refuse("r", 0);
@@ -145,7 +148,9 @@
         assertTrue(responses.size() == 1);
     }
 
-    /** Else the module takes the request for over, and calls off the attempt that is being passed on. */
+    /**
+     * Otherwise the module would take the request for closed and cancel the attempt that is being streamed.
+     */
     @Test
     void endOfLosingAttemptDoesNotCloseStreamingRequest() throws Exception {
         String incompleteResponse = "HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\nhalf";
@@ -169,28 +174,28 @@
 
                 @Override
                 public void beginStreaming(HttpResponse head, Body body) {
-                    moduleCalls.add("begins");
+                    moduleCalls.add("streaming begins");
                 }
             };
             eventLoopGroup.submit(() -> {
                 InetAddress loopback = InetAddress.getLoopbackAddress();
-                pool.updateBackend(Fakes.listedBackend(1,
-                    new InetSocketAddress(loopback, winningBackend.port()), true));
-                pool.updateBackend(Fakes.listedBackend(2,
-                    new InetSocketAddress(loopback, losingBackend.port()), true));
+                pool.updateBackend(
+                    Fakes.listedBackend(1, new InetSocketAddress(loopback, winningBackend.port()), true));
+                pool.updateBackend(
+                    Fakes.listedBackend(2, new InetSocketAddress(loopback, losingBackend.port()), true));
                 table.accept(new Request("r", "look", null, null, 5_000_000, 0, false),
                     new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/look/x"),
                     responseWriter);
             }).syncUninterruptibly();
-            Fakes.await("the loser's end", () -> moduleCalls.contains("0 CANCELLED closed false"));
-            assertTrue(moduleCalls.contains("begins"));
-            winningBackend.openConnections.forEach(RequestTableTest::tearDown);
-            Fakes.await("the winner's end", () -> moduleCalls.contains("1 RESET closed true"));
+            Fakes.await("the losing attempt to end", () -> moduleCalls.contains("0 CANCELLED closed false"));
+            assertTrue(moduleCalls.contains("streaming begins"));
+            winningBackend.openConnections.forEach(RequestTableTest::closeConnection);
+            Fakes.await("the winning attempt to end", () -> moduleCalls.contains("1 RESET closed true"));
             assertTrue(responses.isEmpty());
         }
     }
 
-    private static void tearDown(Socket connection) {
+    private static void closeConnection(Socket connection) {
         try {
             connection.close();
         } catch (IOException e) {
@@ -237,6 +242,6 @@
         installModule((event, arguments) -> moduleCalls.add(arguments[1] + " " + arguments[2]));
         new PeerTransport(eventLoopGroup.next(), Fakes.peersConfig(ports, 0), table);
         new PeerTransport(eventLoopGroup.next(), Fakes.peersConfig(ports, 1), table).broadcast("hello");
-        Fakes.await("the message", () -> moduleCalls.contains("1 hello"));
+        Fakes.await("the peer message", () -> moduleCalls.contains("1 hello"));
     }
 }
--- a/proxy/src/test/java/dockrelay/proxy/RequestTimeoutTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/RequestTimeoutTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** On a clock of its own; what ends in a full stop is a whole request here. */
+/** Runs on a simulated clock. A message that ends in a full stop counts as the end of a request here. */
 class RequestTimeoutTest {
     private final List<Object> events = new ArrayList<>();
     private final RequestTimeout timeout = new RequestTimeout();
@@ -76,7 +76,7 @@
         assertEquals(List.of(TimeoutEvent.INCOMPLETE_REQUEST), events);
     }
 
-    /** Where this side does not read, the peer is not to blame. */
+    /** While the proxy has paused reading, the client is not late. */
     @Test
     void pausedReadingExtendsTimeout() {
         channel.writeInbound("half");
--- a/proxy/src/test/java/dockrelay/proxy/ResponseDecoderTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/ResponseDecoderTest.java
@@ -13,11 +13,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
+/** Which responses are accepted, and which fail because their framing is ambiguous. */
 class ResponseDecoderTest {
     private static final String OK_STATUS_LINE = "HTTP/1.1 200 OK\r\n";
     private final EmbeddedChannel channel =
         new EmbeddedChannel(new ResponseDecoder(),
-        new HttpObjectAggregator(BufferLimit.MAX_BUFFERED_MESSAGE_BYTES));
+            new HttpObjectAggregator(BufferLimit.MAX_BUFFERED_MESSAGE_BYTES));
 
     private FullHttpResponse decode(String rawResponse) {
         channel.writeInbound(Unpooled.copiedBuffer(rawResponse, StandardCharsets.ISO_8859_1));
@@ -32,7 +33,7 @@
         OK_STATUS_LINE + "Content-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n",
         OK_STATUS_LINE + "Transfer-Encoding: gzip\r\nContent-Length: 2\r\n\r\nhi",
         OK_STATUS_LINE
-        + "Transfer-Encoding: identity\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n",
+            + "Transfer-Encoding: identity\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n",
         OK_STATUS_LINE + "Transfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n!",
         OK_STATUS_LINE + "Transfer-Encoding: chunked\r\n\r\n100000002\r\nhi\r\n0\r\n\r\n",
         OK_STATUS_LINE + "no colon here\r\nContent-Length: 2\r\n\r\nhi",
--- a/proxy/src/test/java/dockrelay/proxy/SequentialClient.java
+++ b/proxy/src/test/java/dockrelay/proxy/SequentialClient.java
@@ -4,12 +4,17 @@
 import java.io.IOException;
 import java.util.concurrent.FutureTask;
 
-/** A client that sends one request after another to a proxy until a moment of the nano clock. */
+/** A client that sends one request after another to a proxy until a given {@link System#nanoTime} value. */
 final class SequentialClient {
     private static final long PAUSE_MILLIS = 10;
     private final FutureTask<Integer> task;
 
-    /** Starts at once on a thread of its own; counts what is served from one moment to the other. */
+    /**
+     * Starts at once on its own thread.
+     *
+     * @param countFromNanos the {@link System#nanoTime} value after which served requests are counted
+     * @param untilNanos the {@link System#nanoTime} value at which it stops
+     */
     SequentialClient(ProxyProcess proxy, long countFromNanos, long untilNanos) {
         task = new FutureTask<>(() -> run(proxy, countFromNanos, untilNanos));
         new Thread(task).start();
@@ -22,7 +27,8 @@
             while (System.nanoTime() < untilNanos) {
                 int status = client.send(FakeClient.getRequest("4.0")).readStatus();
                 if (status == 0) {
-                    throw new IOException("closed without an answer, log:\n" + proxy.readLog());
+                    throw new IOException("connection closed without a response; proxy log:\n"
+                        + proxy.readLog());
                 }
                 servedCount += status == 200 && System.nanoTime() > countFromNanos ? 1 : 0;
                 Thread.sleep(PAUSE_MILLIS);
@@ -31,7 +37,7 @@
         return servedCount;
     }
 
-    /** How many requests were served in that time, once it is over. */
+    /** Waits for the end and returns how many requests were served in the counted period. */
     int servedCount() throws Exception {
         return task.get();
     }
--- a/proxy/src/test/java/dockrelay/proxy/SplitRequestTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/SplitRequestTest.java
@@ -12,12 +12,13 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Requests that come in pieces, cut at every byte. Each proxy is given fewer than 40 of them: from then on
- * the module knows the class's floor, here a part of a millisecond, and sheds by chance after answers that
- * took three times as long, as they do on a busy machine. What is looked at here is what it reads.
+ * Requests that arrive in two pieces, split at every byte. Each proxy serves fewer than 40 of them: from then
+ * on the decision module knows the minimum latency of the class, here a fraction of a millisecond, and may
+ * shed requests after responses that took three times as long, as happens on a busy machine. Only parsing is
+ * tested here.
  */
 class SplitRequestTest {
-    private static final int SPLITS_PER_PROXY = 15; // with two requests a cut
+    private static final int SPLITS_PER_PROXY = 15; // with two requests per split
     private static final String BODY = "in pieces", RESPONSE = Fakes.httpResponse("200 OK", "", "served"),
         HEALTH_CHECK = "GET /healthz HTTP/1.1\r\nHost: app\r\n\r\n";
 
@@ -25,7 +26,7 @@
     private final FakeBackend backend = new FakeBackend(request -> RESPONSE);
     private Proxy proxy;
 
-    /** What is done with a cut, on a connection of its own and with another one beside it. */
+    /** A test of one split position, with a connection of its own and a second one for synchronization. */
     private interface SplitTest {
         void run(int position, FakeClient client, FakeClient syncClient) throws IOException;
     }
@@ -35,7 +36,7 @@
         discovery.setFirstList(FakeDiscovery.listJson(1, true,
             Fakes.entryJson("s-1", backend.port(), "active")));
         proxy = new Proxy(Fakes.config(discovery.port(), 1024));
-        Fakes.await("healthz 200", () -> {
+        Fakes.await("healthz to return 200", () -> {
             try (FakeClient client = new FakeClient(proxy)) {
                 return client.send(HEALTH_CHECK).readStatus() == 200;
             } catch (IOException e) {
@@ -61,21 +62,23 @@
             + "Transfer-Encoding: chunked\r\n") + "4\r\nin p\r\n5\r\nieces\r\n0\r\n\r\n";
     }
 
-    /** That the proxy has read what came before: its one loop has turned since. */
+    /**
+     * Waits until the proxy has read everything sent before, as its only event loop serves a health check.
+     */
     private void awaitInputRead(FakeClient syncClient) throws IOException {
         assertEquals(200, syncClient.send(HEALTH_CHECK).readStatus());
     }
 
-    /** The last request arrived once and unchanged, and was served. */
+    /** Asserts that the last request reached the backend once and unchanged, and was served. */
     private void assertServed(FakeClient client, int number, int position) throws IOException {
-        assertEquals(200, client.readStatus(), "cut at " + position);
-        assertEquals(number, backend.requests.size(), "cut at " + position);
+        assertEquals(200, client.readStatus(), "split at " + position);
+        assertEquals(number, backend.requests.size(), "split at " + position);
         String request = backend.requests.get(number - 1);
         assertTrue(request.contains("X-Number: " + number + "\r\n") && request.endsWith("\r\n\r\n" + BODY),
-            "cut at " + position + ": " + request);
+            "split at " + position + ": " + request);
     }
 
-    /** At every byte but the first, with another proxy after every few of them. */
+    /** Runs the test for each split position but the first, with a new proxy after every few positions. */
     private void splitEverywhere(int length, SplitTest test) throws Exception {
         for (int firstPosition = 1; firstPosition < length; firstPosition += SPLITS_PER_PROXY) {
             if (firstPosition > 1) {
@@ -84,8 +87,8 @@
             }
             try (FakeClient client = new FakeClient(proxy); FakeClient syncClient = new FakeClient(proxy)) {
                 client.socket.setTcpNoDelay(true);
-                for (int position = firstPosition; position
-                    < Math.min(length, firstPosition + SPLITS_PER_PROXY); position++) {
+                for (int position = firstPosition;
+                     position < Math.min(length, firstPosition + SPLITS_PER_PROXY); position++) {
                     test.run(position, client, syncClient);
                 }
             }
@@ -93,26 +96,23 @@
     }
 
     private void assertServedWhenSplit(String request, int number, int position, FakeClient client,
-        FakeClient syncClient)
-        throws IOException {
+                                       FakeClient syncClient) throws IOException {
         client.send(request.substring(0, position));
         awaitInputRead(syncClient);
-        assertEquals(number - 1, backend.requests.size(), "sent on before it was whole");
+        assertEquals(number - 1, backend.requests.size(), "forwarded before the request was complete");
         client.send(request.substring(position));
         assertServed(client, number, position);
     }
 
     @Test
     void requestSplitAtAnyByteIsForwardedOnceComplete() throws Exception {
-        splitEverywhere(requestWithLength(1).length(),
-            (position, client, syncClient) ->
+        splitEverywhere(requestWithLength(1).length(), (position, client, syncClient) ->
             assertServedWhenSplit(requestWithLength(position), position, position, client, syncClient));
     }
 
     @Test
     void chunkedRequestSplitAtAnyByteIsForwardedOnceComplete() throws Exception {
-        splitEverywhere(chunkedRequest(1).length(),
-            (position, client, syncClient) ->
+        splitEverywhere(chunkedRequest(1).length(), (position, client, syncClient) ->
             assertServedWhenSplit(chunkedRequest(position), position, position, client, syncClient));
     }
 
@@ -129,7 +129,7 @@
         }
     }
 
-    /** A cut within the second of two that come together. */
+    /** Two requests are pipelined, and the second one is split. */
     @Test
     void partOfPipelinedRequestIsKept() throws Exception {
         splitEverywhere(requestWithLength(1).length(), (position, client, syncClient) -> {
@@ -137,7 +137,8 @@
             client.send(requestWithLength(2 * position - 1) + secondRequest.substring(0, position));
             assertServed(client, 2 * position - 1, position);
             awaitInputRead(syncClient);
-            assertEquals(2 * position - 1, backend.requests.size(), "sent on before it was whole");
+            assertEquals(2 * position - 1, backend.requests.size(),
+                "forwarded before the request was complete");
             client.send(secondRequest.substring(position));
             assertServed(client, 2 * position, position);
         });
--- a/proxy/src/test/java/dockrelay/proxy/StreamingTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/StreamingTest.java
@@ -32,7 +32,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Messages longer than what is kept whole go on as they come, both ways. */
+/** Messages that are too long to be buffered are streamed, in both directions. */
 class StreamingTest {
     private static final byte[] LONG_BODY = new byte[1 << 20];
 
@@ -40,11 +40,12 @@
         new Random(3).nextBytes(LONG_BODY);
     }
 
-    /** What a backend does with a connection. */
+    /** What a backend does with an accepted connection. */
     private interface ConnectionHandler {
         void serve(Socket connection) throws IOException;
     }
 
+    /** A backend whose connections are served by a handler that the test sets. */
     private static final class ScriptedBackend extends Fakes.FakeServer {
         volatile ConnectionHandler handler;
 
@@ -67,7 +68,7 @@
     private void start(String listJson) throws Exception {
         discovery.setFirstList(listJson);
         proxy = new Proxy(Fakes.config(discovery.port(), 1024));
-        Fakes.await("healthz 200", () -> {
+        Fakes.await("healthz to return 200", () -> {
             try (FakeClient client = new FakeClient(proxy)) {
                 return client.send("GET /healthz HTTP/1.1\r\nHost: app\r\n\r\n").readStatus() == 200;
             } catch (IOException e) {
@@ -99,7 +100,7 @@
         return nextByte;
     }
 
-    /** A body by the head before it; one that is cut off throws. */
+    /** Reads a body as framed by its head; throws if it is truncated. */
     private static byte[] readBody(InputStream in, String head) throws IOException {
         int index = head.indexOf("content-length: ");
         if (index >= 0) {
@@ -176,9 +177,9 @@
     void unsentLongBodyIsRetriedOnAnotherBackend() throws Exception {
         recordBodies();
         ServerSocket closedServer = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-        closedServer.close(); // its port is nobody's now
+        closedServer.close(); // nothing listens on this port any more
         discovery.push(FakeDiscovery.listJson(3, true,
-        Fakes.entryJson("s-2", closedServer.getLocalPort(), "active")));
+            Fakes.entryJson("s-2", closedServer.getLocalPort(), "active")));
         discovery.push(FakeDiscovery.listJson(4, false, Fakes.entryJson("s-1", backend.port(), "active")));
         for (int i = 0; i < 8; i++) {
             try (FakeClient client = new FakeClient(proxy)) {
@@ -223,9 +224,8 @@
             while (true) {
                 readHead(connection.getInputStream());
                 OutputStream out = connection.getOutputStream();
-                write(connection,
-                    "HTTP/1.1 200 OK\r\n" + framing + ": " + (isChunked ? "chunked" : LONG_BODY.length)
-                    + "\r\n\r\n");
+                write(connection, "HTTP/1.1 200 OK\r\n" + framing + ": "
+                    + (isChunked ? "chunked" : LONG_BODY.length) + "\r\n\r\n");
                 byte[] firstPart = Arrays.copyOf(LONG_BODY, 100_000);
                 byte[] remainder = Arrays.copyOfRange(LONG_BODY, 100_000, LONG_BODY.length);
                 if (isChunked) {
@@ -253,15 +253,16 @@
             headForwarded.countDown();
             assertArrayEquals(LONG_BODY, readBody(in, head));
             long responseEndNanos = System.nanoTime();
-            Fakes.await("it is settled", () ->
-                System.nanoTime() - responseEndNanos > BackendConnectionPool.REUSE_DELAY_NANOS);
+            Fakes.await("the end of the quiet period after the response",
+                () -> System.nanoTime() - responseEndNanos > BackendConnectionPool.REUSE_DELAY_NANOS);
             head = readHead(client.send(FakeClient.postRequest("put", "4.0")).socket.getInputStream());
             assertArrayEquals(LONG_BODY, readBody(in, head));
         }
-        assertEquals(1, backend.openConnections.size(), "both went over one connection");
+        assertEquals(1, backend.openConnections.size(),
+            "expected both responses on the same backend connection");
     }
 
-    /** The client can tell, and what may have run is not sent again. */
+    /** The client sees the reset, and a request that may have been executed is not sent again. */
     @ParameterizedTest
     @ValueSource(strings = {"Content-Length: 1048577", "Transfer-Encoding: chunked"})
     void truncatedLongResponseIsResetAndNotRetried(String framing) throws Exception {
@@ -283,7 +284,7 @@
         assertEquals(1, requestHeads.size());
     }
 
-    /** Where the head says so, the end of the connection is the body's; a reset is none. */
+    /** If the head announces the close, the end of the connection ends the body, but a reset does not. */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void closeDelimitedResponseIsCompleteUnlessReset(boolean reset) throws Exception {
@@ -301,7 +302,7 @@
         }
     }
 
-    /** One that is no good answer is not passed on, however long. */
+    /** An error response is not forwarded, however long it is. */
     @Test
     void longErrorResponseFailsAttempt() throws Exception {
         backend.handler = connection -> {
@@ -332,7 +333,7 @@
         return new DefaultHttpContent(Unpooled.copiedBuffer(text, StandardCharsets.UTF_8));
     }
 
-    /** A source that is told when to stop, and a sink that can take so much. */
+    /** A source that records when it is paused or resumed, and a sink that records what it receives. */
     private static final class RecordingEndpoint implements Body.Source, Body.Sink {
         final List<Boolean> readStates = new ArrayList<>();
         final StringBuilder received = new StringBuilder();
@@ -344,7 +345,7 @@
 
         @Override
         public void onDiscarded() {
-            received.append("[dropped]");
+            received.append("[discarded]");
         }
 
         @Override
@@ -355,7 +356,7 @@
 
         @Override
         public void onAborted() {
-            received.append("[broken]");
+            received.append("[aborted]");
         }
     }
 
@@ -389,8 +390,8 @@
         body.attach(sink);
         body.add(content("a"));
         body.abort();
-        assertEquals("a[broken]", sink.received.toString());
+        assertEquals("a[aborted]", sink.received.toString());
         new Body(source, 6).discard();
-        assertEquals("[dropped]", source.received.toString());
+        assertEquals("[discarded]", source.received.toString());
     }
 }
