--- a/proxy/src/main/java/dockrelay/proxy/Body.java
+++ b/proxy/src/main/java/dockrelay/proxy/Body.java
@@ -10,157 +10,165 @@
 import java.util.Deque;
 
 /**
- * A body that is passed on as it comes, between the connection it comes from and the one it goes to. Its
- * first bytes are kept until more than these went out: so far another sink can have it all. Nothing else is
- * kept: a sink that cannot take more stops the source. All on the event loop's thread.
+ * A message body that is streamed from a source connection to a sink connection. Its first bytes are kept
+ * until further bytes are sent, so that up to then the whole body can be replayed to another sink. Nothing
+ * else is kept: a sink that cannot accept more pauses the source (backpressure). All on the event loop's
+ * thread.
  */
 final class Body {
-    /** The connection it comes from. */
+    /** The connection that the body is read from. */
     interface Source {
-        /** Whether more is wanted now. */
-        void flow(boolean on);
+        /** Resumes or pauses reading. */
+        void setReadEnabled(boolean enabled);
 
-        /** Nobody wants the rest any more. */
-        void dropped();
+        /** The rest of the body is no longer needed. */
+        void onDiscarded();
     }
 
-    /** The connection it goes to. */
+    /** The connection that the body is written to. */
     interface Sink {
-        /** The next part, the sink's to release; the last one is a {@link LastHttpContent}. */
-        void part(HttpContent part);
+        /** Receives the next content, which the sink releases; the last one is a {@link LastHttpContent}. */
+        void onContent(HttpContent content);
 
-        /** There will be no more, though the body is not whole. */
-        void broken();
+        /** The body was aborted before its end. */
+        void onAborted();
     }
 
     private final Source source;
-    private final Deque<HttpContent> kept = new ArrayDeque<>();
-    private final int most;
-    private int bytes;
-    private long parts;
-    private boolean whole, broken, lost;
+    private final Deque<HttpContent> keptContents = new ArrayDeque<>();
+    private final int maxKeptBytes;
+    private int keptBytes;
+    private long sentCount;
+    private boolean complete, aborted, startReleased;
     private Sink sink;
 
-    /** Keeps so many bytes, and one part more, until there is a sink. */
-    Body(Source source, int most) {
+    /**
+     * A body that keeps up to this many bytes, plus one content that may exceed them, until it has a sink.
+     */
+    Body(Source source, int maxKeptBytes) {
         this.source = source;
-        this.most = most;
-    }
-
-    /** Adds a part to what there is of a message, which may be nothing yet; copied, as parts may be tiny. */
-    static ByteBuf gather(ByteBuf before, HttpContent part, ByteBufAllocator buffers) {
-        ByteBuf bytes = part.content();
-        ByteBuf all = before == null && bytes.isReadable() ? buffers.buffer(bytes.readableBytes()) : before;
-        if (bytes.isReadable()) {
-            all.writeBytes(bytes);
+        this.maxKeptBytes = maxKeptBytes;
+    }
+
+    /**
+     * Appends a content to the buffer of a message, which may be null at first, and releases it. The bytes
+     * are copied, since contents may be tiny compared with the buffers that hold them.
+     */
+    static ByteBuf append(ByteBuf buffer, HttpContent content, ByteBufAllocator allocator) {
+        ByteBuf added = content.content();
+        ByteBuf result = buffer == null && added.isReadable()
+            ? allocator.buffer(added.readableBytes()) : buffer;
+        if (added.isReadable()) {
+            result.writeBytes(added);
         }
-        part.release();
-        return all;
+        content.release();
+        return result;
     }
 
-    /** The next part as it comes from the source; this body's to release. */
-    void add(HttpContent part) {
-        if (whole || broken) {
-            part.release();
+    /** Accepts the next content from the source; this body takes over the reference. */
+    void add(HttpContent content) {
+        if (complete || aborted) {
+            content.release();
             return;
         }
-        HttpContent next = part;
-        if (part instanceof LastHttpContent last) {
-            whole = true;
+        HttpContent forwarded = content;
+        if (content instanceof LastHttpContent last) {
+            complete = true;
             if (!last.trailingHeaders().isEmpty()) {
-                next = new DefaultLastHttpContent(last.content()); // trailers hold for one connection only
+                // Trailers apply to one connection only.
+                forwarded = new DefaultLastHttpContent(last.content());
             }
         }
-        if (sink == null && !lost) {
-            kept.add(next);
-            bytes += next.content().readableBytes();
-            if (bytes >= most) {
-                source.flow(false);
+        if (sink == null && !startReleased) {
+            keptContents.add(forwarded);
+            keptBytes += forwarded.content().readableBytes();
+            if (keptBytes >= maxKeptBytes) {
+                source.setReadEnabled(false);
             }
         } else {
-            forget();
-            lost = true;
-            pass(next);
+            releaseKept();
+            startReleased = true;
+            send(forwarded);
         }
     }
 
-    private void pass(HttpContent part) {
+    private void send(HttpContent content) {
         if (sink == null) {
-            part.release();
+            content.release();
         } else {
-            parts++;
-            sink.part(part);
+            sentCount++;
+            sink.onContent(content);
         }
     }
 
-    /** Breaks it off from the source's side. */
-    void fail() {
-        if (!whole && !broken) {
-            broken = true;
-            forget();
+    /** Aborts the body from the source's side; without effect if it is complete. */
+    void abort() {
+        if (!complete && !aborted) {
+            aborted = true;
+            releaseKept();
             if (sink != null) {
-                sink.broken();
+                sink.onAborted();
             }
         }
     }
 
-    /** Sends it to this sink, from its start; only if it is all there still. */
-    void to(Sink taker) {
-        sink = taker;
-        for (HttpContent part : kept.toArray(new HttpContent[0])) {
-            if (sink == taker) { // a sink may end at any part
-                pass(part.retainedDuplicate());
+    /** Sends the body to this sink from its start; the body must be replayable. */
+    void attach(Sink newSink) {
+        sink = newSink;
+        for (HttpContent content : keptContents.toArray(new HttpContent[0])) {
+            if (sink == newSink) { // a sink may detach after any content
+                send(content.retainedDuplicate());
             }
         }
-        flow(true);
+        setSinkWritable(true);
     }
 
-    /** This sink takes no more of it; another one may have it while it is all there. */
-    void leave(Sink taker) {
-        if (sink == taker) {
+    /** Detaches this sink; while the body is replayable, another one may be attached. */
+    void detach(Sink oldSink) {
+        if (sink == oldSink) {
             sink = null;
         }
     }
 
-    /** Nobody takes it any more. */
-    void drop() {
-        forget();
-        lost = true;
+    /** Discards the body and tells the source that the rest is not needed. */
+    void discard() {
+        releaseKept();
+        startReleased = true;
         sink = null;
-        source.dropped();
+        source.onDiscarded();
     }
 
-    /** Whether the sink has room for more now. */
-    void flow(boolean on) {
-        if (!whole && !broken) {
-            source.flow(on);
+    /** Tells the source whether the sink can accept more. */
+    void setSinkWritable(boolean writable) {
+        if (!complete && !aborted) {
+            source.setReadEnabled(writable);
         }
     }
 
-    /** Whether it has come to its end. */
-    boolean isWhole() {
-        return whole;
+    /** Whether the last content has arrived. */
+    boolean isComplete() {
+        return complete;
     }
 
-    /** Whether all of it can still be sent: nothing went out but what is kept. */
+    /** Whether the body can still be sent from its start: nothing was sent except the bytes that are kept. */
     boolean isReplayable() {
-        return !lost && !broken;
+        return !startReleased && !aborted;
     }
 
-    /** How many parts went on so far: it moves while this does. */
-    long passed() {
-        return parts;
+    /** The number of contents sent so far, which shows whether the transfer makes progress. */
+    long sentContentCount() {
+        return sentCount;
     }
 
-    private void forget() {
-        kept.forEach(ReferenceCountUtil::release);
-        kept.clear();
-        bytes = 0;
+    private void releaseKept() {
+        keptContents.forEach(ReferenceCountUtil::release);
+        keptContents.clear();
+        keptBytes = 0;
     }
 
-    /** Gives back what is kept. */
+    /** Releases the kept bytes; the body is no longer replayable. */
     void release() {
-        forget();
-        lost = true;
+        releaseKept();
+        startReleased = true;
     }
 }
--- a/proxy/src/main/java/dockrelay/proxy/ClientFrontend.java
+++ b/proxy/src/main/java/dockrelay/proxy/ClientFrontend.java
@@ -54,294 +54,333 @@
 import java.util.function.BooleanSupplier;
 import java.util.regex.Pattern;
 
-/** The listener and the clients' connections. What is no proper request is answered here, at once. */
+/**
+ * Accepts client connections and reads their HTTP/1.1 requests. Complete requests go to the
+ * {@link RequestTable}; malformed ones are answered here at once with an error status. All methods run on the
+ * event loop's thread.
+ */
 final class ClientFrontend {
-    /** After an answer that ends a connection: closing with bytes unread would take the answer with it. */
+    /**
+     * How long a connection is still read after its last response was sent. Closing a socket with unread
+     * bytes resets it, and the client may then lose the response.
+     */
     private static final long LINGER_MILLIS = 500;
-    /** From this share of the connections on, the one longest at rest is closed, else answers end theirs. */
-    private static final double CROWDED = 0.75;
-    /** A connection with no request open may be closed after 2 s. */
-    private static final long REST_NANOS = TimeUnit.MILLISECONDS.toNanos(RequestTimeout.MILLIS);
     /**
-     * A connection at rest that is told to end, and whose peer says nothing to that, is closed after
-     * this.
+     * Above this share of the connection limit, each response closes the connection that has been idle
+     * longest or, if none has been idle long enough, its own connection.
+     */
+    private static final double NEAR_LIMIT_RATIO = 0.75;
+    /** A connection without an open request may be closed after 2 s of idling; this leaves a margin. */
+    private static final long MIN_IDLE_NANOS =
+        TimeUnit.MILLISECONDS.toNanos(RequestTimeout.HEAD_TIMEOUT_MILLIS);
+    /** How long an idle connection whose output was shut down waits for the client to close its side. */
+    private static final long IDLE_LINGER_MILLIS = 100;
+    /**
+     * The linger time if the last response was sent before its request had arrived completely: the rest of
+     * the upload that is already under way is read and discarded first.
+     */
+    private static final long UPLOAD_LINGER_MILLIS = 2_500;
+    private static final long MAX_BODY_BYTES = 32 << 20;
+    /**
+     * At the connection limit, a connection that has sent nothing for this long, in the middle of a request
+     * or before its first one, is closed to make room. A slow client, which may take 2 s for a request head,
+     * sends some bytes within this time; a connection that only occupies a slot does not.
+     */
+    private static final long MIN_SILENCE_NANOS = TimeUnit.MILLISECONDS.toNanos(1_000);
+    /**
+     * At the connection limit, up to one in this many connections is closed at once, since each graceful
+     * close takes a moment.
      */
-    private static final long LINGER_REST_MILLIS = 100;
-    /** ...and after one that came before its request was whole: what is on its way is read first. */
-    private static final long LINGER_UPLOAD_MILLIS = 2_500;
-    private static final long MOST_BODY = 32 << 20;
+    private static final int EVICTION_DIVISOR = 16;
     /**
-     * Short of places, one that was silent this long within a request, or before its first, makes room. A
-     * slow client, with 2 s for a head, is heard of in between; one that holds a place for nothing is not.
+     * Bound on pipelined data held while a request is in flight; the decoder accepts at most 128 requests.
      */
-    private static final long QUIET_NANOS = TimeUnit.MILLISECONDS.toNanos(1_000);
-    /** Short of places, this part of them is freed at once: each takes a moment to end in good order. */
-    private static final int EVICTED_PART = 16;
-    /** What comes behind a request may wait up to this; the decoder takes 128 requests at most. */
-    private static final int MOST_EARLY = 32 * 1024;
-    /** What one more part of a pipelined request takes beside its bytes. */
-    private static final int EARLY_PART = 256;
-    /** Looks at a connection that has something to read; one more than most requests need. */
-    private static final int READS = 4;
-    private static final int LONGEST_ID = 128;
-    private static final Pattern SECONDS = Pattern.compile("\\d{1,4}(\\.\\d{0,9})?|\\.\\d{1,9}");
-    private static final Pattern WHOLE_MICROS = Pattern.compile("\\d{1,12}(\\.\\d{0,9})?");
-    private static final double MICROS = 1_000_000;
-    private static final String ABSOLUTE = "http://";
-    /** Stands for the pipelined request that comes next. */
-    private static final String NEXT = "";
-
-    private final RequestTable table;
+    private static final int MAX_PIPELINED_BYTES = 32 * 1024;
+    /** Estimated memory of a queued pipelined object in addition to its content bytes. */
+    private static final int PIPELINED_OBJECT_OVERHEAD_BYTES = 256;
+    /** Reads per readiness event of a connection: one more than most requests need. */
+    private static final int MAX_READS_PER_EVENT = 4;
+    private static final int MAX_REQUEST_ID_LENGTH = 128;
+    private static final Pattern SECONDS_PATTERN = Pattern.compile("\\d{1,4}(\\.\\d{0,9})?|\\.\\d{1,9}");
+    private static final Pattern MICROS_PATTERN = Pattern.compile("\\d{1,12}(\\.\\d{0,9})?");
+    private static final double MICROS_PER_SECOND = 1_000_000;
+    private static final String ABSOLUTE_FORM_PREFIX = "http://";
+    /** Placeholder request id while the next pipelined request is scheduled to be read. */
+    private static final String NEXT_REQUEST = "";
+
+    private final RequestTable requestTable;
     private final Counters counters;
-    private final BufferLimit buffers;
-    private final int fullMost;
-    private int most;
-    private final BooleanSupplier ready;
-    private final Map<String, ServiceClass> classes = new HashMap<>();
-    private final Set<Connection> connections = new HashSet<>();
-    private final Set<Connection> idle = new LinkedHashSet<>(); // the one that was idle longest is first
+    private final BufferLimit bufferLimit;
+    private final int configuredMaxConnections;
+    private int maxConnections;
+    private final BooleanSupplier readiness;
+    private final Map<String, ServiceClass> serviceClasses = new HashMap<>();
+    private final Set<ClientConnection> connections = new HashSet<>();
+    private final Set<ClientConnection> idleConnections = new LinkedHashSet<>(); // longest idle first
     private Channel listener;
-    private boolean closing, evicting;
-    private long lastAnswer;
-    private int pauses; // in accepting, for want of room
-    private Runnable whenEmpty;
-
-    ClientFrontend(RequestTable table, Iterable<ServiceClass> classes, int most, BooleanSupplier ready,
-               Counters counters, BufferLimit buffers) {
-        this.buffers = buffers;
-        this.table = table;
+    private boolean draining, evictionScheduled;
+    private long drainDeadlineNanos;
+    private int acceptPauses; // times accepting was paused at the connection limit
+    private Runnable allClosedAction;
+
+    /**
+     * Creates the front end without listening yet.
+     *
+     * @param readiness whether the proxy is ready, as reported to health checks
+     */
+    ClientFrontend(RequestTable requestTable, Iterable<ServiceClass> serviceClasses, int maxConnections,
+                   BooleanSupplier readiness, Counters counters, BufferLimit bufferLimit) {
+        this.bufferLimit = bufferLimit;
+        this.requestTable = requestTable;
         this.counters = counters;
         counters.registerGauge("clients", connections::size);
-        this.fullMost = most;
-        this.most = most;
-        this.ready = ready;
-        for (ServiceClass spec : classes) {
-            this.classes.put(spec.name(), spec);
+        this.configuredMaxConnections = maxConnections;
+        this.maxConnections = maxConnections;
+        this.readiness = readiness;
+        for (ServiceClass serviceClass : serviceClasses) {
+            this.serviceClasses.put(serviceClass.name(), serviceClass);
         }
     }
 
-    /** Listens at an address; with none, the bootstrap's channel is a listening socket as it comes. */
+    /**
+     * Starts accepting connections.
+     *
+     * @param address the address to bind, or null if the bootstrap's channel already is a listening socket
+     */
     ChannelFuture listen(ServerBootstrap bootstrap, SocketAddress address) {
         bootstrap.childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, BufferLimit.WATER_MARKS)
-            // Read on until nothing is there: an end behind a request is seen before that is sent on.
+            // Read until the socket is drained, so that a connection closed right after its request is
+            // noticed before the request is forwarded.
             .childOption(ChannelOption.RECVBUF_ALLOCATOR,
-                BufferLimit.reads().respectMaybeMoreData(false).maxMessagesPerRead(READS))
+                BufferLimit.receiveAllocator().respectMaybeMoreData(false)
+                    .maxMessagesPerRead(MAX_READS_PER_EVENT))
             .childHandler(new ChannelInitializer<Channel>() {
                 @Override
                 protected void initChannel(Channel channel) {
-                    RequestTimeout timeout = new RequestTimeout();
-                    channel.pipeline().addLast(timeout, new HttpServerCodec(), new Connection(timeout));
+                    RequestTimeout requestTimeout = new RequestTimeout();
+                    channel.pipeline()
+                        .addLast(requestTimeout, new HttpServerCodec(), new ClientConnection(requestTimeout));
                 }
             });
-        ChannelFuture bound = address == null ? bootstrap.register() : bootstrap.bind(address);
-        listener = bound.channel();
-        return bound;
+        ChannelFuture bindFuture = address == null ? bootstrap.register() : bootstrap.bind(address);
+        listener = bindFuture.channel();
+        return bindFuture;
     }
 
     int connectionCount() {
         return connections.size();
     }
 
-    /** Keeps to so many connections, as there are no more descriptors. */
-    void limitConnections(int left) {
-        most = Math.max(1, Math.min(fullMost, left));
-        makeRoom();
+    /** Limits the number of client connections to the file descriptors that are left. */
+    void limitConnections(int availableDescriptors) {
+        maxConnections = Math.max(1, Math.min(configuredMaxConnections, availableDescriptors));
+        enforceConnectionLimit();
     }
 
-    /** From now on each answer ends its connection; none is of use after this time of the nano clock. */
-    void startDraining(long until) {
-        closing = true;
-        lastAnswer = until;
+    /**
+     * From now on every response closes its connection, and the time budgets of new requests are cut to end
+     * by the given {@link System#nanoTime} value.
+     */
+    void startDraining(long deadlineNanos) {
+        draining = true;
+        drainDeadlineNanos = deadlineNanos;
     }
 
     /**
-     * Leaves the listening socket to another process. It stays open: closing an inherited one makes the
-     * runtime point the log at nothing.
+     * Stops accepting and leaves the listening socket to another process. The socket is not closed: when an
+     * inherited socket is closed, the Java runtime redirects the log output to nowhere.
      */
     void releaseListener() {
         listener.deregister();
     }
 
-    /** Runs this once no connection is left. */
+    /** Runs the action once, when no client connection is left. */
     void whenAllClosed(Runnable action) {
-        whenEmpty = action;
-        checkEmpty();
+        allClosedAction = action;
+        checkAllClosed();
     }
 
-    private void checkEmpty() {
-        if (whenEmpty != null && connections.isEmpty()) {
-            Runnable action = whenEmpty;
-            whenEmpty = null;
+    private void checkAllClosed() {
+        if (allClosedAction != null && connections.isEmpty()) {
+            Runnable action = allClosedAction;
+            allClosedAction = null;
             action.run();
         }
     }
 
     /**
-     * Stops accepting once there was room for so long that all that had come is accepted: closing the
-     * listener would reset what is in its backlog, requests and all.
+     * Closes the listener once accepting has not been paused for the given period, by which time the backlog
+     * is empty. Closing it earlier would reset the connections in the backlog together with their requests.
      */
-    void stopAcceptingOnceBacklogEmpty(long lookMillis, Runnable then) {
-        int before = pauses;
+    void stopAcceptingOnceBacklogEmpty(long periodMillis, Runnable onClosed) {
+        int pausesBefore = acceptPauses;
         listener.eventLoop().schedule(() -> {
-            if (pauses == before && listener.config().isAutoRead()) {
+            if (acceptPauses == pausesBefore && listener.config().isAutoRead()) {
                 listener.close();
-                then.run();
+                onClosed.run();
             } else {
-                stopAcceptingOnceBacklogEmpty(lookMillis, then);
+                stopAcceptingOnceBacklogEmpty(periodMillis, onClosed);
             }
-        }, lookMillis, TimeUnit.MILLISECONDS);
+        }, periodMillis, TimeUnit.MILLISECONDS);
     }
 
-    /** Ends what has rested for so long that it may be ended: on the others a request may be coming. */
+    /** Closes connections that have been idle long enough; on the others a request may be on its way. */
     void closeLongIdle() {
         long now = System.nanoTime();
-        for (Connection connection : Set.copyOf(connections)) {
-            if (connection.rests() && now - connection.restingSince >= REST_NANOS) {
-                connection.retire(false);
+        for (ClientConnection connection : Set.copyOf(connections)) {
+            if (connection.isIdle() && now - connection.idleSinceNanos >= MIN_IDLE_NANOS) {
+                connection.closeGracefully(false);
             }
         }
     }
 
-    /** Ends what has no request in hand or coming in. */
+    /** Closes all connections that have no request in flight or partly received. */
     void closeIdle() {
-        for (Connection connection : Set.copyOf(connections)) {
-            if (connection.rests()) {
-                connection.retire(true);
+        for (ClientConnection connection : Set.copyOf(connections)) {
+            if (connection.isIdle()) {
+                connection.closeGracefully(true);
             }
         }
     }
 
-    /** Where clients connect. */
+    /** The address that clients connect to. */
     SocketAddress localAddress() {
         return listener.localAddress();
     }
 
     /**
-     * Guards against running out of descriptors: a connection between requests may be closed at any time,
-     * and while none is to be had, new ones wait in the backlog.
+     * Guards against running out of file descriptors. At the connection limit, accepting is paused so that
+     * new connections wait in the backlog, and a connection between two requests is closed.
      */
-    private void makeRoom() {
-        boolean room = connections.size() < most;
+    private void enforceConnectionLimit() {
+        boolean hasRoom = connections.size() < maxConnections;
         if (listener == null || !listener.isRegistered()) {
-            return; // it is not this process's yet, or another one's now
+            return; // this process does not own the listener yet, or has released it
         }
-        if (listener.config().isAutoRead() != room) {
-            listener.config().setAutoRead(room);
-            pauses += room ? 0 : 1;
+        if (listener.config().isAutoRead() != hasRoom) {
+            listener.config().setAutoRead(hasRoom);
+            acceptPauses += hasRoom ? 0 : 1;
         }
-        if (!room && !evicting) {
-            evicting = true;
-            listener.eventLoop().execute(this::evict); // what has come in by now is read first
+        if (!hasRoom && !evictionScheduled) {
+            evictionScheduled = true;
+            listener.eventLoop().execute(this::evictConnections); // after pending reads have been handled
         }
     }
 
-    private void evict() {
-        evicting = false;
-        if (connections.size() < most || !listener.isRegistered()) {
+    private void evictConnections() {
+        evictionScheduled = false;
+        if (connections.size() < maxConnections || !listener.isRegistered()) {
             return;
         }
-        if (!idle.isEmpty()) {
+        if (!idleConnections.isEmpty()) {
             long now = System.nanoTime();
-            int left = Math.max(1, most / EVICTED_PART);
+            int remaining = Math.max(1, maxConnections / EVICTION_DIVISOR);
             boolean first = true;
-            for (Connection longest : List.copyOf(idle)) {
-                if (left-- == 0 || !first && now - longest.restingSince < REST_NANOS) {
+            for (ClientConnection longestIdle : List.copyOf(idleConnections)) {
+                if (remaining-- == 0 || !first && now - longestIdle.idleSinceNanos < MIN_IDLE_NANOS) {
                     return;
                 }
                 first = false;
                 counters.increment(Count.EVICTED);
-                longest.retire(false);
+                longestIdle.closeGracefully(false);
             }
             return;
         }
-        Connection quietest = null;
-        for (Connection connection : connections) {
-            if (connection.isWaiting() && (quietest == null
-                || connection.timeout.heardAt() - quietest.timeout.heardAt() < 0)) {
-                quietest = connection;
+        ClientConnection longestSilent = null;
+        for (ClientConnection connection : connections) {
+            if (connection.hasNoRequestInFlight()
+                && (longestSilent == null || connection.requestTimeout.lastReadNanos()
+                    - longestSilent.requestTimeout.lastReadNanos() < 0)) {
+                longestSilent = connection;
             }
         }
-        if (quietest == null) {
-            return; // all are in use
+        if (longestSilent == null) {
+            return; // every connection has a request in flight
         }
-        long left = quietest.timeout.heardAt() + QUIET_NANOS - System.nanoTime();
-        if (left <= 0) {
+        long remaining = longestSilent.requestTimeout.lastReadNanos() + MIN_SILENCE_NANOS - System.nanoTime();
+        if (remaining <= 0) {
             counters.increment(Count.EVICTED);
-            quietest.retire(true);
+            longestSilent.closeGracefully(true);
         } else {
-            evicting = true;
-            listener.eventLoop().schedule(this::evict, left, TimeUnit.NANOSECONDS);
+            evictionScheduled = true;
+            listener.eventLoop().schedule(this::evictConnections, remaining, TimeUnit.NANOSECONDS);
         }
     }
 
-    /** Guards against ending connections in use while others that nobody uses keep their places. */
-    private boolean closeLongestAtRest() {
-        Iterator<Connection> resting = idle.iterator();
-        if (!resting.hasNext()) {
+    /**
+     * Closes the connection that has been idle longest, if it has been idle long enough; returns whether it
+     * did. Guards against closing active connections while idle ones occupy slots.
+     */
+    private boolean closeLongestIdle() {
+        Iterator<ClientConnection> iterator = idleConnections.iterator();
+        if (!iterator.hasNext()) {
             return false;
         }
-        Connection longest = resting.next();
-        if (System.nanoTime() - longest.restingSince < REST_NANOS) {
+        ClientConnection longestIdle = iterator.next();
+        if (System.nanoTime() - longestIdle.idleSinceNanos < MIN_IDLE_NANOS) {
             return false;
         }
         counters.increment(Count.EVICTED);
-        longest.retire(false);
+        longestIdle.closeGracefully(false);
         return true;
     }
 
-    /** Ends connections with their answers well before any must be closed: no request crosses that. */
-    private boolean crowded() {
-        return connections.size() >= most * CROWDED;
+    /**
+     * Whether responses should close their connections. This starts well below the limit, because a close
+     * that follows a response cannot cross a new request, which eviction at the limit can.
+     */
+    private boolean isNearLimit() {
+        return connections.size() >= maxConnections * NEAR_LIMIT_RATIO;
     }
 
-    /** A request with its message. */
-    private record Whole(Request request, FullHttpRequest message) {
+    /** A completely received request with its HTTP message. */
+    private record BufferedRequest(Request request, FullHttpRequest message) {
     }
 
-    /** One client connection: one request in hand, pipelined ones wait. */
-    private final class Connection extends SimpleChannelInboundHandler<HttpObject>
-        implements RequestTable.Reply, Body.Source, Body.Sink {
-        private final Deque<HttpObject> early = new ArrayDeque<>();
-        private final RequestTimeout timeout;
+    /** One client connection. One request is in flight at a time; pipelined ones wait. */
+    private final class ClientConnection extends SimpleChannelInboundHandler<HttpObject>
+        implements RequestTable.ResponseWriter, Body.Source, Body.Sink {
+        private final Deque<HttpObject> pipelinedObjects = new ArrayDeque<>();
+        private final RequestTimeout requestTimeout;
         private Channel channel;
-        private HttpRequest head; // of the request that is coming in, else null
-        private ByteBuf gathered;
-        private long received;
-        private Body upload; // of the request that is coming in, where it is passed on as it comes
-        private BufferLimit.Reading reading; // of the upload
-        private Body answer; // that is passed on as it comes
-        private String inHand;
-        private Whole whole; // not handed on before all that has come is read
-        private long restingSince;
-        private int earlyBytes;
-        private boolean keep, ending, last, old, retiring;
-
-        Connection(RequestTimeout timeout) {
+        private HttpRequest requestHead; // of the request being received, else null
+        private ByteBuf bufferedBody;
+        private long receivedBytes;
+        private Body upload; // streamed body of the request being received, else null
+        private BufferLimit.FlowControl uploadFlow; // flow control of the upload
+        private Body responseBody; // streamed response body, else null
+        private String inFlightId;
+        private BufferedRequest completeRequest; // held back until all received bytes have been read
+        private long idleSinceNanos;
+        private int pipelinedBytes;
+        private boolean keepAlive, closing, lastResponse, http10, closeScheduled;
+
+        ClientConnection(RequestTimeout requestTimeout) {
             super(false);
-            this.timeout = timeout;
+            this.requestTimeout = requestTimeout;
         }
 
         @Override
         public void channelActive(ChannelHandlerContext context) {
             channel = context.channel();
-            restingSince = System.nanoTime();
+            idleSinceNanos = System.nanoTime();
             connections.add(this);
             counters.increment(Count.ACCEPTED);
-            makeRoom();
+            enforceConnectionLimit();
         }
 
         /**
-         * From here on this connection may be closed to make room. Guards against closing one that has just
-         * been accepted: its first request may be there unread, and ending it would lose the request.
-         * One that never sends any is closed by its timeout.
+         * Marks this connection as idle, so that it may be closed to make room. A connection is not marked
+         * when it is accepted, because its first request may still be unread and closing it would lose that
+         * request; one that never sends a request is closed by its timeout.
          */
-        private void rest() {
-            if (inHand == null && head == null && !ending && channel.isActive()) {
-                if (idle.add(this)) {
-                    restingSince = System.nanoTime();
+        private void markIdle() {
+            if (inFlightId == null && requestHead == null && !closing && channel.isActive()) {
+                if (idleConnections.add(this)) {
+                    idleSinceNanos = System.nanoTime();
                 }
                 if (!listener.config().isAutoRead()) {
-                    makeRoom();
+                    enforceConnectionLimit();
                 }
             }
         }
@@ -349,49 +388,50 @@
         @Override
         public void channelInactive(ChannelHandlerContext context) {
             connections.remove(this);
-            idle.remove(this);
-            makeRoom();
-            releaseEarly();
-            drop();
-            if (answer != null) {
-                answer.release();
-                answer = null;
-            }
-            checkEmpty();
-        }
-
-        /** Ends the request that is in hand or coming in, without an answer. */
-        private void drop() {
-            if (whole != null) {
-                whole.message.release();
-                whole = null;
+            idleConnections.remove(this);
+            enforceConnectionLimit();
+            releasePipelined();
+            dropRequest();
+            if (responseBody != null) {
+                responseBody.release();
+                responseBody = null;
+            }
+            checkAllClosed();
+        }
+
+        /** Drops the request that is in flight or being received, without a response. */
+        private void dropRequest() {
+            if (completeRequest != null) {
+                completeRequest.message.release();
+                completeRequest = null;
                 counters.increment(Count.GONE);
             }
-            if (gathered != null) {
-                gathered.release();
-                gathered = null;
+            if (bufferedBody != null) {
+                bufferedBody.release();
+                bufferedBody = null;
             }
-            if (inHand != null) {
-                table.clientGone(inHand);
-                inHand = null;
+            if (inFlightId != null) {
+                requestTable.clientDisconnected(inFlightId);
+                inFlightId = null;
             }
             if (upload != null) {
-                upload.fail();
+                upload.abort();
                 upload = null;
             }
         }
 
         @Override
         public void userEventTriggered(ChannelHandlerContext context, Object event) {
-            if (event instanceof RequestTimeout.Late late && !ending) {
-                if (inHand != null && upload == null) {
-                    timeout.again(); // what came behind the request in hand has its time after that
-                } else if (late == RequestTimeout.Late.NOT_WHOLE && answer == null) {
+            if (event instanceof RequestTimeout.TimeoutEvent timeoutEvent && !closing) {
+                if (inFlightId != null && upload == null) {
+                    requestTimeout.restart(); // pipelined data is timed after the request in flight
+                } else if (timeoutEvent == RequestTimeout.TimeoutEvent.INCOMPLETE_REQUEST
+                    && responseBody == null) {
                     counters.increment(Count.LATE);
-                    end(HttpResponseStatus.REQUEST_TIMEOUT);
-                } else if (answer == null) {
+                    respondAndClose(HttpResponseStatus.REQUEST_TIMEOUT);
+                } else if (responseBody == null) {
                     counters.increment(Count.LATE);
-                    retire(false); // its first request may be on its way just now
+                    closeGracefully(false); // the first request may be on its way just now
                 } else {
                     counters.increment(Count.LATE);
                     context.close();
@@ -401,233 +441,242 @@
         }
 
         @Override
-        protected void channelRead0(ChannelHandlerContext context, HttpObject part) {
-            if (ending) {
-                discard(part);
-            } else if (inHand != null && upload == null) {
-                wait(part);
+        protected void channelRead0(ChannelHandlerContext context, HttpObject httpObject) {
+            if (closing) {
+                discard(httpObject);
+            } else if (inFlightId != null && upload == null) {
+                queuePipelined(httpObject);
             } else {
-                read(part);
+                handle(httpObject);
             }
         }
 
         /**
-         * One request at a time: what comes behind it waits. It is read all the same, as a client that leaves
-         * is seen by reading only; one that sends more than there is room for has no claim to what it sends.
+         * Queues pipelined data until the request in flight is answered. It is read nevertheless, because
+         * only reading reveals that the client has closed the connection. Data beyond the bound is discarded.
          */
-        private void wait(HttpObject part) {
-            if (timeout.isDiscarding()) {
-                ReferenceCountUtil.release(part);
+        private void queuePipelined(HttpObject httpObject) {
+            if (requestTimeout.isDiscarding()) {
+                ReferenceCountUtil.release(httpObject);
                 return;
             }
-            early.add(part);
-            earlyBytes += bytes(part);
-            if (earlyBytes > Math.min(MOST_EARLY, buffers.mostWhole())) {
-                overrun();
+            pipelinedObjects.add(httpObject);
+            pipelinedBytes += sizeInBytes(httpObject);
+            if (pipelinedBytes > Math.min(MAX_PIPELINED_BYTES, bufferLimit.maxBufferedMessageBytes())) {
+                discardExcessInput();
             }
         }
 
-        /** From here on its bytes are dropped as they come, and the answer that is due ends it. */
-        private void overrun() {
+        /** Discards all further input; the response to the request in flight closes the connection. */
+        private void discardExcessInput() {
             counters.increment(Count.IMPROPER);
-            Log.write("improper", "more behind a request than there is room for, from "
+            Log.write("improper", "too much pipelined data behind a request, from "
                 + channel.remoteAddress());
-            keep = false;
-            timeout.discard();
-            releaseEarly();
-            if (NEXT.equals(inHand)) {
-                inHand = null;
-                ending = true;
-                endSending();
+            keepAlive = false;
+            requestTimeout.discard();
+            releasePipelined();
+            if (NEXT_REQUEST.equals(inFlightId)) {
+                inFlightId = null;
+                closing = true;
+                closeAfterLinger();
             }
         }
 
-        private static int bytes(HttpObject part) {
-            return EARLY_PART + (part instanceof HttpContent content ? content.content().readableBytes() : 0);
+        private static int sizeInBytes(HttpObject httpObject) {
+            return PIPELINED_OBJECT_OVERHEAD_BYTES
+                + (httpObject instanceof HttpContent content ? content.content().readableBytes() : 0);
         }
 
-        private HttpObject nextEarly() {
-            HttpObject next = early.poll();
-            earlyBytes -= bytes(next);
+        private HttpObject pollPipelined() {
+            HttpObject next = pipelinedObjects.poll();
+            pipelinedBytes -= sizeInBytes(next);
             return next;
         }
 
-        private void releaseEarly() {
-            early.forEach(ReferenceCountUtil::release);
-            early.clear();
-            earlyBytes = 0;
+        private void releasePipelined() {
+            pipelinedObjects.forEach(ReferenceCountUtil::release);
+            pipelinedObjects.clear();
+            pipelinedBytes = 0;
         }
 
         /**
-         * Ends a connection that carries nothing, in good order: what has come by now is read and served
-         * first, and what crosses the end is read and goes nowhere; its client sees the end and sends it
-         * anew. Closing over unread bytes would reset the connection in place of that. One on which a part
-         * of a request has come is left alone, unless there is no time for the rest of it.
+         * Closes a connection without a request in flight gracefully. Requests that have already arrived are
+         * read and served first. Bytes that cross the close are read and discarded: the client sees the end
+         * of the stream and sends its request again, whereas closing with unread bytes would reset the
+         * connection. A connection with a partly received request is left open unless {@code evenIfPartial}
+         * is set.
          */
-        private void retire(boolean halfAsWell) {
-            idle.remove(this);
-            if (retiring) {
+        private void closeGracefully(boolean evenIfPartial) {
+            idleConnections.remove(this);
+            if (closeScheduled) {
                 return;
             }
-            retiring = true;
-            // Later than now, as sockets are looked at before what is due.
+            closeScheduled = true;
+            // Scheduled rather than run at once: the event loop handles socket events before due tasks.
             channel.eventLoop().schedule(() -> {
-                retiring = false;
-                if (isWaiting() && channel.isActive()
-                    && (halfAsWell || head == null && !timeout.isPartial())) {
-                    ending = true;
-                    drop();
-                    endSending(LINGER_REST_MILLIS);
+                closeScheduled = false;
+                if (hasNoRequestInFlight() && channel.isActive()
+                    && (evenIfPartial || requestHead == null && !requestTimeout.isRequestIncomplete())) {
+                    closing = true;
+                    dropRequest();
+                    closeAfterLinger(IDLE_LINGER_MILLIS);
                 }
             }, 1, TimeUnit.MILLISECONDS);
         }
 
-        /** What comes after the answer is read: closing with bytes unread would take the answer with it. */
-        private void discard(HttpObject part) {
-            ReferenceCountUtil.release(part);
-            if (part instanceof LastHttpContent && head != null) {
-                head = null;
-                channel.eventLoop().execute(this::endSending);
+        /**
+         * Discards input that arrives after the last response. It has to be read, because closing a socket
+         * with unread bytes resets it and the client may lose the response.
+         */
+        private void discard(HttpObject httpObject) {
+            ReferenceCountUtil.release(httpObject);
+            if (httpObject instanceof LastHttpContent && requestHead != null) {
+                requestHead = null;
+                channel.eventLoop().execute(this::closeAfterLinger);
             }
         }
 
-        private void read(HttpObject part) {
-            if (part instanceof HttpRequest start) {
-                begin(start);
+        private void handle(HttpObject httpObject) {
+            if (httpObject instanceof HttpRequest newHead) {
+                handleHead(newHead);
             }
-            if (part instanceof HttpContent content) {
-                if (head == null || ending) {
+            if (httpObject instanceof HttpContent content) {
+                if (requestHead == null || closing) {
                     discard(content);
                 } else if (content.decoderResult().isFailure()) {
                     content.release();
-                    improper(HttpResponseStatus.BAD_REQUEST, content.decoderResult().cause());
+                    reject(HttpResponseStatus.BAD_REQUEST, content.decoderResult().cause());
                 } else {
-                    take(content);
+                    handleContent(content);
                 }
             }
         }
 
-        private void begin(HttpRequest start) {
-            idle.remove(this);
-            head = start;
-            received = 0;
-            keep = HttpUtil.isKeepAlive(start);
-            old = start.protocolVersion().equals(HttpVersion.HTTP_1_0);
-            HttpResponseStatus wrong;
+        private void handleHead(HttpRequest newHead) {
+            idleConnections.remove(this);
+            requestHead = newHead;
+            receivedBytes = 0;
+            keepAlive = HttpUtil.isKeepAlive(newHead);
+            http10 = newHead.protocolVersion().equals(HttpVersion.HTTP_1_0);
+            HttpResponseStatus errorStatus;
             try {
-                wrong = wrong(start);
+                errorStatus = validateHead(newHead);
             } catch (RuntimeException e) {
-                Log.error("client", e); // guards against one bad request taking the loop along
-                wrong = HttpResponseStatus.INTERNAL_SERVER_ERROR;
+                Log.error("client", e); // a faulty request must not end the event loop
+                errorStatus = HttpResponseStatus.INTERNAL_SERVER_ERROR;
             }
-            if (wrong != null) {
-                improper(wrong, start.decoderResult().cause());
+            if (errorStatus != null) {
+                reject(errorStatus, newHead.decoderResult().cause());
                 return;
             }
-            if (HttpUtil.is100ContinueExpected(start)) {
+            if (HttpUtil.is100ContinueExpected(newHead)) {
                 channel.writeAndFlush(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
                     HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
             }
-            if (HttpUtil.getContentLength(start, 0L) > buffers.mostWhole()) {
-                stream();
+            if (HttpUtil.getContentLength(newHead, 0L) > bufferLimit.maxBufferedMessageBytes()) {
+                startStreaming();
             }
         }
 
-        private void take(HttpContent content) {
-            received += content.content().readableBytes();
-            boolean whole = content instanceof LastHttpContent;
-            if (received > MOST_BODY) {
+        private void handleContent(HttpContent content) {
+            receivedBytes += content.content().readableBytes();
+            boolean isLast = content instanceof LastHttpContent;
+            if (receivedBytes > MAX_BODY_BYTES) {
                 content.release();
-                improper(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, null);
+                reject(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, null);
             } else if (upload != null) {
                 Body body = upload;
-                if (whole) {
-                    timeout.arrived();
-                    head = null;
+                if (isLast) {
+                    requestTimeout.requestReceived();
+                    requestHead = null;
                     upload = null;
-                    table.whole(inHand);
+                    requestTable.requestReceived(inFlightId);
                 }
                 body.add(content);
-                if (whole) {
-                    reading.end();
+                if (isLast) {
+                    uploadFlow.stop();
                 } else {
-                    reading.read();
+                    uploadFlow.afterRead();
                 }
             } else {
-                gathered = Body.gather(gathered, content, channel.alloc());
-                if (whole) {
-                    timeout.arrived();
-                    accept();
-                } else if (received > buffers.mostWhole()) {
-                    stream();
+                bufferedBody = Body.append(bufferedBody, content, channel.alloc());
+                if (isLast) {
+                    requestTimeout.requestReceived();
+                    handleBufferedRequest();
+                } else if (receivedBytes > bufferLimit.maxBufferedMessageBytes()) {
+                    startStreaming();
                 }
             }
         }
 
-        /** The request is there whole. */
-        private void accept() {
-            FullHttpRequest message = new DefaultFullHttpRequest(head.protocolVersion(), head.method(),
-                head.uri(), gathered == null ? Unpooled.EMPTY_BUFFER : gathered, head.headers(),
+        /** Handles a request that has been received and buffered completely. */
+        private void handleBufferedRequest() {
+            FullHttpRequest message = new DefaultFullHttpRequest(requestHead.protocolVersion(),
+                requestHead.method(), requestHead.uri(),
+                bufferedBody == null ? Unpooled.EMPTY_BUFFER : bufferedBody, requestHead.headers(),
                 EmptyHttpHeaders.INSTANCE);
-            gathered = null;
-            head = null;
+            bufferedBody = null;
+            requestHead = null;
             if (isHealthCheck(message)) {
                 message.release();
-                answer(RequestTable.plain(
-                    ready.getAsBoolean() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE));
+                respond(RequestTable.emptyResponse(
+                    readiness.getAsBoolean() ? HttpResponseStatus.OK
+                        : HttpResponseStatus.SERVICE_UNAVAILABLE));
                 return;
             }
-            HttpResponseStatus wrong = bodyWrong(message);
-            if (wrong != null) {
+            HttpResponseStatus errorStatus = validateBody(message);
+            if (errorStatus != null) {
                 message.release();
-                improper(wrong, null);
+                reject(errorStatus, null);
                 return;
             }
-            whole = new Whole(request(message, false), message);
-            inHand = whole.request.id();
-            channel.eventLoop().execute(this::handOn);
+            completeRequest = new BufferedRequest(toRequest(message, false), message);
+            inFlightId = completeRequest.request.id();
+            channel.eventLoop().execute(this::forwardCompleteRequest);
         }
 
         /**
-         * All that has come is read: a client that has left by now is owed nothing, and nothing is sent
-         * on.
+         * Passes the request on once all received bytes have been read. If the client has disconnected by
+         * then, nothing is forwarded.
          */
-        private void handOn() {
-            Whole next = whole;
-            whole = null;
-            if (next == null) {
+        private void forwardCompleteRequest() {
+            BufferedRequest bufferedRequest = completeRequest;
+            completeRequest = null;
+            if (bufferedRequest == null) {
                 return;
             }
             if (!channel.isActive()) {
                 counters.increment(Count.GONE);
-                next.message.release();
-            } else if (table.holds(next.request.id())) {
-                next.message.release();
-                inHand = null;
-                improper(HttpResponseStatus.CONFLICT, null);
+                bufferedRequest.message.release();
+            } else if (requestTable.isInFlight(bufferedRequest.request.id())) {
+                bufferedRequest.message.release();
+                inFlightId = null;
+                reject(HttpResponseStatus.CONFLICT, null);
             } else {
-                table.take(next.request, next.message, this);
+                requestTable.accept(bufferedRequest.request, bufferedRequest.message, this);
             }
         }
 
-        /** The request is long: it goes on as it comes. */
-        private void stream() {
-            HttpResponseStatus wrong = isHealthCheck(head) ? HttpResponseStatus.BAD_REQUEST : bodyWrong(head);
-            if (wrong != null) {
-                improper(wrong, null);
+        /** Switches to streaming: a long request is forwarded as it arrives. */
+        private void startStreaming() {
+            HttpResponseStatus errorStatus = isHealthCheck(requestHead) ? HttpResponseStatus.BAD_REQUEST
+                : validateBody(requestHead);
+            if (errorStatus != null) {
+                reject(errorStatus, null);
                 return;
             }
-            reading = buffers.new Reading(channel);
+            uploadFlow = bufferLimit.new FlowControl(channel);
             Body body = new Body(this, BufferLimit.MAX_BUFFERED_MESSAGE_BYTES);
-            if (gathered != null) {
-                body.add(new DefaultHttpContent(gathered));
-                gathered = null;
+            if (bufferedBody != null) {
+                body.add(new DefaultHttpContent(bufferedBody));
+                bufferedBody = null;
             }
             upload = body;
-            Request request = request(head, true);
-            inHand = request.id();
-            table.take(request, new DefaultFullHttpRequest(head.protocolVersion(), head.method(), head.uri(),
-                Unpooled.EMPTY_BUFFER, head.headers(), EmptyHttpHeaders.INSTANCE), body, this);
+            Request request = toRequest(requestHead, true);
+            inFlightId = request.id();
+            requestTable.accept(request, new DefaultFullHttpRequest(requestHead.protocolVersion(),
+                requestHead.method(), requestHead.uri(), Unpooled.EMPTY_BUFFER, requestHead.headers(),
+                EmptyHttpHeaders.INSTANCE), body, this);
         }
 
         private static boolean isHealthCheck(HttpRequest message) {
@@ -635,30 +684,30 @@
         }
 
         private static String path(HttpRequest message) {
-            int query = message.uri().indexOf('?');
-            return query < 0 ? message.uri() : message.uri().substring(0, query);
+            int queryStart = message.uri().indexOf('?');
+            return queryStart < 0 ? message.uri() : message.uri().substring(0, queryStart);
         }
 
-        /** The status that says what is wrong with a request by its head alone; null where nothing is. */
-        private HttpResponseStatus wrong(HttpRequest message) {
+        /** Validates a request by its head alone; returns the error status, or null if it is valid. */
+        private HttpResponseStatus validateHead(HttpRequest message) {
             if (message.decoderResult().isFailure()) {
-                return unparsable(message.decoderResult().cause());
+                return statusForDecodingError(message.decoderResult().cause());
             }
             HttpVersion version = message.protocolVersion();
             if (!version.equals(HttpVersion.HTTP_1_1) && !version.equals(HttpVersion.HTTP_1_0)) {
                 return HttpResponseStatus.HTTP_VERSION_NOT_SUPPORTED;
             }
             HttpHeaders headers = message.headers();
-            List<String> codings = headers.getAll(HttpHeaderNames.TRANSFER_ENCODING);
-            if (!codings.isEmpty() && (codings.size() > 1
-                || !HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(codings.get(0).trim()))) {
-                return HttpResponseStatus.BAD_REQUEST; // where its body ends cannot be known for sure
+            List<String> transferCodings = headers.getAll(HttpHeaderNames.TRANSFER_ENCODING);
+            if (!transferCodings.isEmpty() && (transferCodings.size() > 1
+                || !HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(transferCodings.get(0).trim()))) {
+                return HttpResponseStatus.BAD_REQUEST; // the end of the body would be ambiguous
             }
-            String expected = headers.get(HttpHeaderNames.EXPECT);
-            if (expected != null && !HttpHeaderValues.CONTINUE.contentEqualsIgnoreCase(expected)) {
+            String expectation = headers.get(HttpHeaderNames.EXPECT);
+            if (expectation != null && !HttpHeaderValues.CONTINUE.contentEqualsIgnoreCase(expectation)) {
                 return HttpResponseStatus.EXPECTATION_FAILED;
             }
-            if (HttpUtil.getContentLength(message, 0L) > MOST_BODY) {
+            if (HttpUtil.getContentLength(message, 0L) > MAX_BODY_BYTES) {
                 return HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE;
             }
             message.setUri(originForm(message.uri()));
@@ -666,39 +715,43 @@
                 return null;
             }
             String path = path(message);
-            int end = path.indexOf('/', 1);
-            String first = path.isEmpty() ? "" : path.substring(1, end < 0 ? path.length() : end);
-            ServiceClass spec = classes.get(first);
-            if (spec == null || path.charAt(0) != '/') {
+            int segmentEnd = path.indexOf('/', 1);
+            String className = path.isEmpty() ? ""
+                : path.substring(1, segmentEnd < 0 ? path.length() : segmentEnd);
+            ServiceClass serviceClass = serviceClasses.get(className);
+            if (serviceClass == null || path.charAt(0) != '/') {
                 return HttpResponseStatus.NOT_FOUND;
             }
-            boolean keyed = headers.contains(Headers.IDEMPOTENCY_KEY);
-            boolean safe = spec.idempotency() == Idempotency.IDEMPOTENT;
-            if (!message.method().equals(safe ? HttpMethod.GET : HttpMethod.POST)) {
+            boolean hasIdempotencyKey = headers.contains(Headers.IDEMPOTENCY_KEY);
+            boolean idempotent = serviceClass.idempotency() == Idempotency.IDEMPOTENT;
+            if (!message.method().equals(idempotent ? HttpMethod.GET : HttpMethod.POST)) {
                 return HttpResponseStatus.METHOD_NOT_ALLOWED;
             }
-            String id = headers.get(Headers.REQUEST_ID);
-            String asked = headers.get(Headers.TIMEOUT);
-            String cost = headers.get(Headers.COST);
-            boolean hosted = version.equals(HttpVersion.HTTP_1_0) || headers.contains(HttpHeaderNames.HOST);
-            if (!hosted || Headers.isAmbiguous(headers)) {
+            String requestId = headers.get(Headers.REQUEST_ID);
+            String timeoutText = headers.get(Headers.TIMEOUT);
+            String costText = headers.get(Headers.COST);
+            boolean hasHost = version.equals(HttpVersion.HTTP_1_0) || headers.contains(HttpHeaderNames.HOST);
+            if (!hasHost || Headers.hasDuplicates(headers)) {
                 return HttpResponseStatus.BAD_REQUEST;
             }
-            if (!first.equals(headers.get(Headers.SERVICE_CLASS)) || id == null || id.isEmpty()
-                || id.length() > LONGEST_ID || asked == null || !SECONDS.matcher(asked).matches()
-                || cost != null && !WHOLE_MICROS.matcher(cost).matches()
-                || spec.idempotency() == Idempotency.DEDUPLICATED && !keyed) {
+            if (!className.equals(headers.get(Headers.SERVICE_CLASS))
+                || requestId == null || requestId.isEmpty() || requestId.length() > MAX_REQUEST_ID_LENGTH
+                || timeoutText == null || !SECONDS_PATTERN.matcher(timeoutText).matches()
+                || costText != null && !MICROS_PATTERN.matcher(costText).matches()
+                || serviceClass.idempotency() == Idempotency.DEDUPLICATED && !hasIdempotencyKey) {
                 return HttpResponseStatus.BAD_REQUEST;
             }
             return null;
         }
 
-        /** The absolute form is as good as the usual one (RFC 9112, 3.2.2); backends get the usual one. */
+        /**
+         * Converts an absolute-form request target, which must be accepted (RFC 9112, 3.2.2), to origin form.
+         */
         private static String originForm(String uri) {
-            if (!uri.regionMatches(true, 0, ABSOLUTE, 0, ABSOLUTE.length())) {
+            if (!uri.regionMatches(true, 0, ABSOLUTE_FORM_PREFIX, 0, ABSOLUTE_FORM_PREFIX.length())) {
                 return uri;
             }
-            for (int i = ABSOLUTE.length(); i < uri.length(); i++) {
+            for (int i = ABSOLUTE_FORM_PREFIX.length(); i < uri.length(); i++) {
                 if (uri.charAt(i) == '/' || uri.charAt(i) == '?') {
                     return (uri.charAt(i) == '?' ? "/" : "") + uri.substring(i);
                 }
@@ -706,45 +759,51 @@
             return "/";
         }
 
-        /** What is wrong with a request now that it has a body, or has come whole. */
-        private HttpResponseStatus bodyWrong(HttpRequest message) {
-            boolean body = received > 0 || HttpUtil.getContentLength(message, 0L) > 0;
-            if (body && HttpMethod.GET.equals(message.method())) {
+        /** Checks that need the body or a complete request; returns the error status, or null. */
+        private HttpResponseStatus validateBody(HttpRequest message) {
+            boolean hasBody = receivedBytes > 0 || HttpUtil.getContentLength(message, 0L) > 0;
+            if (hasBody && HttpMethod.GET.equals(message.method())) {
                 return HttpResponseStatus.BAD_REQUEST;
             }
-            return table.holds(message.headers().get(Headers.REQUEST_ID))
-                ? HttpResponseStatus.CONFLICT : null; // ids are new with every request
+            return requestTable.isInFlight(message.headers().get(Headers.REQUEST_ID))
+                ? HttpResponseStatus.CONFLICT : null; // request ids must be unique
         }
 
-        private Request request(HttpRequest message, boolean streamed) {
+        private Request toRequest(HttpRequest message, boolean streamed) {
             HttpHeaders headers = message.headers();
             String path = path(message);
-            int end = path.indexOf('/', 1);
-            String cost = headers.get(Headers.COST);
+            int segmentEnd = path.indexOf('/', 1);
+            String costText = headers.get(Headers.COST);
             return new Request(headers.get(Headers.REQUEST_ID), headers.get(Headers.SERVICE_CLASS),
-                headers.get(Headers.TENANT), end < 0 ? null : path.substring(path.lastIndexOf('/') + 1),
-                budget((long) (Double.parseDouble(headers.get(Headers.TIMEOUT)) * MICROS)),
-                cost == null ? 0 : (long) Double.parseDouble(cost),
+                headers.get(Headers.TENANT),
+                segmentEnd < 0 ? null : path.substring(path.lastIndexOf('/') + 1),
+                timeBudget((long) (Double.parseDouble(headers.get(Headers.TIMEOUT)) * MICROS_PER_SECOND)),
+                costText == null ? 0 : (long) Double.parseDouble(costText),
                 "1".equals(headers.get(Headers.RETRIED)), streamed);
         }
 
-        /** Guards against a request that is still in hand when this process is killed: that one is lost. */
-        private long budget(long asked) {
-            return closing && lastAnswer != Long.MAX_VALUE
-                ? Math.min(asked, TimeUnit.NANOSECONDS.toMicros(lastAnswer - System.nanoTime())) : asked;
+        /**
+         * The time budget of a request, in microseconds. While draining it ends before this process does: a
+         * request that is still in flight when the process is killed would be lost.
+         */
+        private long timeBudget(long requestedMicros) {
+            return draining && drainDeadlineNanos != Long.MAX_VALUE
+                ? Math.min(requestedMicros,
+                    TimeUnit.NANOSECONDS.toMicros(drainDeadlineNanos - System.nanoTime()))
+                : requestedMicros;
         }
 
-        /** Whether nothing of a request has been read that is not answered. */
-        private boolean rests() {
-            return inHand == null && head == null && early.isEmpty() && !ending;
+        /** Whether every byte that was read belongs to a request that has been answered. */
+        private boolean isIdle() {
+            return inFlightId == null && requestHead == null && pipelinedObjects.isEmpty() && !closing;
         }
 
-        /** Whether no request of this one is in hand: its peer has sent none, or only a part of one. */
-        private boolean isWaiting() {
-            return inHand == null && !ending;
+        /** Whether no request is in flight: the client has sent none, or only a part of one. */
+        private boolean hasNoRequestInFlight() {
+            return inFlightId == null && !closing;
         }
 
-        private HttpResponseStatus unparsable(Throwable cause) {
+        private HttpResponseStatus statusForDecodingError(Throwable cause) {
             if (cause instanceof TooLongHttpLineException) {
                 return HttpResponseStatus.REQUEST_URI_TOO_LONG;
             } else if (cause instanceof TooLongHttpHeaderException) {
@@ -753,126 +812,129 @@
             return HttpResponseStatus.BAD_REQUEST;
         }
 
-        private void improper(HttpResponseStatus status, Throwable cause) {
+        private void reject(HttpResponseStatus status, Throwable cause) {
             counters.increment(Count.IMPROPER);
             Log.write("improper",
                 status + " to " + channel.remoteAddress() + (cause == null ? "" : ": " + cause));
-            end(status);
+            respondAndClose(status);
         }
 
-        /** Ends the connection with this: a peer that speaks badly has no claim to a place. */
-        private void end(HttpResponseStatus status) {
-            keep = false;
-            drop();
-            if (answer == null) {
-                answer(RequestTable.plain(status));
+        /**
+         * Sends an error status and closes the connection, since a misbehaving client should not hold a slot.
+         */
+        private void respondAndClose(HttpResponseStatus status) {
+            keepAlive = false;
+            dropRequest();
+            if (responseBody == null) {
+                respond(RequestTable.emptyResponse(status));
             } else {
-                channel.close(); // in the middle of an answer there is no place for another
+                channel.close(); // a streamed response has begun, so that no other can be sent
             }
         }
 
-        /** Whether the next answer ends the connection; it does while the rest of its request is to come. */
-        private boolean isLast() {
-            boolean ends = !keep || closing || head != null;
-            if (!ends && crowded() && !closeLongestAtRest()) {
+        /** Whether the next response closes the connection; always so if its request is not yet complete. */
+        private boolean isLastResponse() {
+            boolean closesConnection = !keepAlive || draining || requestHead != null;
+            if (!closesConnection && isNearLimit() && !closeLongestIdle()) {
                 counters.increment(Count.CROWDED);
-                ends = true;
+                closesConnection = true;
             }
-            return ends;
+            return closesConnection;
         }
 
         @Override
-        public void answer(FullHttpResponse response) {
-            Headers.dropHopByHop(response.headers());
+        public void respond(FullHttpResponse response) {
+            Headers.removeHopByHop(response.headers());
             response.headers().set(HttpHeaderNames.CONTENT_LENGTH, response.content().readableBytes());
-            last = isLast();
-            if (last) {
+            lastResponse = isLastResponse();
+            if (lastResponse) {
                 response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
             }
-            finish(channel.writeAndFlush(response));
+            finishResponse(channel.writeAndFlush(response));
         }
 
         @Override
-        public void begin(HttpResponse start, Body body) {
+        public void beginStreaming(HttpResponse streamedHead, Body body) {
             HttpResponse response =
-                new DefaultHttpResponse(HttpVersion.HTTP_1_1, start.status(), start.headers().copy());
-            Headers.dropHopByHop(response.headers());
-            boolean unending = !HttpUtil.isContentLengthSet(start);
-            HttpUtil.setTransferEncodingChunked(response, unending && !old);
-            keep &= !(unending && old); // an old client knows the end by that of the connection
-            last = isLast();
-            if (last) {
+                new DefaultHttpResponse(HttpVersion.HTTP_1_1, streamedHead.status(),
+                    streamedHead.headers().copy());
+            Headers.removeHopByHop(response.headers());
+            boolean unknownLength = !HttpUtil.isContentLengthSet(streamedHead);
+            HttpUtil.setTransferEncodingChunked(response, unknownLength && !http10);
+            keepAlive &= !(unknownLength && http10); // in HTTP/1.0 the end of the connection ends such a body
+            lastResponse = isLastResponse();
+            if (lastResponse) {
                 response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
             }
-            answer = body;
+            responseBody = body;
             channel.write(response);
-            body.to(this);
+            body.attach(this);
             channel.flush();
         }
 
         @Override
-        public void part(HttpContent part) {
-            ChannelFuture written = channel.writeAndFlush(part);
-            if (part instanceof LastHttpContent) {
-                answer.release();
-                answer = null;
-                finish(written);
+        public void onContent(HttpContent content) {
+            ChannelFuture writeFuture = channel.writeAndFlush(content);
+            if (content instanceof LastHttpContent) {
+                responseBody.release();
+                responseBody = null;
+                finishResponse(writeFuture);
             } else if (!channel.isWritable()) {
-                answer.flow(false);
+                responseBody.setSinkWritable(false);
             }
         }
 
-        /** The client is to see that its answer is not whole. */
+        /** Resets the connection, so that the client notices that the response is incomplete. */
         @Override
-        public void broken() {
-            channel.config().setOption(ChannelOption.SO_LINGER, 0); // an end may pass for the body's
+        public void onAborted() {
+            channel.config().setOption(ChannelOption.SO_LINGER, 0); // a FIN could pass for the body's end
             channel.close();
         }
 
-        /** The answer is on its way whole. */
-        private void finish(ChannelFuture written) {
-            inHand = null;
-            if (last || !keep) {
-                ending = true;
+        /** Prepares the connection for its next request, or closes it, after a complete response. */
+        private void finishResponse(ChannelFuture writeFuture) {
+            inFlightId = null;
+            if (lastResponse || !keepAlive) {
+                closing = true;
                 if (upload != null) {
                     upload.release();
                     upload = null;
-                    reading.end();
+                    uploadFlow.stop();
                     channel.config().setAutoRead(true);
                 }
-                written.addListener((ChannelFutureListener) done -> endSending());
-            } else if (!early.isEmpty()) {
-                // Not from within the answer: a long pipeline must not deepen the stack.
-                inHand = NEXT;
-                channel.eventLoop().execute(this::readEarly);
+                writeFuture.addListener((ChannelFutureListener) done -> closeAfterLinger());
+            } else if (!pipelinedObjects.isEmpty()) {
+                // Scheduled rather than called, so that a long pipeline does not deepen the stack.
+                inFlightId = NEXT_REQUEST;
+                channel.eventLoop().execute(this::handlePipelined);
             } else {
                 channel.config().setAutoRead(true);
-                written.addListener(done -> rest()); // not before the answer is out whole
+                writeFuture.addListener(done -> markIdle()); // only after the response was written
             }
         }
 
-        private void readEarly() {
+        private void handlePipelined() {
             if (!channel.isActive()) {
                 return;
             }
-            inHand = null;
-            while (!early.isEmpty() && (ending || inHand == null || upload != null)) {
-                if (ending) {
-                    discard(nextEarly());
+            inFlightId = null;
+            while (!pipelinedObjects.isEmpty() && (closing || inFlightId == null || upload != null)) {
+                if (closing) {
+                    discard(pollPipelined());
                 } else {
-                    read(nextEarly());
+                    handle(pollPipelined());
                 }
             }
-            if (early.isEmpty()) {
+            if (pipelinedObjects.isEmpty()) {
                 channel.config().setAutoRead(true);
             }
         }
 
-        private void endSending() {
-            endSending(head == null ? LINGER_MILLIS : LINGER_UPLOAD_MILLIS);
+        private void closeAfterLinger() {
+            closeAfterLinger(requestHead == null ? LINGER_MILLIS : UPLOAD_LINGER_MILLIS);
         }
 
-        private void endSending(long lingerMillis) {
+        private void closeAfterLinger(long lingerMillis) {
             if (channel instanceof DuplexChannel duplex && channel.isActive()) {
                 duplex.shutdownOutput();
                 channel.config().setAutoRead(true);
@@ -883,28 +945,28 @@
         }
 
         @Override
-        public void flow(boolean on) {
-            reading.flow(on);
+        public void setReadEnabled(boolean enabled) {
+            uploadFlow.setReadEnabled(enabled);
         }
 
         @Override
-        public void dropped() {
-            // the answer says so
+        public void onDiscarded() {
+            // the response to the client reports it
         }
 
         @Override
         public void channelWritabilityChanged(ChannelHandlerContext context) {
-            if (answer != null) {
-                answer.flow(channel.isWritable());
+            if (responseBody != null) {
+                responseBody.setSinkWritable(channel.isWritable());
             }
             context.fireChannelWritabilityChanged();
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            if (cause instanceof CodecException && inHand != null && upload == null && !ending) {
-                if (!timeout.isDiscarding()) {
-                    overrun(); // the request before is owed its answer all the same
+            if (cause instanceof CodecException && inFlightId != null && upload == null && !closing) {
+                if (!requestTimeout.isDiscarding()) {
+                    discardExcessInput(); // the request in flight still gets its response
                 }
                 return;
             }
