--- a/decision/src/main/java/dockrelay/Allowances.java
+++ b/decision/src/main/java/dockrelay/Allowances.java
@@ -6,13 +6,14 @@
 import java.util.List;
 import java.util.Map;
 
-/** What this proxy may spend of the fleet's budgets: buckets that it was lent, each for a while. */
+/** This proxy's shares of the fleet-wide budgets: token buckets that expire unless they are renewed. */
 final class Allowances {
     static final String EXTRA = "extra"; // copies, hedges and retries together
-    static final String TENANT = "tenant/"; // and its name: a tenant's requests inside its share
-    /** One that found nothing waits for so long: with few tokens the next one is for the next request. */
+    static final String TENANT = "tenant/"; // prefix of a tenant's name: its requests within quota
+    /** A refusal counts as waiting this long: if tokens are rare, the next one goes to the next request. */
     private static final long WAITS = 2_000_000;
 
+    /** The token bucket of one budget; {@code rate} is in tokens per second. */
     private static final class Bucket {
         double rate, burst, tokens;
         long filledAt, asked, spent, missedAt = Long.MIN_VALUE / 2;
@@ -33,7 +34,7 @@
         until = end;
         for (BudgetShare part : number > telling ? parts : List.<BudgetShare>of()) {
             Bucket bucket = buckets.computeIfAbsent(part.budget(), name -> new Bucket());
-            bucket.filledAt = Math.max(bucket.filledAt, now); // what is new earns from now on
+            bucket.filledAt = Math.max(bucket.filledAt, now); // a new bucket fills from now on
             bucket.rate = part.rate();
             bucket.burst = part.burst();
             bucket.tokens = Math.min(part.burst(), bucket.tokens + part.add());
@@ -50,7 +51,7 @@
         }
     }
 
-    /** Spends one of a budget; always so where nothing was ever told of it. */
+    /** Takes one token of a budget if there is one; a budget without any share so far restricts nothing. */
     boolean take(long now, String budget) {
         Bucket bucket = buckets.get(budget);
         if (bucket == null) {
--- a/decision/src/main/java/dockrelay/Balancer.java
+++ b/decision/src/main/java/dockrelay/Balancer.java
@@ -4,34 +4,36 @@
 import java.util.Set;
 
 /**
- * The whole interface between a proxy (the host) and its decisions: settings, events and actions.
+ * The interface between a proxy (the host) and its balancing policy: settings, events and actions.
  *
- * <p>Every time is a {@code long} of microseconds on the host's own clock, handed in with each event.
- * An instance belongs to one thread, does no I/O and shares nothing with other instances. Events are answered
- * by calling {@link Callbacks} before the event method returns. A request on which nothing is done is held.
+ * <p>Every time, time span and latency is a {@code long} of microseconds on the host's own clock, unless its
+ * name says otherwise; the current time is passed with each event. An instance is confined to one thread,
+ * does no I/O and shares no state with other instances. It answers an event by calling {@link Actions} before
+ * the event method returns. A request for which no action is called stays pending.
  *
- * <p>Events come in the order of their time, the first list (CACHED) before any request. Wrong settings throw
- * an IllegalArgumentException that names the setting; events for ids that are not held are ignored. A request
- * of a class that the settings do not name is treated as one that must never run twice.
+ * <p>Events must be delivered in the order of their time, and the first list of backends (CACHED) before any
+ * request. Invalid settings throw an IllegalArgumentException that names the setting; events for unknown ids
+ * are ignored. A request of a class that the settings do not name is treated as AT_MOST_ONCE.
  */
 public interface Balancer {
 
-    /** Whether a request of a class may run more than once. */
+    /** Whether a backend may execute a request of a class more than once. */
     enum Idempotency { IDEMPOTENT, DEDUPLICATED, AT_MOST_ONCE }
 
-    /** Which backends drop the repeats of a deduplicated request. */
+    /** The backends that recognize each other's deduplicated requests: all, or those of one zone or cell. */
     enum DedupScope { ALL, ZONE, CELL }
 
-    /** What the list says of a backend. */
+    /** The state of a backend according to the list. */
     enum Phase { GONE, READY, DRAINING }
 
     /**
-     * What discovery says; CACHED is a full list that may be stale, FAILED has no entries. OPERATED are
-     * changes that the operators made: they say nothing of discovery.
+     * The type of a list update. FULL and DELTA come from discovery; CACHED is a full list that may be stale;
+     * FAILED reports a failed discovery call and has no entries. OPERATED are changes made by the operators,
+     * independent of discovery.
      */
     enum ListUpdateType { FULL, DELTA, CACHED, FAILED, OPERATED }
 
-    /** How an attempt or a probe ended. */
+    /** The outcome of an attempt or a probe. */
     enum Outcome {
         OK(false), ERROR(false), REJECTED(true), TIMEOUT(false), CONNECT_FAILURE(true), RESET(false),
         CANCELLED(false), NOT_SENT(true);
@@ -42,24 +44,26 @@
             this.provesNotExecuted = neverRan;
         }
 
-        /** Whether this outcome proves that the backend did not run the request. */
+        /** Whether this outcome proves that the backend did not execute the request. */
         public boolean provesNotExecuted() {
             return provesNotExecuted;
         }
     }
 
     /**
-     * Where a backend stands in the order that all proxies have in common. Of many changes those that stand
-     * near each other there are best told together: what they cost goes by the parts of it that they touch.
+     * The position of a backend in the ring order, which is the same on all proxies. The cost of a list
+     * update grows with the number of ring blocks it touches, so hosts should group changes by position.
      */
     static long ringPosition(long backend) {
         return RiqBalancer.mixed(backend);
     }
 
     /**
-     * A class of requests. An answer within the aim earns the full worth, a later one lateWorth of it.
-     * Its attempts go only to backends in the zones of runsIn and of the kinds of kindsOpen; a null one
-     * restricts nothing, and one that names nothing known leaves no backend open.
+     * A service class. An answer within {@code latencyTarget}, plus {@code targetPerWorkHint} times the
+     * request's work hint, has the full value, a later one the share {@code lateAnswerValue} of it. Attempts
+     * go only to backends in {@code allowedZones} and of {@code allowedKinds}: null allows all, and a set
+     * without any known name allows none. Backends recognize a deduplicated request during
+     * {@code dedupWindow}.
      */
     record ServiceClass(String name, long aim, double aimStretch, long deadline, Idempotency idempotency,
                         DedupScope dedupScope, long dedupWindow, double lateWorth, Set<String> runsIn,
@@ -75,14 +79,14 @@
             require(lateWorth >= 0, "class lateWorth");
         }
 
-        /** Whether the class may be sent to such a backend. */
+        /** Whether requests of this class may be sent to a backend of this zone and kind. */
         public boolean openTo(String zone, String kind) {
             return (runsIn == null || runsIn.contains(zone))
                 && (kindsOpen == null || kindsOpen.contains(kind));
         }
     }
 
-    /** A tenant and the rate that all proxies together owe it in full. */
+    /** A tenant and the request rate that all proxies together guarantee to it. */
     record Tenant(String name, double quotaPerSecond) {
         public Tenant {
             require(name != null, "tenant name");
@@ -90,7 +94,7 @@
         }
     }
 
-    /** What the site permits. */
+    /** Which actions the site permits, and the maximum number of attempts per request. */
     record Limits(int maxAttempts, boolean mayCancel, boolean secondCopies, boolean probes, boolean peers) {
         public Limits {
             require(maxAttempts >= 1, "limits maxAttempts");
@@ -98,13 +102,15 @@
     }
 
     /**
-     * The figures of cold starts, of asked discovery and of drains. A cold backend falls over where it gets
-     * fallMultiple times what it can do for fallTime. Idle connections to a draining backend are to be closed
-     * within closeOnDrainWithin; 0 where there is no such rule.
+     * Rules for cold backends, discovery calls and drains. A backend starts with {@code coldShare} of its
+     * capacity and reaches all of it after {@code warmUpTime}; until then it fails if it gets
+     * {@code overloadMultiple} times its capacity for {@code overloadTime}. A proxy must subscribe to
+     * discovery within {@code subscribeWithin}, and must close idle connections to a draining backend within
+     * {@code closeOnDrainWithin}; 0 means that there is no such rule.
      */
     record Rules(double coldShare, long coldTime, double fallMultiple, long fallTime, long subscribeWithin,
         long closeOnDrainWithin) {
-        /** Where nothing is said of the time: a second. */
+        /** Rules with an overload time of one second. */
         public Rules(double coldShare, long coldTime, double fallMultiple, long askWithin,
             long closeOnDrainWithin) {
             this(coldShare, coldTime, fallMultiple, 1_000_000, askWithin, closeOnDrainWithin);
@@ -120,7 +126,10 @@
         }
     }
 
-    /** All that an instance is told at its start. */
+    /**
+     * The settings of an instance. {@code me} is the index of this proxy among {@code proxies};
+     * {@code crossZonePrice} is above 0 where traffic between zones is paid for.
+     */
     record Settings(int proxies, int me, String zone, List<ServiceClass> classes, List<Tenant> tenants,
                     boolean mustSubscribe, Limits limits, Rules rules, double crossZonePrice) {
         public Settings {
@@ -135,16 +144,16 @@
         }
     }
 
-    /** How many of the proxies see the same of each other as this one does. */
+    /** How many of the proxies have the same view of the fleet as this one. */
     enum Agreement { ALL, MAJORITY, MINORITY }
 
     /**
-     * What this proxy knows of the others, as it was {@code age} ago: how many share the work and which of
-     * them it is, and the part of what all together may spend that is its own whatever others believe; the
-     * least part is its own without anybody's word. Who tells of this once tells anew well within a second.
-     * Counts and agreement may rest on what others passed on, {@code countsAge} ago at the most: 0 where all
-     * of it is at first hand, else others may count otherwise meanwhile and nothing shared may be spent by
-     * counts.
+     * This proxy's view of the fleet, as of {@code age} ago: the number of proxies that share the work, and
+     * the index of this one. It may spend {@code share} of fleet-wide limits whatever views the others have,
+     * and {@code minShare} without hearing from any of them. A host that reports a view must repeat it well
+     * within a second. Counts and agreement may rest on reports relayed by others that are up to
+     * {@code countsAge} old, in which case other proxies may meanwhile have different counts and fleet-wide
+     * limits must not be divided by them; 0 means that all of it is first-hand.
      */
     record FleetView(int proxies, int me, double share, double minShare, Agreement agreement, long age,
                  long countsAge) {
@@ -158,8 +167,8 @@
     }
 
     /**
-     * What this proxy may spend of a budget of the whole fleet: a bucket of at most {@code burst} that earns
-     * {@code rate} a second; {@code add} goes into it once.
+     * This proxy's share of a fleet-wide budget: a token bucket with a capacity of {@code burst} that is
+     * refilled with {@code rate} tokens per second; {@code addedTokens} are added once.
      */
     record BudgetShare(String budget, double rate, double burst, double add) {
         public BudgetShare {
@@ -168,104 +177,109 @@
         }
     }
 
-    /** What was made of a part: asked for and spent since the start, whether one waits, what is left. */
+    /**
+     * The use of a budget share: tokens requested and spent since the start, whether a request was refused a
+     * token recently and there is still none, and the tokens left.
+     */
     record BudgetUse(String budget, long asked, long spent, boolean waits, double left) {
     }
 
-    /** One entry of the list. startedAt is 0 where the start is long past. */
+    /** A backend in the list of backends. {@code startedAt} is 0 if it started long ago. */
     record Backend(long id, String zone, String kind, long cell, Phase phase, double weight, long startedAt) {
     }
 
-    /** A backend's own report; a value it does not give is NaN. Reports are late and noisy. */
+    /** A load report by a backend, with NaN for missing values. Reports are delayed and noisy. */
     record LoadReport(double outstanding, double queued, double utilization, double latencyMs,
                       double throughput, double errorsPerSecond) {
     }
 
     /**
-     * A client's request; tenant and key may be null, workHint is 0 where none was given. A streamed one's
-     * body is passed on as it comes: one attempt at a time can have it, and another one only if the host has
-     * all of it still, else it ends as NOT_SENT. Its time counts from its last byte, which the host sees to.
+     * A client's request; tenant and key may be null, and workHint is 0 if the client gave none. The body of
+     * a streamed request is forwarded as it arrives: one attempt at a time can have it, and another attempt
+     * only if the host still has all of it, else that attempt ends as NOT_SENT. The time budget of a streamed
+     * request starts at its last byte, which the host ensures.
      */
     record Request(String id, String serviceClass, String tenant, String key, long timeBudget,
                    long workHint, boolean resubmission, boolean streamed) {
-        /** A request that is there whole. */
+        /** A request that has been received completely. */
         public Request(String id, String serviceClass, String tenant, String key, long timeBudget,
                        long workHint, boolean resubmission) {
             this(id, serviceClass, tenant, key, timeBudget, workHint, resubmission, false);
         }
     }
 
-    /** The list, changes to it, or the failure of a subscription or fetch. */
+    /** The list of backends, changes to it, or the failure of a subscription or fetch. */
     void onBackendList(long now, ListUpdateType scope, List<Backend> entries);
 
-    /** A client's request, to be answered once within its time budget. */
+    /** A client's request, which must be answered exactly once within its time budget. */
     void onRequest(long now, Request request);
 
-    /** An attempt ended; report may be null. The first OK has already answered the client. */
+    /**
+     * An attempt ended; {@code report} may be null. The host has already forwarded the first OK to the
+     * client, and {@code requestClosed} says whether the client has its answer.
+     */
     void onOutcome(long now, String requestId, int attempt, long backend, Outcome outcome, long latency,
                    boolean requestClosed, LoadReport report);
 
-    /** A streamed answer began: the request belongs to this attempt. */
+    /** A streamed response began: the request is bound to this attempt. */
     void onStreamStart(long now, String requestId, int attempt, long backend, long latency);
 
-    /** The client left; its request needs no answer any more. */
+    /** The client disconnected: its request needs no answer any more. */
     void onClientDisconnected(long now, String requestId);
 
-    /** A timer set by this instance is due. */
+    /** A timer set by this instance has expired. */
     void onTimer(long now, long token);
 
-    /** What a probe found; report may be null. */
+    /** The result of a probe; {@code report} may be null. */
     default void onProbeResult(long now, long backend, Outcome outcome, long latency, LoadReport report) {
     }
 
-    /** What is known of the other proxies now; without a word of it the settings' number of them holds. */
+    /** A new view of the fleet; without any, the number of proxies in the settings is used. */
     void onFleetView(long now, FleetView fleet);
 
     /**
-     * What may be spent of the fleet's budgets, until {@code until} at the latest. A telling that was
-     * heard of
-     * before only moves its end; one that is older than the last says nothing. A budget that was never
-     * told of
-     * restricts nothing; one that was told of once does for good, also when its time is over.
+     * This proxy's shares of the fleet-wide budgets, which expire at {@code until}. A version that is already
+     * known only changes the expiry, and an older one is ignored. A budget without any share so far restricts
+     * nothing; one that has had a share is enforced from then on, and is empty once the shares expire.
      */
     default void onBudgetShares(long now, long telling, long until, List<BudgetShare> parts) {
     }
 
-    /** What was made of the parts so far, for who divides them. */
+    /** The use of all budget shares so far, for the host to divide the budgets by demand. */
     default List<BudgetUse> budgetUsage(long now) {
         return List.of();
     }
 
-    /** A message from another proxy. */
+    /** A message from the proxy with index {@code from}. */
     void onPeerMessage(long now, int from, String message);
 
-    /** For the host's log: what was decided since the last call, and how things are judged now. */
+    /** A log line: counts of decisions since the last call, and the current state. */
     String status(long now);
 
-    /** What the host does on the module's behalf. */
+    /** The actions that the host executes for the policy. */
     interface Actions {
-        /** Starts the request's next attempt (numbered 0, 1, ...); a timeout of 0 lasts to the deadline. */
+        /** Starts the next attempt of a request (numbered from 0); timeout 0 means until its deadline. */
         void send(String requestId, long backend, long timeout);
 
-        /** Stops waiting for an attempt. */
+        /** Cancels an attempt. */
         void cancel(String requestId, int attempt);
 
-        /** Final answer: refused, trying again is harmless. 0 gives no advice when to. */
+        /** Final answer: refused, and safe to retry, after {@code retryAfter} unless that is 0. */
         void refuse(String requestId, long retryAfter);
 
-        /** Final answer: failed, nothing is promised about its effect. */
+        /** Final answer: failed; a backend may or may not have executed the request. */
         void fail(String requestId);
 
-        /** Asks for onTimer after this delay. */
+        /** Requests a call of {@link Balancer#onTimer} with this token after the delay. */
         void setTimer(long delay, long token);
 
-        /** Probes a backend. */
+        /** Starts a probe of a backend. */
         void probe(long backend);
 
-        /** Closes this proxy's idle connections to a backend; busy ones are left alone. */
+        /** Closes this proxy's idle connections to a backend, but not those in use. */
         void closeIdleConnections(long backend);
 
-        /** Subscribes to changes of the list. */
+        /** Subscribes to changes of the list of backends. */
         void subscribe();
 
         /** Sends a short message to every other proxy. */
--- a/decision/src/main/java/dockrelay/Node.java
+++ b/decision/src/main/java/dockrelay/Node.java
@@ -1,9 +1,9 @@
 package dockrelay;
 
-/** A backend as this proxy knows it beyond its entry. */
+/** This proxy's own observations of a backend. */
 final class Node {
     final Ring.Place place;
-    boolean heard = true, out; // one that started long ago counts as heard from
+    boolean heard = true, out; // a backend that started long ago counts as answered
     int inflight, overdue, connectFailures, connections;
     double badness, span, coldTokens;
     long unreachableUntil, connectFailedAt, badSince, markedAt, queuedAt, ejectedUntil, coldFilledAt;
@@ -13,7 +13,7 @@
         this.place = place;
     }
 
-    /** New, or restarted under the same id: cold, and nothing known holds. */
+    /** Resets the state for a new backend or one restarted under the same id, which is cold. */
     void restart(long now, double tokens) {
         coldTokens = tokens;
         coldFilledAt = now;
--- a/decision/src/main/java/dockrelay/Ring.java
+++ b/decision/src/main/java/dockrelay/Ring.java
@@ -5,17 +5,17 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** Backends in the order that all proxies have in common. In blocks: a change costs a block, not all. */
+/** Backends in an order that is the same on all proxies, in blocks: a change costs one block, not all. */
 class Ring {
-    private static final int MOST = 512; // in a block
+    private static final int MOST = 512;
 
-    /** An entry of the list, and what is known of the backend beside that: null until it matters. */
+    /** A backend of the list, with this proxy's state of it, which is null until it is needed. */
     static final class Place {
-        final int number; // in the order of their coming
-        final long key; // all proxies order them by it
-        Balancer.Backend entry; // null until it has one
+        final int number; // order of insertion
+        final long key; // ring position
+        Balancer.Backend entry; // null until the first update
         Node node;
-        int listed; // at this event of the list
+        int listed; // number of the last update that named it
         boolean drained;
 
         Place(int number, long key) {
@@ -32,7 +32,7 @@
         }
     }
 
-    /** A run of them, with what they come to: it holds until one of them changes. */
+    /** A run of backends with cached sums over them, valid until one of them changes. */
     final class Block {
         final List<Place> places = new ArrayList<>();
         double sum, most; // of the weights
@@ -51,9 +51,9 @@
 
     final List<Block> blocks = new ArrayList<>(List.of(new Block()));
     int size;
-    long steps; // places looked at or moved: for tests
+    long steps; // slots visited or moved, for tests
 
-    /** The number of the block where it is, or would be. */
+    /** The index of the block that holds the key or would hold it. */
     private int block(long key) {
         int at = Collections.binarySearch(blocks, null, (block, none) -> block.places.isEmpty() ? -1
             : Long.compare(block.places.get(0).key, key));
@@ -65,7 +65,7 @@
         return Collections.binarySearch(block.places, null, (place, none) -> Long.compare(place.key, key));
     }
 
-    /** A backend's place; one of this number is made for it where it has none. */
+    /** The slot of a backend; adds one with this insertion number if there is none. */
     Place place(long id, int number) {
         long key = Balancer.ringPosition(id);
         Block block = blocks.get(block(key));
@@ -73,7 +73,7 @@
         return index >= 0 ? block.places.get(index) : add(block, -1 - index, new Place(number, key));
     }
 
-    /** Something else is to be said of its block now. */
+    /** Invalidates the cached sums of the backend's block, and returns the block. */
     Block changed(Place place) {
         Block block = blocks.get(block(place.key));
         block.summed = false;
@@ -98,7 +98,6 @@
         return place;
     }
 
-    /** Removes one that is there. */
     boolean remove(Place place) {
         Block block = changed(place);
         block.places.remove(index(block, place.key));
--- a/decision/src/main/java/dockrelay/RiqBalancer.java
+++ b/decision/src/main/java/dockrelay/RiqBalancer.java
@@ -9,71 +9,65 @@
 import java.util.Map;
 
 /**
- * All decisions of dockrelay. The interface (types, events, actions) is in Balancer.java.
- *
- * <p>The ordinary path is Redundant-to-Idle-Queue: draw SAMPLE backends at random, copy a repeatable request
- * to every idle one, else send once to a random one of them; cancel the losers at the first good answer.
- * Every departure from it is commented with what it guards against.
+ * The balancing policy of a proxy, by Redundant-to-Idle-Queue (RIQ): draw SAMPLE_SIZE backends at random and
+ * send an idempotent request to every idle one, or else once to a random one of them; cancel the other
+ * attempts at the first success. A comment at each deviation from this says which failure it prevents.
  */
 public final class RiqBalancer implements Balancer {
-    /** d: backends drawn, and the most while none is idle: to queue where others are idle costs most. */
+    /** Backends drawn, and the maximum while none is idle: queueing while others are idle costs the most. */
     private static final int SAMPLE = 4, SAMPLE_MOST = 7;
-    private static final int DRAW_TRIES = 6; // for each sampled backend: bounds the work of a request
-    // Overdue is so far past the median, as where work varies widely not every long one is hedged, but after
-    // this share of the aim at most, so that another attempt can still make it.
+    private static final int DRAW_TRIES = 6; // per sampled backend: bounds the work per request
+    // An attempt is overdue this many deviations past the median, so that not every long one is hedged where
+    // work varies widely, but at this share of the target at the latest: a hedge can then still meet it.
     private static final double OVERDUE_DEVIATIONS = 4, OVERDUE_MOST_AIM = 0.5;
-    private static final double MEDIAN_STEP = 0.03; // share of itself: settles within tens of answers
-    private static final int FIRST_ANSWERS = 40; // move a median in larger steps; then it may be lowest
-    // Weight of one outcome in a backend's badness: three bad ones in a row eject it, but two that lie this
-    // many mean aims apart: one pause is not seen twice then, and news is rare.
+    private static final double MEDIAN_STEP = 0.03; // relative, per answer: settles within tens of answers
+    private static final int FIRST_ANSWERS = 40; // take larger steps, and do not count for the lowest median
+    // Weight of one outcome in a failure score: three failures in a row eject a backend. So do two that are
+    // this many mean targets apart, as these are not the same pause seen twice, and outcomes are rare there.
     private static final double BAD_WEIGHT = 0.3, BAD_WEIGHT_APART = 0.5, APART_AIMS = 8;
-    /** A backend counts as idle while it holds less than this part of the usual own load by its size. */
+    /** An idle backend has less than this share of the mean in-flight load by weight, and a lower score. */
     private static final double IDLE_PART = 0.8, BAD_BUSY = 0.45;
-    /** A backend is ejected only if it is this much worse than the usual one: overload makes all look bad. */
+    /** Score that ejects; it must also exceed the mean by the margin, as in overload all backends fail. */
     private static final double BAD_EJECT = 0.6, BAD_MARGIN = 0.35, BAD_MOST = 0.9;
-    private static final double BAD_TRIAL = 0.5; // after an ejection: one bad outcome ejects, one good clears
-    /** The first ejection lasts this many mean aims, and this many sends to a backend; later ones double. */
+    private static final double BAD_TRIAL = 0.5; // after an ejection: a failure ejects, a success restores
+    /** The first ejection lasts this many mean targets and sends to a backend; later ones double. */
     private static final double EJECT_AIMS = 4, EJECT_SENDS = 8, EJECT_MOST_AIMS = 64;
-    private static final double EJECT_AFTER_AIMS = 2; // of bad outcomes alone: a short pause may give many
-    private static final double RECONNECT_AIMS = 16; // the first wait, long enough with two requests a second
-    private static final double EJECT_MOST = 0.7; // share of a window at a time: the rest cannot carry all
-    /** Strain (mean of latency over aim) where copies begin to shrink and where they end. */
+    private static final double EJECT_AFTER_AIMS = 2; // of failures only: one short pause can cause many
+    private static final double RECONNECT_AIMS = 16; // first backoff, long enough at two requests a second
+    private static final double EJECT_MOST = 0.7; // of the window at a time: the rest cannot carry all
+    /** Pressure (mean latency by target) up to which credits are full, and from which minimal or none. */
     private static final double STRAIN_LOW = 0.35, STRAIN_HIGH = 0.6;
-    /** Copies are earned in full while answers take this share of their aims, none from the next on. */
     private static final double COPY_FULL = 0.12, COPY_NONE = 0.24;
-    private static final double STRAIN_WEIGHT = 0.02; // of one outcome: about the last fifty count
-    /** Copies, hedges and retries each request adds to their budgets, and how much they may save up. */
+    private static final double STRAIN_WEIGHT = 0.02; // of one outcome: averages about the last fifty
+    /** Copies, hedges and retries that each request adds to their budgets, and the maximum of a budget. */
     private static final double COPIES_PER_REQUEST = 1, HEDGES_PER_REQUEST = 0.4, HEDGES_LEAST = 0.05;
     private static final double RETRIES_PER_REQUEST = 0.3, BUDGET_SAVED = 20;
-    private static final double HEDGES_WINNING = 0.6; // share that earns in full; a third of it earns least
-    // Own requests in flight may reach what is answered within this share of the mean aim (Little), and this
-    // many standard deviations of a Poisson count more, so that chance alone refuses nobody.
+    private static final double HEDGES_WINNING = 0.6; // for full credits; minimal at a third of it
+    // The limit on own open requests is the success rate times this share of the mean target (Little's law),
+    // plus this many standard deviations of a Poisson count, so that chance alone refuses no request.
     private static final double LIMIT_AIM = 0.5, LIMIT_DEVIATIONS = 2;
-    /** The latency that the limit allows is also at most this multiple of the lowest median seen. */
+    /** The latency that the limit allows is also bounded by these multiples of the lowest median seen. */
     private static final double LIMIT_FLOORS = 3, LIMIT_LEAST_FLOORS = 1.4;
-    private static final double FLOOR_RISE = 0.0005; // share of itself an answer, lest one quiet spell binds
-    private static final double OVER_SHARE_FIRST = 10; // times as soon shed: worth less, but not nothing
-    // Each answer moves the shed share by this much, a full turn takes about a hundred; and some of the
-    // traffic is always let through, to see whether there is room again.
+    private static final double FLOOR_RISE = 0.0005; // per answer: one quiet time must not bind for ever
+    private static final double OVER_SHARE_FIRST = 10; // times the shed share: lower priority, not none
+    // Shed share: step per answer (0 to 1 takes about 100), and maximum, as admitted requests test the load.
     private static final double SHED_STEP = 0.01, SHED_MOST = 0.95;
-    /** How often proxies tell each other what each tenant asks of them, and after how long that is stale. */
     private static final long TELL_EVERY = 1_000_000, TOLD_STALE = 5_000_000;
-    private static final long FLEET_STALE = 1_500_000; // others may count on what was told for so long
-    private static final double HINT_MOST = 10; // times the usual one that a hint counts for: it may be wrong
-    private static final double HINT_COPIED = 1; // what is heavier is not copied or hedged: too costly
-    private static final double HINT_TRUSTED = 0.2; // least power by which latency grows: wrong show none
-    private static final double CROWD = 2; // times its part of what is let in that a backend holds at most
-    private static final double RATE_AIMS = 5; // mean aims over which the rate of good answers is averaged
-    private static final double COLD_PART = 0.7; // of the fall multiple times its part of answers, at most
-    // A send that was earned waits for its request for this share of the time in which a backend falls, and
-    // is lost then: what all proxies have saved up would come in one burst with a surge, and there are many.
-    // In any such time all of them then send at most (1 + this share) of COLD_PART of the whole, and chance.
-    // And no more than this many wait beside the next one.
+    private static final long FLEET_STALE = 1_500_000; // other proxies may rely on a view for so long
+    private static final double HINT_MOST = 10; // times the usual hint, as a hint may be wrong
+    private static final double HINT_COPIED = 1; // heavier requests are not copied or hedged: too costly
+    private static final double HINT_TRUSTED = 0.2; // power of latency by hint; wrong hints show little
+    private static final double CROWD = 2; // times its share of maxOpen is a backend's limit
+    private static final double RATE_AIMS = 5; // mean targets over which the success rate per second is averaged
+    private static final double COLD_PART = 0.7; // of the overload multiple of its share of answers
+    // A token to send to a cold backend lapses after this share of the overload time, else many proxies'
+    // saved tokens would be spent in one burst in a surge. In any overload time all proxies then send at most
+    // (1 + this share) of COLD_LOAD_SHARE of the limit, apart from chance. Also bounds the tokens saved.
     private static final double COLD_KEPT = 0.4, COLD_SAVED = 1;
-    private static final double COLD_DRAW = 2; // times its least warmth, as most warm up sooner
-    private static final double COME_BACK_AIMS = 0.1; // or so, if there is no room: in time for the aim
-    private static final double TRIMMED = 0.95; // share of the usual time budget: below it is a later try's
-    private static final double FIRST_ASK_SHARE = 0.2; // of askWithin, so that proxies do not call in step
+    private static final double COLD_DRAW = 2; // times the minimum capacity: most warm up sooner
+    private static final double COME_BACK_AIMS = 0.1; // mean retry-after: early enough for the target
+    private static final double TRIMMED = 0.95; // of the usual time budget: less means a retry
+    private static final double FIRST_ASK_SHARE = 0.2; // of subscribeWithin: proxies must not call at once
     private static final long SUBSCRIBE_TOKEN = 0, TELL_TOKEN = 1;
 
     private final Settings settings;
@@ -89,24 +83,25 @@
     private final double meanAim;
     private long random, nextToken = TELL_TOKEN + 1, okRateAt, startedAt, fleetAsOf;
     private double strain, meanBadness, meanFloor, okRate, copyBudget, hedgeBudget = 1, retryBudget = 1;
-    private double hedgeWins = HEDGES_WINNING; // hoped for, so that hedging starts
-    private double provenWins; // not hoped for: copies start once hedges were seen to win
-    private double mostOpen = Double.MAX_VALUE; // the limit on own requests in flight
-    private final Allowances allowances = new Allowances(); // nothing, unless proxies share budgets
-    private FleetView fleet; // null until something is told of it
+    private double hedgeWins = HEDGES_WINNING; // optimistic, so that hedging starts
+    private double provenWins; // starts at 0: copies begin once hedges have been seen to win
+    private double mostOpen = Double.MAX_VALUE; // limit on own open requests
+    private final Allowances allowances = new Allowances(); // empty unless proxies share budgets
+    private FleetView fleet; // null until the host reports one
     private boolean subscribed, asking;
     private int open, inflightOfAll, failedAsks;
     private int overLimit, shedNow, noBackend, gaveUp, copiesSent, hedgesSent, retriesSent, ejections;
 
-    /** A tenant's part of its share at this proxy, as a bucket of requests. */
+    /** Token bucket for this proxy's part of a tenant's quota, and the demand seen here. */
     private static final class TenantState {
         double quota, perSecond, asked, tokens, askedNow;
         long filledAt;
     }
 
+    /** One attempt of a request. */
     private static final class Attempt {
         final Node node;
-        final Backend entry; // as it was then: an id may come back elsewhere, another process
+        final Backend entry; // as sent to: another process may reuse the id elsewhere
         final long sentAt;
         boolean ended, neverRan, overdue, settled;
 
@@ -116,12 +111,13 @@
             this.sentAt = sentAt;
         }
 
-        /** Whether the process that got it is still the one that the node stands for. */
+        /** Whether the process that got the attempt still has this backend id. */
         boolean sameLife() {
             return entry.startedAt() == node.place.entry.startedAt();
         }
     }
 
+    /** An admitted request with its attempts, until the last attempt has ended. */
     private static final class Pending {
         final Request request;
         final ServiceState service;
@@ -144,9 +140,8 @@
         this.actions = actions;
         this.random = seed;
         ServiceClass any = settings.classes().get(0);
-        // A class that the settings do not name is treated as one that must never run twice.
         ServiceClass other = new ServiceClass("", any.aim(), 0, any.deadline(), Idempotency.AT_MOST_ONCE,
-            DedupScope.CELL, 0, any.lateWorth(), null, null);
+            DedupScope.CELL, 0, any.lateWorth(), null, null); // never run twice
         meanAim = settings.classes().stream().mapToDouble(ServiceClass::aim).average().orElse(0);
         roster = new Roster(settings.rules(), meanAim * RATE_AIMS, other);
         unknown = new ServiceState(other, roster.pool(other));
@@ -181,7 +176,7 @@
         roster.rebuild(now, known ? fleet.me() : settings.me(), known ? fleet.proxies() : settings.proxies());
     }
 
-    /** Subscribes once, and after failures within waits that grow: discovery is shared. */
+    /** Subscribes once, and again after failures with growing backoff, as all proxies share discovery. */
     private void followDiscovery(ListUpdateType scope) {
         double within = settings.rules().subscribeWithin();
         asking = asking && scope == ListUpdateType.CACHED;
@@ -191,7 +186,7 @@
             subscribed = false;
             failedAsks = Math.min(failedAsks + 1, 4);
             double wait = within * FIRST_ASK_SHARE * 0.5 * (1 << (failedAsks - 1));
-            // Guards against proxies that were killed together calling together: all of the wait is chance.
+            // Full jitter: proxies that were restarted together must not call together.
             actions.setTimer((long) (Math.min(wait, within) * uniform()), SUBSCRIBE_TOKEN);
         } else {
             subscribed = true;
@@ -200,30 +195,30 @@
     }
 
     @Override public void onRequest(long now, Request request) {
-        // Guards against refusing the first traffic where it comes well after the first list: no answers yet.
+        // The success rate counts from the first request: traffic long after the first list is not refused.
         startedAt = startedAt == 0 ? now : startedAt;
         Pending p = new Pending(request, services.getOrDefault(request.serviceClass(), unknown), now);
         if (request.timeBudget() <= 0 || !admitted(now, p)) {
-            // When to try again: spread, as clients refused together would else come back together.
+            // Jitter: clients that are refused together must not retry together.
             double spread = (mixed(random ^ request.id().hashCode()) >>> 11) * 0x1.0p-53;
             actions.refuse(request.id(), (long) (meanAim * COME_BACK_AIMS * (0.5 + spread)));
             return;
         }
         pending.put(request.id(), p);
-        p.counted = !request.streamed(); // an upload may last long, and nobody works on it meanwhile
+        p.counted = !request.streamed(); // an upload may be slow, and no backend works on it meanwhile
         open += p.counted ? 1 : 0;
-        earnBudgets(); // by what is let through only: refused requests must not pay for extra attempts
+        earnBudgets(); // admitted requests only: refused ones must not pay for redundant attempts
         dispatch(now, p);
     }
 
-    /** Admission control: early refusals are cheaper than late failures. */
+    /** Admission control, as an early refusal is cheaper than a late failure. */
     private boolean admitted(long now, Pending p) {
-        // Guards against queues that fit the aim but crowd the backends.
+        // Prevents queues that still meet the latency target but overload the backends.
         double latency = wanted(meanAim, meanFloor == 0 ? Double.MAX_VALUE : meanFloor);
         double usual = rate(now) * latency / 1e6;
         mostOpen = usual + LIMIT_DEVIATIONS * Math.sqrt(usual + 1) + 1;
         ServiceState service = p.service;
-        // Guards against taking heavy requests for slow backends: latencies are compared by hinted size.
+        // Scales latencies by hinted work, so that heavy requests do not make a backend look slow.
         double hint = p.request.workHint();
         double power = hint > 0 ? Math.min(1, service.hintCovers / (service.hintVaries + 1e-9)) : 0;
         double size = power > HINT_TRUSTED ? hint / Math.exp(service.hintLog) : 1;
@@ -232,12 +227,12 @@
         boolean trimmed = p.request.resubmission() || budget < service.usualBudget * TRIMMED;
         double nearer = budget > service.usualBudget ? 1 + MEDIAN_STEP / 10 : 1 - MEDIAN_STEP / 10;
         service.usualBudget = service.usualBudget == 0 ? budget : service.usualBudget * nearer;
-        // Guards against tenants above their share filling the fleet: theirs is shed first.
+        // Sheds requests above a tenant's quota first, so that such tenants cannot fill the fleet.
         String share = Allowances.TENANT + p.request.tenant();
         boolean within = tenants.isEmpty() || (allowances.has(share) ? allowances.take(now, share)
             : tenants.containsKey(p.request.tenant())
             && takeShare(now, tenants.get(p.request.tenant()), trimmed));
-        // Guards against work for clients whose aim has passed in an earlier try: it can earn nothing.
+        // A client's retry whose target has passed in earlier tries is wasted work where late answers are.
         boolean hopeless = trimmed && service.spec.lateWorth() == 0
             && service.spec.deadline() - budget >= service.spec.aim();
         double shed = admission(service).shed;
@@ -251,21 +246,20 @@
     }
 
     private static boolean takeShare(long now, TenantState tenant, boolean again) {
-        tenant.askedNow += again ? 0 : 1; // else refusals raise the demand that leads to refusals
+        tenant.askedNow += again ? 0 : 1; // retries after refusals must not raise the demand
         double earned = (now - tenant.filledAt) / 1e6 * tenant.perSecond;
-        tenant.tokens = Math.min(tenant.perSecond + 1, tenant.tokens + earned); // saves one second's share
+        tenant.tokens = Math.min(tenant.perSecond + 1, tenant.tokens + earned); // at most one second's worth
         tenant.filledAt = now;
         boolean has = tenant.tokens >= 1;
         tenant.tokens -= has ? 1 : 0;
         return has;
     }
 
-    /** Good answers a second, averaged over the last few aims. */
     private double rate(long now) {
         double span = meanAim * RATE_AIMS;
         okRate *= Math.exp(-(now - okRateAt) / span);
         okRateAt = now;
-        return okRate / (1 - Math.exp(-(now - startedAt + meanAim) / span)); // it starts empty
+        return okRate / (1 - Math.exp(-(now - startedAt + meanAim) / span)); // starts empty
     }
 
     private void earnBudgets() {
@@ -276,12 +270,12 @@
         retryBudget = Math.min(BUDGET_SAVED, retryBudget + RETRIES_PER_REQUEST);
     }
 
-    /** 0 where strain is at the first figure or more, 1 where it is at the second or less. */
+    /** Falls linearly from 1 at pressure {@code full} or less to 0 at pressure {@code none} or more. */
     private double between(double none, double full) {
         return Math.min(1, Math.max(0, (none - strain) / (none - full)));
     }
 
-    /** Guards against hedging work that is long by itself: there the first attempt wins all the same. */
+    /** Credit factor by the share of hedges that win: they rarely do where the work itself is long. */
     private static double pay(double wins) {
         return Math.min(1, Math.max(0, (wins / HEDGES_WINNING - 1.0 / 3) * 1.5));
     }
@@ -294,7 +288,7 @@
             return;
         }
         boolean copies = p.service.spec.idempotency() == Idempotency.IDEMPOTENT && mayCopy(p);
-        // Guards against paying for each crossing while an idle backend of the own zone is in the sample.
+        // Avoids cross-zone traffic, which is paid for, while the sample has an idle backend of the own zone.
         boolean stay = settings.crossZonePrice() > 0;
         int idle = 0, near = 0;
         for (int i = 0; i < count; i++) {
@@ -330,18 +324,17 @@
             && (p.request.workHint() == 0 || p.size <= HINT_COPIED);
     }
 
-    // Idle: nothing of ours in flight there, or clearly less than on the usual backend. The latter guards
-    // against a proxy with so much of the traffic that no backend ever reads idle, and the draw goes blind.
+    // Idle: none or clearly fewer own attempts than the mean, as on a busy proxy no backend is without any.
     private boolean idle(long now, Node node) {
         boolean little = node.inflight == 0
             || node.inflight * roster.weightOfAll < IDLE_PART * inflightOfAll * node.place.weight();
-        // After an ejection or a bad spell a trial goes first: else one that came back is never heard of.
-        boolean queued = node.queuedAt > 0 && now - node.queuedAt < meanAim * EJECT_AIMS; // by its own report
+        // An ejected or long failing backend counts as idle for a trial, or its recovery would go unnoticed.
+        boolean queued = node.queuedAt > 0 && now - node.queuedAt < meanAim * EJECT_AIMS;
         boolean trial = node.out || now - node.badSince >= meanAim * EJECT_AIMS;
         return little && !queued && node.overdue == 0 && node.heard && (node.badness < BAD_BUSY || trial);
     }
 
-    /** Draws SAMPLE distinct usable backends into drawn, more while none is idle, and returns how many. */
+    /** Fills the sample with distinct usable backends, more while none is idle, and returns their number. */
     private int draw(long now, Pending p, boolean warmOnly) {
         int count = 0;
         boolean enough = false;
@@ -356,17 +349,17 @@
             }
             if (!again && usable(now, p, node) && accepted(now, p, node, pool.part(index), warmOnly)) {
                 drawn[count++] = node;
-                enough |= idle(now, node) || !node.heard; // a new one is heard of where none is idle
+                enough |= idle(now, node) || !node.heard; // new ones need a first answer
             }
         }
         if (count > 0) {
             return count;
         }
-        // Guards against losing a request when all drawn were out: the first usable one, else any allowed.
+        // Prevents failing a request as none drawn is usable: takes the first usable, else any allowed one.
         boolean found = false;
         for (int i = 0; i < Math.min(Roster.LAST_RESORT, pool.size) && !found; i++) {
             Node node = pool.near.get(i).node();
-            // A cold one is paced by the proxies that have it in their window: others leave it alone.
+            // Only the proxies with a cold backend in their window send to it, as they pace it.
             boolean open = allowed(now, p, node) && paced(now, node)
                 && !((warmOnly || i >= pool.window) && roster.cold(now, node.place.entry));
             found = open && usable(now, p, node);
@@ -378,7 +371,7 @@
         return count;
     }
 
-    /** Thins the draw by size and warmth: all proxies together send a cold backend its part only. */
+    /** Accepts a drawn backend in proportion to its weight, capacity share and share in this window. */
     private boolean accepted(long now, Pending p, Node node, double part, boolean warmOnly) {
         boolean cold = roster.cold(now, node.place.entry);
         double share = part * node.place.weight() / p.service.pool.mostWeight
@@ -386,21 +379,20 @@
         return !(cold && warmOnly) && (share >= 1 || uniform() < share) && paced(now, node);
     }
 
-    /** Guards against pushing a cold backend over: its part of what the fleet answers bounds its sends. */
+    /** Limits the rate to a cold backend by its share of the fleet's answers, so as not to overload it. */
     private boolean paced(long now, Node node) {
         if (!roster.cold(now, node.place.entry)) {
             return true;
         }
-        // Guards against windows that do not fit together while proxies see each other differently: all of
-        // the backends' part of the own answers adds up to no more than the whole, whatever the windows.
-        // And against a rate that more of them answered than there are now passing for what these can do.
+        // While views of the fleet differ, windows may overlap: the total weight is used then, as its shares
+        // never exceed the whole. The excess discounts answers by more backends than there are now.
         double answered = Math.max(1, roster.weightAnswered(now) / Math.max(1e-9, roster.warmWeight));
         double perSecond = rate(now) * COLD_PART * settings.rules().fallMultiple() * node.place.weight()
             * roster.warmth(now, node.place.entry)
             / Math.max(1e-9, answered * (fleetSettled(now) ? roster.warmWeight : roster.warmOfAll()));
         double kept = 1 + Math.min(COLD_SAVED, perSecond * settings.rules().fallTime() / 1e6 * COLD_KEPT);
         double tokens = node.coldTokens + (now - node.coldFilledAt) / 1e6 * perSecond;
-        // Whole ones are lost: what is on its way to the next stays, or proxies would come to be in step.
+        // Only whole tokens lapse: if the fraction did as well, proxies would get into lockstep.
         node.coldTokens = tokens - (tokens < kept ? 0 : Math.floor(tokens - kept) + 1);
         node.coldFilledAt = now;
         return node.coldTokens >= 1;
@@ -408,15 +400,15 @@
 
     private boolean usable(long now, Pending p, Node node) {
         boolean trial = now >= node.ejectedUntil && node.inflight == 0
-            && p.service.spec.idempotency() != Idempotency.AT_MOST_ONCE; // no trial with what cannot repeat
-        // Guards against all that is let in crowding the one backend that is left of many.
+            && p.service.spec.idempotency() != Idempotency.AT_MOST_ONCE; // a trial must be repeatable
+        // Prevents all admitted requests from overloading the one backend that is left of many.
         double most = CROWD * mostOpen * node.place.weight() * roster.warmth(now, node.place.entry)
             / roster.warmWeight + 1;
         return (!node.out || trial) && node.inflight < most
             && (now >= node.unreachableUntil || node.inflight < node.connections) && allowed(now, p, node);
     }
 
-    /** Whether the rules let it go there: group and span of a possible earlier run, and never twice. */
+    /** Whether deduplication scope and window permit the backend, which must be ready and not tried yet. */
     private boolean allowed(long now, Pending p, Node node) {
         for (int i = 0; i < p.attempts.size(); i++) {
             Attempt a = p.attempts.get(i);
@@ -431,7 +423,6 @@
         return node.place.entry.phase() == Phase.READY;
     }
 
-    /** Whether another attempt is open to this request at all. */
     private boolean mayRepeat(long now, Pending p) {
         boolean harmless = p.service.spec.idempotency() != Idempotency.AT_MOST_ONCE && !p.request.streamed();
         return (harmless || !mayHaveRun(p)) && !p.closed && !p.streaming
@@ -453,7 +444,7 @@
         if (node.out) {
             node.badness = BAD_TRIAL;
         }
-        // Guards against backends kept busy by work that comes too late to be worth anything.
+        // Ends attempts at the target where late answers have no value, to free the backend.
         long left = p.arrivedAt + aim(p) - now;
         boolean toTheEnd = p.service.spec.lateWorth() > 0 || p.request.streamed();
         actions.send(p.request.id(), node.place.entry.id(), toTheEnd ? 0 : left);
@@ -472,7 +463,7 @@
     }
 
     private void armHedge(long now, Pending p) {
-        // What is streamed goes to one backend, and how long that takes tells of the client.
+        // A streamed request goes to one backend, and its duration depends on the client.
         boolean open = !p.closed && !p.request.streamed() && p.out > 0;
         if (open && p.attempts.size() < settings.limits().maxAttempts()) {
             long token = nextToken++;
@@ -500,7 +491,7 @@
                 mark(now, a, true);
             }
         }
-        // Guards against a stalled backend: it is seen first in an attempt that is overdue there.
+        // A stalled backend shows first by an overdue attempt.
         int before = p.attempts.size();
         if (hedgeBudget >= 1 && mayCopy(p) && repeated(now, p, true)) {
             hedgeBudget -= 1;
@@ -509,7 +500,7 @@
         }
     }
 
-    /** Sends one more attempt to an idle one of the drawn, else a random one, if that is allowed and pays. */
+    /** Sends another attempt if it is permitted and useful, to an idle backend of the sample if any. */
     private boolean repeated(long now, Pending p, boolean warmOnly) {
         if (!mayRepeat(now, p) || p.service.spec.lateWorth() == 0 && now - p.arrivedAt >= aim(p)) {
             return false;
@@ -540,7 +531,7 @@
         settle(a);
         a.node.queuedAt = report == null ? a.node.queuedAt : report.queued() > 0 ? now : 0;
         if (a.sentAt <= a.node.drainedAt) {
-            actions.closeIdleConnections(a.entry.id()); // guards against a drain that waits for one idle from now on
+            actions.closeIdleConnections(a.entry.id()); // idle only now, after the drain notice
         }
         learn(now, p, a, outcome, latency);
         if (requestClosed && !p.closed) {
@@ -552,9 +543,9 @@
             close(p, attempt);
         }
         if (!p.closed && p.out == 0) {
-            // A failed connect costs no backend anything. Retries on full ones keep every queue full.
+            // Failed connects cost no backend any work. Retries on full backends would keep all queues full.
             boolean free = outcome == Outcome.CONNECT_FAILURE;
-            boolean lost = outcome == Outcome.NOT_SENT && p.request.streamed(); // its first bytes are gone
+            boolean lost = outcome == Outcome.NOT_SENT && p.request.streamed();
             if (!lost && (free || retryBudget >= 1) && repeated(now, p, false)) {
                 retryBudget -= free ? 0 : 1;
                 retriesSent++;
@@ -568,7 +559,6 @@
         }
     }
 
-    /** The backend has done its work for this attempt, if any. */
     private void settle(Attempt a) {
         if (!a.settled) {
             a.settled = true;
@@ -585,7 +575,7 @@
             a.node.connectFailures = 0;
             rate(now);
             okRate += 1e6 / (meanAim * RATE_AIMS);
-            if (!p.copied) { // the better of two answers says little about one
+            if (!p.copied) { // the faster of two answers is not a typical one
                 learnLatency(service, latency / p.size);
                 learnHint(service, latency, p.request.workHint());
             }
@@ -596,30 +586,29 @@
         } else if (outcome != Outcome.CANCELLED && outcome != Outcome.NOT_SENT) {
             if (outcome == Outcome.CONNECT_FAILURE) {
                 unreachable(now, a);
-            } else if (outcome != Outcome.TIMEOUT || !a.overdue) { // it was marked when it became overdue
+            } else if (outcome != Outcome.TIMEOUT || !a.overdue) { // scored when it became overdue
                 mark(now, a, true);
             }
-            if (outcome == Outcome.TIMEOUT || outcome == Outcome.REJECTED) { // full is overload as well
+            if (outcome == Outcome.TIMEOUT || outcome == Outcome.REJECTED) { // a full queue is overload
                 shed(service.spec.aim(), service);
                 strain += STRAIN_WEIGHT * (2 - strain);
             }
         }
     }
 
-    // Guards against asking again where no connection is to be had, be it down, its connections all taken by
-    // other proxies, or the way there cut. One failure among good answers proves none of these: on a way that
-    // loses a connection now and then it would shut nearly all backends out. A second one in a row does, sent
-    // after the first was known. The wait doubles.
+    // Backs off, by doubled times, from a backend without a connection: down, its connections all held by
+    // other proxies, or the network cut. One failure among successes proves none of these, and would exclude
+    // nearly all backends where connections are lost now and then; a second one, sent after the first, does.
     private void unreachable(long now, Attempt a) {
         Node node = a.node;
         if (!a.sameLife() || node.connectFailures > 0 && a.sentAt < node.connectFailedAt) {
-            return; // it left with the one before: the same failure seen twice
+            return; // sent before the last failure was known: the same failure twice
         }
         node.connectFailedAt = now;
         if (node.connectFailures++ == 0) {
             return;
         }
-        node.connections = node.inflight; // those in flight hold one each, and are all that can be had
+        node.connections = node.inflight; // one for each attempt in flight: no more are available
         int doubled = 1 << Math.min(node.connectFailures - 2, 9);
         double wait = meanAim * Math.min(EJECT_MOST_AIMS, RECONNECT_AIMS * doubled);
         node.unreachableUntil = now + (long) (wait * (0.75 + uniform() / 2));
@@ -640,7 +629,7 @@
         shed(latency, service);
     }
 
-    /** Guards against wrong hints: the power with which latency is seen to grow with them. */
+    /** Regresses log latency on log hint: the power by which latency grows shows whether hints are right. */
     private static void learnHint(ServiceState service, double latency, long hint) {
         if (hint > 0) {
             double weight = service.usualLog == 0 ? 1 : STRAIN_WEIGHT;
@@ -653,30 +642,29 @@
         }
     }
 
-    /** The median latency that admission control allows. */
     private static double wanted(double aim, double floor) {
         double latency = Math.min(aim * LIMIT_AIM, floor * LIMIT_FLOORS);
-        // Guards against shedding for ever where the work alone takes that much of the aim.
+        // Prevents shedding for ever where the work alone takes that much of the target.
         return Math.max(latency, Math.min(aim * OVERDUE_MOST_AIM, floor * LIMIT_LEAST_FLOORS));
     }
 
-    /** Moves the shed share so that the median latency settles at what is wanted: half lie above it. */
+    /** Moves the shed share so that the median settles at the allowed one: half of the answers are slower. */
     private void shed(double latency, ServiceState service) {
         boolean slow = latency > wanted(service.spec.aim(), service.floor);
         ServiceState at = admission(service);
         at.shed = Math.min(SHED_MOST, Math.max(0, at.shed + (slow ? SHED_STEP : -SHED_STEP)));
     }
 
-    /** Guards against a bound class whose few backends are crowded getting all others refused as well. */
+    /** A restricted class sheds by itself: its few overloaded backends must not get other classes refused. */
     private ServiceState admission(ServiceState service) {
         return service.spec.runsIn() == null && service.spec.kindsOpen() == null ? unknown : service;
     }
 
-    /** Moves a backend's badness; a bad run ejects it for a while, a good trial lets it back. */
+    /** Outlier ejection by a failure score: lasting failures eject a backend, a good trial restores it. */
     private void mark(long now, Attempt a, boolean bad) {
         Node node = a.node;
         if (!a.sameLife()) {
-            return; // what the process before did says nothing of this one
+            return; // the outcome of an earlier process says nothing about this one
         }
         double weight = now - node.markedAt >= meanAim * APART_AIMS ? BAD_WEIGHT_APART : BAD_WEIGHT;
         node.markedAt = now;
@@ -701,7 +689,7 @@
         }
     }
 
-    /** The request is over: the losers are cancelled. */
+    /** Closes a request and cancels its other attempts; {@code winner} is -1 where there is none. */
     private void close(Pending p, int winner) {
         p.closed = true;
         open -= p.counted ? 1 : 0;
@@ -720,7 +708,7 @@
         }
     }
 
-    /** The one final answer: a refusal where trying again is harmless, else a failure. */
+    /** Sends the final answer: a refusal where a retry by the client is safe, else a failure. */
     private void giveUp(Pending p) {
         close(p, -1);
         boolean harmless = p.service.spec.idempotency() == Idempotency.IDEMPOTENT || !mayHaveRun(p)
@@ -737,7 +725,7 @@
         Pending p = pending.get(requestId);
         if (p != null && !p.closed && attempt >= 0 && attempt < p.attempts.size()) {
             p.streaming = true;
-            open -= p.counted ? 1 : 0; // what is left is for the client to read, however long that takes
+            open -= p.counted ? 1 : 0; // the rest depends on how fast the client reads
             p.counted = false;
             settle(p.attempts.get(attempt));
             p.attempts.get(attempt).node.heard |= p.attempts.get(attempt).sameLife();
@@ -757,7 +745,7 @@
         fleet = told;
         fleetAsOf = now - told.age();
         if (moved) {
-            rebuild(now); // the windows go by the number of proxies
+            rebuild(now); // windows depend on the number of proxies
         }
     }
 
@@ -773,7 +761,7 @@
         return fleet != null && now - fleetAsOf <= FLEET_STALE;
     }
 
-    /** Whether all proxies see each other alike, as far as is known; so it counts where nothing is told. */
+    /** Whether all proxies have the same view of the fleet as far as is known; true without any view. */
     private boolean fleetSettled(long now) {
         return fleet == null || fleetKnown(now) && fleet.agreement() == Agreement.ALL;
     }
@@ -787,21 +775,21 @@
         try {
             Arrays.setAll(asked, i -> i < all.length ? Double.parseDouble(all[i]) : now);
         } catch (NumberFormatException e) {
-            return; // garbled on the way: the last good word holds until it is stale
+            return; // corrupt: the last valid message holds until it is stale
         }
         if (Arrays.stream(asked, 0, all.length).allMatch(each -> each >= 0 && each < 1e9)) {
-            told.put(from, asked); // with the time
+            told.put(from, asked); // its last element is the time
         }
     }
 
-    // Guards against quotas that add up to more than the whole while nobody knows who takes which part.
+    // While proxies disagree on who takes which share, shares must not add up to more than the whole.
     double partOfQuotas(long now, double even, double byDemand) {
-        boolean settled = fleetSettled(now) && (fleet == null || fleet.countsAge() == 0); // at first hand
+        boolean settled = fleetSettled(now) && (fleet == null || fleet.countsAge() == 0); // first-hand
         return settled ? Math.max(byDemand, even / 4) : fleetKnown(now) ? fleet.share() : fleet.minShare();
     }
 
-    // Tells what each tenant asked here, and takes this proxy's part of each quota by its part of the demand.
-    // Guards against refusing a tenant within its share at a proxy that carries more than its part.
+    // Sends each tenant's demand here to all peers, and sets this proxy's share of each quota by its share of
+    // the demand, so that a tenant within its quota is not refused at a proxy with more than average traffic.
     private void tell(long now) {
         StringBuilder message = new StringBuilder();
         int i = 0;
@@ -817,7 +805,7 @@
                 }
             }
             int proxies = fleetKnown(now) ? fleet.proxies() : settings.proxies();
-            all *= Math.max(proxies, heard) / (double) heard; // those not heard of count as average
+            all *= Math.max(proxies, heard) / (double) heard; // the others count as average
             double even = 1.0 / proxies, part = all > 0 && heard > 1 ? tenant.asked / all : even;
             tenant.perSecond = tenant.quota * partOfQuotas(now, even, part);
             message.append(i++ == 0 ? "" : " ").append(Math.round(tenant.asked));
@@ -831,7 +819,7 @@
             "over-limit=%d shed=%d no-backend=%d gave-up=%d copies=%d hedges=%d retries=%d ejections=%d;"
             + " open=%d shed-share=%.2f strain=%.2f good/s=%.0f", overLimit, shedNow, noBackend, gaveUp,
             copiesSent, hedgesSent, retriesSent, ejections, open, unknown.shed, strain, rate(now)));
-        Roster.Pool pool = unknown.pool; // of many the window's first are shown
+        Roster.Pool pool = unknown.pool; // only the first of the window if there are many
         (pool.size > Roster.LAST_RESORT ? pool.near.stream().limit(Roster.LAST_RESORT) : pool.stream())
             .map(Ring.Place::node).forEach(node -> text.append(String.format(Locale.ROOT,
                 " [%d%s%s%s bad=%.2f]", node.inflight, node.out ? " out" : "",
@@ -841,7 +829,7 @@
         return text.toString();
     }
 
-    /** SplitMix64: small, good enough for draws, the same wherever it is ported to. */
+    /** Random number in [0, 1) by SplitMix64: small, good enough for sampling, portable. */
     double uniform() {
         return (mixed(random += 0x9E3779B97F4A7C15L) >>> 11) * 0x1.0p-53;
     }
--- a/decision/src/main/java/dockrelay/Roster.java
+++ b/decision/src/main/java/dockrelay/Roster.java
@@ -9,33 +9,33 @@
 import java.util.HashSet;
 import java.util.List;
 
-/** All backends that are listed, or gone and busy still, and windows on them. A change costs what changed. */
+/** All listed backends, gone ones with attempts in flight, and this proxy's windows on them. */
 final class Roster extends Ring {
-    // Proxies with a backend in their window. A proxy knows no load but its own: the fewer share a backend,
-    // the more that tells of the whole. Still a window holds some backends, so that a few bad ones do not
-    // matter, unless too many proxies shared each: all-to-all connections run out.
+    // Proxies that have a backend in their window. A proxy sees only its own load: the fewer proxies share a
+    // backend, the more it tells of the total. A window still needs some backends, so that a few failing ones
+    // do not matter, but the number of proxies per backend is bounded, as connections would run out.
     private static final double PROXIES_EACH = 2, PROXIES_MOST = 35, WINDOW_LEAST = 8;
-    static final int LAST_RESORT = 64; // backends looked at when none of the drawn could be used
+    static final int LAST_RESORT = 64; // backends tried when none of the sample is usable
 
     private final Balancer.Rules rules;
-    private final double span; // of the average of answers
+    private final double span; // of the success rate's average
     final HashMap<List<Object>, Pool> pools = new HashMap<>();
     private final Pool any;
     private final HashSet<Place> going = new HashSet<>();
-    final HashSet<Node> outs = new HashSet<>(); // those ejected, and some that were
+    final HashSet<Node> outs = new HashSet<>(); // includes some that have been restored
     private int event, born, round, proxies, me;
     private long builtAt;
-    private double weightBefore, warmOfAll = 1; // what answered until then; and not of the window alone
+    private double weightBefore, warmOfAll = 1; // before the last update; and not of the window alone
     double warmWeight = 1, weightOfAll = 1; // of the window
     int ejected;
 
-    /** The ready backends that are open to some classes alike, and this proxy's window on them. */
+    /** The ready backends that some classes may use, and this proxy's window on them. */
     final class Pool extends Ring {
         final ServiceClass spec;
-        final List<Place> near = new ArrayList<>(); // the first ones are the window's
-        double mostWeight, firstPart, lastPart; // of the outer ones: the rest is the neighbours'
+        final List<Place> near = new ArrayList<>(); // the window, and fallback backends after it
+        double mostWeight, firstPart, lastPart; // of the outer backends; the rest is the neighbors'
         double held, warm; // weights of the window
-        int window, chosen; // as of that round
+        int window, chosen; // as of that generation
 
         Pool(ServiceClass spec) {
             this.spec = spec;
@@ -45,27 +45,27 @@
             return entry != null && entry.phase() == Phase.READY && spec.openTo(entry.zone(), entry.kind());
         }
 
-        /** How much of one of the window's backends is this window's. */
+        /** The share of a backend of the window that belongs to this window. */
         double part(int index) {
             return index == 0 ? firstPart : index == window - 1 ? lastPart : 1;
         }
 
-        // This proxy's window: its run of the backends, in an order and by weights that all see alike. Runs
-        // of the same length start evenly, so that all backends are in as many as each other, the outer ones
-        // in part. Where backends are cold it goes on until it holds as much as if all were warm.
+        // This proxy's window is a run of the ring, by weights that are the same on all proxies. Runs of the
+        // same length start at equal distances, so that all backends are in equally many, outer ones partly.
+        // With cold backends a window is extended until it has the capacity it would have if all were warm.
         private void choose() {
             int count = size, passed = 0, b = 0;
             double weight = blocks.stream().mapToDouble(block -> block.summed().sum).sum();
             mostWeight = blocks.stream().mapToDouble(block -> block.most).max().orElse(0);
             double start = weight * me / proxies;
             while (b < blocks.size() - 1 && start >= blocks.get(b).sum) {
-                start -= blocks.get(b).sum; // past all of them at once
+                start -= blocks.get(b).sum; // skips the whole block
                 passed += blocks.get(b++).places.size();
             }
-            // Backends for less than two windows are all drawn from, by small fleets as well.
+            // With fewer backends than two windows need, every proxy uses all of them.
             double least = count < 2 * WINDOW_LEAST ? proxies
                 : Math.min(PROXIES_MOST, WINDOW_LEAST * proxies / count);
-            // A whole number, as between two of them some backends would be in one window more than others.
+            // Rounded up, as otherwise some backends would be in one window more than others.
             double wanted = weight * Math.ceil(Math.max(least, PROXIES_EACH)) / proxies;
             near.clear();
             held = warm = window = 0;
@@ -93,24 +93,23 @@
                 }
             }
             if (window == count) {
-                firstPart = lastPart = 1; // all of them
+                firstPart = lastPart = 1; // the window has all backends
             }
         }
     }
 
-    /** The unknown class is open to all. */
     Roster(Balancer.Rules rules, double span, ServiceClass unknown) {
         this.rules = rules;
         this.span = span;
         any = pool(unknown);
     }
 
-    /** Classes that are open to the same backends share one. */
+    /** The pool of a class; classes that may use the same zones and kinds share one. */
     Pool pool(ServiceClass spec) {
         return pools.computeIfAbsent(Arrays.asList(spec.runsIn(), spec.kindsOpen()), open -> new Pool(spec));
     }
 
-    /** A window is chosen where it is asked for, and holds until the next change. */
+    /** Chooses the window of a pool on first use after an update, and returns the pool. */
     Pool chosen(Pool pool) {
         if (pool.chosen != round) {
             pool.chosen = round;
@@ -127,10 +126,10 @@
             Backend before = place.entry;
             born += before == null ? 1 : 0;
             boolean restarted = entry.startedAt() != (before == null ? 0 : before.startedAt());
-            boolean warm = entry.startedAt() + rules.coldTime() <= now; // by the list alone
+            boolean warm = entry.startedAt() + rules.coldTime() <= now; // according to the list
             move(place, before, entry);
             place.listed = event;
-            // Proxies start out of step: full buckets at all of them together would push it over.
+            // Random first tokens: full buckets on all proxies together would overload the backend.
             double tokens = restarted ? by.uniform() : 0;
             if (restarted && (place.node != null || !warm)) {
                 place.node().restart(now, tokens);
@@ -144,13 +143,13 @@
         }
         if (whole) {
             stream().filter(place -> place.listed != event).forEach(place -> {
-                Backend old = place.entry; // what a full list does not name is gone
+                Backend old = place.entry; // missing in a full list
                 move(place, old, new Backend(old.id(), old.zone(), old.kind(), old.cell(), Phase.GONE,
                     old.weight(), old.startedAt()));
                 leaving.add(place);
             });
         }
-        // What is idle is closed at the notice, what is busy then as it ends, even if ready by then.
+        // Closes idle connections now, and busy ones when they become idle, even if it is ready again then.
         leaving.sort((one, other) -> one.number - other.number);
         for (Place place : leaving) {
             boolean drained = place.entry.phase() != Phase.READY && rules.closeOnDrainWithin() > 0;
@@ -179,14 +178,14 @@
         }
     }
 
-    /** After each change: this proxy is the so manieth of so many. */
+    /** Must follow each change of the list or of this proxy's index among the proxies. */
     void rebuild(long now, int number, int of) {
         weightBefore = weightAnswered(now);
         builtAt = now;
         me = number;
         proxies = of;
         round++;
-        warmOfAll = Double.NaN; // until it is asked for
+        warmOfAll = Double.NaN; // computed on demand
         going.removeIf(place -> place.entry.phase() != Phase.GONE
             || (place.node == null || place.node.inflight == 0) && remove(place));
         outs.removeIf(node -> !node.out || node.place.entry.phase() == Phase.GONE && node.inflight == 0);
@@ -195,7 +194,7 @@
         weightOfAll = any.held;
     }
 
-    /** The weight that answers come from, averaged as their rate is. */
+    /** The weight of the backends that answer, averaged over the same time as the success rate. */
     double weightAnswered(long now) {
         return warmWeight + (weightBefore - warmWeight) * Math.exp((builtAt - now) / span);
     }
--- a/decision/src/main/java/dockrelay/ServiceState.java
+++ b/decision/src/main/java/dockrelay/ServiceState.java
@@ -1,10 +1,10 @@
 package dockrelay;
 
-/** A class with the ready backends open to it, from which it draws, and what was seen of it. */
+/** A service class with its pool of backends and the statistics of its requests, times in microseconds. */
 final class ServiceState {
     final Balancer.ServiceClass spec;
     final Roster.Pool pool;
-    double shed; // its own where the class is bound; the unknown class keeps that of all others
+    double shed; // own if the class is restricted; the unknown class has that of all others
     double median, deviation;
     double floor = Double.MAX_VALUE;
     int answers;
