--- a/decision/src/main/java/dockrelay/Balancer.java
+++ b/decision/src/main/java/dockrelay/Balancer.java
@@ -55,34 +55,34 @@
      * update grows with the number of ring blocks it touches, so hosts should group changes by position.
      */
     static long ringPosition(long backend) {
-        return RiqBalancer.mixed(backend);
+        return RiqBalancer.mix64(backend);
     }
 
     /**
      * A service class. An answer within {@code latencyTarget}, plus {@code targetPerWorkHint} times the
-     * request's work hint, has the full value, a later one the share {@code lateAnswerValue} of it. Attempts
+     * request's work hint, has the full value, a later one the share {@code lateValue} of it. Attempts
      * go only to backends in {@code allowedZones} and of {@code allowedKinds}: null allows all, and a set
      * without any known name allows none. Backends recognize a deduplicated request during
      * {@code dedupWindow}.
      */
-    record ServiceClass(String name, long aim, double aimStretch, long deadline, Idempotency idempotency,
-                        DedupScope dedupScope, long dedupWindow, double lateWorth, Set<String> runsIn,
-                        Set<String> kindsOpen) {
+    record ServiceClass(String name, long latencyTarget, double targetPerWorkHint, long deadline,
+        Idempotency idempotency, DedupScope dedupScope, long dedupWindow, double lateValue,
+        Set<String> allowedZones, Set<String> allowedKinds) {
         public ServiceClass {
             require(name != null, "class name");
-            require(aim > 0, "class aim");
-            require(deadline >= aim, "class deadline");
+            require(latencyTarget > 0, "class aim");
+            require(deadline >= latencyTarget, "class deadline");
             require(idempotency != null, "class idempotency");
             require(dedupScope != null, "class dedupScope");
             require(dedupWindow >= 0, "class dedupWindow");
-            require(aimStretch >= 0, "class aimStretch");
-            require(lateWorth >= 0, "class lateWorth");
+            require(targetPerWorkHint >= 0, "class aimStretch");
+            require(lateValue >= 0, "class lateWorth");
         }
 
         /** Whether requests of this class may be sent to a backend of this zone and kind. */
-        public boolean openTo(String zone, String kind) {
-            return (runsIn == null || runsIn.contains(zone))
-                && (kindsOpen == null || kindsOpen.contains(kind));
+        public boolean allows(String zone, String kind) {
+            return (allowedZones == null || allowedZones.contains(zone))
+                && (allowedKinds == null || allowedKinds.contains(kind));
         }
     }
 
@@ -95,7 +95,8 @@
     }
 
     /** Which actions the site permits, and the maximum number of attempts per request. */
-    record Limits(int maxAttempts, boolean mayCancel, boolean secondCopies, boolean probes, boolean peers) {
+    record Limits(int maxAttempts, boolean mayCancel, boolean redundantAttempts, boolean probes,
+        boolean peers) {
         public Limits {
             require(maxAttempts >= 1, "limits maxAttempts");
         }
@@ -108,19 +109,19 @@
      * discovery within {@code subscribeWithin}, and must close idle connections to a draining backend within
      * {@code closeOnDrainWithin}; 0 means that there is no such rule.
      */
-    record Rules(double coldShare, long coldTime, double fallMultiple, long fallTime, long subscribeWithin,
-        long closeOnDrainWithin) {
+    record Rules(double coldShare, long warmUpTime, double overloadMultiple, long overloadTime,
+        long subscribeWithin, long closeOnDrainWithin) {
         /** Rules with an overload time of one second. */
-        public Rules(double coldShare, long coldTime, double fallMultiple, long askWithin,
+        public Rules(double coldShare, long warmUpTime, double overloadMultiple, long subscribeWithin,
             long closeOnDrainWithin) {
-            this(coldShare, coldTime, fallMultiple, 1_000_000, askWithin, closeOnDrainWithin);
+            this(coldShare, warmUpTime, overloadMultiple, 1_000_000, subscribeWithin, closeOnDrainWithin);
         }
 
         public Rules {
             require(coldShare > 0 && coldShare <= 1, "rules coldShare");
-            require(coldTime >= 0, "rules coldTime");
-            require(fallMultiple > 0, "rules fallMultiple");
-            require(fallTime > 0, "rules fallTime");
+            require(warmUpTime >= 0, "rules coldTime");
+            require(overloadMultiple > 0, "rules fallMultiple");
+            require(overloadTime > 0, "rules fallTime");
             require(subscribeWithin >= 0, "rules askWithin");
             require(closeOnDrainWithin >= 0, "rules closeOnDrainWithin");
         }
@@ -170,10 +171,10 @@
      * This proxy's share of a fleet-wide budget: a token bucket with a capacity of {@code burst} that is
      * refilled with {@code rate} tokens per second; {@code addedTokens} are added once.
      */
-    record BudgetShare(String budget, double rate, double burst, double add) {
+    record BudgetShare(String budget, double rate, double burst, double addedTokens) {
         public BudgetShare {
             require(budget != null, "budget name");
-            require(rate >= 0 && burst >= 0 && add >= 0, "budget part");
+            require(rate >= 0 && burst >= 0 && addedTokens >= 0, "budget part");
         }
     }
 
@@ -209,7 +210,7 @@
     }
 
     /** The list of backends, changes to it, or the failure of a subscription or fetch. */
-    void onBackendList(long now, ListUpdateType scope, List<Backend> entries);
+    void onBackendList(long now, ListUpdateType type, List<Backend> entries);
 
     /** A client's request, which must be answered exactly once within its time budget. */
     void onRequest(long now, Request request);
@@ -242,7 +243,7 @@
      * known only changes the expiry, and an older one is ignored. A budget without any share so far restricts
      * nothing; one that has had a share is enforced from then on, and is empty once the shares expire.
      */
-    default void onBudgetShares(long now, long telling, long until, List<BudgetShare> parts) {
+    default void onBudgetShares(long now, long version, long expiresAt, List<BudgetShare> shares) {
     }
 
     /** The use of all budget shares so far, for the host to divide the budgets by demand. */
@@ -286,8 +287,9 @@
         void broadcastToPeers(String message);
     }
 
-    private static void require(boolean holds, String setting) {
-        if (!holds) {
+    /** Throws unless valid. The message names the setting by its configuration key: "class aim" is Aim. */
+    private static void require(boolean valid, String setting) {
+        if (!valid) {
             throw new IllegalArgumentException("setting missing or out of range: " + setting);
         }
     }
--- a/decision/src/main/java/dockrelay/Ring.java
+++ b/decision/src/main/java/dockrelay/Ring.java
@@ -7,19 +7,19 @@
 
 /** Backends in an order that is the same on all proxies, in blocks: a change costs one block, not all. */
 class Ring {
-    private static final int MOST = 512;
+    private static final int MAX_BLOCK_SIZE = 512;
 
     /** A backend of the list, with this proxy's state of it, which is null until it is needed. */
-    static final class Place {
-        final int number; // order of insertion
+    static final class Slot {
+        final int insertionNumber; // order of insertion
         final long key; // ring position
         Balancer.Backend entry; // null until the first update
-        Node node;
-        int listed; // number of the last update that named it
-        boolean drained;
+        BackendState state;
+        int lastUpdate; // number of the last update that named it
+        boolean drainHandled;
 
-        Place(int number, long key) {
-            this.number = number;
+        Slot(int insertionNumber, long key) {
+            this.insertionNumber = insertionNumber;
             this.key = key;
         }
 
@@ -27,23 +27,23 @@
             return entry.weight() > 0 ? entry.weight() : 1;
         }
 
-        Node node() {
-            return node == null ? node = new Node(this) : node;
+        BackendState state() {
+            return state == null ? state = new BackendState(this) : state;
         }
     }
 
     /** A run of backends with cached sums over them, valid until one of them changes. */
     final class Block {
-        final List<Place> places = new ArrayList<>();
-        double sum, most; // of the weights
-        private boolean summed;
-
-        Block summed() {
-            if (!summed) {
-                sum = places.stream().mapToDouble(Place::weight).sum();
-                most = places.stream().mapToDouble(Place::weight).max().orElse(0);
-                summed = true;
-                steps += places.size();
+        final List<Slot> slots = new ArrayList<>();
+        double totalWeight, maxWeight;
+        private boolean sumsValid;
+
+        Block updatedSums() {
+            if (!sumsValid) {
+                totalWeight = slots.stream().mapToDouble(Slot::weight).sum();
+                maxWeight = slots.stream().mapToDouble(Slot::weight).max().orElse(0);
+                sumsValid = true;
+                visitedSlots += slots.size();
             }
             return this;
         }
@@ -51,61 +51,61 @@
 
     final List<Block> blocks = new ArrayList<>(List.of(new Block()));
     int size;
-    long steps; // slots visited or moved, for tests
+    long visitedSlots; // slots visited or moved, for tests
 
     /** The index of the block that holds the key or would hold it. */
-    private int block(long key) {
-        int at = Collections.binarySearch(blocks, null, (block, none) -> block.places.isEmpty() ? -1
-            : Long.compare(block.places.get(0).key, key));
-        return at >= 0 ? at : Math.max(0, -2 - at);
+    private int blockIndex(long key) {
+        int index = Collections.binarySearch(blocks, null, (candidate, unused) -> candidate.slots.isEmpty()
+            ? -1 : Long.compare(candidate.slots.get(0).key, key));
+        return index >= 0 ? index : Math.max(0, -2 - index);
     }
 
-    private int index(Block block, long key) {
-        steps++;
-        return Collections.binarySearch(block.places, null, (place, none) -> Long.compare(place.key, key));
+    private int slotIndex(Block block, long key) {
+        visitedSlots++;
+        return Collections.binarySearch(block.slots, null, (slot, unused) -> Long.compare(slot.key, key));
     }
 
     /** The slot of a backend; adds one with this insertion number if there is none. */
-    Place place(long id, int number) {
+    Slot findOrAdd(long id, int insertionNumber) {
         long key = Balancer.ringPosition(id);
-        Block block = blocks.get(block(key));
-        int index = index(block, key);
-        return index >= 0 ? block.places.get(index) : add(block, -1 - index, new Place(number, key));
+        Block block = blocks.get(blockIndex(key));
+        int index = slotIndex(block, key);
+        return index >= 0 ? block.slots.get(index) : add(block, -1 - index, new Slot(insertionNumber, key));
     }
 
     /** Invalidates the cached sums of the backend's block, and returns the block. */
-    Block changed(Place place) {
-        Block block = blocks.get(block(place.key));
-        block.summed = false;
+    Block invalidate(Slot slot) {
+        Block block = blocks.get(blockIndex(slot.key));
+        block.sumsValid = false;
         return block;
     }
 
-    void add(Place place) {
-        Block block = changed(place);
-        add(block, -1 - index(block, place.key), place);
+    void add(Slot slot) {
+        Block block = invalidate(slot);
+        add(block, -1 - slotIndex(block, slot.key), slot);
     }
 
-    private Place add(Block block, int index, Place place) {
-        block.places.add(index, place);
+    private Slot add(Block block, int index, Slot slot) {
+        block.slots.add(index, slot);
         size++;
-        if (block.places.size() > MOST) {
-            List<Place> half = block.places.subList(MOST / 2, MOST + 1);
-            Block upper = new Block();
-            upper.places.addAll(half);
-            half.clear();
-            blocks.add(blocks.indexOf(block) + 1, upper);
+        if (block.slots.size() > MAX_BLOCK_SIZE) {
+            List<Slot> upperHalf = block.slots.subList(MAX_BLOCK_SIZE / 2, MAX_BLOCK_SIZE + 1);
+            Block newBlock = new Block();
+            newBlock.slots.addAll(upperHalf);
+            upperHalf.clear();
+            blocks.add(blocks.indexOf(block) + 1, newBlock);
         }
-        return place;
+        return slot;
     }
 
-    boolean remove(Place place) {
-        Block block = changed(place);
-        block.places.remove(index(block, place.key));
+    boolean remove(Slot slot) {
+        Block block = invalidate(slot);
+        block.slots.remove(slotIndex(block, slot.key));
         size--;
-        return !block.places.isEmpty() || blocks.size() == 1 || blocks.remove(block);
+        return !block.slots.isEmpty() || blocks.size() == 1 || blocks.remove(block);
     }
 
-    Stream<Place> stream() {
-        return blocks.stream().flatMap(block -> block.places.stream());
+    Stream<Slot> stream() {
+        return blocks.stream().flatMap(block -> block.slots.stream());
     }
 }
--- a/decision/src/main/java/dockrelay/ServiceState.java
+++ b/decision/src/main/java/dockrelay/ServiceState.java
@@ -3,14 +3,14 @@
 /** A service class with its pool of backends and the statistics of its requests, times in microseconds. */
 final class ServiceState {
     final Balancer.ServiceClass spec;
-    final Roster.Pool pool;
-    double shed; // own if the class is restricted; the unknown class has that of all others
+    final BackendPools.Pool pool;
+    double shedShare; // own if the class is restricted, else kept in the unknown class for all
     double median, deviation;
-    double floor = Double.MAX_VALUE;
-    int answers;
-    double usualBudget, usualLog, hintLog, hintCovers, hintVaries;
+    double minMedian = Double.MAX_VALUE;
+    int answerCount;
+    double usualBudget, meanLogLatency, meanLogHint, covariance, variance; // of log hint and latency
 
-    ServiceState(Balancer.ServiceClass spec, Roster.Pool pool) {
+    ServiceState(Balancer.ServiceClass spec, BackendPools.Pool pool) {
         this.spec = spec;
         this.pool = pool;
     }
--- a/decision/src/test/java/dockrelay/ChangeCostTest.java
+++ b/decision/src/test/java/dockrelay/ChangeCostTest.java
@@ -172,11 +172,11 @@
     @Test
     void classesThatAreOpenToTheSameBackendsShareThem() {
         Fleet fleet = new Fleet(SIZES[0]);
-        assertTrue(fleet.module.roster.pools.size() <= 2, "one for all zones, one for two of them");
+        assertTrue(fleet.module.backends.pools.size() <= 2, "one for all zones, one for two of them");
     }
 
     private static long steps(Fleet fleet) {
-        return fleet.module.roster.steps + fleet.module.roster.pools.values().stream()
-            .mapToLong(pool -> pool.steps).sum();
+        return fleet.module.backends.visitedSlots + fleet.module.backends.pools.values().stream()
+            .mapToLong(pool -> pool.visitedSlots).sum();
     }
 }
--- a/decision/src/test/java/dockrelay/EventScript.java
+++ b/decision/src/test/java/dockrelay/EventScript.java
@@ -197,8 +197,8 @@
     private void budgets() {
         telling += random.nextInt(3) - (random.nextInt(5) == 0 ? 2 : 0);
         module.onBudgetShares(now, Math.max(0, telling), now + random.nextInt(3) * SECOND,
-            List.of(new BudgetShare(Allowances.EXTRA, random.nextInt(50), 20, random.nextInt(10)),
-                new BudgetShare(Allowances.TENANT + "t0", random.nextInt(90), 30, 5)));
+            List.of(new BudgetShare(BudgetBuckets.REDUNDANT, random.nextInt(50), 20, random.nextInt(10)),
+                new BudgetShare(BudgetBuckets.TENANT_PREFIX + "t0", random.nextInt(90), 30, 5)));
         module.budgetUsage(now).forEach(use -> note("use " + use));
     }
 
--- a/decision/src/test/java/dockrelay/FleetFactTest.java
+++ b/decision/src/test/java/dockrelay/FleetFactTest.java
@@ -23,7 +23,7 @@
         RiqBalancer balancer = balancer();
         balancer.onFleetView(0, fleet);
         double even = 1.0 / fleet.proxies();
-        return balancer.partOfQuotas(ago, even, even);
+        return balancer.quotaShare(ago, even, even);
     }
 
     private static FleetView fleet(int proxies, Agreement agreement, double share, long countsAge) {
@@ -50,11 +50,11 @@
     @Test
     void atFirstHandDemandDivides() {
         RiqBalancer balancer = balancer();
-        assertEquals(0.4, balancer.partOfQuotas(0, 0.25, 0.4), 1e-9);
+        assertEquals(0.4, balancer.quotaShare(0, 0.25, 0.4), 1e-9);
         balancer.onFleetView(0, fleet(4, Agreement.ALL, 1.0 / ALL, 0));
-        assertEquals(0.4, balancer.partOfQuotas(0, 0.25, 0.4), 1e-9);
+        assertEquals(0.4, balancer.quotaShare(0, 0.25, 0.4), 1e-9);
         balancer.onFleetView(0, fleet(4, Agreement.MAJORITY, 1.0 / ALL, 0));
-        assertEquals(1.0 / ALL, balancer.partOfQuotas(0, 0.25, 0.4), 1e-9);
-        assertTrue(balancer.partOfQuotas(2 * Host.SECOND, 0.25, 0.4) < 1.0 / ALL);
+        assertEquals(1.0 / ALL, balancer.quotaShare(0, 0.25, 0.4), 1e-9);
+        assertTrue(balancer.quotaShare(2 * Host.SECOND, 0.25, 0.4) < 1.0 / ALL);
     }
 }
--- a/decision/src/test/java/dockrelay/RuleChecker.java
+++ b/decision/src/test/java/dockrelay/RuleChecker.java
@@ -119,11 +119,11 @@
         breach(h.over, "sent after the end: " + id);
         Backend to = list.get(backend);
         breach(to == null || to.phase() != Phase.READY, "sent to a drained backend: " + backend);
-        breach(to != null && !h.service.openTo(to.zone(), to.kind()), "sent where not open: " + id);
+        breach(to != null && !h.service.allows(to.zone(), to.kind()), "sent where not open: " + id);
         opened.add(backend);
         breach(h.attempts.size() >= settings.limits().maxAttempts(), "too many attempts: " + id);
         boolean out = h.attempts.stream().anyMatch(a -> !a.ended);
-        breach(out && !settings.limits().secondCopies(), "second copy not permitted: " + id);
+        breach(out && !settings.limits().redundantAttempts(), "second copy not permitted: " + id);
         for (Attempt a : h.attempts) {
             if (a.neverRan) {
                 continue;
@@ -138,7 +138,7 @@
                 breach(now - a.sentAt > h.service.dedupWindow(), "keyed past its span: " + id);
             }
         }
-        if (to != null && to.startedAt() > 0 && now - to.startedAt() < settings.rules().coldTime()) {
+        if (to != null && to.startedAt() > 0 && now - to.startedAt() < settings.rules().warmUpTime()) {
             List<Long> sends = coldSends.computeIfAbsent(backend, key -> new ArrayList<>());
             sends.add(now);
             sends.removeIf(at -> now - at > FALL_TIME);
