--- a/decision/src/test/java/dockrelay/ChangeCostTest.java
+++ b/decision/src/test/java/dockrelay/ChangeCostTest.java
@@ -21,24 +21,24 @@
 import java.util.function.ToLongFunction;
 import org.junit.jupiter.api.Test;
 
-/** What a change of the list costs the module: counted, at three sizes, and never timed. */
+/** Bounds the cost of list updates by counts of operations and bytes, not times, at three list sizes. */
 class ChangeCostTest {
     private static final int[] SIZES = {500, 1_000, 2_000};
     private static final int CHANGES = 200;
     private static final int CLASSES = 20;
 
-    /** Zones in which a class runs, that count how often they are asked. */
-    private static final class Zones extends AbstractSet<String> {
+    /** Allowed zones of a class, which count their lookups. */
+    private static final class CountingZones extends AbstractSet<String> {
         private final Set<String> names;
-        long asked;
+        long lookups;
 
-        Zones(String... names) {
+        CountingZones(String... names) {
             this.names = Set.of(names);
         }
 
         @Override
         public boolean contains(Object zone) {
-            asked++;
+            lookups++;
             return names.contains(zone);
         }
 
@@ -53,21 +53,21 @@
         }
     }
 
-    /** A module with so many backends in three zones, one of a hundred proxies, and many classes. */
-    private static final class Fleet {
+    /** A policy with backends in three zones and many classes, on one of a hundred proxies. */
+    private static final class Fixture {
         private final Host host = new Host();
-        private final Zones zones = new Zones("z0", "z1");
+        private final CountingZones zones = new CountingZones("z0", "z1");
         private final int size;
-        final RiqBalancer module;
+        final RiqBalancer balancer;
 
-        Fleet(int size) {
+        Fixture(int size) {
             this.size = size;
             List<ServiceClass> classes = new ArrayList<>();
             for (int i = 0; i < CLASSES; i++) {
                 classes.add(new ServiceClass("c" + i, 200_000, 0, 600_000, Idempotency.IDEMPOTENT,
                     DedupScope.ALL, 0, 0.2, i == 0 ? null : zones, null));
             }
-            module = new RiqBalancer(new Settings(100, 37, "z0", classes, List.of(), false, Host.limits(),
+            balancer = new RiqBalancer(new Settings(100, 37, "z0", classes, List.of(), false, Host.limits(),
                 new Rules(0.25, 10_000_000, 3, 10_000_000, 1_000_000), 0), 7, host);
         }
 
@@ -75,108 +75,109 @@
             return new Backend(number * 0x9E3779B97F4A7C15L, "z" + number % 3, "k", 0, phase, 1, startedAt);
         }
 
-        void takeAll() {
+        void loadAll() {
             List<Backend> entries = new ArrayList<>();
             for (int i = 0; i < size; i++) {
                 entries.add(backend(i, Phase.READY, 0));
             }
-            module.onBackendList(host.now, ListUpdateType.CACHED, entries);
+            balancer.onBackendList(host.now, ListUpdateType.CACHED, entries);
         }
 
-        /** Drains, restarts and new ones, each followed by a request. */
-        void change() {
+        /** Drains, removes, restarts and adds backends, each change followed by a request. */
+        void applyChanges() {
             for (int i = 0; i < CHANGES; i++) {
                 int number = i * 31 % size;
-                change(backend(number, Phase.DRAINING, 0));
-                change(backend(number, Phase.GONE, 0));
-                change(backend(number, Phase.READY, host.now));
-                change(backend(size + i, Phase.READY, host.now));
-                change(backend(size + i, Phase.GONE, host.now));
+                applyChanges(backend(number, Phase.DRAINING, 0));
+                applyChanges(backend(number, Phase.GONE, 0));
+                applyChanges(backend(number, Phase.READY, host.now));
+                applyChanges(backend(size + i, Phase.READY, host.now));
+                applyChanges(backend(size + i, Phase.GONE, host.now));
             }
         }
 
-        private void change(Backend entry) {
+        private void applyChanges(Backend entry) {
             host.now += 1_000;
-            module.onBackendList(host.now, ListUpdateType.DELTA, List.of(entry));
+            balancer.onBackendList(host.now, ListUpdateType.DELTA, List.of(entry));
             String id = "r" + host.now;
-            module.onRequest(host.now, new Request(id, "c" + host.now / 1_000 % CLASSES, null, null, 600_000,
-                0, false));
-            module.onClientDisconnected(host.now, id);
+            balancer.onRequest(host.now, new Request(id, "c" + host.now / 1_000 % CLASSES, null, null,
+                600_000, 0, false));
+            balancer.onClientDisconnected(host.now, id);
             host.actions.clear();
         }
     }
 
-    private static long allocated() {
+    private static long allocatedBytes() {
         return ((ThreadMXBean) ManagementFactory.getThreadMXBean()).getThreadAllocatedBytes(
             Thread.currentThread().getId());
     }
 
-    private static long[] each(ToLongFunction<Fleet> count, boolean ofChanges) {
+    private static long[] measure(ToLongFunction<Fixture> counter, boolean forChanges) {
         long[] counts = new long[SIZES.length];
         for (int i = 0; i < SIZES.length; i++) {
-            Fleet fleet = new Fleet(SIZES[i]);
-            if (ofChanges) {
-                fleet.takeAll();
+            Fixture fixture = new Fixture(SIZES[i]);
+            if (forChanges) {
+                fixture.loadAll();
             }
-            long before = count.applyAsLong(fleet);
-            if (ofChanges) {
-                fleet.change();
+            long before = counter.applyAsLong(fixture);
+            if (forChanges) {
+                fixture.applyChanges();
             } else {
-                fleet.takeAll();
+                fixture.loadAll();
             }
-            counts[i] = count.applyAsLong(fleet) - before;
+            counts[i] = counter.applyAsLong(fixture) - before;
         }
         return counts;
     }
 
-    /** At four times the size it is no more than half as much again. */
-    private static void assertConstant(long[] counts, long spare) {
-        assertTrue(counts[2] <= counts[0] * 1.5 + spare, counts[0] + ", " + counts[1] + ", " + counts[2]);
+    /** At four times the size the count may be at most 1.5 times as high. */
+    private static void assertConstant(long[] counts, long slack) {
+        assertTrue(counts[2] <= counts[0] * 1.5 + slack, counts[0] + ", " + counts[1] + ", " + counts[2]);
     }
 
-    /** At four times the size it is about four times as much; a sort's logarithm is let pass. */
+    /** At four times the size the count may be four times as high; 1.4 allows for a sort's logarithm. */
     private static void assertLinear(long[] counts) {
         assertTrue(counts[2] <= counts[0] * 4 * 1.4, counts[0] + ", " + counts[1] + ", " + counts[2]);
     }
 
     @Test
-    void aChangeAsksOnceWhereItsBackendBelongs() {
-        assertConstant(each(fleet -> fleet.zones.asked, true), 0);
+    void changeChecksEachPoolOnce() {
+        assertConstant(measure(fixture -> fixture.zones.lookups, true), 0);
     }
 
     @Test
-    void aChangeCopiesNotAll() {
-        each(fleet -> allocated(), true); // what is loaded and compiled on the way is not the change's
-        assertConstant(each(fleet -> allocated(), true), 0);
+    void changeAllocationIsIndependentOfSize() {
+        measure(fixture -> allocatedBytes(), true); // excludes allocations by class loading and compilation
+        assertConstant(measure(fixture -> allocatedBytes(), true), 0);
     }
 
     @Test
-    void aChangeLooksAtItsBlockAndTheWindowOnly() {
-        assertConstant(each(ChangeCostTest::steps, true), 0);
+    void changeVisitsOnlyItsBlockAndTheWindow() {
+        assertConstant(measure(ChangeCostTest::visitedSlots, true), 0);
     }
 
     @Test
-    void aListTakenInWholeCostsItsLength() {
-        assertLinear(each(ChangeCostTest::steps, false));
-        assertLinear(each(fleet -> fleet.zones.asked, false));
-        each(fleet -> allocated(), false);
-        assertLinear(each(fleet -> allocated(), false));
+    void fullListCostIsLinear() {
+        assertLinear(measure(ChangeCostTest::visitedSlots, false));
+        assertLinear(measure(fixture -> fixture.zones.lookups, false));
+        measure(fixture -> allocatedBytes(), false);
+        assertLinear(measure(fixture -> allocatedBytes(), false));
     }
 
     @Test
-    void theLogsLineIsBounded() {
-        assertConstant(each(fleet -> fleet.module.status(fleet.host.now).length(), false), 100);
+    void statusLengthIsBounded() {
+        assertConstant(measure(fixture -> fixture.balancer.status(fixture.host.now).length(), false), 100);
     }
 
-    /** Classes that are open to the same backends add nothing to what is kept, or walked, of them. */
+    /** Classes that may use the same backends must not add to the state kept or visited per backend. */
     @Test
-    void classesThatAreOpenToTheSameBackendsShareThem() {
-        Fleet fleet = new Fleet(SIZES[0]);
-        assertTrue(fleet.module.backends.pools.size() <= 2, "one for all zones, one for two of them");
+    void classesWithTheSameRestrictionsShareAPool() {
+        Fixture fixture = new Fixture(SIZES[0]);
+        assertTrue(fixture.balancer.backends.pools.size() <= 2,
+            "expected at most one pool for all zones and one for two of them");
     }
 
-    private static long steps(Fleet fleet) {
-        return fleet.module.backends.visitedSlots + fleet.module.backends.pools.values().stream()
+    private static long visitedSlots(Fixture fixture) {
+        return fixture.balancer.backends.visitedSlots + fixture.balancer.backends.pools.values().stream()
             .mapToLong(pool -> pool.visitedSlots).sum();
     }
 }
--- a/decision/src/test/java/dockrelay/EventScript.java
+++ b/decision/src/test/java/dockrelay/EventScript.java
@@ -32,23 +32,24 @@
 import java.util.Set;
 
 /**
- * A long seeded sequence of events of all kinds, played through the module, and a checksum of all that the
- * module did and said: two modules that decide alike to the last bit give the same one.
+ * Feeds a long seeded sequence of events of all types to the policy, and computes a checksum of all its
+ * actions and status lines: policies that decide identically have the same checksum.
  */
 final class EventScript implements Balancer.Actions {
     private static final long SECOND = 1_000_000;
     private static final long MS = 1_000;
     private static final int[] SIZES = {1, 3, 8, 20, 48, 120, 300, 700, 1500};
-    /** Up to here the whole line of the status counts, past it the figures before the backends. */
-    private static final int SHOWN = 64;
-    /** Past this many backends weights are multiples of a power of two, so that sums are exact. */
-    private static final int ANY_WEIGHT = 500;
+    /** Up to this number of backends the checksum covers the whole status line, else only its counters. */
+    private static final int MAX_LISTED_BACKENDS = 64;
+    /** With more backends than this, weights are multiples of 1/8, so that sums of them are exact. */
+    private static final int MAX_ANY_WEIGHT_SIZE = 500;
     private static final int EVENTS = 4_000;
 
-    /** An attempt that is out. */
-    private record Out(String request, int attempt, long backend, long sentAt) {
+    /** An attempt that has not ended. */
+    private record ActiveAttempt(String requestId, int attempt, long backend, long sentAt) {
     }
 
+    /** A timer of the policy; {@code number} orders those that are due at the same time. */
     private record Timer(long due, int number, long token) {
     }
 
@@ -56,15 +57,15 @@
     private final MessageDigest digest;
     private final int size;
     private final Settings settings;
-    private final Balancer module;
-    private final Map<Long, Backend> list = new LinkedHashMap<>();
-    private final List<Out> out = new ArrayList<>();
+    private final Balancer balancer;
+    private final Map<Long, Backend> backends = new LinkedHashMap<>();
+    private final List<ActiveAttempt> activeAttempts = new ArrayList<>();
     private final Map<String, Integer> attempts = new HashMap<>();
     private final Set<String> answered = new HashSet<>();
-    private final PriorityQueue<Timer> timers = new PriorityQueue<>((one, other) ->
-        one.due != other.due ? Long.compare(one.due, other.due) : Integer.compare(one.number, other.number));
+    private final PriorityQueue<Timer> timers = new PriorityQueue<>((first, second) -> first.due != second.due
+        ? Long.compare(first.due, second.due) : Integer.compare(first.number, second.number));
     private long now = 1000 * SECOND;
-    private int actions, sends, requests, set, telling;
+    private int actions, sends, requests, timersSet, budgetVersion;
 
     EventScript(long seed) {
         random = new Random(seed * 7919);
@@ -74,170 +75,172 @@
         } catch (NoSuchAlgorithmException e) {
             throw new IllegalStateException(e);
         }
-        settings = settings();
-        module = new RiqBalancer(settings, seed, this);
+        settings = randomSettings();
+        balancer = new RiqBalancer(settings, seed, this);
     }
 
-    private Settings settings() {
+    private Settings randomSettings() {
         int proxies = new int[] {1, 2, 5, 16, 48, 300}[random.nextInt(6)];
         List<ServiceClass> classes = new ArrayList<>();
-        Idempotency[] kinds = Idempotency.values();
+        Idempotency[] idempotencies = Idempotency.values();
         for (int i = 0; i < 9; i++) {
-            long aim = (50 + random.nextInt(300)) * MS;
-            classes.add(new ServiceClass("c" + i, aim, i % 4 == 0 ? 0.3 : 0, aim * (2 + random.nextInt(3)),
-                kinds[i % kinds.length], DedupScope.values()[random.nextInt(3)], 400 * MS,
-                i % 5 == 4 ? 0 : 0.3, i < 4 ? null : zones(), i < 3 || i == 5 ? null : kinds()));
+            long latencyTarget = (50 + random.nextInt(300)) * MS;
+            classes.add(new ServiceClass("c" + i, latencyTarget, i % 4 == 0 ? 0.3 : 0,
+                latencyTarget * (2 + random.nextInt(3)), idempotencies[i % idempotencies.length],
+                DedupScope.values()[random.nextInt(3)], 400 * MS, i % 5 == 4 ? 0 : 0.3,
+                i < 4 ? null : randomZones(), i < 3 || i == 5 ? null : randomKinds()));
         }
-        boolean fair = random.nextBoolean();
+        boolean withTenants = random.nextBoolean();
         Limits limits = new Limits(1 + random.nextInt(4), random.nextInt(4) > 0, random.nextInt(4) > 0, true,
             random.nextInt(3) > 0);
         return new Settings(proxies, random.nextInt(proxies), "z0", classes,
-            fair ? List.of(new Tenant("t0", 40), new Tenant("t1", 200)) : List.of(), random.nextInt(3) == 0,
-            limits, new Rules(0.2 + random.nextInt(5) / 10.0, (2 + random.nextInt(20)) * SECOND,
-                1 + random.nextInt(3), SECOND, SECOND, random.nextInt(4) == 0 ? 0 : 10 * SECOND),
-            random.nextInt(2));
+            withTenants ? List.of(new Tenant("t0", 40), new Tenant("t1", 200)) : List.of(),
+            random.nextInt(3) == 0, limits, new Rules(0.2 + random.nextInt(5) / 10.0,
+            (2 + random.nextInt(20)) * SECOND, 1 + random.nextInt(3), SECOND, SECOND,
+            random.nextInt(4) == 0 ? 0 : 10 * SECOND), random.nextInt(2));
     }
 
-    private Set<String> zones() {
+    private Set<String> randomZones() {
         return random.nextInt(12) == 0 ? Set.of("nowhere") : Set.of("z" + random.nextInt(2), "z2");
     }
 
-    private Set<String> kinds() {
+    private Set<String> randomKinds() {
         return Set.of("k" + random.nextInt(2));
     }
 
-    private double weight() {
+    private double randomWeight() {
         if (random.nextInt(3) > 0) {
             return 1;
         }
-        return size <= ANY_WEIGHT ? random.nextInt(20) / 10.0 : (1 + random.nextInt(32)) / 8.0;
+        return size <= MAX_ANY_WEIGHT_SIZE ? random.nextInt(20) / 10.0 : (1 + random.nextInt(32)) / 8.0;
     }
 
-    private Backend backend(long id) {
+    private Backend randomBackend(long id) {
         int age = random.nextInt(10);
         long startedAt = age < 5 ? 0 : age < 9 ? now - random.nextInt(40) * SECOND : now + random.nextInt(50);
-        Backend before = list.get(id);
-        if (before != null && random.nextInt(3) > 0) {
-            startedAt = before.startedAt();
+        Backend previous = backends.get(id);
+        if (previous != null && random.nextInt(3) > 0) {
+            startedAt = previous.startedAt();
         }
         Phase phase = random.nextInt(4) > 0 ? Phase.READY : Phase.values()[random.nextInt(3)];
-        boolean kept = before != null && random.nextInt(5) > 0;
-        return new Backend(id, kept ? before.zone() : "z" + random.nextInt(3),
-            kept ? before.kind() : "k" + random.nextInt(2), random.nextInt(3), phase,
-            kept ? before.weight() : weight(), startedAt);
+        boolean keep = previous != null && random.nextInt(5) > 0;
+        return new Backend(id, keep ? previous.zone() : "z" + random.nextInt(3),
+            keep ? previous.kind() : "k" + random.nextInt(2), random.nextInt(3), phase,
+            keep ? previous.weight() : randomWeight(), startedAt);
     }
 
-    private long id() {
+    private long randomId() {
         long number = random.nextInt(size + size / 4 + 1);
-        return number * 0x9E3779B97F4A7C15L; // anywhere among the longs, as names' ids are
+        return number * 0x9E3779B97F4A7C15L; // spread over all longs, like ids that are hashes
     }
 
-    private void members(ListUpdateType scope) {
+    private void updateBackends(ListUpdateType type) {
         List<Backend> entries = new ArrayList<>();
-        if (scope == ListUpdateType.FULL || scope == ListUpdateType.CACHED) {
-            boolean rarely = random.nextBoolean();
-            for (Backend before : new ArrayList<>(list.values())) {
-                if (random.nextInt(rarely ? 50 : 6) > 0) {
-                    entries.add(random.nextInt(5) > 0 ? before : backend(before.id()));
+        if (type == ListUpdateType.FULL || type == ListUpdateType.CACHED) {
+            boolean rarelyRemove = random.nextBoolean();
+            for (Backend previous : new ArrayList<>(backends.values())) {
+                if (random.nextInt(rarelyRemove ? 50 : 6) > 0) {
+                    entries.add(random.nextInt(5) > 0 ? previous : randomBackend(previous.id()));
                 }
             }
             while (entries.size() < size && random.nextInt(size * 3) > 0) {
-                entries.add(backend(id()));
+                entries.add(randomBackend(randomId()));
             }
             Collections.shuffle(entries, random);
-            list.clear();
+            backends.clear();
         } else {
             int count = random.nextInt(8) == 0 ? 1 + random.nextInt(size) : 1 + random.nextInt(3);
             for (int i = 0; i < count; i++) {
-                entries.add(backend(id())); // one of them may be there twice
+                entries.add(randomBackend(randomId())); // may contain a backend twice
             }
         }
-        entries.forEach(entry -> list.put(entry.id(), entry));
-        list.values().removeIf(entry -> entry.phase() == Phase.GONE);
-        module.onBackendList(now, scope, entries);
+        entries.forEach(entry -> backends.put(entry.id(), entry));
+        backends.values().removeIf(entry -> entry.phase() == Phase.GONE);
+        balancer.onBackendList(now, type, entries);
     }
 
-    private void request() {
+    private void sendRequest() {
         String id = "r" + requests++;
         boolean streamed = random.nextInt(15) == 0;
-        int which = random.nextInt(settings.classes().size() + 1);
-        ServiceClass spec = settings.classes().get(which % settings.classes().size());
-        long budget = random.nextInt(40) == 0 ? random.nextInt(3) - 1
-            : random.nextInt(4) > 0 ? spec.deadline() : spec.deadline() / 2;
-        module.onRequest(now, new Request(id, which == settings.classes().size() ? "unheard" : spec.name(),
-            random.nextInt(3) > 0 ? "t" + random.nextInt(3) : null, null, budget,
+        int classIndex = random.nextInt(settings.classes().size() + 1);
+        ServiceClass serviceClass = settings.classes().get(classIndex % settings.classes().size());
+        long timeBudget = random.nextInt(40) == 0 ? random.nextInt(3) - 1
+            : random.nextInt(4) > 0 ? serviceClass.deadline() : serviceClass.deadline() / 2;
+        balancer.onRequest(now, new Request(id,
+            classIndex == settings.classes().size() ? "unheard" : serviceClass.name(),
+            random.nextInt(3) > 0 ? "t" + random.nextInt(3) : null, null, timeBudget,
             random.nextInt(3) == 0 ? 1000 + random.nextInt(9000) : 0, random.nextInt(20) == 0, streamed));
     }
 
-    private void outcome(int which, Outcome outcome) {
-        Out attempt = out.remove(which);
-        boolean closed = outcome == Outcome.OK || answered.contains(attempt.request);
+    private void endAttempt(int index, Outcome outcome) {
+        ActiveAttempt attempt = activeAttempts.remove(index);
+        boolean closed = outcome == Outcome.OK || answered.contains(attempt.requestId);
         if (outcome == Outcome.OK) {
-            answered.add(attempt.request);
+            answered.add(attempt.requestId);
         }
         LoadReport report = random.nextInt(6) > 0 ? null
             : new LoadReport(1, random.nextInt(4) == 0 ? 2 : 0, Double.NaN, Double.NaN, Double.NaN,
                 Double.NaN);
-        module.onOutcome(now, attempt.request, attempt.attempt, attempt.backend, outcome,
+        balancer.onOutcome(now, attempt.requestId, attempt.attempt, attempt.backend, outcome,
             Math.max(1, now - attempt.sentAt), closed, report);
     }
 
-    private Outcome some() {
+    private Outcome randomOutcome() {
         return random.nextInt(5) > 0 ? Outcome.OK : Outcome.values()[random.nextInt(Outcome.values().length)];
     }
 
-    private void fleet() {
+    private void reportFleetView() {
         int proxies = 1 + random.nextInt(settings.proxies() + 1);
-        double least = 0.5 / proxies;
-        module.onFleetView(now, new FleetView(proxies, random.nextInt(proxies), Math.min(1, least * 2), least,
-            Agreement.values()[random.nextInt(3)], random.nextInt(3) == 0 ? 2 * SECOND : random.nextInt(900)
-            * MS, 0));
+        double minShare = 0.5 / proxies;
+        balancer.onFleetView(now, new FleetView(proxies, random.nextInt(proxies), Math.min(1, minShare * 2),
+            minShare, Agreement.values()[random.nextInt(3)],
+            random.nextInt(3) == 0 ? 2 * SECOND : random.nextInt(900) * MS, 0));
     }
 
-    private void budgets() {
-        telling += random.nextInt(3) - (random.nextInt(5) == 0 ? 2 : 0);
-        module.onBudgetShares(now, Math.max(0, telling), now + random.nextInt(3) * SECOND,
+    private void reportBudgetShares() {
+        budgetVersion += random.nextInt(3) - (random.nextInt(5) == 0 ? 2 : 0);
+        balancer.onBudgetShares(now, Math.max(0, budgetVersion), now + random.nextInt(3) * SECOND,
             List.of(new BudgetShare(BudgetBuckets.REDUNDANT, random.nextInt(50), 20, random.nextInt(10)),
                 new BudgetShare(BudgetBuckets.TENANT_PREFIX + "t0", random.nextInt(90), 30, 5)));
-        module.budgetUsage(now).forEach(use -> note("use " + use));
+        balancer.budgetUsage(now).forEach(usage -> record("use " + usage));
     }
 
-    private void step() {
-        int what = random.nextInt(1000);
-        if (what < 430) {
-            request();
-        } else if (what < 860 && !out.isEmpty()) {
-            int which = random.nextInt(3) > 0 ? 0 : random.nextInt(out.size());
-            outcome(which, some());
-        } else if (what < 900) {
-            members(ListUpdateType.DELTA);
-        } else if (what < 908) {
-            members(ListUpdateType.OPERATED);
-        } else if (what < 915) {
-            members(ListUpdateType.FULL);
-        } else if (what < 920) {
-            module.onBackendList(now, ListUpdateType.FAILED, List.of());
-        } else if (what < 940) {
-            fleet();
-        } else if (what < 945) {
-            budgets();
-        } else if (what < 960 && !out.isEmpty()) {
-            Out attempt = out.get(random.nextInt(out.size()));
-            answered.add(attempt.request);
-            module.onStreamStart(now, attempt.request, attempt.attempt, attempt.backend,
+    private void randomEvent() {
+        int choice = random.nextInt(1000);
+        if (choice < 430) {
+            sendRequest();
+        } else if (choice < 860 && !activeAttempts.isEmpty()) {
+            int index = random.nextInt(3) > 0 ? 0 : random.nextInt(activeAttempts.size());
+            endAttempt(index, randomOutcome());
+        } else if (choice < 900) {
+            updateBackends(ListUpdateType.DELTA);
+        } else if (choice < 908) {
+            updateBackends(ListUpdateType.OPERATED);
+        } else if (choice < 915) {
+            updateBackends(ListUpdateType.FULL);
+        } else if (choice < 920) {
+            balancer.onBackendList(now, ListUpdateType.FAILED, List.of());
+        } else if (choice < 940) {
+            reportFleetView();
+        } else if (choice < 945) {
+            reportBudgetShares();
+        } else if (choice < 960 && !activeAttempts.isEmpty()) {
+            ActiveAttempt attempt = activeAttempts.get(random.nextInt(activeAttempts.size()));
+            answered.add(attempt.requestId);
+            balancer.onStreamStart(now, attempt.requestId, attempt.attempt, attempt.backend,
                 now - attempt.sentAt);
-        } else if (what < 970 && requests > 0) {
-            module.onClientDisconnected(now, "r" + Math.max(0, requests - 1 - random.nextInt(4)));
-        } else if (what < 980) {
-            module.onPeerMessage(now, random.nextInt(settings.proxies() + 1),
+        } else if (choice < 970 && requests > 0) {
+            balancer.onClientDisconnected(now, "r" + Math.max(0, requests - 1 - random.nextInt(4)));
+        } else if (choice < 980) {
+            balancer.onPeerMessage(now, random.nextInt(settings.proxies() + 1),
                 random.nextInt(5) == 0 ? "x" : random.nextInt(90) + " " + random.nextInt(90));
-        } else if (what < 990) {
-            String status = module.status(now);
-            note("status " + (size <= SHOWN ? status : status.split(" \\[", 2)[0]));
+        } else if (choice < 990) {
+            String status = balancer.status(now);
+            record("status " + (size <= MAX_LISTED_BACKENDS ? status : status.split(" \\[", 2)[0]));
         }
     }
 
-    private long pause() {
+    private long randomPause() {
         return switch (random.nextInt(60)) {
             case 0 -> random.nextInt(4) * SECOND;
             case 1, 2, 3 -> random.nextInt(300) * MS;
@@ -245,79 +248,80 @@
         };
     }
 
-    /** Plays it all, and returns a line with its checksum and what it consisted of. */
+    /** Runs all events and returns checksum, backends, proxies, recorded lines and sends. */
     String play() {
         for (int i = 0; i < size; i++) {
-            Backend entry = backend(id());
-            list.put(entry.id(), entry);
+            Backend entry = randomBackend(randomId());
+            backends.put(entry.id(), entry);
         }
-        members(ListUpdateType.CACHED);
+        updateBackends(ListUpdateType.CACHED);
         for (int i = 0; i < EVENTS; i++) {
-            long until = now + pause();
+            long until = now + randomPause();
             while (!timers.isEmpty() && timers.peek().due <= until) {
                 Timer timer = timers.poll();
                 now = Math.max(now, timer.due);
-                module.onTimer(now, timer.token);
+                balancer.onTimer(now, timer.token);
             }
             now = until;
-            step();
+            randomEvent();
         }
         return HexFormat.of().formatHex(digest.digest(), 0, 12) + " " + size + " " + settings.proxies() + " "
             + actions + " " + sends;
     }
 
-    private void note(String text) {
+    private void record(String text) {
         digest.update((now + " " + text + "\n").getBytes(StandardCharsets.UTF_8));
         actions++;
     }
 
     @Override
     public void send(String requestId, long backend, long timeout) {
-        note("send " + requestId + " " + backend + " " + timeout);
-        out.add(new Out(requestId, attempts.merge(requestId, 1, Integer::sum) - 1, backend, now));
+        record("send " + requestId + " " + backend + " " + timeout);
+        activeAttempts.add(new ActiveAttempt(requestId, attempts.merge(requestId, 1, Integer::sum) - 1,
+            backend, now));
         sends++;
     }
 
     @Override
     public void cancel(String requestId, int attempt) {
-        note("cancel " + requestId + " " + attempt);
+        record("cancel " + requestId + " " + attempt);
     }
 
     @Override
     public void refuse(String requestId, long retryAfter) {
-        note("refuse " + requestId + " " + retryAfter);
+        record("refuse " + requestId + " " + retryAfter);
         answered.add(requestId);
     }
 
     @Override
     public void fail(String requestId) {
-        note("fail " + requestId);
+        record("fail " + requestId);
         answered.add(requestId);
     }
 
     @Override
     public void setTimer(long delay, long token) {
-        note("timer " + delay + " " + token);
-        timers.add(new Timer(now + delay, set++, token));
+        record("timer " + delay + " " + token);
+        timers.add(new Timer(now + delay, timersSet++, token));
     }
 
     @Override
     public void probe(long backend) {
-        note("probe " + backend);
+        record("probe " + backend);
     }
 
     @Override
     public void closeIdleConnections(long backend) {
-        note("hangUp " + backend);
+        record("hangUp " + backend);
     }
 
     @Override
     public void subscribe() {
-        note("subscribe");
+        record("subscribe");
     }
 
     @Override
     public void broadcastToPeers(String message) {
-        note("tell " + message);
+        record("tell " + message);
     }
 }
--- a/decision/src/test/java/dockrelay/Host.java
+++ b/decision/src/test/java/dockrelay/Host.java
@@ -14,13 +14,14 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** A host for tests: it records the module's actions and keeps its timers. It models no servers. */
+/** A host for tests: records the policy's actions and keeps its timers, but does not model backends. */
 final class Host implements Balancer.Actions {
+    /** One second in microseconds, the unit of all times. */
     static final long SECOND = 1_000_000;
     static final long MS = 1_000;
 
     final List<String> actions = new ArrayList<>();
-    final Map<String, List<Long>> sends = new LinkedHashMap<>();
+    final Map<String, List<Long>> sends = new LinkedHashMap<>(); // backends of each request's attempts
     final Map<String, List<Integer>> cancels = new LinkedHashMap<>();
     final List<String> refused = new ArrayList<>();
     final List<String> failed = new ArrayList<>();
@@ -28,35 +29,36 @@
     final TreeMap<Long, List<Long>> timers = new TreeMap<>();
     int subscriptions;
     int probes;
-    private int easy;
-    int seen;
-    final Map<String, Integer> numbers = new LinkedHashMap<>();
-    final Set<String> served = new java.util.HashSet<>();
+    private int quickRequests;
+    int processedActions;
+    final Map<String, Integer> attemptCounts = new LinkedHashMap<>();
+    final Set<String> answered = new java.util.HashSet<>();
     long now = 1000 * SECOND;
     Balancer balancer;
 
-    static Balancer.ServiceClass service(String name, Idempotency idempotency, DedupScope scope) {
+    static Balancer.ServiceClass serviceClass(String name, Idempotency idempotency, DedupScope scope) {
         return new Balancer.ServiceClass(name, 200 * MS, 0, 600 * MS, idempotency, scope, 400 * MS, 0.2,
             null, null);
     }
 
-    /** A safe class that is open to some zones and kinds only. */
-    static Balancer.ServiceClass bound(String name, Set<String> zones, Set<String> kinds) {
+    /** An idempotent class that may use some zones and kinds of backends only. */
+    static Balancer.ServiceClass restrictedClass(String name, Set<String> zones, Set<String> kinds) {
         return new Balancer.ServiceClass(name, 200 * MS, 0, 600 * MS, Idempotency.IDEMPOTENT, DedupScope.ALL,
             400 * MS, 0.2, zones, kinds);
     }
 
-    /** Settings with each kind of class: safe, unsafe, three keyed ones, and two that are bound to places. */
-    static Balancer.Settings settings(Balancer.Limits limits, boolean asked, List<Balancer.Tenant> tenants) {
+    /** Settings with an idempotent, an at-most-once, three deduplicated and two restricted classes. */
+    static Balancer.Settings settings(Balancer.Limits limits, boolean mustSubscribe,
+        List<Balancer.Tenant> tenants) {
         return new Balancer.Settings(4, 0, "a",
-            List.of(service("safe", Idempotency.IDEMPOTENT, DedupScope.ALL),
-                service("unsafe", Idempotency.AT_MOST_ONCE, DedupScope.ALL),
-                service("keyed-all", Idempotency.DEDUPLICATED, DedupScope.ALL),
-                service("keyed-zone", Idempotency.DEDUPLICATED, DedupScope.ZONE),
-                service("keyed-cell", Idempotency.DEDUPLICATED, DedupScope.CELL),
-                bound("bound", Set.of("a"), Set.of("small")),
-                bound("nowhere", null, Set.of("unheard of"))),
-            tenants, asked, limits,
+            List.of(serviceClass("safe", Idempotency.IDEMPOTENT, DedupScope.ALL),
+                serviceClass("unsafe", Idempotency.AT_MOST_ONCE, DedupScope.ALL),
+                serviceClass("keyed-all", Idempotency.DEDUPLICATED, DedupScope.ALL),
+                serviceClass("keyed-zone", Idempotency.DEDUPLICATED, DedupScope.ZONE),
+                serviceClass("keyed-cell", Idempotency.DEDUPLICATED, DedupScope.CELL),
+                restrictedClass("bound", Set.of("a"), Set.of("small")),
+                restrictedClass("nowhere", null, Set.of("unknown"))),
+            tenants, mustSubscribe, limits,
             new Balancer.Rules(0.25, 10 * SECOND, 3, 10 * SECOND, SECOND),
             0);
     }
@@ -65,14 +67,14 @@
         return new Balancer.Limits(4, true, true, true, true);
     }
 
-    static Host of(Balancer.Settings settings, long seed) {
+    static Host create(Balancer.Settings settings, long seed) {
         Host host = new Host();
         host.balancer = new RiqBalancer(settings, seed, host);
         return host;
     }
 
-    static Host usual() {
-        return of(settings(limits(), false, List.of()), 7);
+    static Host createDefault() {
+        return create(settings(limits(), false, List.of()), 7);
     }
 
     static Backend backend(long id, Phase phase, long startedAt) {
@@ -80,8 +82,8 @@
             startedAt);
     }
 
-    /** Warm backends 1 to count, all ready. */
-    Host fleet(int count) {
+    /** Reports warm, ready backends with the ids 1 to count. */
+    Host withBackends(int count) {
         List<Backend> entries = new ArrayList<>();
         for (int id = 1; id <= count; id++) {
             entries.add(backend(id, Phase.READY, 0));
@@ -90,7 +92,7 @@
         return this;
     }
 
-    void change(Backend... entries) {
+    void updateBackends(Backend... entries) {
         balancer.onBackendList(now, ListUpdateType.DELTA, List.of(entries));
     }
 
@@ -98,38 +100,38 @@
         balancer.onRequest(now, new Request(id, serviceClass, null, null, 600 * MS, 0, false));
     }
 
-    void request(String id, String serviceClass, long hint) {
-        balancer.onRequest(now, new Request(id, serviceClass, null, null, 600 * MS, hint, false));
+    void request(String id, String serviceClass, long workHint) {
+        balancer.onRequest(now, new Request(id, serviceClass, null, null, 600 * MS, workHint, false));
     }
 
-    /** A safe request with a hint, answered after this time if it was let through; tells whether it was. */
-    boolean hinted(String id, long hint, long latency) {
-        request(id, "safe", hint);
-        pass(latency);
+    /** Sends an idempotent request with a work hint and, if it is admitted, answers it after the latency. */
+    boolean requestWithHint(String id, long workHint, long latency) {
+        request(id, "safe", workHint);
+        advance(latency);
         if (sends.containsKey(id)) {
-            finish(id, 0, latency);
+            answer(id, 0, latency);
         }
         return sends.containsKey(id);
     }
 
-    void outcome(String id, int attempt, Outcome outcome, long latency) {
+    void endAttempt(String id, int attempt, Outcome outcome, long latency) {
         balancer.onOutcome(now, id, attempt, sentTo(id).get(attempt), outcome, latency, outcome == Outcome.OK,
             null);
     }
 
-    /** A request that is answered well at once, to teach the module what is usual. */
-    void easy(String id, String serviceClass) {
+    /** Sends a request that succeeds quickly, for the policy to learn the usual latency. */
+    void requestAndAnswer(String id, String serviceClass) {
         request(id, serviceClass);
         if (sends.containsKey(id)) {
-            long latency = (14 + easy++ * 7 % 13) * MS;
+            long latency = (14 + quickRequests++ * 7 % 13) * MS;
             now += latency;
-            finish(id, 0, latency);
+            answer(id, 0, latency);
         }
     }
 
-    /** The attempt answers well; all others end as cancelled. */
-    void finish(String id, int winner, long latency) {
-        outcome(id, winner, Outcome.OK, latency);
+    /** Ends one attempt with success, and all others as cancelled. */
+    void answer(String id, int winner, long latency) {
+        endAttempt(id, winner, Outcome.OK, latency);
         for (int i = 0; i < sentTo(id).size(); i++) {
             if (i != winner) {
                 balancer.onOutcome(now, id, i, sentTo(id).get(i), Outcome.CANCELLED, latency, true, null);
@@ -139,13 +141,13 @@
 
     void warmUp(int requests) {
         for (int i = 0; i < requests; i++) {
-            easy("warm-" + i, "safe");
+            requestAndAnswer("warm-" + i, "safe");
         }
     }
 
-    /** Moves the clock, with every timer due on the way. */
-    void pass(long time) {
-        long until = now + time;
+    /** Advances the clock by a duration and runs the timers that expire meanwhile. */
+    void advance(long duration) {
+        long until = now + duration;
         while (!timers.isEmpty() && timers.firstKey() <= until) {
             Map.Entry<Long, List<Long>> due = timers.pollFirstEntry();
             now = Math.max(now, due.getKey());
@@ -160,13 +162,13 @@
         return sends.getOrDefault(id, List.of());
     }
 
-    int answers(String id) {
+    int finalAnswerCount(String id) {
         int count = 0;
-        for (String other : refused) {
-            count += other.equals(id) ? 1 : 0;
+        for (String answeredId : refused) {
+            count += answeredId.equals(id) ? 1 : 0;
         }
-        for (String other : failed) {
-            count += other.equals(id) ? 1 : 0;
+        for (String answeredId : failed) {
+            count += answeredId.equals(id) ? 1 : 0;
         }
         return count;
     }
@@ -209,7 +211,7 @@
 
     @Override
     public void closeIdleConnections(long backend) {
-        actions.add("hangUp " + backend);
+        actions.add("close-idle " + backend);
     }
 
     @Override
--- a/decision/src/test/java/dockrelay/ModuleSizeTest.java
+++ b/decision/src/test/java/dockrelay/ModuleSizeTest.java
@@ -15,39 +15,40 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The operators run no longer module than this. */
+/** Checks the operators' limits on the size of the policy that they run. */
 class ModuleSizeTest {
-    private static final Path TOP = Path.of("..");
-    private static final Pattern POLICY = Pattern.compile("policy = \\[([^\\]]*)\\]");
-    private static final Pattern FILE = Pattern.compile("\"([^\"]+)\"");
+    private static final Path ROOT = Path.of("..");
+    private static final Pattern POLICY_LIST = Pattern.compile("policy = \\[([^\\]]*)\\]");
+    private static final Pattern QUOTED_PATH = Pattern.compile("\"([^\"]+)\"");
 
-    private static Set<String> policy() throws IOException {
-        Matcher list = POLICY.matcher(Files.readString(TOP.resolve("deploy/balancer.toml")));
-        assertTrue(list.find(), "the deploy file names the policy");
+    private static Set<String> policyFiles() throws IOException {
+        Matcher list = POLICY_LIST.matcher(Files.readString(ROOT.resolve("deploy/balancer.toml")));
+        assertTrue(list.find(), "deploy/balancer.toml has no policy list");
         Set<String> files = new TreeSet<>();
-        FILE.matcher(list.group(1)).results().forEach(file -> files.add(file.group(1)));
+        QUOTED_PATH.matcher(list.group(1)).results().forEach(file -> files.add(file.group(1)));
         return files;
     }
 
     @Test
-    void theModuleStaysWithinItsLimits() throws IOException {
+    void policyStaysWithinSizeLimits() throws IOException {
         List<String> lines = new ArrayList<>();
-        for (String file : policy()) {
-            lines.addAll(Files.readAllLines(TOP.resolve(file)));
+        for (String file : policyFiles()) {
+            lines.addAll(Files.readAllLines(ROOT.resolve(file)));
         }
         long count = lines.stream().filter(line -> !line.isBlank()).count();
-        assertTrue(count <= 1200, "lines that are not blank: " + count);
-        assertTrue(lines.stream().allMatch(line -> line.length() <= 110), "columns");
+        assertTrue(count <= 1200, "too many non-blank lines: " + count);
+        assertTrue(lines.stream().allMatch(line -> line.length() <= 110),
+            "a line is longer than 110 columns");
     }
 
-    /** All that decides is counted: each file but the boundary itself. */
+    /** Every file of the module except the interface must count towards the limits. */
     @Test
-    void theDeployFileNamesEachFileOfTheModule() throws IOException {
+    void deployFileNamesEachPolicyFile() throws IOException {
         Set<String> files = new TreeSet<>();
-        try (Stream<Path> found = Files.walk(TOP.resolve("decision/src/main/java"))) {
-            found.filter(file -> file.toString().endsWith(".java") && !file.endsWith("Balancer.java"))
-                .forEach(file -> files.add(TOP.relativize(file).toString()));
+        try (Stream<Path> paths = Files.walk(ROOT.resolve("decision/src/main/java"))) {
+            paths.filter(file -> file.toString().endsWith(".java") && !file.endsWith("Balancer.java"))
+                .forEach(file -> files.add(ROOT.relativize(file).toString()));
         }
-        assertEquals(files, policy());
+        assertEquals(files, policyFiles());
     }
 }
--- a/decision/src/test/java/dockrelay/RuleChecker.java
+++ b/decision/src/test/java/dockrelay/RuleChecker.java
@@ -14,35 +14,40 @@
 import java.util.TreeMap;
 import java.util.stream.Collectors;
 
-/** Watches what one proxy can see of the rules, between a module and its host. It knows no decisions. */
+/**
+ * Checks, between a policy and its host, the rules that can be verified at a single proxy. It does not depend
+ * on how the policy decides.
+ */
 final class RuleChecker implements Balancer.Actions {
+    /** An attempt as sent by the policy. */
     private static final class Attempt {
         long backend;
         long sentAt;
         boolean ended;
-        boolean neverRan;
+        boolean notExecuted;
     }
 
-    /** A drain that this proxy was told of, with the attempts out there then, until all is closed. */
+    /** A drain notice, with the attempts in flight at that time, until all connections are closed. */
     private static final class Drain {
-        long usedAt;
-        final List<Attempt> busy = new ArrayList<>();
+        long lastUsedAt;
+        final List<Attempt> busyAttempts = new ArrayList<>();
     }
 
-    private static final class Held {
+    /** A request with its attempts; {@code deadline} is a time of the clock. */
+    private static final class RequestState {
         Balancer.ServiceClass service;
         long deadline;
-        boolean over;
+        boolean closed;
         final List<Attempt> attempts = new ArrayList<>();
     }
 
-    final List<String> breaches = new ArrayList<>();
+    final List<String> violations = new ArrayList<>();
     private final Balancer.Settings settings;
     private final Balancer.Actions host;
-    private final Map<String, Held> held = new HashMap<>();
-    private final Map<Long, Backend> list = new HashMap<>();
+    private final Map<String, RequestState> requests = new HashMap<>();
+    private final Map<Long, Backend> backends = new HashMap<>();
     private final Map<Long, Drain> drains = new TreeMap<>();
-    private final Set<Long> opened = new HashSet<>();
+    private final Set<Long> connected = new HashSet<>();
     private final Map<Long, List<Long>> coldSends = new HashMap<>();
     long now;
 
@@ -51,163 +56,172 @@
         this.host = host;
     }
 
-    void members(Balancer.ListUpdateType scope, List<Backend> entries) {
-        if (scope == Balancer.ListUpdateType.FULL || scope == Balancer.ListUpdateType.CACHED) {
-            list.clear();
+    void updateBackends(Balancer.ListUpdateType type, List<Backend> entries) {
+        if (type == Balancer.ListUpdateType.FULL || type == Balancer.ListUpdateType.CACHED) {
+            backends.clear();
         }
         for (Backend entry : entries) {
-            list.put(entry.id(), entry);
-            if (entry.phase() == Phase.DRAINING && opened.remove(entry.id())) {
+            backends.put(entry.id(), entry);
+            if (entry.phase() == Phase.DRAINING && connected.remove(entry.id())) {
                 Drain drain = new Drain();
-                drain.usedAt = now;
-                drain.busy.addAll(outAt(entry.id()));
+                drain.lastUsedAt = now;
+                drain.busyAttempts.addAll(attemptsInFlightAt(entry.id()));
                 drains.put(entry.id(), drain);
             }
         }
     }
 
-    private List<Attempt> outAt(long backend) {
-        return held.values().stream().flatMap(h -> h.attempts.stream())
-            .filter(a -> a.backend == backend && !a.ended).collect(Collectors.toList());
+    private List<Attempt> attemptsInFlightAt(long backend) {
+        return requests.values().stream().flatMap(state -> state.attempts.stream())
+            .filter(attempt -> attempt.backend == backend && !attempt.ended).collect(Collectors.toList());
     }
 
-    /** Rule 6, looked at whenever the clock has moved: what was idle there is closed in time. */
-    void clock(long time) {
+    /** Advances the clock and checks that idle connections to draining backends are closed in time. */
+    void advanceTo(long time) {
         now = time;
-        drains.forEach((id, drain) -> breach(drain.busy.isEmpty()
-            && now - drain.usedAt > settings.rules().closeOnDrainWithin(), "left open on a drain: " + id));
+        drains.forEach((id, drain) -> check(drain.busyAttempts.isEmpty()
+            && now - drain.lastUsedAt > settings.rules().closeOnDrainWithin(),
+            "idle connections not closed after a drain notice of backend " + id));
     }
 
-    void request(Balancer.Request request) {
-        Held h = new Held();
+    void addRequest(Balancer.Request request) {
+        RequestState state = new RequestState();
         for (Balancer.ServiceClass service : settings.classes()) {
-            h.service = service.name().equals(request.serviceClass()) ? service : h.service;
+            state.service = service.name().equals(request.serviceClass()) ? service : state.service;
         }
-        h.deadline = now + request.timeBudget();
-        held.put(request.id(), h);
-    }
-
-    void outcome(String id, int attempt, Outcome outcome) {
-        Held h = held.get(id);
-        h.attempts.get(attempt).ended = true;
-        h.attempts.get(attempt).neverRan = outcome.provesNotExecuted();
-        h.over |= outcome == Outcome.OK;
-        Drain drain = drains.get(h.attempts.get(attempt).backend);
-        if (drain != null && drain.busy.remove(h.attempts.get(attempt))) {
-            drain.usedAt = now; // this connection is idle only now
+        state.deadline = now + request.timeBudget();
+        requests.put(request.id(), state);
+    }
+
+    void endAttempt(String id, int attempt, Outcome outcome) {
+        RequestState state = requests.get(id);
+        state.attempts.get(attempt).ended = true;
+        state.attempts.get(attempt).notExecuted = outcome.provesNotExecuted();
+        state.closed |= outcome == Outcome.OK;
+        Drain drain = drains.get(state.attempts.get(attempt).backend);
+        if (drain != null && drain.busyAttempts.remove(state.attempts.get(attempt))) {
+            drain.lastUsedAt = now; // the connection is idle from now on
         }
     }
 
-    void clientGone(String id) {
-        held.get(id).over = true;
+    void clientDisconnected(String id) {
+        requests.get(id).closed = true;
     }
 
-    /** Rule 1 at the end: every request has had its answer. */
-    void finish() {
-        held.forEach((id, h) -> breach(!h.over, "lost " + id));
+    /** Checks at the end that every request has been answered. */
+    void checkAllAnswered() {
+        requests.forEach((id, state) -> check(!state.closed, "not answered: " + id));
     }
 
-    private void breach(boolean broken, String what) {
-        if (broken) {
-            breaches.add(what);
+    private void check(boolean violated, String message) {
+        if (violated) {
+            violations.add(message);
         }
     }
 
     @Override
     public void send(String id, long backend, long timeout) {
-        Held h = held.get(id);
-        breach(h.over, "sent after the end: " + id);
-        Backend to = list.get(backend);
-        breach(to == null || to.phase() != Phase.READY, "sent to a drained backend: " + backend);
-        breach(to != null && !h.service.allows(to.zone(), to.kind()), "sent where not open: " + id);
-        opened.add(backend);
-        breach(h.attempts.size() >= settings.limits().maxAttempts(), "too many attempts: " + id);
-        boolean out = h.attempts.stream().anyMatch(a -> !a.ended);
-        breach(out && !settings.limits().redundantAttempts(), "second copy not permitted: " + id);
-        for (Attempt a : h.attempts) {
-            if (a.neverRan) {
+        RequestState state = requests.get(id);
+        check(state.closed, "attempt sent for a closed request: " + id);
+        Backend target = backends.get(backend);
+        check(target == null || target.phase() != Phase.READY,
+            "attempt sent to a backend that is not ready: " + backend);
+        check(target != null && !state.service.allows(target.zone(), target.kind()),
+            "attempt sent to a backend that the class may not use: " + id);
+        connected.add(backend);
+        check(state.attempts.size() >= settings.limits().maxAttempts(),
+            "more attempts than permitted: " + id);
+        boolean inFlight = state.attempts.stream().anyMatch(attempt -> !attempt.ended);
+        check(inFlight && !settings.limits().redundantAttempts(), "redundant attempt not permitted: " + id);
+        for (Attempt attempt : state.attempts) {
+            if (attempt.notExecuted) {
                 continue;
             }
-            breach(h.service.idempotency() == Idempotency.AT_MOST_ONCE, "unsafe repeated: " + id);
-            if (h.service.idempotency() == Idempotency.DEDUPLICATED) {
-                Backend first = list.getOrDefault(a.backend, to);
-                boolean same = h.service.dedupScope() == DedupScope.ALL
-                    || first.zone().equals(to.zone())
-                    && (h.service.dedupScope() == DedupScope.ZONE || first.cell() == to.cell());
-                breach(!same, "keyed out of its group: " + id);
-                breach(now - a.sentAt > h.service.dedupWindow(), "keyed past its span: " + id);
+            check(state.service.idempotency() == Idempotency.AT_MOST_ONCE,
+                "at-most-once request repeated: " + id);
+            if (state.service.idempotency() == Idempotency.DEDUPLICATED) {
+                Backend firstBackend = backends.getOrDefault(attempt.backend, target);
+                boolean sameScope = state.service.dedupScope() == DedupScope.ALL
+                    || firstBackend.zone().equals(target.zone())
+                    && (state.service.dedupScope() == DedupScope.ZONE
+                    || firstBackend.cell() == target.cell());
+                check(!sameScope, "deduplicated request repeated outside its scope: " + id);
+                check(now - attempt.sentAt > state.service.dedupWindow(),
+                    "deduplicated request repeated after its window: " + id);
             }
         }
-        if (to != null && to.startedAt() > 0 && now - to.startedAt() < settings.rules().warmUpTime()) {
+        if (target != null && target.startedAt() > 0
+            && now - target.startedAt() < settings.rules().warmUpTime()) {
             List<Long> sends = coldSends.computeIfAbsent(backend, key -> new ArrayList<>());
             sends.add(now);
-            sends.removeIf(at -> now - at > FALL_TIME);
-            breach(sends.size() > MOST_COLD_SENDS, "a cold backend pushed: " + sends.size());
+            sends.removeIf(sendTime -> now - sendTime > OVERLOAD_MICROS);
+            check(sends.size() > MAX_COLD_SENDS,
+                "sends to a cold backend within the overload time: " + sends.size());
         }
-        Attempt a = new Attempt();
-        a.backend = backend;
-        a.sentAt = now;
-        h.attempts.add(a);
+        Attempt attempt = new Attempt();
+        attempt.backend = backend;
+        attempt.sentAt = now;
+        state.attempts.add(attempt);
         host.send(id, backend, timeout);
     }
 
-    /** The test moves its clock in steps of up to this length. */
-    private static final long ANSWER_SLACK = 8 * Host.MS;
-    /** What the scripted traffic of the test makes a fair bound: its rate over six backends, times three. */
-    private static final int MOST_COLD_SENDS = 60;
-    private static final long FALL_TIME = Host.SECOND;
+    /** The maximum step of the test's clock, by which an answer may be late. */
+    private static final long ANSWER_SLACK_MICROS = 8 * Host.MS;
+    /** The rate of the test's traffic divided by six backends, times an overload multiple of three. */
+    private static final int MAX_COLD_SENDS = 60;
+    private static final long OVERLOAD_MICROS = Host.SECOND;
 
     @Override
     public void cancel(String id, int attempt) {
-        breach(attempt >= held.get(id).attempts.size(), "cancelled what was never sent: " + id);
-        breach(!settings.limits().mayCancel(), "cancel not permitted");
+        check(attempt >= requests.get(id).attempts.size(), "cancelled an attempt that was not sent: " + id);
+        check(!settings.limits().mayCancel(), "cancelling is not permitted");
         host.cancel(id, attempt);
     }
 
     @Override
     public void refuse(String id, long retryAfter) {
-        Held h = held.get(id);
-        answered(id, h);
-        boolean mayHaveRun = h.attempts.stream().anyMatch(a -> !a.neverRan);
-        breach(mayHaveRun && (h.service.idempotency() == Idempotency.AT_MOST_ONCE
-
-                || h.service.idempotency() == Idempotency.DEDUPLICATED
-                && h.service.dedupScope() != DedupScope.ALL),
-            "refused what may have run: " + id);
+        RequestState state = requests.get(id);
+        checkAnswer(id, state);
+        boolean mayHaveExecuted = state.attempts.stream().anyMatch(attempt -> !attempt.notExecuted);
+        check(mayHaveExecuted && (state.service.idempotency() == Idempotency.AT_MOST_ONCE
+
+                || state.service.idempotency() == Idempotency.DEDUPLICATED
+                && state.service.dedupScope() != DedupScope.ALL),
+            "refused although a backend may have executed it: " + id);
         host.refuse(id, retryAfter);
     }
 
     @Override
     public void fail(String id) {
-        answered(id, held.get(id));
+        checkAnswer(id, requests.get(id));
         host.fail(id);
     }
 
-    private void answered(String id, Held h) {
-        breach(h.over, "answered twice: " + id);
-        breach(now > h.deadline + ANSWER_SLACK, "answered late: " + id);
-        h.over = true;
+    private void checkAnswer(String id, RequestState state) {
+        check(state.closed, "answered twice: " + id);
+        check(now > state.deadline + ANSWER_SLACK_MICROS, "answered after its deadline: " + id);
+        state.closed = true;
     }
 
     @Override
     public void setTimer(long delay, long token) {
-        breach(delay < 0, "timer in the past");
+        check(delay < 0, "timer with a negative delay");
         host.setTimer(delay, token);
     }
 
     @Override
     public void probe(long backend) {
-        breach(!settings.limits().probes(), "probe not permitted");
+        check(!settings.limits().probes(), "probing is not permitted");
         host.probe(backend);
     }
 
     @Override
     public void closeIdleConnections(long backend) {
-        if (drains.containsKey(backend) && drains.get(backend).busy.isEmpty()) {
+        if (drains.containsKey(backend) && drains.get(backend).busyAttempts.isEmpty()) {
             drains.remove(backend);
         }
-        if (outAt(backend).isEmpty()) {
-            opened.remove(backend);
+        if (attemptsInFlightAt(backend).isEmpty()) {
+            connected.remove(backend);
         }
         host.closeIdleConnections(backend);
     }
@@ -219,7 +233,7 @@
 
     @Override
     public void broadcastToPeers(String message) {
-        breach(!settings.limits().peers() || message.length() > 256, "message not permitted");
+        check(!settings.limits().peers() || message.length() > 256, "peer message not permitted or too long");
         host.broadcastToPeers(message);
     }
 }
