--- a/adapter/src/main/java/dockrelay/adapter/Adapter.java
+++ b/adapter/src/main/java/dockrelay/adapter/Adapter.java
@@ -23,23 +23,23 @@
 import java.util.List;
 import java.util.Map;
 
-/** Translates the simulator's wire to the module's events and its actions back. It decides nothing. */
+/** Translates the simulator's messages to events of the policy, and the policy's actions to messages. */
 final class Adapter {
     static final double MICROS_PER_SECOND = 1_000_000;
-    private static final int READ_SIZE = 1 << 16;
-    private static final int SCOPE_FULL = 0;
-    private static final int SCOPE_DELTA = 2;
-    private static final int SCOPE_FAILED = 3;
-    private static final int SCOPE_CACHED = 4;
-    private static final int FLAG_HINT = 1;
+    private static final int INITIAL_BUFFER_BYTES = 1 << 16;
+    private static final int LIST_TYPE_FULL = 0;
+    private static final int LIST_TYPE_DELTA = 2;
+    private static final int LIST_TYPE_FAILED = 3;
+    private static final int LIST_TYPE_CACHED = 4;
+    private static final int FLAG_WORK_HINT = 1;
     private static final int FLAG_RESUBMISSION = 2;
 
     private final InputStream in;
     private final OutputStream out;
-    private final JsonFactory json = new JsonFactory();
+    private final JsonFactory jsonFactory = new JsonFactory();
     private final Map<Long, Instance> instances = new HashMap<>();
     private final ReplyWriter reply = new ReplyWriter();
-    private byte[] buffer = new byte[READ_SIZE];
+    private byte[] buffer = new byte[INITIAL_BUFFER_BYTES];
     private int start;
     private int end;
     private long lineNumber;
@@ -47,9 +47,10 @@
     private boolean inBatch;
     private long now;
 
+    /** A policy of one simulated proxy; a failed one gets no more events. */
     private static final class Instance {
         Balancer balancer;
-        boolean broken;
+        boolean failed;
     }
 
     Adapter(InputStream in, OutputStream out) {
@@ -57,28 +58,29 @@
         this.out = out;
     }
 
-    /** Runs until the input ends; an end within a batch is an error. */
+    /** Handles lines until the input ends. Malformed input, and an end within a batch, throw. */
     void run() throws IOException {
-        int length = nextLine();
+        int length = readNextLine();
         while (length >= 0) {
             if (length > 0) {
                 try {
-                    readLine(start - length - 1, length);
+                    handleLine(start - length - 1, length);
                 } catch (JsonProcessingException e) {
-                    throw new WireException("line " + lineNumber + ": not JSON: " + e.getOriginalMessage());
-                } catch (WireException | IllegalArgumentException e) {
-                    throw new WireException("line " + lineNumber + ": " + e.getMessage());
+                    throw new ProtocolException("line " + lineNumber + ": not JSON: "
+                        + e.getOriginalMessage());
+                } catch (ProtocolException | IllegalArgumentException e) {
+                    throw new ProtocolException("line " + lineNumber + ": " + e.getMessage());
                 }
             }
-            length = nextLine();
+            length = readNextLine();
         }
         if (inBatch) {
-            throw new WireException("line " + lineNumber + ": input ended within a batch");
+            throw new ProtocolException("line " + lineNumber + ": input ended within a batch");
         }
     }
 
-    /** Finds the next line; its bytes end just before {@code start - 1}. Returns -1 at the end of input. */
-    private int nextLine() throws IOException {
+    /** Finds the next line, which ends before {@code start - 1}; returns its length, or -1 at the end. */
+    private int readNextLine() throws IOException {
         int scan = start;
         while (true) {
             while (scan < end && buffer[scan] != '\n') {
@@ -102,7 +104,7 @@
             int read = in.read(buffer, end, buffer.length - end);
             if (read < 0) {
                 if (end > 0) {
-                    throw new WireException("line " + (lineNumber + 1) + ": input ended within a line");
+                    throw new ProtocolException("line " + (lineNumber + 1) + ": input ended within a line");
                 }
                 return -1;
             }
@@ -110,29 +112,29 @@
         }
     }
 
-    private void readLine(int from, int length) throws IOException {
-        parser = json.createParser(buffer, from, length);
+    private void handleLine(int offset, int length) throws IOException {
+        parser = jsonFactory.createParser(buffer, offset, length);
         if (parser.nextToken() != JsonToken.START_ARRAY) {
-            throw new WireException("an array was expected");
+            throw new ProtocolException("expected an array");
         }
-        String event = text();
+        String event = readText();
         if (event == null) {
-            throw new WireException("an event name was expected");
+            throw new ProtocolException("expected the name of an event");
         }
         if ("Turn".equals(event)) {
             if (inBatch) {
-                throw new WireException("Turn within a batch");
+                throw new ProtocolException("Turn within a batch");
             }
-            now = micros();
-            finish();
+            now = readMicros();
+            finishLine();
             inBatch = true;
-            reply.clear();
+            reply.beginReply();
         } else if (!inBatch) {
-            throw new WireException(event + " outside a batch");
+            throw new ProtocolException(event + " outside a batch");
         } else if ("Eob".equals(event)) {
-            finish();
+            finishLine();
             inBatch = false;
-            reply.end(out);
+            reply.sendReply(out);
         } else {
             dispatch(event);
         }
@@ -140,163 +142,163 @@
     }
 
     private void dispatch(String event) throws IOException {
-        long who = whole();
-        reply.instance(who);
+        long instanceId = readLong();
+        reply.setInstance(instanceId);
         switch (event) {
             case "Hello":
-                hello(who);
+                createInstance(instanceId);
                 return;
             case "Destroy":
-                finish();
-                instance(who);
-                instances.remove(who);
+                finishLine();
+                findInstance(instanceId);
+                instances.remove(instanceId);
                 return;
             default:
                 break;
         }
-        Instance instance = instance(who);
+        Instance instance = findInstance(instanceId);
         try {
-            deliver(event, instance.broken ? null : instance.balancer);
-        } catch (WireException | IOException e) {
+            deliverEvent(event, instance.failed ? null : instance.balancer);
+        } catch (ProtocolException | IOException e) {
             throw e;
         } catch (RuntimeException e) {
-            instance.broken = true;
-            reply.panic(String.valueOf(e));
+            instance.failed = true;
+            reply.reportFailure(String.valueOf(e));
             e.printStackTrace();
         }
     }
 
-    private void hello(long who) throws IOException {
-        long seed = whole();
+    private void createInstance(long instanceId) throws IOException {
+        long seed = readLong();
         parser.nextToken();
-        Object profile = Json.readValue(parser);
-        finish();
-        if (!(profile instanceof Map)) {
-            throw new WireException("the settings are not an object");
+        Object settings = Json.readValue(parser);
+        finishLine();
+        if (!(settings instanceof Map)) {
+            throw new ProtocolException("expected an object with the settings");
         }
         Instance instance = new Instance();
-        instance.balancer = new RiqBalancer(SettingsReader.read((Map<?, ?>) profile), seed, reply);
-        instances.put(who, instance);
+        instance.balancer = new RiqBalancer(SettingsReader.read((Map<?, ?>) settings), seed, reply);
+        instances.put(instanceId, instance);
     }
 
-    private Instance instance(long who) {
-        Instance instance = instances.get(who);
+    private Instance findInstance(long instanceId) {
+        Instance instance = instances.get(instanceId);
         if (instance == null) {
-            throw new WireException("unknown instance " + who);
+            throw new ProtocolException("unknown instance " + instanceId);
         }
         return instance;
     }
 
-    /** Decodes one event in full, then hands it over; a broken instance (null) gets nothing more. */
-    private void deliver(String event, Balancer to) throws IOException {
+    /** Reads an event to its end, then delivers it unless {@code balancer} is null (a failed instance). */
+    private void deliverEvent(String event, Balancer balancer) throws IOException {
         switch (event) {
             case "Announce": {
-                ListUpdateType scope = scope((int) whole());
-                whole();
-                List<Backend> entries = entries();
-                finish();
-                if (to != null) {
-                    to.onBackendList(now, scope, entries);
+                ListUpdateType type = toListUpdateType((int) readLong());
+                readLong();
+                List<Backend> entries = readEntries();
+                finishLine();
+                if (balancer != null) {
+                    balancer.onBackendList(now, type, entries);
                 }
                 break;
             }
             case "Knock": {
-                String id = needed(text());
-                String serviceClass = text();
-                String tenant = tenant();
-                String key = text();
-                long budget = micros();
-                long hint = micros();
-                long flags = whole();
-                finish();
-                if (to != null) {
-                    to.onRequest(now, new Request(id, serviceClass, tenant, key, budget,
-                        (flags & FLAG_HINT) != 0 ? hint : 0, (flags & FLAG_RESUBMISSION) != 0));
+                String id = requirePresent(readText());
+                String serviceClass = readText();
+                String tenant = readTenant();
+                String key = readText();
+                long timeBudget = readMicros();
+                long workHint = readMicros();
+                long flags = readLong();
+                finishLine();
+                if (balancer != null) {
+                    balancer.onRequest(now, new Request(id, serviceClass, tenant, key, timeBudget,
+                        (flags & FLAG_WORK_HINT) != 0 ? workHint : 0, (flags & FLAG_RESUBMISSION) != 0));
                 }
                 break;
             }
             case "AckFirst": {
-                String id = needed(text());
-                int attempt = (int) whole();
-                long backend = whole();
-                long lag = micros();
-                finish();
-                if (to != null) {
-                    to.onStreamStart(now, id, attempt, backend, lag);
+                String id = requirePresent(readText());
+                int attempt = (int) readLong();
+                long backend = readLong();
+                long latency = readMicros();
+                finishLine();
+                if (balancer != null) {
+                    balancer.onStreamStart(now, id, attempt, backend, latency);
                 }
                 break;
             }
             case "AttemptEnd": {
-                String id = needed(text());
-                long lag = micros();
-                long backend = whole();
-                boolean closed = bool();
-                int attempt = (int) whole();
-                Outcome outcome = outcome(text());
-                LoadReport report = report();
-                finish();
-                if (to != null) {
-                    to.onOutcome(now, id, attempt, backend, outcome, lag, closed, report);
+                String id = requirePresent(readText());
+                long latency = readMicros();
+                long backend = readLong();
+                boolean closed = readBoolean();
+                int attempt = (int) readLong();
+                Outcome outcome = toOutcome(readText());
+                LoadReport report = readLoadReport();
+                finishLine();
+                if (balancer != null) {
+                    balancer.onOutcome(now, id, attempt, backend, outcome, latency, closed, report);
                 }
                 break;
             }
             case "ClientLeft": {
-                String id = needed(text());
-                finish();
-                if (to != null) {
-                    to.onClientDisconnected(now, id);
+                String id = requirePresent(readText());
+                finishLine();
+                if (balancer != null) {
+                    balancer.onClientDisconnected(now, id);
                 }
                 break;
             }
             case "Reminder": {
-                long token = whole();
-                finish();
-                if (to != null) {
-                    to.onTimer(now, token);
+                long token = readLong();
+                finishLine();
+                if (balancer != null) {
+                    balancer.onTimer(now, token);
                 }
                 break;
             }
             case "Pong": {
-                long backend = whole();
-                Outcome outcome = outcome(text());
-                long lag = micros();
-                LoadReport report = report();
-                finish();
-                if (to != null) {
-                    to.onProbeResult(now, backend, outcome, lag, report);
+                long backend = readLong();
+                Outcome outcome = toOutcome(readText());
+                long latency = readMicros();
+                LoadReport report = readLoadReport();
+                finishLine();
+                if (balancer != null) {
+                    balancer.onProbeResult(now, backend, outcome, latency, report);
                 }
                 break;
             }
             case "Datagram": {
-                int from = (int) whole();
-                String message = text();
-                finish();
-                if (to != null) {
-                    to.onPeerMessage(now, from, message == null ? "" : message);
+                int from = (int) readLong();
+                String message = readText();
+                finishLine();
+                if (balancer != null) {
+                    balancer.onPeerMessage(now, from, message == null ? "" : message);
                 }
                 break;
             }
             default:
-                throw new WireException("unknown event " + event);
+                throw new ProtocolException("unknown event " + event);
         }
     }
 
-    private static ListUpdateType scope(int code) {
+    private static ListUpdateType toListUpdateType(int code) {
         switch (code) {
-            case SCOPE_FULL:
+            case LIST_TYPE_FULL:
                 return ListUpdateType.FULL;
-            case SCOPE_DELTA:
+            case LIST_TYPE_DELTA:
                 return ListUpdateType.DELTA;
-            case SCOPE_FAILED:
+            case LIST_TYPE_FAILED:
                 return ListUpdateType.FAILED;
-            case SCOPE_CACHED:
+            case LIST_TYPE_CACHED:
                 return ListUpdateType.CACHED;
             default:
-                throw new WireException("unknown scope " + code);
+                throw new ProtocolException("unknown type of list update " + code);
         }
     }
 
-    private static Outcome outcome(String code) {
+    private static Outcome toOutcome(String code) {
         switch (code == null ? "" : code) {
             case "Ok":
                 return Outcome.OK;
@@ -315,52 +317,52 @@
             case "Ignored":
                 return Outcome.NOT_SENT;
             default:
-                throw new WireException("unknown outcome " + code);
+                throw new ProtocolException("unknown outcome " + code);
         }
     }
 
-    private List<Backend> entries() throws IOException {
+    private List<Backend> readEntries() throws IOException {
         List<Backend> entries = new ArrayList<>();
-        JsonToken token = next();
+        JsonToken token = nextToken();
         if (token == JsonToken.VALUE_NULL || token == JsonToken.END_ARRAY) {
             return entries;
         }
         if (token != JsonToken.START_ARRAY) {
-            throw new WireException("a list of entries was expected");
+            throw new ProtocolException("expected a list of entries");
         }
         while (parser.nextToken() == JsonToken.START_ARRAY) {
-            long id = whole();
-            String zone = text();
-            String kind = text();
-            long cell = whole();
-            int phase = (int) whole();
-            double weight = number();
-            long started = micros();
-            if (phase < 0 || phase > 2) {
-                throw new WireException("unknown phase " + phase);
+            long id = readLong();
+            String zone = readText();
+            String kind = readText();
+            long cell = readLong();
+            int phaseCode = (int) readLong();
+            double weight = readNumber();
+            long startedAt = readMicros();
+            if (phaseCode < 0 || phaseCode > 2) {
+                throw new ProtocolException("unknown phase " + phaseCode);
             }
-            Phase known = phase == 1 ? Phase.READY : phase == 2 ? Phase.DRAINING : Phase.GONE;
+            Phase phase = phaseCode == 1 ? Phase.READY : phaseCode == 2 ? Phase.DRAINING : Phase.GONE;
             entries.add(new Backend(id, zone == null ? "" : zone, kind == null ? "" : kind, cell,
-                known, weight, started));
-            skipRest();
+                phase, weight, startedAt));
+            skipRestOfArray();
         }
         return entries;
     }
 
-    private LoadReport report() throws IOException {
-        JsonToken token = next();
+    private LoadReport readLoadReport() throws IOException {
+        JsonToken token = nextToken();
         if (token != JsonToken.START_OBJECT) {
             if (token == JsonToken.START_ARRAY) {
-                skipRest();
+                skipRestOfArray();
             }
             return null;
         }
         double outstanding = Double.NaN;
         double queued = Double.NaN;
         double utilization = Double.NaN;
-        double latency = Double.NaN;
+        double latencyMs = Double.NaN;
         double throughput = Double.NaN;
-        double errors = Double.NaN;
+        double errorsPerSecond = Double.NaN;
         while (parser.nextToken() == JsonToken.FIELD_NAME) {
             String name = parser.currentName();
             parser.nextToken();
@@ -380,87 +382,87 @@
                     utilization = value;
                     break;
                 case "recent_ms":
-                    latency = value;
+                    latencyMs = value;
                     break;
                 case "throughput":
                     throughput = value;
                     break;
                 case "errors_per_s":
-                    errors = value;
+                    errorsPerSecond = value;
                     break;
                 default:
                     break;
             }
         }
-        return new LoadReport(outstanding, queued, utilization, latency, throughput, errors);
+        return new LoadReport(outstanding, queued, utilization, latencyMs, throughput, errorsPerSecond);
     }
 
-    private JsonToken next() throws IOException {
+    private JsonToken nextToken() throws IOException {
         return parser.currentToken() == JsonToken.END_ARRAY ? JsonToken.END_ARRAY : parser.nextToken();
     }
 
-    private String text() throws IOException {
-        JsonToken token = next();
+    private String readText() throws IOException {
+        JsonToken token = nextToken();
         if (token == JsonToken.VALUE_STRING) {
             return parser.getText();
         }
         if (token == JsonToken.VALUE_NULL || token == JsonToken.END_ARRAY) {
             return null;
         }
-        throw new WireException("text was expected, not " + token);
+        throw new ProtocolException("expected a string, got " + token);
     }
 
-    /** A tenant's name; a site without tenants may send 0. */
-    private String tenant() throws IOException {
-        JsonToken token = next();
+    /** Reads a tenant's name; null for 0, which sites without tenants may send. */
+    private String readTenant() throws IOException {
+        JsonToken token = nextToken();
         return token == JsonToken.VALUE_STRING ? parser.getText() : null;
     }
 
-    private static String needed(String text) {
+    private static String requirePresent(String text) {
         if (text == null) {
-            throw new WireException("a value is missing");
+            throw new ProtocolException("missing value");
         }
         return text;
     }
 
-    private double number() throws IOException {
-        JsonToken token = next();
+    private double readNumber() throws IOException {
+        JsonToken token = nextToken();
         if (token == JsonToken.VALUE_NUMBER_INT || token == JsonToken.VALUE_NUMBER_FLOAT) {
             return parser.getDoubleValue();
         }
         if (token == JsonToken.VALUE_NULL || token == JsonToken.END_ARRAY) {
             return 0;
         }
-        throw new WireException("a number was expected, not " + token);
+        throw new ProtocolException("expected a number, got " + token);
     }
 
-    private long whole() throws IOException {
-        if (next() == JsonToken.VALUE_NUMBER_INT) {
+    private long readLong() throws IOException {
+        if (nextToken() == JsonToken.VALUE_NUMBER_INT) {
             return parser.getNumberType() == JsonParser.NumberType.BIG_INTEGER
                 ? parser.getBigIntegerValue().longValue() : parser.getLongValue();
         }
-        throw new WireException("a whole number was expected, not " + parser.currentToken());
+        throw new ProtocolException("expected a whole number, got " + parser.currentToken());
     }
 
-    private long micros() throws IOException {
-        return Math.round(number() * MICROS_PER_SECOND);
+    private long readMicros() throws IOException {
+        return Math.round(readNumber() * MICROS_PER_SECOND);
     }
 
-    private boolean bool() throws IOException {
-        JsonToken token = next();
+    private boolean readBoolean() throws IOException {
+        JsonToken token = nextToken();
         if (token != JsonToken.VALUE_TRUE && token != JsonToken.VALUE_FALSE) {
-            throw new WireException("true or false was expected, not " + token);
+            throw new ProtocolException("expected true or false, got " + token);
         }
         return token == JsonToken.VALUE_TRUE;
     }
 
-    /** Passes over values that later versions of the wire may add to the current array. */
-    private void skipRest() throws IOException {
+    /** Skips values that later protocol versions may add at the end of the current array. */
+    private void skipRestOfArray() throws IOException {
         JsonToken token = parser.currentToken();
         while (token != JsonToken.END_ARRAY) {
             token = parser.nextToken();
             if (token == null) {
-                throw new WireException("the line is cut short");
+                throw new ProtocolException("line is truncated");
             }
             if (token == JsonToken.START_ARRAY || token == JsonToken.START_OBJECT) {
                 parser.skipChildren();
@@ -469,15 +471,15 @@
         }
     }
 
-    /** Reads to the end of the line before anything is acted on. */
-    private void finish() throws IOException {
+    /** Reads to the end of the line, so that no part of a malformed line takes effect. */
+    private void finishLine() throws IOException {
         if (parser.currentToken() == JsonToken.END_ARRAY && parser.getParsingContext().inRoot()) {
             return;
         }
         JsonToken token = parser.nextToken();
         while (!(token == JsonToken.END_ARRAY && parser.getParsingContext().inRoot())) {
             if (token == null) {
-                throw new WireException("the line is cut short");
+                throw new ProtocolException("line is truncated");
             }
             if (token == JsonToken.START_ARRAY || token == JsonToken.START_OBJECT) {
                 parser.skipChildren();
@@ -485,7 +487,7 @@
             token = parser.nextToken();
         }
         if (parser.nextToken() != null) {
-            throw new WireException("more than one value on the line");
+            throw new ProtocolException("more than one value in the line");
         }
     }
 }
--- a/adapter/src/main/java/dockrelay/adapter/Main.java
+++ b/adapter/src/main/java/dockrelay/adapter/Main.java
@@ -5,7 +5,7 @@
 import java.io.FileOutputStream;
 import java.io.IOException;
 
-/** Starts the adapter on standard input and output. */
+/** Runs the adapter on standard input and output. */
 public final class Main {
     private Main() {
     }
@@ -18,7 +18,7 @@
         try {
             FileInputStream in = new FileInputStream(FileDescriptor.in);
             new Adapter(in, new FileOutputStream(FileDescriptor.out)).run();
-        } catch (WireException | IOException e) {
+        } catch (ProtocolException | IOException e) {
             System.err.println("dockrelay: " + e.getMessage());
             System.exit(1);
         }
--- a/adapter/src/main/java/dockrelay/adapter/ReplyWriter.java
+++ b/adapter/src/main/java/dockrelay/adapter/ReplyWriter.java
@@ -9,55 +9,55 @@
 import java.io.OutputStream;
 import java.io.UncheckedIOException;
 
-/** Writes the module's actions as lines of the wire, for the instance at hand. */
+/** Writes the actions of policies as messages to the simulator, for the current instance. */
 final class ReplyWriter implements Balancer.Actions {
-    private static final byte[] END = "[\"End\"]\n".getBytes(java.nio.charset.StandardCharsets.US_ASCII);
+    private static final byte[] END_LINE = "[\"End\"]\n".getBytes(java.nio.charset.StandardCharsets.US_ASCII);
 
-    private final ByteArrayOutputStream bytes = new ByteArrayOutputStream(1 << 16);
+    private final ByteArrayOutputStream buffer = new ByteArrayOutputStream(1 << 16);
     private final JsonGenerator json;
-    private long who;
+    private long instanceId;
 
     ReplyWriter() {
         try {
-            json = new JsonFactory().createGenerator(bytes);
+            json = new JsonFactory().createGenerator(buffer);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
         json.setPrettyPrinter(new MinimalPrettyPrinter(""));
     }
 
-    /** Names the instance that acts from here on. */
-    void instance(long instance) {
-        who = instance;
+    /** Sets the instance to which the following actions belong. */
+    void setInstance(long id) {
+        instanceId = id;
     }
 
-    /** Begins the reply to a batch. */
-    void clear() {
-        bytes.reset();
+    /** Begins the reply to a batch of events. */
+    void beginReply() {
+        buffer.reset();
     }
 
-    /** Writes the whole reply at once, so that a fault within a batch leaves nothing half-written. */
-    void end(OutputStream out) throws IOException {
+    /** Ends the reply and writes all of it at once, so that an error in a batch leaves no partial reply. */
+    void sendReply(OutputStream out) throws IOException {
         json.flush();
-        bytes.write(END);
-        bytes.writeTo(out);
+        buffer.write(END_LINE);
+        buffer.writeTo(out);
         out.flush();
-        bytes.reset();
+        buffer.reset();
     }
 
-    /** Declares the instance broken. */
-    void panic(String text) {
-        line("Panic", null, text);
+    /** Reports that the instance has failed with an exception. */
+    void reportFailure(String text) {
+        writeAction("Panic", null, text);
     }
 
     @Override
     public void send(String requestId, long backend, long timeout) {
         try {
-            open("SubmitTo");
+            beginAction("SubmitTo");
             json.writeString(requestId);
             json.writeNumber(backend);
             json.writeNumber(timeout / Adapter.MICROS_PER_SECOND);
-            close();
+            endAction();
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
@@ -65,26 +65,26 @@
 
     @Override
     public void cancel(String requestId, int attempt) {
-        line("CallOff", requestId, (long) attempt);
+        writeAction("CallOff", requestId, (long) attempt);
     }
 
     @Override
     public void refuse(String requestId, long retryAfter) {
-        line("TurnAway", requestId, retryAfter / Adapter.MICROS_PER_SECOND);
+        writeAction("TurnAway", requestId, retryAfter / Adapter.MICROS_PER_SECOND);
     }
 
     @Override
     public void fail(String requestId) {
-        line("EndFailed", requestId, null);
+        writeAction("EndFailed", requestId, null);
     }
 
     @Override
     public void setTimer(long delay, long token) {
         try {
-            open("Sleep");
+            beginAction("Sleep");
             json.writeNumber(delay / Adapter.MICROS_PER_SECOND);
             json.writeNumber(token);
-            close();
+            endAction();
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
@@ -92,34 +92,34 @@
 
     @Override
     public void probe(long backend) {
-        line("SoundOut", null, backend);
+        writeAction("SoundOut", null, backend);
     }
 
     @Override
     public void closeIdleConnections(long backend) {
-        line("HangUp", null, backend);
+        writeAction("HangUp", null, backend);
     }
 
     @Override
     public void subscribe() {
-        line("KeepInformed", null, Boolean.TRUE);
+        writeAction("KeepInformed", null, Boolean.TRUE);
     }
 
     @Override
     public void broadcastToPeers(String message) {
         try {
-            open("Post");
+            beginAction("Post");
             json.writeNull();
             json.writeString(message);
-            close();
+            endAction();
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
 
-    private void line(String action, String requestId, Object value) {
+    private void writeAction(String action, String requestId, Object value) {
         try {
-            open(action);
+            beginAction(action);
             if (requestId != null) {
                 json.writeString(requestId);
             }
@@ -132,19 +132,19 @@
             } else if (value != null) {
                 json.writeString(value.toString());
             }
-            close();
+            endAction();
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
 
-    private void open(String action) throws IOException {
+    private void beginAction(String action) throws IOException {
         json.writeStartArray();
         json.writeString(action);
-        json.writeNumber(who);
+        json.writeNumber(instanceId);
     }
 
-    private void close() throws IOException {
+    private void endAction() throws IOException {
         json.writeEndArray();
         json.writeRaw('\n');
     }
--- a/decision/src/main/java/dockrelay/Balancer.java
+++ b/decision/src/main/java/dockrelay/Balancer.java
@@ -236,7 +236,7 @@
     }
 
     /** A new view of the fleet; without any, the number of proxies in the settings is used. */
-    void onFleetView(long now, FleetView fleet);
+    void onFleetView(long now, FleetView view);
 
     /**
      * This proxy's shares of the fleet-wide budgets, which expire at {@code until}. A version that is already
--- a/decision/src/main/java/dockrelay/RiqBalancer.java
+++ b/decision/src/main/java/dockrelay/RiqBalancer.java
@@ -30,7 +30,7 @@
     /** Score that ejects; it must also exceed the mean by the margin, as in overload all backends fail. */
     private static final double EJECT_SCORE = 0.6, EJECT_MARGIN = 0.35, MAX_EJECT_SCORE = 0.9;
     private static final double TRIAL_SCORE = 0.5; // after an ejection: a failure ejects, a success restores
-    /** The first ejection lasts this many mean targets and sends to a backend; later ones double. */
+    /** The first ejection lasts at least this many mean targets and sends to a backend; later ones double. */
     private static final double EJECT_TARGETS = 4, EJECT_SENDS = 8, MAX_EJECT_TARGETS = 64;
     private static final double EJECT_AFTER = 2; // mean targets of failures only: one pause can cause many
     private static final double RECONNECT_TARGETS = 16; // first backoff, long enough at two requests a second
@@ -48,7 +48,7 @@
     private static final double LIMIT_TARGET_SHARE = 0.5, LIMIT_DEVIATIONS = 2;
     /** The latency that the limit allows is also bounded by these multiples of the lowest median seen. */
     private static final double MAX_LIMIT_MEDIANS = 3, MIN_LIMIT_MEDIANS = 1.4;
-    private static final double MIN_MEDIAN_RISE = 0.0005; // per answer: one quiet time must not bind for ever
+    private static final double MIN_MEDIAN_RISE = 0.0005; // per answer: a quiet period must not bind forever
     private static final double OVER_QUOTA_SHED_FACTOR = 10; // times the shed share: lower priority, not none
     // Shed share: step per answer (0 to 1 takes about 100), and maximum, as admitted requests test the load.
     private static final double SHED_STEP = 0.01, MAX_SHED = 0.95;
@@ -62,7 +62,7 @@
     private static final double COLD_LOAD_SHARE = 0.7; // of the overload multiple of its share of answers
     // A token to send to a cold backend lapses after this share of the overload time, else many proxies'
     // saved tokens would be spent in one burst in a surge. In any overload time all proxies then send at most
-    // (1 + this share) of COLD_LOAD_SHARE of the limit, apart from chance. Also bounds the tokens saved.
+    // (1 + this share) of COLD_LOAD_SHARE of the limit, apart from chance. More than one spare token is lost.
     private static final double COLD_TOKEN_LIFE = 0.4, MAX_SAVED_TOKENS = 1;
     private static final double COLD_SAMPLE_FACTOR = 2; // times the minimum capacity: most warm up sooner
     private static final double RETRY_AFTER_TARGETS = 0.1; // mean retry-after: early enough for the target
@@ -92,7 +92,7 @@
     private int openCount, totalInFlight, failedCalls;
     private int overLimit, shedCount, noBackend, gaveUp, copiesSent, hedgesSent, retriesSent, ejections;
 
-    /** Token bucket for this proxy's part of a tenant's quota, and the demand seen here. */
+    /** Token bucket for this proxy's part of a tenant's quota, and the demand seen here, all per second. */
     private static final class TenantState {
         double quota, quotaShare, demand, tokens, newRequests;
         long refilledAt;
@@ -358,7 +358,7 @@
         if (count > 0) {
             return count;
         }
-        // Avoids failing a request if no drawn backend is usable: takes the first usable, else allowed one.
+        // If no drawn backend is usable, takes the first usable one, or an allowed one, instead of failing.
         boolean found = false;
         for (int i = 0; i < Math.min(BackendPools.MAX_FALLBACKS, pool.size) && !found; i++) {
             BackendState backend = pool.candidates.get(i).state();
@@ -652,7 +652,7 @@
 
     private static double allowedMedian(double target, double minMedian) {
         double latency = Math.min(target * LIMIT_TARGET_SHARE, minMedian * MAX_LIMIT_MEDIANS);
-        // Prevents shedding for ever where the work alone takes that much of the target.
+        // Prevents permanent shedding where the work alone takes that much of the target.
         return Math.max(latency, Math.min(target * MAX_OVERDUE_SHARE, minMedian * MIN_LIMIT_MEDIANS));
     }
 
--- a/decision/src/test/java/dockrelay/ColdBackendLoadTest.java
+++ b/decision/src/test/java/dockrelay/ColdBackendLoadTest.java
@@ -139,8 +139,8 @@
             int scheduledIn = incarnation;
             schedule(now + latency, time -> {
                 if (scheduledIn == incarnation && ended.putIfAbsent(id + "/" + attempt, true) == null) {
-                    boolean first = outcome == Outcome.OK && ended.putIfAbsent(id, true) == null;
-                    balancer.onOutcome(time, id, attempt, backend, outcome, latency, first, null);
+                    boolean firstSuccess = outcome == Outcome.OK && ended.putIfAbsent(id, true) == null;
+                    balancer.onOutcome(time, id, attempt, backend, outcome, latency, firstSuccess, null);
                 }
             });
         }
--- a/decision/src/test/java/dockrelay/FailureScenariosTest.java
+++ b/decision/src/test/java/dockrelay/FailureScenariosTest.java
@@ -124,13 +124,13 @@
     void rarelySendingProxyEjectsAfterTwoFailuresFarApart() {
         Host host = Host.createDefault().withBackends(10);
         host.warmUp(200);
-        int toHung = 0;
+        int sendsToHung = 0;
         for (int i = 0; i < 80; i++) {
             String id = "r" + i;
             host.request(id, "safe");
             host.advance(15 * Host.MS);
             boolean hung = host.sentTo(id).get(0) == 1L;
-            toHung += hung ? 1 : 0;
+            sendsToHung += hung ? 1 : 0;
             host.advance(hung ? 100 * Host.MS : 0);
             for (int attempt = 0; attempt < host.sentTo(id).size(); attempt++) {
                 boolean works = host.sentTo(id).get(attempt) != 1L;
@@ -138,8 +138,8 @@
             }
             host.advance(300 * Host.MS); // a backend answers about every three seconds
         }
-        assertTrue(toHung >= 1 && toHung <= 3,
-            "without ejection a tenth of 80 would go to the hung backend: " + toHung);
+        assertTrue(sendsToHung >= 1 && sendsToHung <= 3,
+            "without ejection a tenth of 80 would go to the hung backend: " + sendsToHung);
     }
 
     @Test
@@ -352,18 +352,19 @@
     void refusedRequestsGetSpreadRetryAfterTimes() {
         Host host = Host.createDefault().withBackends(4);
         host.warmUp(200);
-        java.util.Set<Long> waits = new java.util.TreeSet<>();
+        java.util.Set<Long> retryAfterTimes = new java.util.TreeSet<>();
         for (int i = 0; i < 200; i++) {
             host.request("r" + i, "safe");
-            String[] last = host.actions.get(host.actions.size() - 1).split(" ");
-            if (last[0].equals("refuse")) {
-                assertEquals("r" + i, last[1]);
-                waits.add(Long.parseLong(last[2]));
+            String[] lastAction = host.actions.get(host.actions.size() - 1).split(" ");
+            if (lastAction[0].equals("refuse")) {
+                assertEquals("r" + i, lastAction[1]);
+                retryAfterTimes.add(Long.parseLong(lastAction[2]));
             }
         }
-        assertTrue(waits.size() > 50, "retry-after times must be spread: " + waits);
-        waits.forEach(wait -> assertTrue(wait >= 10 * Host.MS && wait <= 30 * Host.MS,
-            "retry-after must be 10 to 30 ms: " + wait));
+        assertTrue(retryAfterTimes.size() > 50, "retry-after times must be spread: " + retryAfterTimes);
+        retryAfterTimes.forEach(retryAfter -> assertTrue(
+            retryAfter >= 10 * Host.MS && retryAfter <= 30 * Host.MS,
+            "retry-after must be 10 to 30 ms: " + retryAfter));
     }
 
     @Test
@@ -640,7 +641,7 @@
     @Test
     void existingConnectionsStayInUseWhenNoNewOnesAreAvailable() {
         Host host = Host.createDefault().withBackends(2);
-        int[] sendsToFull = new int[2];
+        int[] sendsToLimited = new int[2];
         for (int i = 0; i < 40; i++) { // backend 1 has one connection available, backend 2 many
             for (int j = 0; j < 6; j++) {
                 host.request("r" + i + "-" + j, "unsafe");
@@ -650,8 +651,9 @@
                 String id = "r" + i + "-" + j;
                 for (int attemptIndex = 0; attemptIndex < host.sentTo(id).size(); attemptIndex++) {
                     boolean isFull = host.sentTo(id).get(attemptIndex) == 1L && heldAttempts.contains("1");
-                    sendsToFull[0] += isFull && i >= 10 ? 1 : 0;
-                    sendsToFull[1] += host.sentTo(id).get(attemptIndex) == 1L && !isFull && i >= 10 ? 1 : 0;
+                    sendsToLimited[0] += isFull && i >= 10 ? 1 : 0;
+                    sendsToLimited[1] +=
+                        host.sentTo(id).get(attemptIndex) == 1L && !isFull && i >= 10 ? 1 : 0;
                     if (isFull) {
                         host.endAttempt(id, attemptIndex, Outcome.CONNECT_FAILURE, Host.MS);
                     } else {
@@ -666,8 +668,8 @@
             }
             host.advance(20 * Host.MS);
         }
-        assertTrue(sendsToFull[1] >= 20, "the existing connection must be used: " + sendsToFull[1]);
-        assertTrue(sendsToFull[0] <= 10, "a second connection must rarely be tried: " + sendsToFull[0]);
+        assertTrue(sendsToLimited[1] >= 20, "the existing connection must be used: " + sendsToLimited[1]);
+        assertTrue(sendsToLimited[0] <= 10, "a second connection must rarely be tried: " + sendsToLimited[0]);
     }
 
     @Test
--- a/decision/src/test/java/dockrelay/Host.java
+++ b/decision/src/test/java/dockrelay/Host.java
@@ -16,7 +16,7 @@
 
 /** A host for tests: records the policy's actions and keeps its timers, but does not model backends. */
 final class Host implements Balancer.Actions {
-    /** One second in microseconds, the unit of all times. */
+    /** A second and a millisecond in microseconds, the unit of all times. */
     static final long SECOND = 1_000_000;
     static final long MS = 1_000;
 
--- a/decision/src/test/java/dockrelay/RuleChecker.java
+++ b/decision/src/test/java/dockrelay/RuleChecker.java
@@ -79,7 +79,7 @@
     /** Advances the clock and checks that idle connections to draining backends are closed in time. */
     void advanceTo(long time) {
         now = time;
-        drains.forEach((id, drain) -> check(drain.busyAttempts.isEmpty()
+        drains.forEach((id, drain) -> addViolationIf(drain.busyAttempts.isEmpty()
             && now - drain.lastUsedAt > settings.rules().closeOnDrainWithin(),
             "idle connections not closed after a drain notice of backend " + id));
     }
@@ -110,10 +110,10 @@
 
     /** Checks at the end that every request has been answered. */
     void checkAllAnswered() {
-        requests.forEach((id, state) -> check(!state.closed, "not answered: " + id));
+        requests.forEach((id, state) -> addViolationIf(!state.closed, "not answered: " + id));
     }
 
-    private void check(boolean violated, String message) {
+    private void addViolationIf(boolean violated, String message) {
         if (violated) {
             violations.add(message);
         }
@@ -122,22 +122,23 @@
     @Override
     public void send(String id, long backend, long timeout) {
         RequestState state = requests.get(id);
-        check(state.closed, "attempt sent for a closed request: " + id);
+        addViolationIf(state.closed, "attempt sent for a closed request: " + id);
         Backend target = backends.get(backend);
-        check(target == null || target.phase() != Phase.READY,
+        addViolationIf(target == null || target.phase() != Phase.READY,
             "attempt sent to a backend that is not ready: " + backend);
-        check(target != null && !state.service.allows(target.zone(), target.kind()),
+        addViolationIf(target != null && !state.service.allows(target.zone(), target.kind()),
             "attempt sent to a backend that the class may not use: " + id);
         connected.add(backend);
-        check(state.attempts.size() >= settings.limits().maxAttempts(),
+        addViolationIf(state.attempts.size() >= settings.limits().maxAttempts(),
             "more attempts than permitted: " + id);
         boolean inFlight = state.attempts.stream().anyMatch(attempt -> !attempt.ended);
-        check(inFlight && !settings.limits().redundantAttempts(), "redundant attempt not permitted: " + id);
+        addViolationIf(inFlight && !settings.limits().redundantAttempts(),
+            "redundant attempt not permitted: " + id);
         for (Attempt attempt : state.attempts) {
             if (attempt.notExecuted) {
                 continue;
             }
-            check(state.service.idempotency() == Idempotency.AT_MOST_ONCE,
+            addViolationIf(state.service.idempotency() == Idempotency.AT_MOST_ONCE,
                 "at-most-once request repeated: " + id);
             if (state.service.idempotency() == Idempotency.DEDUPLICATED) {
                 Backend firstBackend = backends.getOrDefault(attempt.backend, target);
@@ -145,8 +146,8 @@
                     || firstBackend.zone().equals(target.zone())
                     && (state.service.dedupScope() == DedupScope.ZONE
                     || firstBackend.cell() == target.cell());
-                check(!sameScope, "deduplicated request repeated outside its scope: " + id);
-                check(now - attempt.sentAt > state.service.dedupWindow(),
+                addViolationIf(!sameScope, "deduplicated request repeated outside its scope: " + id);
+                addViolationIf(now - attempt.sentAt > state.service.dedupWindow(),
                     "deduplicated request repeated after its window: " + id);
             }
         }
@@ -155,7 +156,7 @@
             List<Long> sends = coldSends.computeIfAbsent(backend, key -> new ArrayList<>());
             sends.add(now);
             sends.removeIf(sendTime -> now - sendTime > OVERLOAD_MICROS);
-            check(sends.size() > MAX_COLD_SENDS,
+            addViolationIf(sends.size() > MAX_COLD_SENDS,
                 "sends to a cold backend within the overload time: " + sends.size());
         }
         Attempt attempt = new Attempt();
@@ -173,8 +174,9 @@
 
     @Override
     public void cancel(String id, int attempt) {
-        check(attempt >= requests.get(id).attempts.size(), "cancelled an attempt that was not sent: " + id);
-        check(!settings.limits().mayCancel(), "cancelling is not permitted");
+        addViolationIf(attempt >= requests.get(id).attempts.size(),
+            "cancelled an attempt that was not sent: " + id);
+        addViolationIf(!settings.limits().mayCancel(), "cancelling is not permitted");
         host.cancel(id, attempt);
     }
 
@@ -183,7 +185,7 @@
         RequestState state = requests.get(id);
         checkAnswer(id, state);
         boolean mayHaveExecuted = state.attempts.stream().anyMatch(attempt -> !attempt.notExecuted);
-        check(mayHaveExecuted && (state.service.idempotency() == Idempotency.AT_MOST_ONCE
+        addViolationIf(mayHaveExecuted && (state.service.idempotency() == Idempotency.AT_MOST_ONCE
 
                 || state.service.idempotency() == Idempotency.DEDUPLICATED
                 && state.service.dedupScope() != DedupScope.ALL),
@@ -198,20 +200,20 @@
     }
 
     private void checkAnswer(String id, RequestState state) {
-        check(state.closed, "answered twice: " + id);
-        check(now > state.deadline + ANSWER_SLACK_MICROS, "answered after its deadline: " + id);
+        addViolationIf(state.closed, "answered twice: " + id);
+        addViolationIf(now > state.deadline + ANSWER_SLACK_MICROS, "answered after its deadline: " + id);
         state.closed = true;
     }
 
     @Override
     public void setTimer(long delay, long token) {
-        check(delay < 0, "timer with a negative delay");
+        addViolationIf(delay < 0, "timer with a negative delay");
         host.setTimer(delay, token);
     }
 
     @Override
     public void probe(long backend) {
-        check(!settings.limits().probes(), "probing is not permitted");
+        addViolationIf(!settings.limits().probes(), "probing is not permitted");
         host.probe(backend);
     }
 
@@ -233,7 +235,8 @@
 
     @Override
     public void broadcastToPeers(String message) {
-        check(!settings.limits().peers() || message.length() > 256, "peer message not permitted or too long");
+        addViolationIf(!settings.limits().peers() || message.length() > 256,
+            "peer message not permitted or too long");
         host.broadcastToPeers(message);
     }
 }
--- a/settings/src/main/java/dockrelay/settings/Json.java
+++ b/settings/src/main/java/dockrelay/settings/Json.java
@@ -8,16 +8,16 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads one JSON value into maps, lists, strings, doubles, longs and booleans. */
+/** Reads JSON values as maps, lists, strings, doubles, longs and booleans. */
 public final class Json {
     private Json() {
     }
 
-    /** The value at the parser's current token. */
+    /** Reads the value at the parser's current token; throws an IllegalArgumentException if there is none. */
     public static Object readValue(JsonParser parser) throws IOException {
         JsonToken token = parser.currentToken();
         if (token == null) {
-            throw new IllegalArgumentException("value missing");
+            throw new IllegalArgumentException("missing JSON value");
         }
         switch (token) {
             case START_OBJECT: {
@@ -49,7 +49,7 @@
             case VALUE_NULL:
                 return null;
             default:
-                throw new IllegalArgumentException("unexpected " + token);
+                throw new IllegalArgumentException("unexpected JSON token " + token);
         }
     }
 }
--- a/settings/src/main/java/dockrelay/settings/SettingsReader.java
+++ b/settings/src/main/java/dockrelay/settings/SettingsReader.java
@@ -13,7 +13,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Translates the wire's settings object. A key with no default that is missing is named in the error. */
+/** Reads the policy's settings from a JSON object. A missing key without a default throws, naming the key. */
 public final class SettingsReader {
     private static final double MICROS_PER_SECOND = 1_000_000;
 
@@ -25,49 +25,49 @@
         this.path = path;
     }
 
-    /** The simulator's first message holds this object; a real proxy finds it in its configuration. */
-    public static Settings read(Map<?, ?> profile) {
-        SettingsReader top = new SettingsReader(profile, "");
+    /** Reads the object that the simulator sends for a new instance, or that a proxy's configuration has. */
+    public static Settings read(Map<?, ?> settings) {
+        SettingsReader root = new SettingsReader(settings, "");
         List<ServiceClass> classes = new ArrayList<>();
-        for (SettingsReader s : top.each("Services", true)) {
-            classes.add(new ServiceClass(s.text("Name", null), s.micros("Aim", null),
-                s.number("AimStretch", 0.0), s.micros("HardLimit", null),
-                idempotency(s.text("Idempotency", "at_most_once")),
-                scope(s.text("DedupScope", "cell")), s.micros("MemorySpan", 0.0), s.number("LateWorth", 0.0),
-                s.names("RunsIn"), s.names("KindsOpen")));
+        for (SettingsReader service : root.children("Services", true)) {
+            classes.add(new ServiceClass(service.readText("Name", null), service.readMicros("Aim", null),
+                service.readNumber("AimStretch", 0.0), service.readMicros("HardLimit", null),
+                toIdempotency(service.readText("Idempotency", "at_most_once")),
+                toDedupScope(service.readText("DedupScope", "cell")), service.readMicros("MemorySpan", 0.0),
+                service.readNumber("LateWorth", 0.0), service.readNames("RunsIn"),
+                service.readNames("KindsOpen")));
         }
         List<Tenant> tenants = new ArrayList<>();
-        for (SettingsReader t : top.each("Tenants", false)) {
-            tenants.add(new Tenant(t.text("Name", null), t.number("QuotaRps", null)));
-        }
-        SettingsReader limits = top.child("Permissions");
-        SettingsReader rules = top.child("Obligations");
-        SettingsReader prices = top.child("Prices");
-        return new Settings(
-            (int) top.whole("Balancers", 1.0), (int) top.whole("Me", 0.0), top.text("Zone", ""), classes,
-            tenants, "ask".equals(top.text("Discovery", "push")),
-            new Limits((int) limits.whole("MaxAttempts", 1.0), limits.bool("MayCancel", false),
-                limits.bool("SecondCopies", false), limits.bool("Probes", false), limits.bool("Peers",
-                    false)),
-            new Rules(rules.number("ColdShare", 1.0), rules.micros("Cold", 0.0),
-                rules.number("FallMultiple", 1.0), Math.max(1, rules.micros("Fall", 1.0)),
-                rules.micros("AskWithin", 10.0), rules.micros("CloseOnDrainWithin", 0.0)),
-            prices.number("CrossZone", 0.0));
+        for (SettingsReader tenant : root.children("Tenants", false)) {
+            tenants.add(new Tenant(tenant.readText("Name", null), tenant.readNumber("QuotaRps", null)));
+        }
+        SettingsReader limits = root.child("Permissions");
+        SettingsReader rules = root.child("Obligations");
+        SettingsReader prices = root.child("Prices");
+        return new Settings((int) root.readLong("Balancers", 1.0), (int) root.readLong("Me", 0.0),
+            root.readText("Zone", ""), classes, tenants, "ask".equals(root.readText("Discovery", "push")),
+            new Limits((int) limits.readLong("MaxAttempts", 1.0), limits.readBoolean("MayCancel", false),
+            limits.readBoolean("SecondCopies", false), limits.readBoolean("Probes", false),
+            limits.readBoolean("Peers", false)),
+            new Rules(rules.readNumber("ColdShare", 1.0), rules.readMicros("Cold", 0.0),
+            rules.readNumber("FallMultiple", 1.0), Math.max(1, rules.readMicros("Fall", 1.0)),
+            rules.readMicros("AskWithin", 10.0), rules.readMicros("CloseOnDrainWithin", 0.0)),
+            prices.readNumber("CrossZone", 0.0));
     }
 
-    private static Idempotency idempotency(String word) {
-        switch (word) {
+    private static Idempotency toIdempotency(String value) {
+        switch (value) {
             case "idempotent":
                 return Idempotency.IDEMPOTENT;
             case "deduplicated":
                 return Idempotency.DEDUPLICATED;
             default:
-                return Idempotency.AT_MOST_ONCE; // an unknown word gets the most caution
+                return Idempotency.AT_MOST_ONCE; // the safest for unknown values
         }
     }
 
-    private static DedupScope scope(String word) {
-        switch (word) {
+    private static DedupScope toDedupScope(String value) {
+        switch (value) {
             case "all":
                 return DedupScope.ALL;
             case "zone":
@@ -85,88 +85,88 @@
         if (value instanceof Map) {
             return new SettingsReader((Map<?, ?>) value, path + key + ".");
         }
-        throw wrong(key, "an object");
+        throw invalid(key, "an object");
     }
 
-    private List<SettingsReader> each(String key, boolean needed) {
+    private List<SettingsReader> children(String key, boolean required) {
         List<SettingsReader> result = new ArrayList<>();
         Object value = map.get(key);
-        if (value == null && !needed) {
+        if (value == null && !required) {
             return result;
         }
         if (!(value instanceof List)) {
-            throw wrong(key, "a list of objects");
+            throw invalid(key, "a list of objects");
         }
         for (Object item : (List<?>) value) {
             if (!(item instanceof Map)) {
-                throw wrong(key, "a list of objects");
+                throw invalid(key, "a list of objects");
             }
             result.add(new SettingsReader((Map<?, ?>) item, path + key + "."));
         }
         return result;
     }
 
-    /** A list of names; null where it is absent, as an absent list restricts nothing and an empty one all. */
-    private Set<String> names(String key) {
+    /** Reads a list of names, or null if there is none: no list restricts nothing, an empty one all. */
+    private Set<String> readNames(String key) {
         Object value = map.get(key);
         if (value == null) {
             return null;
         }
         if (!(value instanceof List)) {
-            throw wrong(key, "a list of names");
+            throw invalid(key, "a list of names");
         }
         Set<String> result = new LinkedHashSet<>();
         for (Object item : (List<?>) value) {
             if (!(item instanceof String)) {
-                throw wrong(key, "a list of names");
+                throw invalid(key, "a list of names");
             }
             result.add((String) item);
         }
         return result;
     }
 
-    private String text(String key, String fallback) {
+    private String readText(String key, String defaultValue) {
         Object value = map.get(key);
-        if (value == null && fallback != null) {
-            return fallback;
+        if (value == null && defaultValue != null) {
+            return defaultValue;
         }
         if (value instanceof String) {
             return (String) value;
         }
-        throw wrong(key, "a text");
+        throw invalid(key, "a text");
     }
 
-    private double number(String key, Double fallback) {
+    private double readNumber(String key, Double defaultValue) {
         Object value = map.get(key);
-        if (value == null && fallback != null) {
-            return fallback;
+        if (value == null && defaultValue != null) {
+            return defaultValue;
         }
         if (value instanceof Number && ((Number) value).doubleValue() >= 0) {
             return ((Number) value).doubleValue();
         }
-        throw wrong(key, "a number of at least 0");
+        throw invalid(key, "a number of at least 0");
     }
 
-    private long micros(String key, Double fallbackSeconds) {
-        return Math.round(number(key, fallbackSeconds) * MICROS_PER_SECOND);
+    private long readMicros(String key, Double defaultSeconds) {
+        return Math.round(readNumber(key, defaultSeconds) * MICROS_PER_SECOND);
     }
 
-    private long whole(String key, Double fallback) {
-        return Math.round(number(key, fallback));
+    private long readLong(String key, Double defaultValue) {
+        return Math.round(readNumber(key, defaultValue));
     }
 
-    private boolean bool(String key, boolean fallback) {
+    private boolean readBoolean(String key, boolean defaultValue) {
         Object value = map.get(key);
         if (value == null) {
-            return fallback;
+            return defaultValue;
         }
         if (value instanceof Boolean) {
             return (Boolean) value;
         }
-        throw wrong(key, "true or false");
+        throw invalid(key, "true or false");
     }
 
-    private SettingException wrong(String key, String allowed) {
+    private SettingException invalid(String key, String allowed) {
         return new SettingException(path + key, map.get(key), allowed);
     }
 }
