--- a/lab/src/main/java/dockrelay/lab/LabRun.java
+++ b/lab/src/main/java/dockrelay/lab/LabRun.java
@@ -15,11 +15,11 @@
 import dockrelay.lab.starvation.Limit;
 import dockrelay.lab.starvation.Starvation;
 import dockrelay.lab.starvation.TaskCounts;
-import dockrelay.lab.world.Clients;
+import dockrelay.lab.world.OpenLoopClients;
 import dockrelay.lab.world.Clock;
-import dockrelay.lab.world.Front;
-import dockrelay.lab.world.Net;
-import dockrelay.lab.world.World;
+import dockrelay.lab.world.FrontLoadBalancer;
+import dockrelay.lab.world.EmulatorNetwork;
+import dockrelay.lab.world.Emulator;
 import io.netty.channel.EventLoop;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -74,8 +74,8 @@
         }
         Experiment experiment = plan.experiment();
         Referee referee = new Referee(plan);
-        Net net = new Net(plan.seed());
-        World world = new World(plan, net, clock, referee);
+        EmulatorNetwork net = new EmulatorNetwork(plan.seed());
+        Emulator world = new Emulator(plan, net, clock, referee);
         List<Sample> samples = new ArrayList<>();
         Score score = new Score(plan);
         Lateness generator = new Lateness();
@@ -84,19 +84,19 @@
             Thread killer = new Thread(proxies::close, "killer");
             Runtime.getRuntime().addShutdownHook(killer);
             proxies.start();
-            Front front = new Front(proxies.addresses(), experiment.clients(), plan.seed(), net, clock,
+            FrontLoadBalancer front = new FrontLoadBalancer(proxies.addresses(), experiment.clients(), plan.seed(), net, clock,
                 proxies::well);
             front.start();
             awaitStart(experiment, proxies, front);
-            Clients clients = new Clients(plan, net, clock, referee, front, score, generator);
-            beat(net, net.world(), proxies.watch().world, clock.now() + BEAT);
-            beat(net, net.clients(), proxies.watch().clients, clock.now() + BEAT);
-            long zero = clock.now() + LEAD;
+            OpenLoopClients clients = new OpenLoopClients(plan, net, clock, referee, front, score, generator);
+            beat(net, net.emulatorLoop(), proxies.watch().world, clock.nowMicros() + BEAT);
+            beat(net, net.clientLoop(), proxies.watch().clients, clock.nowMicros() + BEAT);
+            long zero = clock.nowMicros() + LEAD;
             for (Break fault : plan.breaks()) {
                 if (fault.kind().ofProxies()) {
                     proxies.schedule(fault, zero);
                 } else {
-                    world.schedule(fault, zero);
+                    world.scheduleFault(fault, zero);
                 }
             }
             MemberWatch members = new MemberWatch(plan, proxies, clock);
@@ -114,8 +114,8 @@
                 proxies.figures(),
                 samples, new Result.Own(generator.all(), proxies.watch().world.all(), starvation.rulesVoid(),
                     starvation.latenciesVoid(),
-                    starvation.figures(TaskCounts.counted()), left), world.fell(),
-                world.linesSent(), proxies.peerTraffic(), members.values(out.resolve("proxies"), zero));
+                    starvation.figures(TaskCounts.counted()), left), world.overloadCrashedBackendCount(),
+                world.discoveryEntriesSent(), proxies.peerTraffic(), members.values(out.resolve("proxies"), zero));
             Runtime.getRuntime().removeShutdownHook(killer);
             return result;
         } finally {
@@ -123,13 +123,13 @@
         }
     }
 
-    private void awaitStart(Experiment experiment, Proxies proxies, Front front)
+    private void awaitStart(Experiment experiment, Proxies proxies, FrontLoadBalancer front)
         throws FailedStart, VoidPlayException, InterruptedException {
         Limit limit = new Limit(experiment.proxies().startWithin());
-        long since = clock.now();
+        long since = clock.nowMicros();
         int wanted = experiment.proxies().count();
         while (true) {
-            int ready = front.admitted();
+            int ready = front.healthyProxyCount();
             List<String> dead = proxies.dead();
             progress.accept(ready + " of " + wanted + " proxies are ready");
             if (!dead.isEmpty()) {
@@ -139,7 +139,7 @@
             if (ready == wanted) {
                 return;
             }
-            long took = clock.now() - since, waited = took > limit.length() ? proxies.startsWaited() : 0;
+            long took = clock.nowMicros() - since, waited = took > limit.length() ? proxies.startsWaited() : 0;
             Limit.Verdict verdict = limit.of(took, waited);
             if (verdict == Limit.Verdict.STARVED && limit.over(took)) {
                 throw new VoidPlayException(String.format(Locale.ROOT, "%d of %d proxies were not ready "
@@ -156,24 +156,24 @@
     }
 
     /** How late the world's loop runs is how late nodes and discovery act, and the clients' loop clients. */
-    private void beat(Net net, EventLoop loop, Lateness lateness, long due) {
-        net.later(loop, due - clock.now(), () -> {
-            long now = clock.now();
+    private void beat(EmulatorNetwork net, EventLoop loop, Lateness lateness, long due) {
+        net.schedule(loop, due - clock.nowMicros(), () -> {
+            long now = clock.nowMicros();
             lateness.record(now - due);
             beat(net, loop, lateness, Math.max(due, now - BEAT) + BEAT);
         });
     }
 
-    private void watch(Experiment experiment, long zero, Clients clients, World world,
+    private void watch(Experiment experiment, long zero, OpenLoopClients clients, Emulator world,
         Score score,
                        List<Sample> samples) throws InterruptedException {
         long end = zero + experiment.length();
         long slowest = experiment.classes().stream().mapToLong(Experiment.ServiceClass::deadline).max()
             .orElse(0);
-        while (clock.now() < end || clients.inHand() > 0 && clock.now() < end + 2 * slowest + SECOND) {
-            double at = (double) (clock.now() - zero) / SECOND;
-            if (at >= 0 && clock.now() < end) {
-                Sample sample = Sample.of(at, world.held(), world.crowded());
+        while (clock.nowMicros() < end || clients.unfinishedRequestCount() > 0 && clock.nowMicros() < end + 2 * slowest + SECOND) {
+            double at = (double) (clock.nowMicros() - zero) / SECOND;
+            if (at >= 0 && clock.nowMicros() < end) {
+                Sample sample = Sample.of(at, world.requestsPerBackend(), world.overloadedBackendCount());
                 samples.add(sample);
                 Score.Part now = score.seconds()[Math.max(0, (int) at - 1)];
                 StringBuilder happening = new StringBuilder();
--- a/lab/src/main/java/dockrelay/lab/link/Relay.java
+++ b/lab/src/main/java/dockrelay/lab/link/Relay.java
@@ -133,20 +133,20 @@
     }
 
     /** Where the first reaches the second. */
-    public InetSocketAddress forA() {
+    public InetSocketAddress peerAddressForA() {
         return (InetSocketAddress) a.datagrams.localAddress();
     }
 
-    public InetSocketAddress forB() {
+    public InetSocketAddress peerAddressForB() {
         return (InetSocketAddress) b.datagrams.localAddress();
     }
 
     /** Datagrams that have passed, in both directions. */
-    public long passed() {
+    public long forwardedDatagrams() {
         return passed.get();
     }
 
-    public long bytes() {
+    public long forwardedBytes() {
         return bytes.get();
     }
 
--- a/lab/src/main/java/dockrelay/lab/process/MemberWatch.java
+++ b/lab/src/main/java/dockrelay/lab/process/MemberWatch.java
@@ -88,13 +88,13 @@
     }
 
     private void ask() {
-        long at = clock.now();
+        long at = clock.nowMicros();
         List<Said> said = new ArrayList<>();
         proxies.consoles().forEach((proxy, console) -> {
             List<String> answer = ConsoleCall.ask(console, "MEMBERS");
             Matcher first = answer.isEmpty() ? null : ANSWER.matcher(answer.get(0));
             if (first != null && first.matches()) {
-                said.add(Said.of(clock.now(), proxy, first));
+                said.add(Said.of(clock.nowMicros(), proxy, first));
             }
         });
         Map<String, Set<String>> digests = new HashMap<>(); // a group's members see the same ones of it
--- a/lab/src/main/java/dockrelay/lab/process/PeerNetwork.java
+++ b/lab/src/main/java/dockrelay/lab/process/PeerNetwork.java
@@ -1,9 +1,9 @@
 package dockrelay.lab.process;
 
 import dockrelay.lab.link.Relay;
-import dockrelay.lab.world.Addresses;
+import dockrelay.lab.world.LoopbackAddresses;
 import dockrelay.lab.world.Clock;
-import dockrelay.lab.world.Net;
+import dockrelay.lab.world.EmulatorNetwork;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -17,42 +17,42 @@
     private final InetSocketAddress[] listens;
     private final Relay[][] relays;
 
-    PeerNetwork(int count, long seed, Net net, Clock clock) throws IOException {
+    PeerNetwork(int count, long seed, EmulatorNetwork net, Clock clock) throws IOException {
         listens = new InetSocketAddress[count];
         relays = new Relay[count][count];
         for (int i = 0; i < count; i++) {
-            listens[i] = Addresses.peer(i);
+            listens[i] = LoopbackAddresses.freePeerAddress(i);
         }
         for (int i = 0; i < count; i++) {
             for (int j = i + 1; j < count; j++) {
-                relays[i][j] = new Relay("n" + i, listens[i], Addresses.peers(i), "n" + j, listens[j],
-                    Addresses.peers(j), net.world(), net.links(), clock::now,
-                    (micros, action) -> net.later(net.world(), micros, action), seed);
+                relays[i][j] = new Relay("n" + i, listens[i], LoopbackAddresses.relayHost(i), "n" + j, listens[j],
+                    LoopbackAddresses.relayHost(j), net.emulatorLoop(), net.links(), clock::nowMicros,
+                    (micros, action) -> net.schedule(net.emulatorLoop(), micros, action), seed);
             }
         }
     }
 
     String listen(int proxy) {
-        return Addresses.text(listens[proxy]);
+        return LoopbackAddresses.hostAndPort(listens[proxy]);
     }
 
     /** All proxies in order as this one reaches them; itself where it listens. */
     List<String> seenBy(int proxy) {
         List<String> result = new ArrayList<>();
         for (int i = 0; i < listens.length; i++) {
-            result.add(i == proxy ? listen(i) : Addresses.text(i > proxy ? relays[proxy][i].forA()
-                : relays[i][proxy].forB()));
+            result.add(i == proxy ? listen(i) : LoopbackAddresses.hostAndPort(i > proxy ? relays[proxy][i].peerAddressForA()
+                : relays[i][proxy].peerAddressForB()));
         }
         return result;
     }
 
     /** Datagrams and bytes of all pairs, in both directions. */
     long datagrams() {
-        return all().stream().mapToLong(Relay::passed).sum();
+        return all().stream().mapToLong(Relay::forwardedDatagrams).sum();
     }
 
     long bytes() {
-        return all().stream().mapToLong(Relay::bytes).sum();
+        return all().stream().mapToLong(Relay::forwardedBytes).sum();
     }
 
     private List<Relay> all() {
--- a/lab/src/main/java/dockrelay/lab/process/Proxies.java
+++ b/lab/src/main/java/dockrelay/lab/process/Proxies.java
@@ -12,10 +12,10 @@
 import dockrelay.lab.starvation.Limit.Verdict;
 import dockrelay.lab.starvation.Starvation;
 import dockrelay.lab.starvation.StarvationWatch;
-import dockrelay.lab.world.Addresses;
+import dockrelay.lab.world.LoopbackAddresses;
 import dockrelay.lab.world.Clock;
-import dockrelay.lab.world.Net;
-import dockrelay.lab.world.World;
+import dockrelay.lab.world.EmulatorNetwork;
+import dockrelay.lab.world.Emulator;
 import io.netty.util.concurrent.DefaultThreadFactory;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -47,7 +47,7 @@
     private final Plan plan;
     private final Clock clock;
     private final Referee referee;
-    private final World world;
+    private final Emulator world;
     private final Leftovers leftovers;
     private final List<ProxyProcess> all = new ArrayList<>();
     private final PeerNetwork peers;
@@ -61,8 +61,8 @@
     private final ExecutorService operators = Executors.newSingleThreadExecutor(
         new DefaultThreadFactory("operators", true));
 
-    public Proxies(Plan plan, Build build, Path folder, Clock clock, Referee referee, World world,
-                   Net net, Leftovers leftovers, Starvation starvation, Lateness generator)
+    public Proxies(Plan plan, Build build, Path folder, Clock clock, Referee referee, Emulator world,
+                   EmulatorNetwork net, Leftovers leftovers, Starvation starvation, Lateness generator)
         throws IOException {
         this.plan = plan;
         this.clock = clock;
@@ -72,7 +72,7 @@
         this.starvation = starvation;
         int count = plan.experiment().proxies().count();
         for (int i = 0; i < count; i++) {
-            all.add(new ProxyProcess(i, build, folder, Addresses.proxy(i),
+            all.add(new ProxyProcess(i, build, folder, LoopbackAddresses.freeProxyAddress(i),
                 plan.experiment().proxies().sharedSocket(), plan.experiment().proxies().fileLimit(),
                 plan.experiment().proxies().pinned() ? processor(i) : -1, leftovers));
         }
@@ -108,8 +108,8 @@
         for (ProxyProcess proxy : all) {
             start(proxy, false);
         }
-        world.operator((node, out) -> operators.execute(() -> mark(node, out)));
-        world.moved(() -> operators.execute(this::moveDiscovery));
+        world.onBackendDetach((node, out) -> operators.execute(() -> mark(node, out)));
+        world.onDiscoveryMove(() -> operators.execute(this::moveDiscovery));
         thread.scheduleWithFixedDelay(this::look, LOOK_MILLIS, LOOK_MILLIS, TimeUnit.MILLISECONDS);
     }
 
@@ -118,10 +118,10 @@
         if (!proxy.alive()) {
             referee.forgot(i, keepFolder);
         }
-        proxy.prepare(Addresses.console(i));
+        proxy.prepare(LoopbackAddresses.freeConsoleAddress(i));
         proxy.start(configuration(proxy, true),
-            Map.of("PROXY_LISTEN", Addresses.text(proxy.listen()), "PROXY_CONSOLE",
-            Addresses.text(proxy.console()), "PROXY_DISCOVERY", world.discovery(i)), keepFolder);
+            Map.of("PROXY_LISTEN", LoopbackAddresses.hostAndPort(proxy.listen()), "PROXY_CONSOLE",
+            LoopbackAddresses.hostAndPort(proxy.console()), "PROXY_DISCOVERY", world.discoveryAddress(i)), keepFolder);
         reported[i] = false;
     }
 
@@ -130,9 +130,9 @@
      */
     private void mark(String node, boolean out) {
         all.parallelStream().forEach(proxy -> {
-            long asked = clock.now();
+            long asked = clock.nowMicros();
             if (ConsoleCall.yes(proxy.console(), (out ? "DETACH " : "ATTACH ") + node)) {
-                referee.marked(proxy.index(), node, out, out ? clock.now() : asked);
+                referee.marked(proxy.index(), node, out, out ? clock.nowMicros() : asked);
             }
         });
     }
@@ -145,7 +145,7 @@
                 proxy.configure(configuration(proxy, false));
                 proxy.signal("HUP");
             } catch (IOException e) {
-                referee.process(Rule.CRASH, proxy.index(), clock.now(), "could not be told of discovery: "
+                referee.process(Rule.CRASH, proxy.index(), clock.nowMicros(), "could not be told of discovery: "
                     + e);
             }
         }
@@ -153,25 +153,25 @@
 
     private String configuration(ProxyProcess proxy, boolean starts) {
         int i = proxy.index();
-        return Configuration.of(plan.experiment(), proxy, Addresses.text(proxy.listen()),
-            Addresses.text(proxy.console()), world.discovery(i),
-            Seeds.number(plan.seed(), proxy.name() + " start " + proxy.starts()), world.known(i, starts),
+        return Configuration.of(plan.experiment(), proxy, LoopbackAddresses.hostAndPort(proxy.listen()),
+            LoopbackAddresses.hostAndPort(proxy.console()), world.discoveryAddress(i),
+            Seeds.number(plan.seed(), proxy.name() + " start " + proxy.starts()), world.backendListFor(i, starts),
             peers == null ? null : peers.listen(i), peers == null ? null : peers.seenBy(i));
     }
 
     /** Starts the next process beside the one there is; at its yes the old one is told to end. */
     private void upgrade(ProxyProcess proxy) throws IOException {
         start(proxy, true);
-        awaitYes(proxy, clock.now());
+        awaitYes(proxy, clock.nowMicros());
     }
 
     private void awaitYes(ProxyProcess proxy, long since) {
-        long took = clock.now() - since; // when it is asked: the answer may be late by itself
+        long took = clock.nowMicros() - since; // when it is asked: the answer may be late by itself
         boolean yes = ConsoleCall.yes(proxy.console(), "PING");
         long waited = watch.waited(proxy.process());
         Verdict verdict = YES_WITHIN.of(took, waited);
         if (verdict == Verdict.PASSED) {
-            referee.process(Rule.CRASH, proxy.index(), clock.now(), String.format(Locale.ROOT,
+            referee.process(Rule.CRASH, proxy.index(), clock.nowMicros(), String.format(Locale.ROOT,
                 "the next process did not say yes within %.1f s; it waited %.1f s for a core",
                 YES_WITHIN.length() / 1e6, waited / 1e6));
         } else if (verdict == Verdict.STARVED && (yes || YES_WITHIN.over(took))) {
@@ -215,19 +215,19 @@
             String crash = proxy.crashed();
             if (crash != null && !reported[i]) {
                 reported[i] = true;
-                referee.process(Rule.CRASH, i, clock.now(), crash);
+                referee.process(Rule.CRASH, i, clock.nowMicros(), crash);
             }
             if (!proxy.alive()) {
                 continue;
             }
             ProxyProcess.Usage usage = proxy.usage();
             if (usage.residentKib() * 1024 > limits.memory() && peakKib[i] * 1024 <= limits.memory()) {
-                referee.process(Rule.MEMORY, i, clock.now(), "holds " + usage.residentKib() / 1024
+                referee.process(Rule.MEMORY, i, clock.nowMicros(), "holds " + usage.residentKib() / 1024
                     + " MiB of "
                     + (limits.memory() >> 20));
             }
             if (usage.descriptors() > limits.descriptors() && peakDescriptors[i] <= limits.descriptors()) {
-                referee.process(Rule.DESCRIPTORS, i, clock.now(), "holds " + usage.descriptors() + " of "
+                referee.process(Rule.DESCRIPTORS, i, clock.nowMicros(), "holds " + usage.descriptors() + " of "
                     + limits.descriptors());
             }
             peakKib[i] = Math.max(peakKib[i], usage.residentKib());
@@ -238,11 +238,11 @@
     /** Lets a fault of proxies begin at its time; zero is when clients come. */
     public void schedule(Break fault, long zero) {
         thread.schedule(() -> fault.victims().forEach(victim -> begin(fault, all.get(victim))),
-            Math.max(0, zero + fault.at() - clock.now()), TimeUnit.MICROSECONDS);
+            Math.max(0, zero + fault.at() - clock.nowMicros()), TimeUnit.MICROSECONDS);
     }
 
     private void begin(Break fault, ProxyProcess proxy) {
-        long now = clock.now(), until = now + fault.lasts();
+        long now = clock.nowMicros(), until = now + fault.lasts();
         switch (fault.kind()) {
             case KILL -> {
                 referee.excused(proxy.index(), now, until);
@@ -291,7 +291,7 @@
                 }
                 start(proxy, fault.folder() == Folder.KEPT);
             } catch (IOException e) {
-                referee.process(Rule.CRASH, proxy.index(), clock.now(), "could not be started again: " + e);
+                referee.process(Rule.CRASH, proxy.index(), clock.nowMicros(), "could not be started again: " + e);
             }
         }, after, TimeUnit.MICROSECONDS);
     }
@@ -306,7 +306,7 @@
             proxy.signal("CONT");
             proxy.signal("TERM");
         }
-        long told = clock.now();
+        long told = clock.nowMicros();
         for (ProxyProcess proxy : all) {
             awaitEnd(proxy, told, waited.get(proxy.index()));
         }
@@ -318,7 +318,7 @@
         Limit limit = new Limit(longest() + GRACE);
         Verdict verdict = Verdict.WITHIN;
         while (!proxy.await(ASK_MILLIS)) {
-            long took = clock.now() - told, waited = watch.waited(proxy.process()) - waitedBefore;
+            long took = clock.nowMicros() - told, waited = watch.waited(proxy.process()) - waitedBefore;
             Verdict next = limit.of(took, waited);
             if (next == Verdict.STARVED && verdict != next) {
                 starvation.passed("the end of " + proxy.name(), took, waited);
@@ -326,7 +326,7 @@
             verdict = next;
             if (verdict == Verdict.PASSED || limit.over(took)) {
                 if (verdict == Verdict.PASSED) {
-                    referee.process(Rule.CRASH, proxy.index(), clock.now(), "did not end after SIGTERM");
+                    referee.process(Rule.CRASH, proxy.index(), clock.nowMicros(), "did not end after SIGTERM");
                 }
                 proxy.signal("KILL");
                 proxy.await(5_000);
--- a/lab/src/main/java/dockrelay/lab/scale/list/HollowDiscovery.java
+++ b/lab/src/main/java/dockrelay/lab/scale/list/HollowDiscovery.java
@@ -1,6 +1,6 @@
 package dockrelay.lab.scale.list;
 
-import dockrelay.lab.world.Addresses;
+import dockrelay.lab.world.LoopbackAddresses;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -54,13 +54,13 @@
                     made.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(LONGEST),
                         new Call());
                 }
-            }).bind(Addresses.discovery(0)).syncUninterruptibly().channel();
+            }).bind(LoopbackAddresses.discoveryAddress(0)).syncUninterruptibly().channel();
         loop.scheduleWithFixedDelay(() -> watches.forEach(watch -> watch.writeAndFlush(content("\n"))),
             ALIVE_MILLIS, ALIVE_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     public String address() {
-        return Addresses.text((InetSocketAddress) listener.localAddress());
+        return LoopbackAddresses.hostAndPort((InetSocketAddress) listener.localAddress());
     }
 
     /** When (nano clock) the last byte of a whole list left, from the next one that is told on. */
--- a/lab/src/main/java/dockrelay/lab/scale/load/FastNodes.java
+++ b/lab/src/main/java/dockrelay/lab/scale/load/FastNodes.java
@@ -1,6 +1,6 @@
 package dockrelay.lab.scale.load;
 
-import dockrelay.lab.world.Addresses;
+import dockrelay.lab.world.LoopbackAddresses;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -78,7 +78,7 @@
     }
 
     public String addressText(int group, int number) {
-        return Addresses.text(address(group, number));
+        return LoopbackAddresses.hostAndPort(address(group, number));
     }
 
     /** All of them. */
--- a/lab/src/main/java/dockrelay/lab/scale/load/ProxyUnderTest.java
+++ b/lab/src/main/java/dockrelay/lab/scale/load/ProxyUnderTest.java
@@ -3,7 +3,7 @@
 import dockrelay.lab.process.Build;
 import dockrelay.lab.process.Leftovers;
 import dockrelay.lab.process.ProxyProcess;
-import dockrelay.lab.world.Addresses;
+import dockrelay.lab.world.LoopbackAddresses;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
@@ -53,8 +53,8 @@
         folder = Files.createTempDirectory("dockrelay-scale-");
         leftovers = new Leftovers(Leftovers.usual());
         leftovers.end();
-        process = new ProxyProcess(0, build, folder, Addresses.proxy(0), false, 0, -1, leftovers);
-        process.prepare(Addresses.console(0));
+        process = new ProxyProcess(0, build, folder, LoopbackAddresses.freeProxyAddress(0), false, 0, -1, leftovers);
+        process.prepare(LoopbackAddresses.freeConsoleAddress(0));
         Runtime.getRuntime().addShutdownHook(killer);
     }
 
@@ -74,8 +74,8 @@
     public void start(String configuration, String discovery, Consumer<LogTail.Line> hearer)
         throws IOException {
         startedAt = System.nanoTime();
-        process.start(configuration, Map.of("PROXY_LISTEN", Addresses.text(address()), "PROXY_CONSOLE",
-            Addresses.text(console()), "PROXY_DISCOVERY", discovery), false);
+        process.start(configuration, Map.of("PROXY_LISTEN", LoopbackAddresses.hostAndPort(address()), "PROXY_CONSOLE",
+            LoopbackAddresses.hostAndPort(console()), "PROXY_DISCOVERY", discovery), false);
         log = new LogTail(folder.resolve(name() + ".1").resolve("log"), hearer);
     }
 
--- a/lab/src/main/java/dockrelay/lab/scale/load/Told.java
+++ b/lab/src/main/java/dockrelay/lab/scale/load/Told.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import com.fasterxml.jackson.databind.util.RawValue;
-import dockrelay.lab.world.Addresses;
+import dockrelay.lab.world.LoopbackAddresses;
 import java.util.List;
 import java.util.Map;
 
@@ -32,8 +32,8 @@
     public String configuration(ProxyUnderTest proxy, long seed) {
         ObjectNode top = JSON.createObjectNode();
         top.put("name", proxy.name());
-        top.put("listen", Addresses.text(proxy.address()));
-        top.put("console", Addresses.text(proxy.console()));
+        top.put("listen", LoopbackAddresses.hostAndPort(proxy.address()));
+        top.put("console", LoopbackAddresses.hostAndPort(proxy.console()));
         top.put("discovery", discovery);
         top.put("seed", Long.toHexString(seed));
         top.set("limits", JSON.valueToTree(Map.of("cores", 1.0, "memory_mb", 192, "sockets", 1024)));
--- a/lab/src/main/java/dockrelay/lab/scale/members/RealProxies.java
+++ b/lab/src/main/java/dockrelay/lab/scale/members/RealProxies.java
@@ -10,10 +10,10 @@
 import dockrelay.lab.process.ProxyProcess;
 import dockrelay.lab.referee.Referee;
 import dockrelay.lab.spec.ExperimentReader;
-import dockrelay.lab.world.Addresses;
+import dockrelay.lab.world.LoopbackAddresses;
 import dockrelay.lab.world.Clock;
-import dockrelay.lab.world.Net;
-import dockrelay.lab.world.World;
+import dockrelay.lab.world.EmulatorNetwork;
+import dockrelay.lab.world.Emulator;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
@@ -46,8 +46,8 @@
     }
 
     private final Plan plan;
-    private final World world;
-    private final Net net;
+    private final Emulator world;
+    private final EmulatorNetwork net;
     private final Leftovers leftovers;
     private final List<ProxyProcess> all = new ArrayList<>();
     private final Map<String, InetSocketAddress> peers = new LinkedHashMap<>();
@@ -60,11 +60,11 @@
         Build build = Build.of(root);
         leftovers = new Leftovers(Leftovers.usual());
         leftovers.end();
-        net = new Net(seed);
-        world = new World(plan, net, new Clock(), new Referee(plan));
+        net = new EmulatorNetwork(seed);
+        world = new Emulator(plan, net, new Clock(), new Referee(plan));
         for (int i = 0; i < count; i++) {
-            all.add(new ProxyProcess(i, build, folder, Addresses.proxy(i), false, 0, -1, leftovers));
-            peers.put(all.get(i).name(), Addresses.peer(i));
+            all.add(new ProxyProcess(i, build, folder, LoopbackAddresses.freeProxyAddress(i), false, 0, -1, leftovers));
+            peers.put(all.get(i).name(), LoopbackAddresses.freePeerAddress(i));
         }
     }
 
@@ -77,18 +77,18 @@
     void start(Map<String, InetSocketAddress> names, HollowMember.Kind kind, Layout layout)
         throws IOException {
         Map<String, String> addresses = new LinkedHashMap<>();
-        names.forEach((name, address) -> addresses.put(name, Addresses.text(address)));
+        names.forEach((name, address) -> addresses.put(name, LoopbackAddresses.hostAndPort(address)));
         for (ProxyProcess proxy : all) {
             int i = proxy.index();
-            proxy.prepare(Addresses.console(i));
+            proxy.prepare(LoopbackAddresses.freeConsoleAddress(i));
             ObjectNode top = (ObjectNode) JSON.readTree(Configuration.of(plan.experiment(), proxy,
-                Addresses.text(proxy.listen()), Addresses.text(proxy.console()), world.discovery(i),
-                plan.seed() + i, world.known(i, true), null, null));
-            top.put("peer_listen", Addresses.text(peers.get(proxy.name())));
+                LoopbackAddresses.hostAndPort(proxy.listen()), LoopbackAddresses.hostAndPort(proxy.console()), world.discoveryAddress(i),
+                plan.seed() + i, world.backendListFor(i, true), null, null));
+            top.put("peer_listen", LoopbackAddresses.hostAndPort(peers.get(proxy.name())));
             top.set("peers", JSON.valueToTree(addresses));
             kind.configure(top, layout);
-            proxy.start(top.toString(), Map.of("PROXY_LISTEN", Addresses.text(proxy.listen()),
-                "PROXY_CONSOLE", Addresses.text(proxy.console()), "PROXY_DISCOVERY", world.discovery(i)),
+            proxy.start(top.toString(), Map.of("PROXY_LISTEN", LoopbackAddresses.hostAndPort(proxy.listen()),
+                "PROXY_CONSOLE", LoopbackAddresses.hostAndPort(proxy.console()), "PROXY_DISCOVERY", world.discoveryAddress(i)),
                 false);
         }
     }
--- a/lab/src/main/java/dockrelay/lab/starvation/StarvationWatch.java
+++ b/lab/src/main/java/dockrelay/lab/starvation/StarvationWatch.java
@@ -38,7 +38,7 @@
     }
 
     public void start() {
-        last = clock.now();
+        last = clock.nowMicros();
         thread.scheduleWithFixedDelay(this::look, everyMillis, everyMillis, TimeUnit.MILLISECONDS);
     }
 
@@ -51,7 +51,7 @@
             shares.add(new Share(one.proxy(), one.process(), one.serves(),
                 tasks.computeIfAbsent(one.process(), TaskCounts::new).since(), cores.of(one.core())));
         }
-        long now = clock.now();
+        long now = clock.nowMicros();
         starvation.add(new Look(now, Math.max(1, now - last), generator.since(), world.since(),
             clients.since(), cores.of(CoreCounts.ALL), shares));
         last = now;
--- a/lab/src/main/java/dockrelay/lab/world/ClientConnection.java
+++ b/lab/src/main/java/dockrelay/lab/world/ClientConnection.java
@@ -11,15 +11,15 @@
 
 /** A client's connection to a proxy; one request is on it at a time. */
 final class ClientConnection extends SimpleChannelInboundHandler<FullHttpResponse> {
-    private final Front front;
+    private final FrontLoadBalancer front;
     private final int proxy;
     private ChannelFuture opening;
-    private Clients.Request request;
+    private OpenLoopClients.Request request;
     private Try one;
     private Future<?> deadline;
     private boolean reused, ended;
 
-    ClientConnection(Front front, int proxy) {
+    ClientConnection(FrontLoadBalancer front, int proxy) {
         this.front = front;
         this.proxy = proxy;
     }
@@ -45,7 +45,7 @@
         deadline = timer;
     }
 
-    void send(Clients.Request of, Try sent, FullHttpRequest message) {
+    void send(OpenLoopClients.Request of, Try sent, FullHttpRequest message) {
         request = of;
         one = sent;
         if (opening.channel().isActive()) {
@@ -58,7 +58,7 @@
             } else {
                 message.release();
                 ended = true;
-                Clients.Request waiting = take();
+                OpenLoopClients.Request waiting = take();
                 if (waiting != null) {
                     waiting.unreachable();
                 }
@@ -67,8 +67,8 @@
     }
 
     /** The request that it carried, which it has no more to do with. */
-    private Clients.Request take() {
-        Clients.Request carried = request;
+    private OpenLoopClients.Request take() {
+        OpenLoopClients.Request carried = request;
         request = null;
         if (deadline != null) {
             deadline.cancel(false);
@@ -79,7 +79,7 @@
 
     void overdue(Try which) {
         if (request != null && one == which) {
-            Clients.Request carried = take();
+            OpenLoopClients.Request carried = take();
             ended = true;
             opening.channel().close();
             carried.unanswered(which);
@@ -93,7 +93,7 @@
             return;
         }
         Try answered = one;
-        Clients.Request carried = take();
+        OpenLoopClients.Request carried = take();
         if (HttpUtil.isKeepAlive(response) && response.decoderResult().isSuccess()) {
             reused = true;
             front.rest(this);
--- a/lab/src/main/java/dockrelay/lab/world/Clock.java
+++ b/lab/src/main/java/dockrelay/lab/world/Clock.java
@@ -5,7 +5,7 @@
     private final long start = System.nanoTime();
     private final long wallMillis = System.currentTimeMillis();
 
-    public long now() {
+    public long nowMicros() {
         return (System.nanoTime() - start) / 1000;
     }
 
--- a/lab/src/main/java/dockrelay/lab/world/DiscoveryService.java
+++ b/lab/src/main/java/dockrelay/lab/world/DiscoveryService.java
@@ -63,7 +63,7 @@
         }
     }
 
-    private final Net net;
+    private final EmulatorNetwork net;
     private final EventLoop loop;
     private final Clock clock;
     private final Referee referee;
@@ -81,11 +81,11 @@
     private long version = 1, lines;
     private boolean down;
 
-    DiscoveryService(Experiment.Discovery spec, long seed, int askers, List<Node> nodes, Net net, Clock clock,
+    DiscoveryService(Experiment.Discovery spec, long seed, int askers, List<Node> nodes, EmulatorNetwork net, Clock clock,
         Referee referee) {
         this.spec = spec;
         this.net = net;
-        this.loop = net.world();
+        this.loop = net.emulatorLoop();
         this.clock = clock;
         this.referee = referee;
         this.random = Seeds.stream(seed, "discovery");
@@ -110,7 +110,7 @@
     }
 
     private Listener listener(int asker) {
-        return new Listener(net, loop, Addresses.discovery(asker), () -> new ChannelHandler[] {
+        return new Listener(net, loop, LoopbackAddresses.discoveryAddress(asker), () -> new ChannelHandler[] {
             net.link(NAME, "n" + asker, clock), new HttpServerCodec(), new HttpObjectAggregator(LONGEST),
             new Call(asker)});
     }
@@ -125,7 +125,7 @@
             listeners.forEach(listener -> listener.state(Listener.State.REFUSING));
             listeners.clear();
             listeners.addAll(next);
-            Arrays.fill(reachableSince, down ? UNREACHABLE : clock.now());
+            Arrays.fill(reachableSince, down ? UNREACHABLE : clock.nowMicros());
             new ArrayList<>(open).forEach(Channel::close);
         }).syncUninterruptibly();
     }
@@ -141,7 +141,7 @@
     private void noteReachable() {
         for (int i = 0; i < reachableSince.length; i++) {
             boolean reachable = !down && net.links().connects("n" + i, NAME);
-            long since = reachableSince[i] == UNREACHABLE ? clock.now() : reachableSince[i];
+            long since = reachableSince[i] == UNREACHABLE ? clock.nowMicros() : reachableSince[i];
             reachableSince[i] = reachable ? since : UNREACHABLE;
         }
     }
@@ -152,7 +152,7 @@
             return;
         }
         boolean reachable = reachableSince[asker] != UNREACHABLE;
-        long due = reachable ? Math.max(changedAt, reachableSince[asker]) + KNOWN_AFTER - clock.now()
+        long due = reachable ? Math.max(changedAt, reachableSince[asker]) + KNOWN_AFTER - clock.nowMicros()
             : REACHABLE_CHECK;
         if (reachable && due <= 0) {
             told(List.of(entry), asker);
@@ -189,7 +189,7 @@
     }
 
     private void later(double micros, Runnable action) {
-        net.later(loop, Math.round(micros), action);
+        net.schedule(loop, Math.round(micros), action);
     }
 
     private void change(Node node, String state) {
@@ -207,7 +207,7 @@
     private void show(int asker, Entry entry) {
         views.get(asker).set(entry.node.plan().index(), entry);
         shown[asker] = entry.version;
-        countAsKnown(asker, entry, clock.now());
+        countAsKnown(asker, entry, clock.nowMicros());
         for (Watch watch : new ArrayList<>(watches)) {
             if (watch.asker == asker) {
                 write(watch, views.get(asker).stream().filter(one -> one.version > watch.version).toList(),
@@ -224,7 +224,7 @@
     }
 
     private void told(List<Entry> some, int asker) {
-        long now = clock.now();
+        long now = clock.nowMicros();
         for (Entry entry : some) {
             referee.told(asker, entry.node.plan().index(), entry.state.equals("active"), entry.startedMillis,
                 now);
@@ -250,7 +250,7 @@
         List<Entry> all = present(asker);
         if (told) {
             told(all, asker);
-            reachableSince[asker] = reachableSince[asker] == UNREACHABLE ? UNREACHABLE : clock.now();
+            reachableSince[asker] = reachableSince[asker] == UNREACHABLE ? UNREACHABLE : clock.nowMicros();
         }
         return list(all, true, asker);
     }
@@ -260,7 +260,7 @@
         for (Entry entry : some) {
             Map<String, Object> one = new LinkedHashMap<>();
             one.put("id", entry.node.name());
-            one.put("addr", Addresses.text(entry.node.address(asker)));
+            one.put("addr", LoopbackAddresses.hostAndPort(entry.node.address(asker)));
             one.put("zone", entry.node.plan().zone());
             one.put("kind", entry.node.plan().kind());
             one.put("cell", entry.node.plan().cell());
@@ -334,8 +334,8 @@
             long after = watch && query.parameters().containsKey("after")
                 ? Long.parseLong(query.parameters().get("after").get(0)) : 0;
             long cost = Math.round(callCost + lineCost * views.get(asker).size());
-            CallQueue.Turn turn = queue.take(clock.now(), cost);
-            net.later(loop, turn.after(), () -> {
+            CallQueue.Turn turn = queue.take(clock.nowMicros(), cost);
+            net.schedule(loop, turn.after(), () -> {
                 if (turn.served()) {
                     answer(context, watch, after);
                 } else {
--- a/lab/src/main/java/dockrelay/lab/world/World.java
+++ b/lab/src/main/java/dockrelay/lab/world/Emulator.java
@@ -13,8 +13,8 @@
 import java.util.function.BiConsumer;
 
 /** Nodes and discovery, on one loop, and the faults that befall them. */
-public final class World {
-    private final Net net;
+public final class Emulator {
+    private final EmulatorNetwork net;
     private final Clock clock;
     private final List<Node> nodes = new ArrayList<>();
     private final DiscoveryService discovery;
@@ -24,7 +24,7 @@
     private Runnable moved = () -> { };
     private int outages;
 
-    public World(Plan plan, Net net, Clock clock, Referee referee) {
+    public Emulator(Plan plan, EmulatorNetwork net, Clock clock, Referee referee) {
         this.net = net;
         this.clock = clock;
         Experiment experiment = plan.experiment();
@@ -46,16 +46,16 @@
     }
 
     private <T> T on(Callable<T> action) {
-        return net.world().submit(action).syncUninterruptibly().getNow();
+        return net.emulatorLoop().submit(action).syncUninterruptibly().getNow();
     }
 
     /** Who takes nodes out (true) and puts them back at the proxies' consoles. To be told before a start. */
-    public void operator(BiConsumer<String, Boolean> calls) {
+    public void onBackendDetach(BiConsumer<String, Boolean> calls) {
         operator = calls;
     }
 
     /** Who tells the proxies where discovery is, once it has moved. To be told before a start. */
-    public void moved(Runnable action) {
+    public void onDiscoveryMove(Runnable action) {
         moved = action;
     }
 
@@ -64,29 +64,29 @@
         discovery.move();
     }
 
-    public String discovery(int asker) {
-        return Addresses.text(discovery.address(asker));
+    public String discoveryAddress(int asker) {
+        return LoopbackAddresses.hostAndPort(discovery.address(asker));
     }
 
     /** The list for a proxy's configuration; told where it starts with it. */
-    public Map<String, Object> known(int asker, boolean told) {
+    public Map<String, Object> backendListFor(int asker, boolean told) {
         return on(() -> discovery.known(asker, told));
     }
 
     /** What each node holds; below 0 where it is down. */
-    public int[] held() {
+    public int[] requestsPerBackend() {
         return on(() -> nodes.stream().mapToInt(Node::heldNow).toArray());
     }
 
-    public long crowded() {
+    public long overloadedBackendCount() {
         return on(() -> nodes.stream().filter(Node::crowded).count());
     }
 
-    public long fell() {
+    public long overloadCrashedBackendCount() {
         return on(() -> nodes.stream().filter(Node::fell).count());
     }
 
-    public long linesSent() {
+    public long discoveryEntriesSent() {
         return on(discovery::linesSent);
     }
 
@@ -94,13 +94,13 @@
      * Lets a fault of nodes or discovery begin at its time and end after it lasted; zero is when clients
      * come.
      */
-    public void schedule(Break fault, long zero) {
+    public void scheduleFault(Break fault, long zero) {
         at(zero + fault.at(), () -> begin(fault));
         at(zero + fault.until(), () -> end(fault));
     }
 
     private void at(long when, Runnable action) {
-        net.later(net.world(), when - clock.now(), action);
+        net.schedule(net.emulatorLoop(), when - clock.nowMicros(), action);
     }
 
     private void begin(Break fault) {
@@ -151,8 +151,8 @@
         if (fault.link().both()) {
             net.links().lay(fault, to, from, fault.link().passage());
         }
-        if (from.contains(Net.CLIENTS) || to.contains(Net.CLIENTS)) {
-            long now = clock.now();
+        if (from.contains(EmulatorNetwork.CLIENTS) || to.contains(EmulatorNetwork.CLIENTS)) {
+            long now = clock.nowMicros();
             for (int i = 0; i < proxies; i++) {
                 if (from.contains("n" + i) || to.contains("n" + i)) {
                     referee.excused(i, now, now + fault.lasts());
--- a/lab/src/main/java/dockrelay/lab/world/Net.java
+++ b/lab/src/main/java/dockrelay/lab/world/EmulatorNetwork.java
@@ -26,7 +26,7 @@
 import java.util.function.Supplier;
 
 /** The world's sockets and loops. */
-public final class Net {
+public final class EmulatorNetwork {
     /** The name of all clients together, as a party of the network. */
     static final String CLIENTS = "clients";
     private static final int BACKLOG = 1024;
@@ -40,7 +40,7 @@
     private final ScheduledThreadPoolExecutor timers = new ScheduledThreadPoolExecutor(1,
         new DefaultThreadFactory("timers", true));
 
-    public Net(long seed) {
+    public EmulatorNetwork(long seed) {
         this.seed = seed;
         timers.setRemoveOnCancelPolicy(true);
         // At the end the loops still run for a moment: what they put off then is not to be done any more.
@@ -56,7 +56,7 @@
      * Runs this on the loop after a time. The loop's own timers wake by the millisecond, and late by half of
      * one: a thread that only waits is some 0.1 ms late.
      */
-    public Future<?> later(EventLoop loop, long micros, Runnable action) {
+    public Future<?> schedule(EventLoop loop, long micros, Runnable action) {
         return timers.schedule(() -> loop.execute(action), Math.max(0, micros), TimeUnit.MICROSECONDS);
     }
 
@@ -66,18 +66,18 @@
 
     /** The network between a party of the world's and another, for one connection. */
     LinkHandler link(String here, String there, Clock clock) {
-        EventLoop loop = here.equals(CLIENTS) ? clients() : world();
-        return new LinkHandler(links, here, there, clock::now,
-            (micros, action) -> later(loop, micros, action),
+        EventLoop loop = here.equals(CLIENTS) ? clientLoop() : emulatorLoop();
+        return new LinkHandler(links, here, there, clock::nowMicros,
+            (micros, action) -> schedule(loop, micros, action),
             Seeds.stream(seed, here + " and " + there + " " + connections.incrementAndGet()));
     }
 
     /** Nodes and discovery. */
-    public EventLoop world() {
+    public EventLoop emulatorLoop() {
         return world.next();
     }
 
-    public EventLoop clients() {
+    public EventLoop clientLoop() {
         return clients.next();
     }
 
--- a/lab/src/main/java/dockrelay/lab/world/Front.java
+++ b/lab/src/main/java/dockrelay/lab/world/FrontLoadBalancer.java
@@ -31,7 +31,7 @@
  * Spreads clients' connections over the proxies. It lets a proxy in once its healthz said yes after a start,
  * and notices late that one is gone. One loop's thread owns it.
  */
-public final class Front {
+public final class FrontLoadBalancer {
     /** One that is well is asked again no sooner than this, and all together no oftener than each 10 ms. */
     private static final long ASK_MILLIS = 100, EACH_MILLIS = 10;
     private static final int ASK_TIMEOUT_MILLIS = 1000;
@@ -43,21 +43,21 @@
     private final List<ClientConnection> idle = new ArrayList<>();
     private final EventLoop loop;
     private final Clock clock;
-    private final Net net;
+    private final EmulatorNetwork net;
     private final RandomGenerator random;
     private final long notice;
     private final IntConsumer well;
     private boolean closed;
 
     /** Each yes of a proxy at healthz is told on, on the clients' loop. */
-    public Front(InetSocketAddress[] proxies, Experiment.Clients spec, long seed, Net net, Clock clock,
+    public FrontLoadBalancer(InetSocketAddress[] proxies, Experiment.Clients spec, long seed, EmulatorNetwork net, Clock clock,
         IntConsumer well) {
         this.well = well;
         this.proxies = proxies.clone();
         this.admitted = new boolean[proxies.length];
         this.failingSince = new long[proxies.length];
         this.net = net;
-        this.loop = net.clients();
+        this.loop = net.clientLoop();
         this.clock = clock;
         this.random = Seeds.stream(seed, "front");
         this.notice = Math.round(spec.notice().draw(random));
@@ -73,7 +73,7 @@
     }
 
     /** How many proxies it sends to. */
-    public int admitted() {
+    public int healthyProxyCount() {
         return loop.submit(() -> {
             int count = 0;
             for (boolean one : admitted) {
@@ -103,7 +103,7 @@
     }
 
     private void heard(int proxy, boolean well) {
-        long now = clock.now();
+        long now = clock.nowMicros();
         if (well) {
             admitted[proxy] = true;
             this.well.accept(proxy);
@@ -150,15 +150,15 @@
     private ChannelFuture connect(int proxy, ChannelHandler handler) {
         String name = "n" + proxy;
         Bootstrap bootstrap = net.connecting(loop, ASK_TIMEOUT_MILLIS, () -> new ChannelHandler[] {
-            net.link(Net.CLIENTS, name, clock), new HttpClientCodec(), new HttpObjectAggregator(LONGEST),
+            net.link(EmulatorNetwork.CLIENTS, name, clock), new HttpClientCodec(), new HttpObjectAggregator(LONGEST),
             handler});
-        if (net.links().connects(Net.CLIENTS, name)) {
+        if (net.links().connects(EmulatorNetwork.CLIENTS, name)) {
             return bootstrap.connect(proxies[proxy]);
         }
         // Across a cut nothing comes up: the system is not asked, as it would bring it up.
         Channel never = bootstrap.register().channel();
         ChannelPromise promise = never.newPromise();
-        net.later(loop, ASK_TIMEOUT_MILLIS * 1000L, () -> {
+        net.schedule(loop, ASK_TIMEOUT_MILLIS * 1000L, () -> {
             promise.tryFailure(new ConnectTimeoutException("across a cut"));
             never.close();
         });
--- a/lab/src/main/java/dockrelay/lab/world/Listener.java
+++ b/lab/src/main/java/dockrelay/lab/world/Listener.java
@@ -20,7 +20,7 @@
     private static final long AGAIN = 10_000;
     private static final int MOST_TRIES = 200;
 
-    private final Net net;
+    private final EmulatorNetwork net;
     private final EventLoop loop;
     private final Supplier<ChannelHandler[]> handlers;
     private final InetSocketAddress address;
@@ -31,7 +31,7 @@
     private boolean busy;
 
     /** Takes the address, and with it a port. Not to be called on the loop. */
-    Listener(Net net, EventLoop loop, InetSocketAddress at, Supplier<ChannelHandler[]> handlers) {
+    Listener(EmulatorNetwork net, EventLoop loop, InetSocketAddress at, Supplier<ChannelHandler[]> handlers) {
         this.net = net;
         this.loop = loop;
         this.handlers = handlers;
@@ -95,7 +95,7 @@
 
     private void later() {
         busy = true;
-        net.later(loop, AGAIN, () -> {
+        net.schedule(loop, AGAIN, () -> {
             busy = false;
             settle();
         });
--- a/lab/src/main/java/dockrelay/lab/world/Addresses.java
+++ b/lab/src/main/java/dockrelay/lab/world/LoopbackAddresses.java
@@ -7,10 +7,10 @@
 import java.net.ServerSocket;
 
 /** Who is reached where: each party at an address that is reserved for the one who asks. All are loopback. */
-public final class Addresses {
+public final class LoopbackAddresses {
     private static final int BYTE = 250, MOST_TRIES = 20;
 
-    private Addresses() {
+    private LoopbackAddresses() {
     }
 
     /** Where a proxy takes clients, or its operators: the second byte tells which. */
@@ -22,21 +22,21 @@
         return new InetSocketAddress(host(20, asker), 0);
     }
 
-    public static InetSocketAddress discovery(int asker) {
+    public static InetSocketAddress discoveryAddress(int asker) {
         return new InetSocketAddress(host(21, asker), 0);
     }
 
     /** An address for a proxy to listen at; its port is free at this moment. */
-    public static InetSocketAddress proxy(int proxy) throws IOException {
+    public static InetSocketAddress freeProxyAddress(int proxy) throws IOException {
         return free(host(22, proxy));
     }
 
-    public static InetSocketAddress console(int proxy) throws IOException {
+    public static InetSocketAddress freeConsoleAddress(int proxy) throws IOException {
         return free(host(23, proxy));
     }
 
     /** Where the processes meet each other: a port that is free for datagrams and streams alike. */
-    public static InetSocketAddress peer(int proxy) throws IOException {
+    public static InetSocketAddress freePeerAddress(int proxy) throws IOException {
         for (int i = 0; ; i++) {
             InetSocketAddress address = free(host(24, proxy));
             try (DatagramSocket socket = new DatagramSocket(address)) {
@@ -50,7 +50,7 @@
     }
 
     /** The host of the relays' addresses at which a proxy reaches the others, and hears them from. */
-    public static String peers(int asker) {
+    public static String relayHost(int asker) {
         return host(25, asker);
     }
 
@@ -62,7 +62,7 @@
         }
     }
 
-    public static String text(InetSocketAddress address) {
+    public static String hostAndPort(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 }
--- a/lab/src/main/java/dockrelay/lab/world/Node.java
+++ b/lab/src/main/java/dockrelay/lab/world/Node.java
@@ -51,7 +51,7 @@
     }
 
     private final Plan.Node plan;
-    private final Net net;
+    private final EmulatorNetwork net;
     private final EventLoop loop;
     private final Clock clock;
     private final Referee referee;
@@ -71,11 +71,11 @@
     private double slower = 1, stolen, failing, errors;
     private String report = "";
 
-    Node(Plan.Node plan, long seed, int askers, Net net, Clock clock, Referee referee, long idle,
+    Node(Plan.Node plan, long seed, int askers, EmulatorNetwork net, Clock clock, Referee referee, long idle,
         boolean probes) {
         this.plan = plan;
         this.net = net;
-        this.loop = net.world();
+        this.loop = net.emulatorLoop();
         this.clock = clock;
         this.referee = referee;
         this.idleMillis = idle / 1000;
@@ -88,9 +88,9 @@
     void start(boolean cold) {
         up = true;
         fell = false;
-        startedMillis = cold ? clock.unixMillis(clock.now()) : 0;
-        model = new NodeModel(plan.figures(), clock.now(), cold);
-        model.trouble(clock.now(), slower, stolen, new ArrayList<>());
+        startedMillis = cold ? clock.unixMillis(clock.nowMicros()) : 0;
+        model = new NodeModel(plan.figures(), clock.nowMicros(), cold);
+        model.trouble(clock.nowMicros(), slower, stolen, new ArrayList<>());
         recent.clear();
         settle();
     }
@@ -99,7 +99,7 @@
     void reserve() {
         for (int i = 0; i < askers; i++) {
             int asker = i;
-            listeners.add(new Listener(net, loop, Addresses.node(i), () -> new ChannelHandler[] {
+            listeners.add(new Listener(net, loop, LoopbackAddresses.node(i), () -> new ChannelHandler[] {
                 net.link(plan.name(), "n" + asker, clock), new IdleStateHandler(0, 0, idleMillis,
                 TimeUnit.MILLISECONDS), new HttpServerCodec(), new HttpObjectAggregator(LONGEST),
                 new Connection(asker)}));
@@ -123,7 +123,7 @@
             channel.config().setOption(ChannelOption.SO_LINGER, 0);
             channel.close();
         }
-        long now = clock.now();
+        long now = clock.nowMicros();
         for (long id : new ArrayList<>(held.keySet())) {
             stop(id, now);
         }
@@ -158,7 +158,7 @@
         draining = suffers(FaultKind.DRAIN);
         if (up) {
             List<Long> ended = new ArrayList<>();
-            model.trouble(clock.now(), slower, stolen, ended);
+            model.trouble(clock.nowMicros(), slower, stolen, ended);
             finish(ended);
         }
     }
@@ -197,7 +197,7 @@
     }
 
     private void finish(List<Long> ended) {
-        long now = clock.now();
+        long now = clock.nowMicros();
         for (long id : ended) {
             Held done = held.remove(id);
             if (done != null) {
@@ -230,14 +230,14 @@
         if (next != Long.MAX_VALUE) {
             wakeAt = next;
             long mine = ++wakes;
-            wake = net.later(loop, next - clock.now(), () -> {
+            wake = net.schedule(loop, next - clock.nowMicros(), () -> {
                 if (mine != wakes) {
                     return; // it was on its way when it was called off
                 }
                 wake = null;
                 List<Long> ended = new ArrayList<>();
                 if (up) {
-                    model.advance(clock.now(), ended);
+                    model.advance(clock.nowMicros(), ended);
                     finish(ended);
                 }
             });
@@ -307,7 +307,7 @@
             }
             open.add(context.channel());
             referee.connected();
-            long now = clock.now();
+            long now = clock.nowMicros();
             readyAt = now + plan.figures().handshakeDelay();
             List<Long> ended = new ArrayList<>();
             model.connections(now, open.size(), ended);
@@ -318,7 +318,7 @@
         @Override
         public void channelInactive(ChannelHandlerContext context) {
             if (open.remove(context.channel()) && up) {
-                long now = clock.now();
+                long now = clock.nowMicros();
                 List<Long> ended = new ArrayList<>();
                 model.connections(now, open.size(), ended);
                 finish(ended);
@@ -346,7 +346,7 @@
                 context.close();
                 return;
             }
-            long now = clock.now();
+            long now = clock.nowMicros();
             String id = request.headers().get("X-Request-ID");
             boolean keep = HttpUtil.isKeepAlive(request);
             if (id == null) {
@@ -363,8 +363,8 @@
             }
             long wait = readyAt - now; // the first request on a new connection waits for its handshake
             if (wait > 0) {
-                net.later(loop, wait,
-                    () -> take(context, attempt, keep, clock.now(), request.headers().get(TIMEOUT)));
+                net.schedule(loop, wait,
+                    () -> take(context, attempt, keep, clock.nowMicros(), request.headers().get(TIMEOUT)));
             } else {
                 take(context, attempt, keep, now, request.headers().get(TIMEOUT));
             }
--- a/lab/src/main/java/dockrelay/lab/world/Clients.java
+++ b/lab/src/main/java/dockrelay/lab/world/OpenLoopClients.java
@@ -30,29 +30,29 @@
  * counts from
  * then. One loop's thread owns them.
  */
-public final class Clients {
+public final class OpenLoopClients {
     /** A client that has less time than this left does not try again. */
     private static final long LEAST = 1_000;
 
     private final Plan plan;
     private final Experiment experiment;
-    private final Net net;
+    private final EmulatorNetwork net;
     private final EventLoop loop;
     private final Clock clock;
     private final Referee referee;
-    private final Front front;
+    private final FrontLoadBalancer front;
     private final Score score;
     private final Lateness lateness;
     private int next;
     private long zero;
     private int inHand;
 
-    public Clients(Plan plan, Net net, Clock clock, Referee referee, Front front, Score score,
+    public OpenLoopClients(Plan plan, EmulatorNetwork net, Clock clock, Referee referee, FrontLoadBalancer front, Score score,
         Lateness lateness) {
         this.plan = plan;
         this.experiment = plan.experiment();
         this.net = net;
-        this.loop = net.clients();
+        this.loop = net.clientLoop();
         this.clock = clock;
         this.referee = referee;
         this.front = front;
@@ -70,9 +70,9 @@
     private void pump() {
         while (next < plan.arrivals().size()) {
             Arrival arrival = plan.arrivals().get(next);
-            long wait = zero + arrival.at() - clock.now();
+            long wait = zero + arrival.at() - clock.nowMicros();
             if (wait > 0) {
-                net.later(loop, wait, this::pump);
+                net.schedule(loop, wait, this::pump);
                 return;
             }
             lateness.record(-wait);
@@ -82,7 +82,7 @@
     }
 
     /** Requests that are not over yet. */
-    public int inHand() {
+    public int unfinishedRequestCount() {
         return loop.submit(() -> inHand + plan.arrivals().size() - next).syncUninterruptibly().getNow();
     }
 
@@ -108,7 +108,7 @@
         }
 
         private void send(ClientConnection connection) {
-            long now = clock.now();
+            long now = clock.nowMicros();
             long left = intended + type.deadline() - now;
             long timeout = Math.min(left, Math.round(type.deadline() * arrival.tryShare()));
             if (timeout < LEAST) {
@@ -129,7 +129,7 @@
             referee.sent(one, tries == 0);
             tries++;
             connection.send(this, one, message(one));
-            connection.deadline(net.later(loop, timeout + experiment.rules().answerSlack() + Referee.SOCKETS,
+            connection.deadline(net.schedule(loop, timeout + experiment.rules().answerSlack() + Referee.SOCKETS,
                 () -> connection.overdue(one)));
         }
 
@@ -157,7 +157,7 @@
 
         /** The connection ended without a whole answer. A request that nobody read may go once more. */
         void broke(Try one, boolean reused) {
-            long now = clock.now();
+            long now = clock.nowMicros();
             if (reused && !crossed && !referee.reached(one) && now < one.sentAt + one.timeout) {
                 crossed = true;
                 tries--;
@@ -171,12 +171,12 @@
 
         /** No answer although the time and all slack are over. */
         void unanswered(Try one) {
-            referee.lost(one, clock.now(), "no answer within " + one.timeout / 1000 + " ms");
+            referee.lost(one, clock.nowMicros(), "no answer within " + one.timeout / 1000 + " ms");
             again(End.UNANSWERED, false, 0);
         }
 
         void answered(Try one, FullHttpResponse response) {
-            long now = clock.now();
+            long now = clock.nowMicros();
             int status = response.status().code();
             referee.answered(one, now, status, response.content().toString(StandardCharsets.UTF_8));
             if (status == 200) {
@@ -200,7 +200,7 @@
 
         /** Tries again where the client may and still has the time; else this was its end. */
         private void again(End how, boolean harmless, double advice) {
-            long now = clock.now();
+            long now = clock.nowMicros();
             boolean may = harmless || type.effect() == Effect.IDEMPOTENT
                 || type.effect() == Effect.DEDUPLICATED && type.scope() == Scope.ALL
                     && now - intended < type.window();
@@ -209,7 +209,7 @@
                 wait = Math.max(wait, advice);
             }
             if (may && tries <= arrival.retries() && now + wait < intended + type.deadline()) {
-                net.later(loop, Math.round(wait), this::send);
+                net.schedule(loop, Math.round(wait), this::send);
             } else {
                 finish(how, now - intended);
             }
--- a/lab/src/test/java/dockrelay/lab/link/LinkTest.java
+++ b/lab/src/test/java/dockrelay/lab/link/LinkTest.java
@@ -6,9 +6,9 @@
 
 import dockrelay.lab.link.Passage.Mode;
 import dockrelay.lab.plan.Seeds;
-import dockrelay.lab.world.Addresses;
+import dockrelay.lab.world.LoopbackAddresses;
 import dockrelay.lab.world.Clock;
-import dockrelay.lab.world.Net;
+import dockrelay.lab.world.EmulatorNetwork;
 import java.io.IOException;
 import java.net.ConnectException;
 import java.net.DatagramPacket;
@@ -50,29 +50,29 @@
     /** Two processes' sockets and a relay: each hears the other from where it reaches it, until it is cut. */
     @Test
     void aRelayPassesDatagramsAndStreamsAndIsCutOneWayOrBoth() throws IOException {
-        Net net = new Net(1);
+        EmulatorNetwork net = new EmulatorNetwork(1);
         Clock clock = new Clock();
-        try (DatagramSocket a = new DatagramSocket(Addresses.peer(0));
-             DatagramSocket b = new DatagramSocket(Addresses.peer(1));
+        try (DatagramSocket a = new DatagramSocket(LoopbackAddresses.freePeerAddress(0));
+             DatagramSocket b = new DatagramSocket(LoopbackAddresses.freePeerAddress(1));
              ServerSocket streams = new ServerSocket();
-             Relay relay = new Relay("n0", (InetSocketAddress) a.getLocalSocketAddress(), Addresses.peers(0),
-                 "n1", (InetSocketAddress) b.getLocalSocketAddress(), Addresses.peers(1), net.world(),
-                 net.links(), clock::now, (micros, action) -> net.later(net.world(), micros, action), 1)) {
+             Relay relay = new Relay("n0", (InetSocketAddress) a.getLocalSocketAddress(), LoopbackAddresses.relayHost(0),
+                 "n1", (InetSocketAddress) b.getLocalSocketAddress(), LoopbackAddresses.relayHost(1), net.emulatorLoop(),
+                 net.links(), clock::nowMicros, (micros, action) -> net.schedule(net.emulatorLoop(), micros, action), 1)) {
             a.setSoTimeout(LONG);
             b.setSoTimeout(LONG);
-            assertEquals("to b", sent(a, relay.forA(), b, relay.forB(), "to b"));
-            assertEquals("to a", sent(b, relay.forB(), a, relay.forA(), "to a"));
+            assertEquals("to b", sent(a, relay.peerAddressForA(), b, relay.peerAddressForB(), "to b"));
+            assertEquals("to a", sent(b, relay.peerAddressForB(), a, relay.peerAddressForA(), "to a"));
             net.links().lay("cut", Set.of("n0"), Set.of("n1"), new Passage(Mode.SILENT, 0, 0, 0, 0, 0));
             b.setSoTimeout(SHORT);
-            assertThrows(SocketTimeoutException.class, () -> sent(a, relay.forA(), b, relay.forB(), "lost"));
-            assertEquals("back", sent(b, relay.forB(), a, relay.forA(), "back"));
+            assertThrows(SocketTimeoutException.class, () -> sent(a, relay.peerAddressForA(), b, relay.peerAddressForB(), "lost"));
+            assertEquals("back", sent(b, relay.peerAddressForB(), a, relay.peerAddressForA(), "back"));
             net.links().lift("cut");
             b.setSoTimeout(LONG);
-            assertEquals("healed", sent(a, relay.forA(), b, relay.forB(), "healed"));
+            assertEquals("healed", sent(a, relay.peerAddressForA(), b, relay.peerAddressForB(), "healed"));
             streams.bind(b.getLocalSocketAddress());
-            try (Socket near = new Socket(relay.forA().getAddress(), relay.forA().getPort());
+            try (Socket near = new Socket(relay.peerAddressForA().getAddress(), relay.peerAddressForA().getPort());
                  Socket far = streams.accept()) {
-                assertEquals(relay.forB().getAddress(), far.getInetAddress());
+                assertEquals(relay.peerAddressForB().getAddress(), far.getInetAddress());
                 near.getOutputStream().write(7);
                 assertEquals(7, far.getInputStream().read());
                 far.getOutputStream().write(8);
@@ -98,7 +98,7 @@
     /** Nothing comes up behind a cut, and at its end the address is free again. */
     @Test
     void noConnectionComesUpInABlackHole() throws IOException {
-        InetSocketAddress at = Addresses.proxy(2);
+        InetSocketAddress at = LoopbackAddresses.freeProxyAddress(2);
         try (BlackHole hole = new BlackHole(at); Socket socket = new Socket()) {
             assertThrows(SocketTimeoutException.class, () -> socket.connect(at, SHORT), hole.toString());
         }
