--- a/lab/src/main/java/dockrelay/lab/LabRun.java
+++ b/lab/src/main/java/dockrelay/lab/LabRun.java
@@ -3,18 +3,18 @@
 import dockrelay.lab.plan.Plan;
 import dockrelay.lab.plan.Plan.Break;
 import dockrelay.lab.process.Build;
-import dockrelay.lab.process.Leftovers;
-import dockrelay.lab.process.MemberWatch;
-import dockrelay.lab.process.Proxies;
+import dockrelay.lab.process.ChildProcessRegistry;
+import dockrelay.lab.process.MembershipMonitor;
+import dockrelay.lab.process.ProxyFleet;
 import dockrelay.lab.referee.Referee;
 import dockrelay.lab.report.Result;
 import dockrelay.lab.report.Sample;
 import dockrelay.lab.report.Score;
 import dockrelay.lab.spec.Experiment;
-import dockrelay.lab.starvation.Lateness;
-import dockrelay.lab.starvation.Limit;
-import dockrelay.lab.starvation.Starvation;
-import dockrelay.lab.starvation.TaskCounts;
+import dockrelay.lab.starvation.LatenessRecorder;
+import dockrelay.lab.starvation.TimeLimit;
+import dockrelay.lab.starvation.StarvationDetector;
+import dockrelay.lab.starvation.SchedulerStats;
 import dockrelay.lab.world.OpenLoopClients;
 import dockrelay.lab.world.Clock;
 import dockrelay.lab.world.FrontLoadBalancer;
@@ -54,21 +54,21 @@
     private final Path out;
     private final Consumer<String> progress;
     private final Clock clock = new Clock();
-    private final Starvation starvation;
+    private final StarvationDetector starvation;
 
     LabRun(Plan plan, Build build, Path out, Consumer<String> progress) {
         this.plan = plan;
         this.build = build;
         this.out = out;
         this.progress = progress;
-        starvation = new Starvation(Referee.SOCKETS, plan.experiment().proxies().cores());
+        starvation = new StarvationDetector(Referee.SOCKET_TOLERANCE_MICROS, plan.experiment().proxies().cores());
     }
 
     Result play() throws IOException, FailedStart, VoidPlayException, InterruptedException {
         Files.createDirectories(out);
         empty(out.resolve("proxies"));
-        Leftovers leftovers = new Leftovers(Leftovers.usual());
-        List<Long> left = leftovers.end();
+        ChildProcessRegistry leftovers = new ChildProcessRegistry(ChildProcessRegistry.defaultFolder());
+        List<Long> left = leftovers.killOrphans();
         if (!left.isEmpty()) {
             System.err.println("ended what an earlier lab had left behind: processes " + left);
         }
@@ -78,44 +78,44 @@
         Emulator world = new Emulator(plan, net, clock, referee);
         List<Sample> samples = new ArrayList<>();
         Score score = new Score(plan);
-        Lateness generator = new Lateness();
-        try (Proxies proxies = new Proxies(plan, build, out.resolve("proxies"), clock, referee, world,
+        LatenessRecorder generator = new LatenessRecorder();
+        try (ProxyFleet proxies = new ProxyFleet(plan, build, out.resolve("proxies"), clock, referee, world,
             net, leftovers, starvation, generator)) {
             Thread killer = new Thread(proxies::close, "killer");
             Runtime.getRuntime().addShutdownHook(killer);
             proxies.start();
-            FrontLoadBalancer front = new FrontLoadBalancer(proxies.addresses(), experiment.clients(), plan.seed(), net, clock,
-                proxies::well);
+            FrontLoadBalancer front = new FrontLoadBalancer(proxies.listenAddresses(), experiment.clients(), plan.seed(), net, clock,
+                proxies::proxyReady);
             front.start();
             awaitStart(experiment, proxies, front);
             OpenLoopClients clients = new OpenLoopClients(plan, net, clock, referee, front, score, generator);
-            beat(net, net.emulatorLoop(), proxies.watch().world, clock.nowMicros() + BEAT);
-            beat(net, net.clientLoop(), proxies.watch().clients, clock.nowMicros() + BEAT);
+            beat(net, net.emulatorLoop(), proxies.starvationMonitor().emulatorLateness, clock.nowMicros() + BEAT);
+            beat(net, net.clientLoop(), proxies.starvationMonitor().clientsLateness, clock.nowMicros() + BEAT);
             long zero = clock.nowMicros() + LEAD;
             for (Break fault : plan.breaks()) {
                 if (fault.kind().ofProxies()) {
-                    proxies.schedule(fault, zero);
+                    proxies.scheduleFault(fault, zero);
                 } else {
                     world.scheduleFault(fault, zero);
                 }
             }
-            MemberWatch members = new MemberWatch(plan, proxies, clock);
+            MembershipMonitor members = new MembershipMonitor(plan, proxies, clock);
             if (experiment.permissions().peers()) {
                 members.start();
             }
             clients.start(zero);
-            starvation.judging(true);
+            starvation.setJudging(true);
             watch(experiment, zero, clients, world, score, samples);
-            starvation.judging(false);
+            starvation.setJudging(false);
             front.close();
             members.close();
             proxies.stop();
             Result result = new Result(plan, build.root().getFileName().toString(), score, referee,
-                proxies.figures(),
-                samples, new Result.Own(generator.all(), proxies.watch().world.all(), starvation.rulesVoid(),
-                    starvation.latenciesVoid(),
-                    starvation.figures(TaskCounts.counted()), left), world.overloadCrashedBackendCount(),
-                world.discoveryEntriesSent(), proxies.peerTraffic(), members.values(out.resolve("proxies"), zero));
+                proxies.resourceUsages(),
+                samples, new Result.Own(generator.total(), proxies.starvationMonitor().emulatorLateness.total(), starvation.rulesVoidReason(),
+                    starvation.latenciesVoidReason(),
+                    starvation.toResult(SchedulerStats.isAvailable()), left), world.overloadCrashedBackendCount(),
+                world.discoveryEntriesSent(), proxies.peerTraffic(), members.collectResults(out.resolve("proxies"), zero));
             Runtime.getRuntime().removeShutdownHook(killer);
             return result;
         } finally {
@@ -123,14 +123,14 @@
         }
     }
 
-    private void awaitStart(Experiment experiment, Proxies proxies, FrontLoadBalancer front)
+    private void awaitStart(Experiment experiment, ProxyFleet proxies, FrontLoadBalancer front)
         throws FailedStart, VoidPlayException, InterruptedException {
-        Limit limit = new Limit(experiment.proxies().startWithin());
+        TimeLimit limit = new TimeLimit(experiment.proxies().startWithin());
         long since = clock.nowMicros();
         int wanted = experiment.proxies().count();
         while (true) {
             int ready = front.healthyProxyCount();
-            List<String> dead = proxies.dead();
+            List<String> dead = proxies.crashes();
             progress.accept(ready + " of " + wanted + " proxies are ready");
             if (!dead.isEmpty()) {
                 throw new FailedStart("proxies ended at their start: " + String.join(", ", dead)
@@ -139,14 +139,14 @@
             if (ready == wanted) {
                 return;
             }
-            long took = clock.nowMicros() - since, waited = took > limit.length() ? proxies.startsWaited() : 0;
-            Limit.Verdict verdict = limit.of(took, waited);
-            if (verdict == Limit.Verdict.STARVED && limit.over(took)) {
+            long took = clock.nowMicros() - since, waited = took > limit.limitMicros() ? proxies.maxStartCpuWaitMicros() : 0;
+            TimeLimit.Verdict verdict = limit.verdict(took, waited);
+            if (verdict == TimeLimit.Verdict.STARVED && limit.isPastMaxWait(took)) {
                 throw new VoidPlayException(String.format(Locale.ROOT, "%d of %d proxies were not ready "
                     + "within %.1f s, of which one waited %.1f s for a core", wanted - ready, wanted,
                     took / 1e6, waited / 1e6));
             }
-            if (verdict == Limit.Verdict.PASSED) {
+            if (verdict == TimeLimit.Verdict.PASSED) {
                 throw new FailedStart((wanted - ready) + " of " + wanted + " proxies were not ready within "
                     + experiment.proxies().startWithin() / SECOND + " s; their logs are in "
                     + out.resolve("proxies"));
@@ -156,7 +156,7 @@
     }
 
     /** How late the world's loop runs is how late nodes and discovery act, and the clients' loop clients. */
-    private void beat(EmulatorNetwork net, EventLoop loop, Lateness lateness, long due) {
+    private void beat(EmulatorNetwork net, EventLoop loop, LatenessRecorder lateness, long due) {
         net.schedule(loop, due - clock.nowMicros(), () -> {
             long now = clock.nowMicros();
             lateness.record(now - due);
--- a/lab/src/main/java/dockrelay/lab/Main.java
+++ b/lab/src/main/java/dockrelay/lab/Main.java
@@ -82,7 +82,7 @@
                 throw new SpecException("--plays = " + most + "; allowed are 1 and more");
             }
             Plan plan = Plan.of(ExperimentReader.read(file, settings), seed);
-            Build build = Build.of(root);
+            Build build = Build.load(root);
             Progress progress = new Progress();
             Plays<Result> plays = new Plays<>(most, Result::voidBecause, text -> {
                 progress.end();
@@ -138,8 +138,8 @@
         public Integer call() throws Exception {
             Series series = new Series(out, new Progress());
             return finish(series, series.compare(
-                new Series.Side(name(a, settingsA, "a"), file, settingsA, Build.of(a)),
-                new Series.Side(name(b, settingsB, "b"), file, settingsB, Build.of(b)), seeds), out,
+                new Series.Side(name(a, settingsA, "a"), file, settingsA, Build.load(a)),
+                new Series.Side(name(b, settingsB, "b"), file, settingsB, Build.load(b)), seeds), out,
                 "compare.html");
         }
 
@@ -174,7 +174,7 @@
         @Override
         public Integer call() throws Exception {
             Series series = new Series(out, new Progress());
-            Series.Side side = new Series.Side(file.getFileName().toString(), file, settings, Build.of(root));
+            Series.Side side = new Series.Side(file.getFileName().toString(), file, settings, Build.load(root));
             return finish(series, series.sweep(side, key, values, seeds), out, "sweep.html");
         }
     }
--- a/lab/src/main/java/dockrelay/lab/process/Build.java
+++ b/lab/src/main/java/dockrelay/lab/process/Build.java
@@ -8,9 +8,9 @@
 import org.tomlj.TomlParseResult;
 
 /** A checkout of the program that has been built: its root, and the command that starts one proxy there. */
-public record Build(Path root, String run) {
+public record Build(Path root, String startCommand) {
     /** Reads the command from the deploy file, as the platform does. */
-    public static Build of(Path root) {
+    public static Build load(Path root) {
         Path file = root.resolve("deploy/balancer.toml");
         try {
             TomlParseResult deploy = Toml.parse(Files.readString(file));
--- a/lab/src/main/java/dockrelay/lab/process/Leftovers.java
+++ b/lab/src/main/java/dockrelay/lab/process/ChildProcessRegistry.java
@@ -16,10 +16,10 @@
  * named and ended by a later one. A process is known by its id and start time: an id alone may be somebody
  * else's by then.
  */
-public final class Leftovers {
+public final class ChildProcessRegistry {
     private final Path folder, own;
 
-    public Leftovers(Path folder) throws IOException {
+    public ChildProcessRegistry(Path folder) throws IOException {
         this.folder = folder;
         Files.createDirectories(folder);
         own = folder.resolve("lab-" + line(ProcessHandle.current()).replace(' ', '-') + "-"
@@ -27,7 +27,7 @@
     }
 
     /** Where all labs of this user keep their lists. */
-    public static Path usual() {
+    public static Path defaultFolder() {
         return Path.of(System.getProperty("java.io.tmpdir"), "dockrelay-lab-"
             + System.getProperty("user.name"));
     }
@@ -39,15 +39,15 @@
     }
 
     /** All that this lab started has ended. */
-    public synchronized void clear() throws IOException {
+    public synchronized void deleteOwnList() throws IOException {
         Files.deleteIfExists(own);
     }
 
     /** Ends what labs left behind that are no more; returns the ids of what was still there. */
-    public List<Long> end() throws IOException {
+    public List<Long> killOrphans() throws IOException {
         List<Long> found = new ArrayList<>();
         for (Path file : left()) {
-            found.addAll(end(file));
+            found.addAll(killOrphans(file));
         }
         return found;
     }
@@ -66,7 +66,7 @@
     }
 
     /** Ends what such a list names; nothing where another lab has done so meanwhile. */
-    List<Long> end(Path file) throws IOException {
+    List<Long> killOrphans(Path file) throws IOException {
         List<Long> found = new ArrayList<>();
         List<String> lines;
         try {
--- a/lab/src/main/java/dockrelay/lab/process/ConsoleCall.java
+++ b/lab/src/main/java/dockrelay/lab/process/ConsoleClient.java
@@ -10,20 +10,20 @@
 import java.util.List;
 
 /** A call at a proxy's console: one line in, one or more lines out. */
-public final class ConsoleCall {
+public final class ConsoleClient {
     private static final int PATIENCE_MILLIS = 1_000;
 
-    private ConsoleCall() {
+    private ConsoleClient() {
     }
 
     /** Whether the answer was a yes within the time that callers wait. */
     public static boolean yes(InetSocketAddress console, String line) {
-        List<String> answer = ask(console, line);
+        List<String> answer = call(console, line);
         return !answer.isEmpty() && answer.get(0).startsWith("200");
     }
 
     /** The lines of the answer; none where nobody is there, or too late. */
-    public static List<String> ask(InetSocketAddress console, String line) {
+    public static List<String> call(InetSocketAddress console, String line) {
         try (Socket socket = new Socket()) {
             socket.connect(console, PATIENCE_MILLIS);
             socket.setSoTimeout(PATIENCE_MILLIS);
--- a/lab/src/main/java/dockrelay/lab/process/MemberWatch.java
+++ b/lab/src/main/java/dockrelay/lab/process/MembershipMonitor.java
@@ -30,7 +30,7 @@
  * agree,
  * and read in their logs for when each held another one gone. Times count from when clients come.
  */
-public final class MemberWatch implements AutoCloseable {
+public final class MembershipMonitor implements AutoCloseable {
     private static final long LEAST_MILLIS = 250, EACH_MILLIS = 15;
     /** A death is looked for so long, and what a fault leaves behind may show so much later. */
     private static final long LOOKED_FOR = 20_000_000, AFTER = 4_000_000;
@@ -69,14 +69,14 @@
     }
 
     private final Plan plan;
-    private final Proxies proxies;
+    private final ProxyFleet proxies;
     private final Clock clock;
     private final List<Round> rounds = new ArrayList<>();
     private final List<Said> all = new ArrayList<>();
     private final ScheduledExecutorService thread = Executors.newSingleThreadScheduledExecutor(
         new DefaultThreadFactory("members", true));
 
-    public MemberWatch(Plan plan, Proxies proxies, Clock clock) {
+    public MembershipMonitor(Plan plan, ProxyFleet proxies, Clock clock) {
         this.plan = plan;
         this.proxies = proxies;
         this.clock = clock;
@@ -91,7 +91,7 @@
         long at = clock.nowMicros();
         List<Said> said = new ArrayList<>();
         proxies.consoles().forEach((proxy, console) -> {
-            List<String> answer = ConsoleCall.ask(console, "MEMBERS");
+            List<String> answer = ConsoleClient.call(console, "MEMBERS");
             Matcher first = answer.isEmpty() ? null : ANSWER.matcher(answer.get(0));
             if (first != null && first.matches()) {
                 said.add(Said.of(clock.nowMicros(), proxy, first));
@@ -112,7 +112,7 @@
 
     /** The figures, once all has ended; empty where the proxies are no members. Beside the proxies' folders
      * stands what each said, a row an answer. */
-    public Map<String, Object> values(Path folder, long zero) throws IOException {
+    public Map<String, Object> collectResults(Path folder, long zero) throws IOException {
         Map<String, Object> result = new LinkedHashMap<>();
         synchronized (rounds) {
             if (rounds.stream().allMatch(round -> round.answered == 0)) {
--- a/lab/src/main/java/dockrelay/lab/process/Configuration.java
+++ b/lab/src/main/java/dockrelay/lab/process/ProxyConfiguration.java
@@ -12,14 +12,14 @@
 import java.util.TreeSet;
 
 /** What a proxy is told at its start, in the platform's words and units. */
-public final class Configuration {
+public final class ProxyConfiguration {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final double SECOND = 1_000_000;
 
-    private Configuration() {
+    private ProxyConfiguration() {
     }
 
-    public static String of(Experiment experiment, ProxyProcess proxy, String listen, String console,
+    public static String toJson(Experiment experiment, ProxyProcess proxy, String listen, String console,
                             String discovery, long seed, Map<String, Object> known, String peerListen,
                             List<String> peers) {
         Map<String, Object> top = new LinkedHashMap<>();
--- a/lab/src/main/java/dockrelay/lab/process/Proxies.java
+++ b/lab/src/main/java/dockrelay/lab/process/ProxyFleet.java
@@ -7,10 +7,10 @@
 import dockrelay.lab.referee.Rule;
 import dockrelay.lab.spec.Experiment;
 import dockrelay.lab.spec.Experiment.Folder;
-import dockrelay.lab.starvation.Lateness;
-import dockrelay.lab.starvation.Limit;
-import dockrelay.lab.starvation.Limit.Verdict;
-import dockrelay.lab.starvation.Starvation;
+import dockrelay.lab.starvation.LatenessRecorder;
+import dockrelay.lab.starvation.TimeLimit;
+import dockrelay.lab.starvation.TimeLimit.Verdict;
+import dockrelay.lab.starvation.StarvationDetector;
 import dockrelay.lab.starvation.StarvationWatch;
 import dockrelay.lab.world.LoopbackAddresses;
 import dockrelay.lab.world.Clock;
@@ -31,27 +31,27 @@
 import java.util.concurrent.TimeUnit;
 
 /** The processes under test: their starts and ends, what befalls them, and what the system says of them. */
-public final class Proxies implements AutoCloseable {
+public final class ProxyFleet implements AutoCloseable {
     /** The world's loop, the clients' and some for all else. */
     private static final int OWN_PROCESSORS = 3;
     private static final long LOOK_MILLIS = 250, ASK_MILLIS = 50;
     /** The next process of an upgrade has to say yes within this. */
-    private static final Limit YES_WITHIN = new Limit(6_000_000);
+    private static final TimeLimit YES_WITHIN = new TimeLimit(6_000_000);
     /** SIGKILL follows SIGTERM after the longest deadline, of this at most, and 0.7 s. */
     private static final long LONGEST_DEADLINE = 3_000_000, GRACE = 700_000;
 
     /** What one proxy used, over all its processes. */
-    public record Figures(String name, int starts, long peakKib, int peakDescriptors, double cpuSeconds) {
+    public record ResourceUsage(String name, int starts, long peakResidentKib, int peakDescriptors, double cpuSeconds) {
     }
 
     private final Plan plan;
     private final Clock clock;
     private final Referee referee;
     private final Emulator world;
-    private final Leftovers leftovers;
+    private final ChildProcessRegistry leftovers;
     private final List<ProxyProcess> all = new ArrayList<>();
     private final PeerNetwork peers;
-    private final Starvation starvation;
+    private final StarvationDetector starvation;
     private final StarvationWatch watch;
     private final long[] peakKib;
     private final int[] peakDescriptors;
@@ -61,8 +61,8 @@
     private final ExecutorService operators = Executors.newSingleThreadExecutor(
         new DefaultThreadFactory("operators", true));
 
-    public Proxies(Plan plan, Build build, Path folder, Clock clock, Referee referee, Emulator world,
-                   EmulatorNetwork net, Leftovers leftovers, Starvation starvation, Lateness generator)
+    public ProxyFleet(Plan plan, Build build, Path folder, Clock clock, Referee referee, Emulator world,
+                   EmulatorNetwork net, ChildProcessRegistry leftovers, StarvationDetector starvation, LatenessRecorder generator)
         throws IOException {
         this.plan = plan;
         this.clock = clock;
@@ -91,14 +91,14 @@
         return own + proxy % (all - own);
     }
 
-    public InetSocketAddress[] addresses() {
-        return all.stream().map(ProxyProcess::listen).toArray(InetSocketAddress[]::new);
+    public InetSocketAddress[] listenAddresses() {
+        return all.stream().map(ProxyProcess::listenAddress).toArray(InetSocketAddress[]::new);
     }
 
     /** The consoles of those that run, by name. */
     Map<String, InetSocketAddress> consoles() {
         Map<String, InetSocketAddress> result = new LinkedHashMap<>();
-        all.stream().filter(ProxyProcess::alive).forEach(proxy -> result.put(proxy.name(), proxy.console()));
+        all.stream().filter(ProxyProcess::isAlive).forEach(proxy -> result.put(proxy.name(), proxy.consoleAddress()));
         return result;
     }
 
@@ -115,13 +115,13 @@
 
     private void start(ProxyProcess proxy, boolean keepFolder) throws IOException {
         int i = proxy.index();
-        if (!proxy.alive()) {
+        if (!proxy.isAlive()) {
             referee.forgot(i, keepFolder);
         }
-        proxy.prepare(LoopbackAddresses.freeConsoleAddress(i));
+        proxy.setConsoleAddress(LoopbackAddresses.freeConsoleAddress(i));
         proxy.start(configuration(proxy, true),
-            Map.of("PROXY_LISTEN", LoopbackAddresses.hostAndPort(proxy.listen()), "PROXY_CONSOLE",
-            LoopbackAddresses.hostAndPort(proxy.console()), "PROXY_DISCOVERY", world.discoveryAddress(i)), keepFolder);
+            Map.of("PROXY_LISTEN", LoopbackAddresses.hostAndPort(proxy.listenAddress()), "PROXY_CONSOLE",
+            LoopbackAddresses.hostAndPort(proxy.consoleAddress()), "PROXY_DISCOVERY", world.discoveryAddress(i)), keepFolder);
         reported[i] = false;
     }
 
@@ -131,7 +131,7 @@
     private void mark(String node, boolean out) {
         all.parallelStream().forEach(proxy -> {
             long asked = clock.nowMicros();
-            if (ConsoleCall.yes(proxy.console(), (out ? "DETACH " : "ATTACH ") + node)) {
+            if (ConsoleClient.yes(proxy.consoleAddress(), (out ? "DETACH " : "ATTACH ") + node)) {
                 referee.marked(proxy.index(), node, out, out ? clock.nowMicros() : asked);
             }
         });
@@ -153,8 +153,8 @@
 
     private String configuration(ProxyProcess proxy, boolean starts) {
         int i = proxy.index();
-        return Configuration.of(plan.experiment(), proxy, LoopbackAddresses.hostAndPort(proxy.listen()),
-            LoopbackAddresses.hostAndPort(proxy.console()), world.discoveryAddress(i),
+        return ProxyConfiguration.toJson(plan.experiment(), proxy, LoopbackAddresses.hostAndPort(proxy.listenAddress()),
+            LoopbackAddresses.hostAndPort(proxy.consoleAddress()), world.discoveryAddress(i),
             Seeds.number(plan.seed(), proxy.name() + " start " + proxy.starts()), world.backendListFor(i, starts),
             peers == null ? null : peers.listen(i), peers == null ? null : peers.seenBy(i));
     }
@@ -167,60 +167,60 @@
 
     private void awaitYes(ProxyProcess proxy, long since) {
         long took = clock.nowMicros() - since; // when it is asked: the answer may be late by itself
-        boolean yes = ConsoleCall.yes(proxy.console(), "PING");
+        boolean yes = ConsoleClient.yes(proxy.consoleAddress(), "PING");
         long waited = watch.waited(proxy.process());
-        Verdict verdict = YES_WITHIN.of(took, waited);
+        Verdict verdict = YES_WITHIN.verdict(took, waited);
         if (verdict == Verdict.PASSED) {
             referee.process(Rule.CRASH, proxy.index(), clock.nowMicros(), String.format(Locale.ROOT,
                 "the next process did not say yes within %.1f s; it waited %.1f s for a core",
-                YES_WITHIN.length() / 1e6, waited / 1e6));
-        } else if (verdict == Verdict.STARVED && (yes || YES_WITHIN.over(took))) {
+                YES_WITHIN.limitMicros() / 1e6, waited / 1e6));
+        } else if (verdict == Verdict.STARVED && (yes || YES_WITHIN.isPastMaxWait(took))) {
             starvation.passed("the start of the next process of " + proxy.name(), took, waited);
         }
         if (yes) {
             proxy.serves(false);
             proxy.signalBefore("TERM");
             thread.schedule(() -> proxy.signalBefore("KILL"), longest() + GRACE, TimeUnit.MICROSECONDS);
-        } else if (verdict != Verdict.PASSED && !YES_WITHIN.over(took)) {
+        } else if (verdict != Verdict.PASSED && !YES_WITHIN.isPastMaxWait(took)) {
             thread.schedule(() -> awaitYes(proxy, since), ASK_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
     /** A proxy has said at the clients' address that it can serve. */
-    public void well(int proxy) {
+    public void proxyReady(int proxy) {
         all.get(proxy).serves(true);
     }
 
     /** The longest that one of those that do not serve yet has waited for a core. */
-    public long startsWaited() {
+    public long maxStartCpuWaitMicros() {
         return all.stream().flatMap(proxy -> proxy.watched().stream()).filter(one -> !one.serves())
             .mapToLong(one -> watch.waited(one.process())).max().orElse(0);
     }
 
     /** How late the lab was, to be told and asked. */
-    public StarvationWatch watch() {
+    public StarvationWatch starvationMonitor() {
         return watch;
     }
 
     /** Those that are there no more though nobody told them to end. */
-    public List<String> dead() {
-        return all.stream().filter(proxy -> proxy.crashed() != null)
-            .map(proxy -> proxy.name() + ": " + proxy.crashed()).toList();
+    public List<String> crashes() {
+        return all.stream().filter(proxy -> proxy.crashDescription() != null)
+            .map(proxy -> proxy.name() + ": " + proxy.crashDescription()).toList();
     }
 
     private void look() {
         Experiment.Proxies limits = plan.experiment().proxies();
         for (ProxyProcess proxy : all) {
             int i = proxy.index();
-            String crash = proxy.crashed();
+            String crash = proxy.crashDescription();
             if (crash != null && !reported[i]) {
                 reported[i] = true;
                 referee.process(Rule.CRASH, i, clock.nowMicros(), crash);
             }
-            if (!proxy.alive()) {
+            if (!proxy.isAlive()) {
                 continue;
             }
-            ProxyProcess.Usage usage = proxy.usage();
+            ProxyProcess.Usage usage = proxy.sampleUsage();
             if (usage.residentKib() * 1024 > limits.memory() && peakKib[i] * 1024 <= limits.memory()) {
                 referee.process(Rule.MEMORY, i, clock.nowMicros(), "holds " + usage.residentKib() / 1024
                     + " MiB of "
@@ -236,7 +236,7 @@
     }
 
     /** Lets a fault of proxies begin at its time; zero is when clients come. */
-    public void schedule(Break fault, long zero) {
+    public void scheduleFault(Break fault, long zero) {
         thread.schedule(() -> fault.victims().forEach(victim -> begin(fault, all.get(victim))),
             Math.max(0, zero + fault.at() - clock.nowMicros()), TimeUnit.MICROSECONDS);
     }
@@ -245,21 +245,21 @@
         long now = clock.nowMicros(), until = now + fault.lasts();
         switch (fault.kind()) {
             case KILL -> {
-                referee.excused(proxy.index(), now, until);
+                referee.excuseProxy(proxy.index(), now, until);
                 proxy.signal("KILL");
                 again(proxy, fault, fault.lasts());
             }
             case TERM -> {
                 proxy.signal("TERM");
                 thread.schedule(() -> {
-                    if (proxy.alive()) {
+                    if (proxy.isAlive()) {
                         proxy.signal("KILL");
                     }
                 }, longest() + GRACE, TimeUnit.MICROSECONDS);
                 again(proxy, fault, Math.max(fault.lasts(), longest() + GRACE + LOOK_MILLIS * 1000));
             }
             case PAUSE -> {
-                referee.excused(proxy.index(), now, until);
+                referee.excuseProxy(proxy.index(), now, until);
                 proxy.signal("STOP");
                 thread.schedule(() -> proxy.signal("CONT"), fault.lasts(), TimeUnit.MICROSECONDS);
             }
@@ -311,25 +311,25 @@
             awaitEnd(proxy, told, waited.get(proxy.index()));
         }
         watch.close();
-        leftovers.clear();
+        leftovers.deleteOwnList();
     }
 
     private void awaitEnd(ProxyProcess proxy, long told, long waitedBefore) {
-        Limit limit = new Limit(longest() + GRACE);
+        TimeLimit limit = new TimeLimit(longest() + GRACE);
         Verdict verdict = Verdict.WITHIN;
-        while (!proxy.await(ASK_MILLIS)) {
+        while (!proxy.awaitExit(ASK_MILLIS)) {
             long took = clock.nowMicros() - told, waited = watch.waited(proxy.process()) - waitedBefore;
-            Verdict next = limit.of(took, waited);
+            Verdict next = limit.verdict(took, waited);
             if (next == Verdict.STARVED && verdict != next) {
                 starvation.passed("the end of " + proxy.name(), took, waited);
             }
             verdict = next;
-            if (verdict == Verdict.PASSED || limit.over(took)) {
+            if (verdict == Verdict.PASSED || limit.isPastMaxWait(took)) {
                 if (verdict == Verdict.PASSED) {
                     referee.process(Rule.CRASH, proxy.index(), clock.nowMicros(), "did not end after SIGTERM");
                 }
                 proxy.signal("KILL");
-                proxy.await(5_000);
+                proxy.awaitExit(5_000);
                 return;
             }
         }
@@ -340,11 +340,11 @@
         return peers == null ? new long[2] : new long[] {peers.datagrams(), peers.bytes()};
     }
 
-    public List<Figures> figures() {
-        List<Figures> result = new ArrayList<>();
+    public List<ResourceUsage> resourceUsages() {
+        List<ResourceUsage> result = new ArrayList<>();
         for (ProxyProcess proxy : all) {
             int i = proxy.index();
-            result.add(new Figures(proxy.name(), proxy.starts(), peakKib[i], peakDescriptors[i],
+            result.add(new ResourceUsage(proxy.name(), proxy.starts(), peakKib[i], peakDescriptors[i],
                 proxy.cpuSeconds()));
         }
         return result;
--- a/lab/src/main/java/dockrelay/lab/process/ProxyProcess.java
+++ b/lab/src/main/java/dockrelay/lab/process/ProxyProcess.java
@@ -52,7 +52,7 @@
     private final Build build;
     private final Path folder;
     private final InetSocketAddress listen;
-    private final Leftovers leftovers;
+    private final ChildProcessRegistry leftovers;
     private final long fileLimit;
     private final int socket, processor;
     private final Map<Long, Long> ticks = new HashMap<>();
@@ -66,7 +66,7 @@
      * leaves it to the system where it runs.
      */
     public ProxyProcess(int index, Build build, Path folder, InetSocketAddress listen, boolean sharedSocket,
-                        long fileLimit, int processor, Leftovers leftovers) throws IOException {
+                        long fileLimit, int processor, ChildProcessRegistry leftovers) throws IOException {
         this.index = index;
         this.build = build;
         this.folder = folder;
@@ -85,16 +85,16 @@
         return "n" + index;
     }
 
-    public InetSocketAddress listen() {
+    public InetSocketAddress listenAddress() {
         return listen;
     }
 
-    public synchronized InetSocketAddress console() {
+    public synchronized InetSocketAddress consoleAddress() {
         return console;
     }
 
     /** The console's address of the process to be started next. */
-    public synchronized void prepare(InetSocketAddress itsConsole) {
+    public synchronized void setConsoleAddress(InetSocketAddress itsConsole) {
         console = itsConsole;
     }
 
@@ -114,7 +114,7 @@
         }
         config = home.resolve("config.json");
         configure(configuration);
-        ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", build.run())
+        ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", build.startCommand())
             .directory(build.root().toFile())
             .redirectErrorStream(true).redirectOutput(home.resolve("log").toFile());
         builder.environment().put("PROXY_NAME", name());
@@ -150,7 +150,7 @@
         return now.process.pid();
     }
 
-    public synchronized boolean alive() {
+    public synchronized boolean isAlive() {
         return now != null && now.alive();
     }
 
@@ -179,7 +179,7 @@
     }
 
     /** What has ended though nobody told it to, and how; null where nothing has. */
-    public synchronized String crashed() {
+    public synchronized String crashDescription() {
         for (One one : new One[] {now, before}) {
             if (one != null && !one.alive() && !one.told) {
                 return "process " + one.process.pid() + " ended by itself with " + one.process.exitValue();
@@ -213,7 +213,7 @@
     }
 
     /** Returns whether it has ended within this time. */
-    public boolean await(long millis) {
+    public boolean awaitExit(long millis) {
         One one;
         synchronized (this) {
             one = now;
@@ -226,9 +226,9 @@
         }
     }
 
-    public synchronized Usage usage() {
-        Usage usage = now == null ? new Usage(0, 0) : usage(now.process.pid());
-        return before == null || !before.alive() ? usage : usage.and(usage(before.process.pid()));
+    public synchronized Usage sampleUsage() {
+        Usage usage = now == null ? new Usage(0, 0) : sampleUsage(now.process.pid());
+        return before == null || !before.alive() ? usage : usage.and(sampleUsage(before.process.pid()));
     }
 
     /** CPU time of all its processes, as far as it has been looked at. */
@@ -236,7 +236,7 @@
         return ticks.values().stream().mapToLong(Long::longValue).sum() / TICKS;
     }
 
-    private Usage usage(long process) {
+    private Usage sampleUsage(long process) {
         Path proc = Path.of("/proc", String.valueOf(process));
         try {
             long resident = 0;
--- a/lab/src/main/java/dockrelay/lab/referee/Attempt.java
+++ b/lab/src/main/java/dockrelay/lab/referee/Attempt.java
@@ -4,33 +4,33 @@
 public final class Attempt {
     /** How it stands or ended, as the node knows it. */
     public enum State {
-        HELD, TURNED_AWAY, SERVED, ERROR, STOPPED;
+        HELD, REJECTED, SERVED, ERROR, CANCELLED;
 
         boolean mayHaveRun() {
-            return this != TURNED_AWAY;
+            return this != REJECTED;
         }
     }
 
-    public final Try of;
+    public final ClientRequest request;
     public final int node, number;
-    public final long at;
+    public final long arrivedAtMicros;
     /** Its own draw around the request's work. */
-    public final double work;
+    public final double workMicros;
     double spent;
     State state = State.HELD;
     boolean won;
 
-    Attempt(Try of, int node, int number, long at, double work) {
-        this.of = of;
+    Attempt(ClientRequest of, int node, int number, long at, double work) {
+        this.request = of;
         this.node = node;
         this.number = number;
-        this.at = at;
-        this.work = work;
+        this.arrivedAtMicros = at;
+        this.workMicros = work;
     }
 
     /** What this node answers it with: nobody else makes the same bytes. */
-    public String body() {
-        return "node " + node + " served " + of.id + " as number " + number + ", "
-            + Long.toHexString(Double.doubleToLongBits(work)) + "\n";
+    public String expectedBody() {
+        return "node " + node + " served " + request.id + " as number " + number + ", "
+            + Long.toHexString(Double.doubleToLongBits(workMicros)) + "\n";
     }
 }
--- a/lab/src/main/java/dockrelay/lab/referee/Try.java
+++ b/lab/src/main/java/dockrelay/lab/referee/ClientRequest.java
@@ -5,23 +5,23 @@
 import java.util.List;
 
 /** One try of a client: what it sent and all that is known to have become of it. */
-public final class Try {
-    public final String id, method, path, key, content;
+public final class ClientRequest {
+    public final String id, method, path, idempotencyKey, body;
     public final Arrival arrival;
     public final int proxy;
-    public final long sentAt, timeout;
+    public final long sentAtMicros, timeoutMicros;
     final List<Attempt> attempts = new ArrayList<>(2);
 
-    public Try(String id, String method, String path, String key, String content, Arrival arrival, int proxy,
+    public ClientRequest(String id, String method, String path, String key, String content, Arrival arrival, int proxy,
         long sentAt, long timeout) {
         this.id = id;
         this.method = method;
         this.path = path;
-        this.key = key;
-        this.content = content;
+        this.idempotencyKey = key;
+        this.body = content;
         this.arrival = arrival;
         this.proxy = proxy;
-        this.sentAt = sentAt;
-        this.timeout = timeout;
+        this.sentAtMicros = sentAt;
+        this.timeoutMicros = timeout;
     }
 }
--- a/lab/src/main/java/dockrelay/lab/referee/Referee.java
+++ b/lab/src/main/java/dockrelay/lab/referee/Referee.java
@@ -19,7 +19,7 @@
  */
 public final class Referee {
     /** Every time limit is longer by this on sockets. */
-    public static final long SOCKETS = 50_000;
+    public static final long SOCKET_TOLERANCE_MICROS = 50_000;
     /** All are counted, so many are told. */
     private static final int MOST_TOLD = 200;
     /** What a kill or a pause has to do with a connection's end is seen this much around it. */
@@ -33,11 +33,11 @@
     private static final double LEAST_BURST = 2, WAY = 300_000;
 
     /** One breach. Request and proxy may be empty. */
-    public record Broken(Rule rule, long at, String request, String proxy, String what) {
+    public record Violation(Rule rule, long atMicros, String request, String proxy, String description) {
     }
 
     /** Work that reached a cold node. */
-    public record Sent(int proxy, long at, double work) {
+    public record ReceivedWork(int proxy, long receivedAtMicros, double workMicros) {
     }
 
     /** What discovery last wrote to a proxy of a node. */
@@ -49,11 +49,11 @@
 
     private final Plan plan;
     private final Experiment experiment;
-    private final Map<String, Try> tries = new HashMap<>();
+    private final Map<String, ClientRequest> tries = new HashMap<>();
     private final Map<Long, Told> told = new HashMap<>();
     private final Map<Long, Long> marked = new HashMap<>();
     private final List<Trouble> troubles = new ArrayList<>();
-    private final List<Broken> broken = new ArrayList<>();
+    private final List<Violation> broken = new ArrayList<>();
     private final Map<Rule, Integer> counts = new EnumMap<>(Rule.class);
     private double extraLeft;
     private long extras, extraAt;
@@ -64,23 +64,23 @@
         this.experiment = plan.experiment();
     }
 
-    public synchronized void sent(Try one, boolean first) {
+    public synchronized void requestSent(ClientRequest one, boolean first) {
         tries.put(one.id, one);
         allTries++;
         firstTries += first ? 1 : 0;
     }
 
     /** An attempt's last byte has reached a node; null where no client sent such a request. */
-    public synchronized Attempt arrived(int proxy, int node, long now, String id, String method, String path,
+    public synchronized Attempt attemptArrived(int proxy, int node, long now, String id, String method, String path,
         String key, String content) {
-        Try of = tries.get(id);
+        ClientRequest of = tries.get(id);
         if (of == null || of.proxy != proxy) {
             breach(Rule.FOREIGN, now, id, proxy, "reached " + name(node) + ", but no client sent "
                 + (of == null ? "it" : "it by this proxy"));
             return null;
         }
-        if (!of.method.equals(method) || !of.path.equals(path) || !of.content.equals(content)
-            || !String.valueOf(of.key).equals(String.valueOf(key))) {
+        if (!of.method.equals(method) || !of.path.equals(path) || !of.body.equals(content)
+            || !String.valueOf(of.idempotencyKey).equals(String.valueOf(key))) {
             breach(Rule.FOREIGN, now, id, proxy, "reached " + name(node) + " changed: " + method + " "
                 + path);
             return null;
@@ -103,12 +103,12 @@
             }
         }
         Told last = told.get(pair(proxy, node));
-        if (last != null && !last.usable && now > last.at + experiment.rules().drainGrace() + SOCKETS) {
+        if (last != null && !last.usable && now > last.at + experiment.rules().drainGrace() + SOCKET_TOLERANCE_MICROS) {
             breach(Rule.DRAIN, now, id, proxy, "sent to " + name(node) + " "
                 + (now - last.at) / 1000 + " ms after it was told to stop");
         }
         Long out = marked.get(pair(proxy, node));
-        if (out != null && now > out + experiment.rules().drainGrace() + SOCKETS) {
+        if (out != null && now > out + experiment.rules().drainGrace() + SOCKET_TOLERANCE_MICROS) {
             breach(Rule.DRAIN, now, id, proxy, "sent to " + name(node) + " " + (now - out) / 1000
                 + " ms after its yes to DETACH");
         }
@@ -138,7 +138,7 @@
     }
 
     /** Further attempts that reached a node. */
-    public synchronized long extras() {
+    public synchronized long extraAttempts() {
         return extras;
     }
 
@@ -160,23 +160,23 @@
             return type.name() + " went from " + before.name() + " to " + next.name() + ", another "
                 + type.scope().name().toLowerCase(java.util.Locale.ROOT);
         }
-        return now - earlier.at <= type.window() + SOCKETS ? null : type.name() + " went to " + next.name()
+        return now - earlier.arrivedAtMicros <= type.window() + SOCKET_TOLERANCE_MICROS ? null : type.name() + " went to " + next.name()
             + " "
-            + (now - earlier.at) / 1000 + " ms after " + before.name() + ", which remembers it for "
+            + (now - earlier.arrivedAtMicros) / 1000 + " ms after " + before.name() + ", which remembers it for "
             + type.window() / 1000;
     }
 
-    public synchronized void ended(Attempt attempt, Attempt.State state, double spent) {
+    public synchronized void attemptEnded(Attempt attempt, Attempt.State state, double spent) {
         attempt.state = state;
         attempt.spent = Math.max(0, spent);
-        turnedAway += state == Attempt.State.TURNED_AWAY ? 1 : 0;
+        turnedAway += state == Attempt.State.REJECTED ? 1 : 0;
     }
 
     /** A client has a whole answer. */
-    public synchronized void answered(Try one, long now, int status, String body) {
+    public synchronized void responseReceived(ClientRequest one, long now, int status, String body) {
         if (status == 200) {
             for (Attempt attempt : one.attempts) {
-                if (attempt.state == Attempt.State.SERVED && attempt.body().equals(body)) {
+                if (attempt.state == Attempt.State.SERVED && attempt.expectedBody().equals(body)) {
                     attempt.won = true;
                     break;
                 }
@@ -199,9 +199,9 @@
      * A client got no whole answer: its time ran out, or the proxy ended the connection. Returns whether that
      * breaks the rule; it does not where the proxy was killed or paused, which is the lab's doing.
      */
-    public synchronized boolean lost(Try one, long now, String how) {
+    public synchronized boolean responseMissing(ClientRequest one, long now, String how) {
         for (Trouble trouble : troubles) {
-            if (trouble.proxy == one.proxy && one.sentAt <= trouble.until + AROUND
+            if (trouble.proxy == one.proxy && one.sentAtMicros <= trouble.until + AROUND
                 && now >= trouble.from - AROUND) {
                 return false;
             }
@@ -211,12 +211,12 @@
     }
 
     /** Whether any node has seen this try. */
-    public synchronized boolean reached(Try one) {
+    public synchronized boolean reachedBackend(ClientRequest one) {
         return !one.attempts.isEmpty();
     }
 
     /** Discovery has written this entry to a proxy. */
-    public synchronized void told(int proxy, int node, boolean usable, long startedMillis, long now) {
+    public synchronized void discoveryEntrySent(int proxy, int node, boolean usable, long startedMillis, long now) {
         Told before = told.get(pair(proxy, node));
         long since = before != null && before.usable == usable ? before.at : now;
         told.put(pair(proxy, node), new Told(usable, since, startedMillis));
@@ -242,12 +242,12 @@
     }
 
     /** A cold node fell over under this work. */
-    public synchronized void fell(int node, long startedMillis, List<Sent> work, long now) {
+    public synchronized void coldBackendCollapsed(int node, long startedMillis, List<ReceivedWork> work, long now) {
         double all = 0, knowing = 0;
-        for (Sent sent : work) {
+        for (ReceivedWork sent : work) {
             Told last = told.get(pair(sent.proxy, node));
-            all += sent.work;
-            knowing += last != null && last.startedMillis >= startedMillis ? sent.work : 0;
+            all += sent.workMicros;
+            knowing += last != null && last.startedMillis >= startedMillis ? sent.workMicros : 0;
         }
         if (knowing >= TOLD_SHARE * all) {
             breach(Rule.COLD, now, "", -1, name(node) + " was pushed over while cold, "
@@ -256,7 +256,7 @@
     }
 
     /** The lab itself keeps this proxy from answering between two times. */
-    public synchronized void excused(int proxy, long from, long until) {
+    public synchronized void excuseProxy(int proxy, long from, long until) {
         troubles.add(new Trouble(proxy, from, until));
     }
 
@@ -264,33 +264,33 @@
         breach(rule, now, "", proxy, what);
     }
 
-    public synchronized void probed() {
+    public synchronized void probeReceived() {
         probes++;
     }
 
-    public synchronized void connected() {
+    public synchronized void connectionOpened() {
         connections++;
     }
 
     private void breach(Rule rule, long now, String request, int proxy, String what) {
         counts.merge(rule, 1, Integer::sum);
         if (broken.size() < MOST_TOLD) {
-            broken.add(new Broken(rule, now, request, proxy < 0 ? "" : "n" + proxy, what));
+            broken.add(new Violation(rule, now, request, proxy < 0 ? "" : "n" + proxy, what));
         }
     }
 
-    public synchronized List<Broken> broken() {
+    public synchronized List<Violation> violations() {
         return new ArrayList<>(broken);
     }
 
-    public synchronized Map<Rule, Integer> counts() {
+    public synchronized Map<Rule, Integer> violationCounts() {
         return new EnumMap<>(counts);
     }
 
     /** Figures of the whole run. Work that no client's answer came from is waste. */
     public synchronized Totals totals() {
         double useful = 0, waste = 0;
-        for (Try one : tries.values()) {
+        for (ClientRequest one : tries.values()) {
             for (Attempt attempt : one.attempts) {
                 if (attempt.won) {
                     useful += attempt.spent;
@@ -303,8 +303,8 @@
     }
 
     /** Counts, and work in microseconds of a standard core. */
-    public record Totals(long firstTries, long tries, long attempts, long turnedAway, long probes,
-        long connections, double usefulWork, double wastedWork) {
+    public record Totals(long firstRequests, long allRequests, long attempts, long rejectedAttempts, long probes,
+        long connections, double usefulWorkMicros, double wastedWorkMicros) {
     }
 
     private String name(int node) {
--- a/lab/src/main/java/dockrelay/lab/report/Result.java
+++ b/lab/src/main/java/dockrelay/lab/report/Result.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.databind.SerializationFeature;
 import dockrelay.lab.plan.Plan;
 import dockrelay.lab.plan.Plan.Break;
-import dockrelay.lab.process.Proxies;
+import dockrelay.lab.process.ProxyFleet;
 import dockrelay.lab.referee.Referee;
 import dockrelay.lab.referee.Rule;
 import dockrelay.lab.report.Score.End;
@@ -32,7 +32,7 @@
     public final Plan plan;
     public final Score score;
     public final List<Sample> samples;
-    public final List<Referee.Broken> broken;
+    public final List<Referee.Violation> broken;
     private final Map<String, Object> values = new LinkedHashMap<>();
     private final double g, waste, cpuSeconds;
     private final Referee.Totals totals;
@@ -43,23 +43,23 @@
         String latenciesVoid, Map<String, Object> starvation, List<Long> leftovers) {
     }
 
-    public Result(Plan plan, String build, Score score, Referee referee, List<Proxies.Figures> proxies,
+    public Result(Plan plan, String build, Score score, Referee referee, List<ProxyFleet.ResourceUsage> proxies,
                   List<Sample> samples, Own own, long fallen, long discoveryLines,
                   long[] peerTraffic, Map<String, Object> members) {
         this.plan = plan;
         this.score = score;
         this.samples = List.copyOf(samples);
-        this.broken = referee.broken();
+        this.broken = referee.violations();
         this.rulesVoid = own.rulesVoid;
         this.latenciesVoid = own.latenciesVoid;
         Part whole = score.whole();
         totals = referee.totals();
-        double work = totals.usefulWork() + totals.wastedWork();
+        double work = totals.usefulWorkMicros() + totals.wastedWorkMicros();
         double asked = plan.arrivals().stream().mapToDouble(Plan.Arrival::work).sum();
-        cpuSeconds = proxies.stream().mapToDouble(Proxies.Figures::cpuSeconds).sum();
-        waste = asked > 0 ? totals.wastedWork() / asked : 0;
+        cpuSeconds = proxies.stream().mapToDouble(ProxyFleet.ResourceUsage::cpuSeconds).sum();
+        waste = asked > 0 ? totals.wastedWorkMicros() / asked : 0;
         double lateFail = whole.asked > 0 ? whole.unservedLate / whole.asked : 0;
-        double probes = totals.firstTries() > 0 ? (double) totals.probes() / totals.firstTries() : 0;
+        double probes = totals.firstRequests() > 0 ? (double) totals.probes() / totals.firstRequests() : 0;
         double prices = WASTE * waste + LATE_FAIL * lateFail + PROBE * probes;
         g = Math.max(0, WHOLE * whole.share() + WORST_WINDOW * score.worstWindow()
             + WORST_CLASS * score.worstClass()
@@ -90,21 +90,21 @@
             score.tenants().forEach((name, of) -> tenants.put(name, part(of)));
         }
         values.put("tenants", tenants);
-        double first = Math.max(1, totals.firstTries());
+        double first = Math.max(1, totals.firstRequests());
         values.put("attempts", map("per_request", round(totals.attempts() / first), "turned_away",
-            totals.turnedAway(), "new_connections_per_request", round(totals.connections() / first),
-            "work_used_share", work > 0 ? round(totals.usefulWork() / work) : 1.0));
-        values.put("extra_attempts", referee.extras());
-        values.put("rules_broken", rules(referee.counts()));
+            totals.rejectedAttempts(), "new_connections_per_request", round(totals.connections() / first),
+            "work_used_share", work > 0 ? round(totals.usefulWorkMicros() / work) : 1.0));
+        values.put("extra_attempts", referee.extraAttempts());
+        values.put("rules_broken", rules(referee.violationCounts()));
         List<Map<String, Object>> told = new ArrayList<>();
-        for (Referee.Broken one : broken) {
-            told.add(map("rule", word(one.rule()), "at_s", round(one.at() / SECOND), "request", one.request(),
-                "proxy", one.proxy(), "what", one.what()));
+        for (Referee.Violation one : broken) {
+            told.add(map("rule", word(one.rule()), "at_s", round(one.atMicros() / SECOND), "request", one.request(),
+                "proxy", one.proxy(), "what", one.description()));
         }
         values.put("broken", told);
         List<Map<String, Object>> processes = new ArrayList<>();
-        for (Proxies.Figures one : proxies) {
-            processes.add(map("name", one.name(), "starts", one.starts(), "peak_mib", one.peakKib() >> 10,
+        for (ProxyFleet.ResourceUsage one : proxies) {
+            processes.add(map("name", one.name(), "starts", one.starts(), "peak_mib", one.peakResidentKib() >> 10,
                 "peak_descriptors", one.peakDescriptors(), "cpu_s", round(one.cpuSeconds())));
         }
         values.put("proxies", processes);
@@ -134,16 +134,16 @@
     }
 
     public double attemptsPerRequest() {
-        return totals.attempts() / Math.max(1.0, totals.firstTries());
+        return totals.attempts() / Math.max(1.0, totals.firstRequests());
     }
 
     public double connectionsPerRequest() {
-        return totals.connections() / Math.max(1.0, totals.firstTries());
+        return totals.connections() / Math.max(1.0, totals.firstRequests());
     }
 
     /** Of all proxies, in milliseconds. */
     public double cpuPerRequest() {
-        return 1e3 * cpuSeconds / Math.max(1.0, totals.firstTries());
+        return 1e3 * cpuSeconds / Math.max(1.0, totals.firstRequests());
     }
 
     public boolean isVoid() {
@@ -296,11 +296,11 @@
         if (kept()) {
             return text.append("every rule kept\n").toString();
         }
-        for (Referee.Broken one : broken.subList(0, Math.min(10, broken.size()))) {
+        for (Referee.Violation one : broken.subList(0, Math.min(10, broken.size()))) {
             text.append(String.format(Locale.ROOT, "BROKEN %s at %.3f s%s%s: %s%n", word(one.rule()),
-                one.at() / SECOND,
+                one.atMicros() / SECOND,
                 one.proxy().isEmpty() ? "" : " by " + one.proxy(),
-                one.request().isEmpty() ? "" : ", request " + one.request(), one.what()));
+                one.request().isEmpty() ? "" : ", request " + one.request(), one.description()));
         }
         return text.append(broken.size()).append(" breaches told, counts in result.json\n").toString();
     }
--- a/lab/src/main/java/dockrelay/lab/scale/list/ListRole.java
+++ b/lab/src/main/java/dockrelay/lab/scale/list/ListRole.java
@@ -30,7 +30,7 @@
 
     @Override
     public List<Figure> play(ScaleSpec spec, int size, int play, Progress progress) throws Exception {
-        Build build = Build.of(Path.of(System.getProperty("stoatreel.root", ".")));
+        Build build = Build.load(Path.of(System.getProperty("stoatreel.root", ".")));
         ListSpec own = ListSpec.of(spec);
         List<Figure> figures = new ArrayList<>();
         for (String manner : own.manners()) {
--- a/lab/src/main/java/dockrelay/lab/scale/list/ListSpec.java
+++ b/lab/src/main/java/dockrelay/lab/scale/list/ListSpec.java
@@ -40,7 +40,7 @@
 
     /** The build with its own heap, or with the one that is asked for here. */
     Build build(Build build) {
-        return heapMiB == 0 ? build : new Build(build.root(), build.run()
+        return heapMiB == 0 ? build : new Build(build.root(), build.startCommand()
             .replaceAll("-Xm([sx])\\d+m", "-Xm$1" + heapMiB + "m"));
     }
 }
--- a/lab/src/main/java/dockrelay/lab/scale/load/LoadRole.java
+++ b/lab/src/main/java/dockrelay/lab/scale/load/LoadRole.java
@@ -44,7 +44,7 @@
 
     @Override
     public List<Figure> play(ScaleSpec spec, int size, int play, Progress progress) throws Exception {
-        Build build = Build.of(Path.of(System.getProperty("stoatreel.root", ".")));
+        Build build = Build.load(Path.of(System.getProperty("stoatreel.root", ".")));
         Keys keys = Keys.of(spec);
         List<Figure> figures = new ArrayList<>();
         Found found = (unit, what, value) -> {
--- a/lab/src/main/java/dockrelay/lab/scale/load/ProxyUnderTest.java
+++ b/lab/src/main/java/dockrelay/lab/scale/load/ProxyUnderTest.java
@@ -1,7 +1,7 @@
 package dockrelay.lab.scale.load;
 
 import dockrelay.lab.process.Build;
-import dockrelay.lab.process.Leftovers;
+import dockrelay.lab.process.ChildProcessRegistry;
 import dockrelay.lab.process.ProxyProcess;
 import dockrelay.lab.world.LoopbackAddresses;
 import java.io.BufferedReader;
@@ -42,7 +42,7 @@
 
     private final Path folder;
     private final ProxyProcess process;
-    private final Leftovers leftovers;
+    private final ChildProcessRegistry leftovers;
     private final Thread killer = new Thread(this::abandon, "killer");
     private LogTail log;
     private long startedAt;
@@ -51,19 +51,19 @@
     /** Its own folder is made here, and removed at the end. */
     public ProxyUnderTest(Build build) throws IOException {
         folder = Files.createTempDirectory("dockrelay-scale-");
-        leftovers = new Leftovers(Leftovers.usual());
-        leftovers.end();
+        leftovers = new ChildProcessRegistry(ChildProcessRegistry.defaultFolder());
+        leftovers.killOrphans();
         process = new ProxyProcess(0, build, folder, LoopbackAddresses.freeProxyAddress(0), false, 0, -1, leftovers);
-        process.prepare(LoopbackAddresses.freeConsoleAddress(0));
+        process.setConsoleAddress(LoopbackAddresses.freeConsoleAddress(0));
         Runtime.getRuntime().addShutdownHook(killer);
     }
 
     public InetSocketAddress address() {
-        return process.listen();
+        return process.listenAddress();
     }
 
     public InetSocketAddress console() {
-        return process.console();
+        return process.consoleAddress();
     }
 
     public String name() {
@@ -87,7 +87,7 @@
     public End awaitReady(long withinMillis) {
         long by = startedAt + TimeUnit.MILLISECONDS.toNanos(withinMillis);
         while (System.nanoTime() < by) {
-            if (!process.alive()) {
+            if (!process.isAlive()) {
                 log.awaitEnd();
                 return log.saysOutOfMemory() ? End.OUT_OF_MEMORY : End.ENDED;
             }
@@ -105,7 +105,7 @@
     }
 
     public boolean alive() {
-        return process.alive();
+        return process.isAlive();
     }
 
     /** The last lines of its log, for whoever wants to know why. */
@@ -120,7 +120,7 @@
 
     /** Resident memory in bytes; 0 where it is no more. */
     public long resident() {
-        return process.usage().residentKib() << 10;
+        return process.sampleUsage().residentKib() << 10;
     }
 
     /** Of all its threads that there are now; what it was at last where it is no more. */
@@ -211,7 +211,7 @@
     private void abandon() {
         kill();
         try {
-            leftovers.clear();
+            leftovers.deleteOwnList();
             remove();
         } catch (IOException e) {
             return; // the next lab ends what is left; nobody is there to be told
@@ -228,20 +228,20 @@
 
     private void kill() {
         process.signal("KILL");
-        process.await(END_MILLIS);
+        process.awaitExit(END_MILLIS);
     }
 
     /** Ends it and removes what it left. */
     @Override
     public void close() throws IOException {
         process.signal("TERM");
-        if (!process.await(END_MILLIS)) {
+        if (!process.awaitExit(END_MILLIS)) {
             kill();
         }
         if (log != null) {
             log.close();
         }
-        leftovers.clear();
+        leftovers.deleteOwnList();
         Runtime.getRuntime().removeShutdownHook(killer);
         remove();
     }
--- a/lab/src/main/java/dockrelay/lab/scale/members/RealProxies.java
+++ b/lab/src/main/java/dockrelay/lab/scale/members/RealProxies.java
@@ -4,9 +4,9 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import dockrelay.lab.plan.Plan;
 import dockrelay.lab.process.Build;
-import dockrelay.lab.process.Configuration;
-import dockrelay.lab.process.ConsoleCall;
-import dockrelay.lab.process.Leftovers;
+import dockrelay.lab.process.ProxyConfiguration;
+import dockrelay.lab.process.ConsoleClient;
+import dockrelay.lab.process.ChildProcessRegistry;
 import dockrelay.lab.process.ProxyProcess;
 import dockrelay.lab.referee.Referee;
 import dockrelay.lab.spec.ExperimentReader;
@@ -48,7 +48,7 @@
     private final Plan plan;
     private final Emulator world;
     private final EmulatorNetwork net;
-    private final Leftovers leftovers;
+    private final ChildProcessRegistry leftovers;
     private final List<ProxyProcess> all = new ArrayList<>();
     private final Map<String, InetSocketAddress> peers = new LinkedHashMap<>();
 
@@ -57,9 +57,9 @@
         Path file = Files.writeString(folder.resolve("world.toml"), "shows = \"members\"\n[proxies]\ncount = "
             + count + "\n[nodes]\ncount = 4\n[permissions]\npeers = true\n");
         plan = Plan.of(ExperimentReader.read(file), seed);
-        Build build = Build.of(root);
-        leftovers = new Leftovers(Leftovers.usual());
-        leftovers.end();
+        Build build = Build.load(root);
+        leftovers = new ChildProcessRegistry(ChildProcessRegistry.defaultFolder());
+        leftovers.killOrphans();
         net = new EmulatorNetwork(seed);
         world = new Emulator(plan, net, new Clock(), new Referee(plan));
         for (int i = 0; i < count; i++) {
@@ -80,15 +80,15 @@
         names.forEach((name, address) -> addresses.put(name, LoopbackAddresses.hostAndPort(address)));
         for (ProxyProcess proxy : all) {
             int i = proxy.index();
-            proxy.prepare(LoopbackAddresses.freeConsoleAddress(i));
-            ObjectNode top = (ObjectNode) JSON.readTree(Configuration.of(plan.experiment(), proxy,
-                LoopbackAddresses.hostAndPort(proxy.listen()), LoopbackAddresses.hostAndPort(proxy.console()), world.discoveryAddress(i),
+            proxy.setConsoleAddress(LoopbackAddresses.freeConsoleAddress(i));
+            ObjectNode top = (ObjectNode) JSON.readTree(ProxyConfiguration.toJson(plan.experiment(), proxy,
+                LoopbackAddresses.hostAndPort(proxy.listenAddress()), LoopbackAddresses.hostAndPort(proxy.consoleAddress()), world.discoveryAddress(i),
                 plan.seed() + i, world.backendListFor(i, true), null, null));
             top.put("peer_listen", LoopbackAddresses.hostAndPort(peers.get(proxy.name())));
             top.set("peers", JSON.valueToTree(addresses));
             kind.configure(top, layout);
-            proxy.start(top.toString(), Map.of("PROXY_LISTEN", LoopbackAddresses.hostAndPort(proxy.listen()),
-                "PROXY_CONSOLE", LoopbackAddresses.hostAndPort(proxy.console()), "PROXY_DISCOVERY", world.discoveryAddress(i)),
+            proxy.start(top.toString(), Map.of("PROXY_LISTEN", LoopbackAddresses.hostAndPort(proxy.listenAddress()),
+                "PROXY_CONSOLE", LoopbackAddresses.hostAndPort(proxy.consoleAddress()), "PROXY_DISCOVERY", world.discoveryAddress(i)),
                 false);
         }
     }
@@ -97,7 +97,7 @@
         List<Said> result = new ArrayList<>();
         for (ProxyProcess proxy : all) {
             Map<String, String> words = new LinkedHashMap<>();
-            List<String> lines = ConsoleCall.ask(proxy.console(), "MEMBERS");
+            List<String> lines = ConsoleClient.call(proxy.consoleAddress(), "MEMBERS");
             Matcher matcher = WORD.matcher(lines.isEmpty() || !lines.get(0).startsWith("200") ? ""
                 : lines.get(0));
             while (matcher.find()) {
@@ -110,19 +110,19 @@
 
     /** Null, or which has ended though nobody told it to. */
     String crashed() {
-        return all.stream().filter(one -> one.crashed() != null).map(one -> one.name() + ": " + one.crashed())
+        return all.stream().filter(one -> one.crashDescription() != null).map(one -> one.name() + ": " + one.crashDescription())
             .findFirst().orElse(null);
     }
 
     /** KiB that each holds, the most of all. */
     long residentKib() {
-        return all.stream().mapToLong(one -> one.usage().residentKib()).max().orElse(0);
+        return all.stream().mapToLong(one -> one.sampleUsage().residentKib()).max().orElse(0);
     }
 
     /** Seconds of processor time of all together, since their starts. */
     double cpuSeconds() {
         return all.stream().mapToDouble(one -> {
-            one.usage();
+            one.sampleUsage();
             return one.cpuSeconds();
         }).sum();
     }
@@ -137,9 +137,9 @@
             proxy.signal("KILL");
         }
         for (ProxyProcess proxy : all) {
-            proxy.await(5_000);
+            proxy.awaitExit(5_000);
         }
         net.close();
-        leftovers.clear();
+        leftovers.deleteOwnList();
     }
 }
--- a/lab/src/main/java/dockrelay/lab/scale/tenants/TenantsRole.java
+++ b/lab/src/main/java/dockrelay/lab/scale/tenants/TenantsRole.java
@@ -47,8 +47,8 @@
     @Override
     public List<Figure> play(ScaleSpec spec, int size, int play, Progress progress) throws Exception {
         Keys keys = Keys.of(spec);
-        Build given = Build.of(Path.of(System.getProperty("stoatreel.root", ".")));
-        Build build = keys.heapMiB == 0 ? given : new Build(given.root(), given.run()
+        Build given = Build.load(Path.of(System.getProperty("stoatreel.root", ".")));
+        Build build = keys.heapMiB == 0 ? given : new Build(given.root(), given.startCommand()
             .replaceAll("-Xm([sx])\\d+m", "-Xm$1" + keys.heapMiB + "m"));
         List<Figure> figures = new ArrayList<>();
         for (String quotas : keys.quotas) {
--- a/lab/src/main/java/dockrelay/lab/starvation/Lateness.java
+++ b/lab/src/main/java/dockrelay/lab/starvation/LatenessRecorder.java
@@ -4,7 +4,7 @@
 import org.HdrHistogram.Recorder;
 
 /** How late one kind of the lab's acts was, in microseconds: told by one thread, asked by another. */
-public final class Lateness {
+public final class LatenessRecorder {
     private final Recorder recorder = new Recorder(3);
     private final Histogram all = new Histogram(3);
 
@@ -20,7 +20,7 @@
     }
 
     /** From the start. */
-    public synchronized Histogram all() {
+    public synchronized Histogram total() {
         since();
         return all.copy();
     }
--- a/lab/src/main/java/dockrelay/lab/starvation/TaskCounts.java
+++ b/lab/src/main/java/dockrelay/lab/starvation/SchedulerStats.java
@@ -13,22 +13,22 @@
  * Reads what the scheduler counts of a process, thread by thread: /proc/PID/schedstat alone would be its
  * first thread's. Not for several threads of the lab at a time.
  */
-public final class TaskCounts {
+public final class SchedulerStats {
     private static final long NANOS = 1000;
 
     private final Path tasks;
     private Map<String, ProcessorTime> last = new HashMap<>();
 
-    public TaskCounts(long process) {
+    public SchedulerStats(long process) {
         this(Path.of("/proc", String.valueOf(process), "task"));
     }
 
-    TaskCounts(Path tasks) {
+    SchedulerStats(Path tasks) {
         this.tasks = tasks;
     }
 
     /** Whether this system counts at all. */
-    public static boolean counted() {
+    public static boolean isAvailable() {
         return Files.isReadable(Path.of("/proc/self/schedstat"));
     }
 
--- a/lab/src/main/java/dockrelay/lab/starvation/Starvation.java
+++ b/lab/src/main/java/dockrelay/lab/starvation/StarvationDetector.java
@@ -18,7 +18,7 @@
  * saw is the proxies' own doing. It decides by what was counted alone, whatever the referee saw: a play that
  * broke a rule is no sooner void than one that kept all. docs/lab.md derives the bounds.
  */
-public final class Starvation {
+public final class StarvationDetector {
     /** A play in which more than one in a thousand of the lab's acts was later says nothing of latencies. */
     static final long MOST_LATE = 20_000;
     /** A stretch is as long as the looks in it together, at the least. Waits and lateness add up in it. */
@@ -51,13 +51,13 @@
     private long looks;
 
     /** How much later than its time the referee lets an answer be, and how many cores a proxy may use. */
-    public Starvation(long most, double cores) {
+    public StarvationDetector(long most, double cores) {
         this.most = most;
         this.cores = cores;
     }
 
     /** From when clients come until all are served, answers can be late. */
-    public synchronized void judging(boolean now) {
+    public synchronized void setJudging(boolean now) {
         judging = now;
         waits.clear();
     }
@@ -180,7 +180,7 @@
     }
 
     /** Why the play's latencies say nothing of the proxies, in a line; null where they do. */
-    public synchronized String latenciesVoid() {
+    public synchronized String latenciesVoidReason() {
         if (generator.getValueAtPercentile(PER_MILLE) > MOST_LATE) {
             return late("generator", generator);
         }
@@ -188,7 +188,7 @@
     }
 
     /** Why the referee cannot judge by this play, in a line; null where it can. */
-    public synchronized String rulesVoid() {
+    public synchronized String rulesVoidReason() {
         if (worst.together() > most) {
             return String.format(Locale.ROOT, "%sthe lab was %d ms late, in %d ms at %.1f s after its start "
                 + "(bound %d ms together)", worst.waited < MILLI ? "" : worst.proxy + " waited "
@@ -204,7 +204,7 @@
     }
 
     /** For the result: the worst stretch, and what each proxy waited for in all. */
-    public synchronized Map<String, Object> figures(boolean counted) {
+    public synchronized Map<String, Object> toResult(boolean counted) {
         Map<String, Object> result = new LinkedHashMap<>();
         result.put("counted", counted);
         result.put("looks", looks);
--- a/lab/src/main/java/dockrelay/lab/starvation/StarvationWatch.java
+++ b/lab/src/main/java/dockrelay/lab/starvation/StarvationWatch.java
@@ -17,18 +17,18 @@
     /** Each thread of each proxy is asked for: the more there are, the seldomer. */
     private static final long LEAST_MILLIS = 50, EACH_MILLIS = 5;
 
-    private final Starvation starvation;
+    private final StarvationDetector starvation;
     private final Clock clock;
     private final Supplier<List<Watched>> processes;
     private final long everyMillis;
     private final CoreCounts cores = new CoreCounts();
-    private final Map<Long, TaskCounts> tasks = new HashMap<>();
+    private final Map<Long, SchedulerStats> tasks = new HashMap<>();
     private final ScheduledExecutorService thread = Executors.newSingleThreadScheduledExecutor(
         new DefaultThreadFactory("starvation", true));
-    public final Lateness generator, world = new Lateness(), clients = new Lateness();
+    public final LatenessRecorder generator, emulatorLateness = new LatenessRecorder(), clientsLateness = new LatenessRecorder();
     private long last;
 
-    public StarvationWatch(Starvation starvation, Clock clock, int proxies, Lateness generator,
+    public StarvationWatch(StarvationDetector starvation, Clock clock, int proxies, LatenessRecorder generator,
         Supplier<List<Watched>> processes) {
         this.starvation = starvation;
         this.clock = clock;
@@ -49,11 +49,11 @@
         List<Share> shares = new ArrayList<>();
         for (Watched one : all) {
             shares.add(new Share(one.proxy(), one.process(), one.serves(),
-                tasks.computeIfAbsent(one.process(), TaskCounts::new).since(), cores.of(one.core())));
+                tasks.computeIfAbsent(one.process(), SchedulerStats::new).since(), cores.of(one.core())));
         }
         long now = clock.nowMicros();
-        starvation.add(new Look(now, Math.max(1, now - last), generator.since(), world.since(),
-            clients.since(), cores.of(CoreCounts.ALL), shares));
+        starvation.add(new Look(now, Math.max(1, now - last), generator.since(), emulatorLateness.since(),
+            clientsLateness.since(), cores.of(CoreCounts.ALL), shares));
         last = now;
     }
 
--- a/lab/src/main/java/dockrelay/lab/starvation/Limit.java
+++ b/lab/src/main/java/dockrelay/lab/starvation/TimeLimit.java
@@ -4,18 +4,18 @@
  * A limit of elapsed time, in microseconds, that a process is held to. A wait for a core by others' doing
  * does not count, but a play that made use of that is void; past so many times the limit nobody waits on.
  */
-public record Limit(long length) {
+public record TimeLimit(long limitMicros) {
     private static final int TIMES = 3;
 
     /** What became of the limit. */
     public enum Verdict { WITHIN, STARVED, PASSED }
 
-    public Verdict of(long took, long waited) {
-        return took <= length ? Verdict.WITHIN : took - waited <= length ? Verdict.STARVED : Verdict.PASSED;
+    public Verdict verdict(long took, long waited) {
+        return took <= limitMicros ? Verdict.WITHIN : took - waited <= limitMicros ? Verdict.STARVED : Verdict.PASSED;
     }
 
     /** Whether nobody waits on, whatever it waited for. */
-    public boolean over(long took) {
-        return took > TIMES * length;
+    public boolean isPastMaxWait(long took) {
+        return took > TIMES * limitMicros;
     }
 }
--- a/lab/src/main/java/dockrelay/lab/world/ClientConnection.java
+++ b/lab/src/main/java/dockrelay/lab/world/ClientConnection.java
@@ -1,6 +1,6 @@
 package dockrelay.lab.world;
 
-import dockrelay.lab.referee.Try;
+import dockrelay.lab.referee.ClientRequest;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.SimpleChannelInboundHandler;
@@ -15,7 +15,7 @@
     private final int proxy;
     private ChannelFuture opening;
     private OpenLoopClients.Request request;
-    private Try one;
+    private ClientRequest one;
     private Future<?> deadline;
     private boolean reused, ended;
 
@@ -45,7 +45,7 @@
         deadline = timer;
     }
 
-    void send(OpenLoopClients.Request of, Try sent, FullHttpRequest message) {
+    void send(OpenLoopClients.Request of, ClientRequest sent, FullHttpRequest message) {
         request = of;
         one = sent;
         if (opening.channel().isActive()) {
@@ -77,7 +77,7 @@
         return carried;
     }
 
-    void overdue(Try which) {
+    void overdue(ClientRequest which) {
         if (request != null && one == which) {
             OpenLoopClients.Request carried = take();
             ended = true;
@@ -92,7 +92,7 @@
             context.close(); // an answer that nobody asked for
             return;
         }
-        Try answered = one;
+        ClientRequest answered = one;
         OpenLoopClients.Request carried = take();
         if (HttpUtil.isKeepAlive(response) && response.decoderResult().isSuccess()) {
             reused = true;
@@ -113,7 +113,7 @@
         ended = true;
         front.closed(this);
         if (request != null) {
-            Try broken = one;
+            ClientRequest broken = one;
             take().broke(broken, reused);
         }
     }
--- a/lab/src/main/java/dockrelay/lab/world/DiscoveryService.java
+++ b/lab/src/main/java/dockrelay/lab/world/DiscoveryService.java
@@ -226,7 +226,7 @@
     private void told(List<Entry> some, int asker) {
         long now = clock.nowMicros();
         for (Entry entry : some) {
-            referee.told(asker, entry.node.plan().index(), entry.state.equals("active"), entry.startedMillis,
+            referee.discoveryEntrySent(asker, entry.node.plan().index(), entry.state.equals("active"), entry.startedMillis,
                 now);
         }
     }
--- a/lab/src/main/java/dockrelay/lab/world/Emulator.java
+++ b/lab/src/main/java/dockrelay/lab/world/Emulator.java
@@ -155,7 +155,7 @@
             long now = clock.nowMicros();
             for (int i = 0; i < proxies; i++) {
                 if (from.contains("n" + i) || to.contains("n" + i)) {
-                    referee.excused(i, now, now + fault.lasts());
+                    referee.excuseProxy(i, now, now + fault.lasts());
                 }
             }
         }
--- a/lab/src/main/java/dockrelay/lab/world/Node.java
+++ b/lab/src/main/java/dockrelay/lab/world/Node.java
@@ -62,7 +62,7 @@
     private final List<Break> faults = new ArrayList<>();
     private final Set<Channel> open = new HashSet<>();
     private final Map<Long, Held> held = new HashMap<>();
-    private final Deque<Referee.Sent> recent = new ArrayDeque<>();
+    private final Deque<Referee.ReceivedWork> recent = new ArrayDeque<>();
     private final RandomGenerator random;
     private NodeModel model;
     private Future<?> wake;
@@ -203,15 +203,15 @@
             if (done != null) {
                 boolean wrong = random.nextDouble() < plan.figures().errorRate();
                 errors += wrong ? 1 : 0;
-                referee.ended(done.attempt, wrong ? Attempt.State.ERROR : Attempt.State.SERVED,
-                    done.attempt.work);
+                referee.attemptEnded(done.attempt, wrong ? Attempt.State.ERROR : Attempt.State.SERVED,
+                    done.attempt.workMicros);
                 answer(done, wrong ? HttpResponseStatus.INTERNAL_SERVER_ERROR : HttpResponseStatus.OK,
-                    wrong ? "error\n" : done.attempt.body(), false);
+                    wrong ? "error\n" : done.attempt.expectedBody(), false);
             }
         }
         if (model.fallen() && !fell) {
             fell = true;
-            referee.fell(plan.index(), startedMillis, new ArrayList<>(recent), now);
+            referee.coldBackendCollapsed(plan.index(), startedMillis, new ArrayList<>(recent), now);
             loop.execute(this::crash);
             return;
         }
@@ -252,9 +252,9 @@
         List<Long> ended = new ArrayList<>();
         if (plan.figures().stopsOnCancel() || !up) {
             double had = model.cancel(now, id, ended);
-            referee.ended(one.attempt, Attempt.State.STOPPED, had);
+            referee.attemptEnded(one.attempt, Attempt.State.CANCELLED, had);
         } else {
-            referee.ended(one.attempt, Attempt.State.STOPPED, one.attempt.work); // it runs on for nobody
+            referee.attemptEnded(one.attempt, Attempt.State.CANCELLED, one.attempt.workMicros); // it runs on for nobody
         }
         finish(ended);
     }
@@ -306,7 +306,7 @@
                 return;
             }
             open.add(context.channel());
-            referee.connected();
+            referee.connectionOpened();
             long now = clock.nowMicros();
             readyAt = now + plan.figures().handshakeDelay();
             List<Long> ended = new ArrayList<>();
@@ -353,7 +353,7 @@
                 probe(context, request, keep, now);
                 return;
             }
-            Attempt attempt = referee.arrived(asker, plan.index(), now, id, request.method().name(),
+            Attempt attempt = referee.attemptArrived(asker, plan.index(), now, id, request.method().name(),
                 request.uri(),
                 request.headers().get("Idempotency-Key"), request.content().toString(StandardCharsets.UTF_8));
             if (attempt == null) {
@@ -374,27 +374,27 @@
             String timeout) {
             Held one = new Held(attempt, context.channel(), keep);
             if (!up || !context.channel().isActive()) {
-                referee.ended(attempt, Attempt.State.STOPPED, 0);
+                referee.attemptEnded(attempt, Attempt.State.CANCELLED, 0);
                 return;
             }
             if (random.nextDouble() < failing) {
                 errors++;
-                referee.ended(attempt, Attempt.State.ERROR, 0);
+                referee.attemptEnded(attempt, Attempt.State.ERROR, 0);
                 answer(one, HttpResponseStatus.INTERNAL_SERVER_ERROR, "error\n", false);
                 return;
             }
             if (model.cold()) {
-                recent.add(new Referee.Sent(asker, now, attempt.work));
-                while (recent.peek().at() <= now - plan.figures().fallTime()) {
+                recent.add(new Referee.ReceivedWork(asker, now, attempt.workMicros));
+                while (recent.peek().receivedAtMicros() <= now - plan.figures().fallTime()) {
                     recent.poll();
                 }
             }
-            boolean over = plan.figures().dropsExpired() && (now > attempt.of.sentAt + attempt.of.timeout
-                || timeout != null && now > attempt.at + seconds(timeout));
+            boolean over = plan.figures().dropsExpired() && (now > attempt.request.sentAtMicros + attempt.request.timeoutMicros
+                || timeout != null && now > attempt.arrivedAtMicros + seconds(timeout));
             List<Long> ended = new ArrayList<>();
             long number = numbers++;
-            if (draining || over || !model.offer(now, number, attempt.work, ended)) {
-                referee.ended(attempt, Attempt.State.TURNED_AWAY, 0);
+            if (draining || over || !model.offer(now, number, attempt.workMicros, ended)) {
+                referee.attemptEnded(attempt, Attempt.State.REJECTED, 0);
                 answer(one, over ? HttpResponseStatus.GATEWAY_TIMEOUT
                     : HttpResponseStatus.SERVICE_UNAVAILABLE, "not processed\n", true);
             } else {
@@ -411,7 +411,7 @@
                 answer(one, HttpResponseStatus.NOT_FOUND, "", false);
                 return;
             }
-            referee.probed();
+            referee.probeReceived();
             List<Long> ended = new ArrayList<>();
             model.overhead(now, plan.figures().probeWork(), ended);
             String text = report(now);
--- a/lab/src/main/java/dockrelay/lab/world/OpenLoopClients.java
+++ b/lab/src/main/java/dockrelay/lab/world/OpenLoopClients.java
@@ -4,14 +4,14 @@
 import dockrelay.lab.plan.Plan.Arrival;
 import dockrelay.lab.plan.Seeds;
 import dockrelay.lab.referee.Referee;
-import dockrelay.lab.referee.Try;
+import dockrelay.lab.referee.ClientRequest;
 import dockrelay.lab.report.Score;
 import dockrelay.lab.report.Score.End;
 import dockrelay.lab.spec.Experiment;
 import dockrelay.lab.spec.Experiment.Effect;
 import dockrelay.lab.spec.Experiment.Scope;
 import dockrelay.lab.spec.Experiment.ServiceClass;
-import dockrelay.lab.starvation.Lateness;
+import dockrelay.lab.starvation.LatenessRecorder;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.EventLoop;
 import io.netty.handler.codec.http.DefaultFullHttpRequest;
@@ -42,13 +42,13 @@
     private final Referee referee;
     private final FrontLoadBalancer front;
     private final Score score;
-    private final Lateness lateness;
+    private final LatenessRecorder lateness;
     private int next;
     private long zero;
     private int inHand;
 
     public OpenLoopClients(Plan plan, EmulatorNetwork net, Clock clock, Referee referee, FrontLoadBalancer front, Score score,
-        Lateness lateness) {
+        LatenessRecorder lateness) {
         this.plan = plan;
         this.experiment = plan.experiment();
         this.net = net;
@@ -123,28 +123,28 @@
             boolean safe = type.effect() == Effect.IDEMPOTENT;
             String id = HexFormat.of().toHexDigits(Seeds.number(arrival.salt(), "try " + tries));
             String content = safe ? "" : "order " + id + " for " + type.name() + "\n";
-            Try one = new Try(id, safe ? "GET" : "POST", "/" + type.name() + "/"
+            ClientRequest one = new ClientRequest(id, safe ? "GET" : "POST", "/" + type.name() + "/"
                 + (arrival.route().isEmpty() ? arrival.index() : arrival.route()),
                 safe ? null : arrival.key(), content, arrival, connection.proxy(), now, timeout);
-            referee.sent(one, tries == 0);
+            referee.requestSent(one, tries == 0);
             tries++;
             connection.send(this, one, message(one));
-            connection.deadline(net.schedule(loop, timeout + experiment.rules().answerSlack() + Referee.SOCKETS,
+            connection.deadline(net.schedule(loop, timeout + experiment.rules().answerSlack() + Referee.SOCKET_TOLERANCE_MICROS,
                 () -> connection.overdue(one)));
         }
 
-        private FullHttpRequest message(Try one) {
+        private FullHttpRequest message(ClientRequest one) {
             FullHttpRequest message = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1,
                 HttpMethod.valueOf(one.method),
-                one.path, Unpooled.copiedBuffer(one.content, StandardCharsets.UTF_8));
+                one.path, Unpooled.copiedBuffer(one.body, StandardCharsets.UTF_8));
             message.headers().set(HttpHeaderNames.HOST, "app.svc").set("X-Request-ID", one.id)
                 .set("X-Priority-Class", type.name())
-                .set("X-Timeout", String.format(Locale.ROOT, "%.3f", one.timeout / 1e6));
+                .set("X-Timeout", String.format(Locale.ROOT, "%.3f", one.timeoutMicros / 1e6));
             if (!arrival.tenant().isEmpty()) {
                 message.headers().set("X-Tenant-Id", arrival.tenant());
             }
-            if (one.key != null) {
-                message.headers().set("Idempotency-Key", one.key);
+            if (one.idempotencyKey != null) {
+                message.headers().set("Idempotency-Key", one.idempotencyKey);
                 message.headers().set(HttpHeaderNames.CONTENT_LENGTH, message.content().readableBytes());
             }
             return message;
@@ -156,29 +156,29 @@
         }
 
         /** The connection ended without a whole answer. A request that nobody read may go once more. */
-        void broke(Try one, boolean reused) {
+        void broke(ClientRequest one, boolean reused) {
             long now = clock.nowMicros();
-            if (reused && !crossed && !referee.reached(one) && now < one.sentAt + one.timeout) {
+            if (reused && !crossed && !referee.reachedBackend(one) && now < one.sentAtMicros + one.timeoutMicros) {
                 crossed = true;
                 tries--;
                 send(front.fresh());
                 return;
             }
-            referee.lost(one, now, "the connection ended without a whole answer after "
-                + (now - one.sentAt) / 1000 + " ms");
+            referee.responseMissing(one, now, "the connection ended without a whole answer after "
+                + (now - one.sentAtMicros) / 1000 + " ms");
             again(End.FAILED, false, 0);
         }
 
         /** No answer although the time and all slack are over. */
-        void unanswered(Try one) {
-            referee.lost(one, clock.nowMicros(), "no answer within " + one.timeout / 1000 + " ms");
+        void unanswered(ClientRequest one) {
+            referee.responseMissing(one, clock.nowMicros(), "no answer within " + one.timeoutMicros / 1000 + " ms");
             again(End.UNANSWERED, false, 0);
         }
 
-        void answered(Try one, FullHttpResponse response) {
+        void answered(ClientRequest one, FullHttpResponse response) {
             long now = clock.nowMicros();
             int status = response.status().code();
-            referee.answered(one, now, status, response.content().toString(StandardCharsets.UTF_8));
+            referee.responseReceived(one, now, status, response.content().toString(StandardCharsets.UTF_8));
             if (status == 200) {
                 finish(now - intended <= type.aim() ? End.IN_TIME : now - intended <= type.deadline()
                     ? End.LATE
--- a/lab/src/test/java/dockrelay/lab/RealBudgetsTest.java
+++ b/lab/src/test/java/dockrelay/lab/RealBudgetsTest.java
@@ -68,7 +68,7 @@
             victims = ["n0"]
             """.formatted(EXTRA));
         Result result = JudgedPlay.of(() -> new LabRun(Plan.of(ExperimentReader.read(file), 3),
-            Build.of(Path.of("..")), folder.resolve("out"), text -> { }).play());
+            Build.load(Path.of("..")), folder.resolve("out"), text -> { }).play());
         assertEquals(List.of(), result.broken);
         int keepers = 0;
         for (String name : List.of("n0.1", "n1.1", "n2.1", "n3.1")) {
--- a/lab/src/test/java/dockrelay/lab/RealMembersTest.java
+++ b/lab/src/test/java/dockrelay/lab/RealMembersTest.java
@@ -56,7 +56,7 @@
             victims = ["n0"]
             """);
         Result result = JudgedPlay.of(() -> new LabRun(Plan.of(ExperimentReader.read(file), 3),
-            Build.of(Path.of("..")), folder.resolve("out"), text -> { }).play());
+            Build.load(Path.of("..")), folder.resolve("out"), text -> { }).play());
         assertEquals(List.of(), result.broken);
         Map<?, ?> members = (Map<?, ?>) result.values().get("members");
         assertEquals(3, members.get("deaths_seen"), members.toString()); // by the three others
--- a/lab/src/test/java/dockrelay/lab/RealProxiesTest.java
+++ b/lab/src/test/java/dockrelay/lab/RealProxiesTest.java
@@ -67,7 +67,7 @@
             victims = ["n2"]
             """);
         Result result = JudgedPlay.of(() -> new LabRun(Plan.of(ExperimentReader.read(file), 3),
-            Build.of(Path.of("..")), folder.resolve("out"), text -> { }).play());
+            Build.load(Path.of("..")), folder.resolve("out"), text -> { }).play());
         result.write(folder.resolve("out"));
         assertEquals(List.of(), result.broken);
         assertTrue(result.score.whole().count(End.IN_TIME) > result.score.whole().requests / 2,
--- a/lab/src/test/java/dockrelay/lab/process/LeftoversTest.java
+++ b/lab/src/test/java/dockrelay/lab/process/LeftoversTest.java
@@ -32,11 +32,11 @@
         Process process = sleeper();
         try {
             Path file = left("a", process);
-            Leftovers next = new Leftovers(folder);
-            assertEquals(List.of(process.pid()), next.end());
+            ChildProcessRegistry next = new ChildProcessRegistry(folder);
+            assertEquals(List.of(process.pid()), next.killOrphans());
             assertTrue(process.waitFor(20, TimeUnit.SECONDS));
             assertFalse(Files.exists(file));
-            assertEquals(List.of(), next.end());
+            assertEquals(List.of(), next.killOrphans());
         } finally {
             process.destroyForcibly();
         }
@@ -46,11 +46,11 @@
     void whatALivingLabHasStartedStays() throws Exception {
         Process process = sleeper();
         try {
-            Leftovers own = new Leftovers(folder);
+            ChildProcessRegistry own = new ChildProcessRegistry(folder);
             own.started(process.toHandle());
-            assertEquals(List.of(), new Leftovers(folder).end());
+            assertEquals(List.of(), new ChildProcessRegistry(folder).killOrphans());
             assertTrue(process.isAlive());
-            own.clear();
+            own.deleteOwnList();
         } finally {
             process.destroyForcibly();
         }
@@ -62,11 +62,11 @@
         Process process = sleeper();
         try {
             left("a", process);
-            Leftovers one = new Leftovers(folder), other = new Leftovers(folder);
+            ChildProcessRegistry one = new ChildProcessRegistry(folder), other = new ChildProcessRegistry(folder);
             List<Path> seen = one.left();
             assertEquals(1, seen.size());
-            assertEquals(List.of(process.pid()), other.end());
-            assertEquals(List.of(), one.end(seen.get(0)));
+            assertEquals(List.of(process.pid()), other.killOrphans());
+            assertEquals(List.of(), one.killOrphans(seen.get(0)));
         } finally {
             process.destroyForcibly();
         }
--- a/lab/src/test/java/dockrelay/lab/process/ProcessorTimeOfProcessesTest.java
+++ b/lab/src/test/java/dockrelay/lab/process/ProcessorTimeOfProcessesTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dockrelay.lab.starvation.ProcessorTime;
-import dockrelay.lab.starvation.TaskCounts;
+import dockrelay.lab.starvation.SchedulerStats;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -39,7 +39,7 @@
     }
 
     /** Adds up what it counts until that is so. */
-    private static ProcessorTime until(TaskCounts counts, Predicate<ProcessorTime> enough) throws Exception {
+    private static ProcessorTime until(SchedulerStats counts, Predicate<ProcessorTime> enough) throws Exception {
         ProcessorTime sum = ProcessorTime.NONE;
         while (!enough.test(sum)) {
             TimeUnit.MILLISECONDS.sleep(5);
@@ -56,7 +56,7 @@
     @Test
     void whoSharesACoreWaitsAndWhoIsStoppedDoesNot() throws Exception {
         Process one = spinning(), other = spinning();
-        TaskCounts ofOne = new TaskCounts(one.pid()), ofOther = new TaskCounts(other.pid());
+        SchedulerStats ofOne = new SchedulerStats(one.pid()), ofOther = new SchedulerStats(other.pid());
         ofOne.since();
         ofOther.since();
         ProcessorTime shared = until(ofOne, sum -> sum.waited() >= ENOUGH);
--- a/lab/src/test/java/dockrelay/lab/starvation/CountsTest.java
+++ b/lab/src/test/java/dockrelay/lab/starvation/CountsTest.java
@@ -20,7 +20,7 @@
 
     @Test
     void threadsAddUpAndThoseThatEndedTakeNothingBack() throws Exception {
-        TaskCounts counts = new TaskCounts(folder.resolve("task"));
+        SchedulerStats counts = new SchedulerStats(folder.resolve("task"));
         task(1, "4000000 1000000 12\n");
         task(2, "2000000 500000 3\n");
         assertEquals(new ProcessorTime(6_000, 1_500, 1_000), counts.since());
@@ -33,7 +33,7 @@
 
     @Test
     void processThatIsGoneHasNothing() {
-        assertEquals(ProcessorTime.NONE, new TaskCounts(folder.resolve("none")).since());
+        assertEquals(ProcessorTime.NONE, new SchedulerStats(folder.resolve("none")).since());
     }
 
     @Test
--- a/lab/src/test/java/dockrelay/lab/starvation/StarvationTest.java
+++ b/lab/src/test/java/dockrelay/lab/starvation/StarvationTest.java
@@ -18,7 +18,7 @@
     private static final CoreTime FULL = new CoreTime(CORES * LOOK, 0), QUIET = new CoreTime(20_000, 0),
         TAKEN = new CoreTime(CORES * LOOK / 3, CORES * LOOK * 2 / 3);
 
-    private final Starvation starvation = new Starvation(BOUND, 1);
+    private final StarvationDetector starvation = new StarvationDetector(BOUND, 1);
     private long now;
 
     /** Looks go on so long with the same figures. */
@@ -47,30 +47,30 @@
 
     /** Ten seconds in which nothing is amiss, so that the percentiles are of a play. */
     private void healthyPlay() {
-        starvation.judging(true);
+        starvation.setJudging(true);
         look(200, QUIET, 200, healthy(QUIET));
     }
 
     @Test
     void playOnAMachineWithRoomIsValid() {
         healthyPlay();
-        assertNull(starvation.rulesVoid());
-        assertNull(starvation.latenciesVoid());
+        assertNull(starvation.rulesVoidReason());
+        assertNull(starvation.latenciesVoidReason());
     }
 
     @Test
     void fullMachineThatLetsEachRunInTimeIsNoReason() {
         healthyPlay();
         look(200, FULL, 5_000, healthy(FULL));
-        assertNull(starvation.rulesVoid());
+        assertNull(starvation.rulesVoidReason());
     }
 
     @Test
     void labThatIsLateMakesTheLatenciesVoid() {
         healthyPlay();
         look(2, FULL, 23_000, healthy(FULL));
-        assertEquals("the world's loop was late: 23 ms at p99.9, of 20", starvation.latenciesVoid());
-        assertNull(starvation.rulesVoid(), "the referee allows more");
+        assertEquals("the world's loop was late: 23 ms at p99.9, of 20", starvation.latenciesVoidReason());
+        assertNull(starvation.rulesVoidReason(), "the referee allows more");
     }
 
     @Test
@@ -78,17 +78,17 @@
         healthyPlay();
         look(9000, QUIET, 200, healthy(QUIET)); // so many that one look is no thousandth of them
         look(1, FULL, 55_000, healthy(FULL));
-        assertTrue(starvation.rulesVoid().startsWith("the lab was 55 ms late, in 100 ms at 460.1 s"),
-            starvation.rulesVoid());
+        assertTrue(starvation.rulesVoidReason().startsWith("the lab was 55 ms late, in 100 ms at 460.1 s"),
+            starvation.rulesVoidReason());
     }
 
     @Test
     void proxyThatWaitsForCoresThatOthersHaveMakesThePlayVoid() {
         healthyPlay();
         look(1, FULL, 200, List.of(share(0, true, 4_000, 300, FULL), share(1, true, 5_000, 30_000, FULL)));
-        assertNull(starvation.rulesVoid(), "30 ms are less than the referee allows");
+        assertNull(starvation.rulesVoidReason(), "30 ms are less than the referee allows");
         look(1, FULL, 200, List.of(share(0, true, 4_000, 300, FULL), share(1, true, 5_000, 30_000, FULL)));
-        String reason = starvation.rulesVoid();
+        String reason = starvation.rulesVoidReason();
         assertTrue(reason.matches("n1 waited 5\\d ms for cores that others had and the lab was 0 ms late, in "
             + "100 ms at 10.1 s after its start \\(bound 50 ms together\\)"), reason);
     }
@@ -98,7 +98,7 @@
         healthyPlay();
         look(9000, QUIET, 200, healthy(QUIET));
         look(1, FULL, 15_000, List.of(share(0, true, 4_000, 40_000, FULL)));
-        assertTrue(starvation.rulesVoid().startsWith("n0 waited 3"), starvation.rulesVoid());
+        assertTrue(starvation.rulesVoidReason().startsWith("n0 waited 3"), starvation.rulesVoidReason());
     }
 
     @Test
@@ -109,7 +109,7 @@
             many.add(share(i, true, 4_000, 10_000, FULL));
         }
         look(100, FULL, 200, many);
-        assertNull(starvation.rulesVoid(), "20 ms in a stretch at each");
+        assertNull(starvation.rulesVoidReason(), "20 ms in a stretch at each");
     }
 
     @Test
@@ -120,7 +120,7 @@
         look(120, FULL, 200, stopped);
         assertEquals(before, starvation.waited(101), "a limit is no longer for a stop");
         look(1, FULL, 200, List.of(share(0, true, 4_000, 300, FULL), share(1, true, 20_000, 15_000, FULL)));
-        assertNull(starvation.rulesVoid());
+        assertNull(starvation.rulesVoidReason());
     }
 
     /** Sixteen threads on eight cores wait for one another half of the time. */
@@ -130,7 +130,7 @@
         CoreTime busy = new CoreTime(CORES * LOOK, 0);
         look(100, busy, 200, List.of(share(0, true, 395_000, 400_000, busy),
             share(1, true, 2_000, 20_000, busy)));
-        assertNull(starvation.rulesVoid());
+        assertNull(starvation.rulesVoidReason());
     }
 
     @Test
@@ -138,8 +138,8 @@
         healthyPlay();
         CoreTime busy = new CoreTime(CORES * LOOK, 0);
         look(100, busy, 300_000, List.of(share(0, true, 390_000, 400_000, busy)));
-        assertNull(starvation.rulesVoid());
-        assertNull(starvation.latenciesVoid());
+        assertNull(starvation.rulesVoidReason());
+        assertNull(starvation.latenciesVoidReason());
     }
 
     /** The more threads it has, the longer they wait for one another. */
@@ -147,7 +147,7 @@
     void proxyThatSpinsWithManyThreadsBesideSomeOtherUseIsJudged() {
         healthyPlay();
         look(100, FULL, 200, List.of(share(0, true, 370_000, 120 * LOOK, FULL)));
-        assertNull(starvation.rulesVoid());
+        assertNull(starvation.rulesVoidReason());
     }
 
     @Test
@@ -156,7 +156,7 @@
         look(1, FULL, 200, List.of(new Share("n0", 100, true, new ProcessorTime(1_000, 0, 0), FULL)));
         look(1, FULL, 200, List.of(new Share("n0", 100, true, new ProcessorTime(1_000, 90_000, 90_000),
             FULL)));
-        assertTrue(starvation.rulesVoid().startsWith("n0 waited 8"), starvation.rulesVoid());
+        assertTrue(starvation.rulesVoidReason().startsWith("n0 waited 8"), starvation.rulesVoidReason());
     }
 
     /** On the one core that it is pinned to nobody else runs. */
@@ -165,21 +165,21 @@
         healthyPlay();
         CoreTime core = new CoreTime(LOOK, 0);
         look(100, FULL, 200, List.of(share(0, true, LOOK, 3 * LOOK, core)));
-        assertNull(starvation.rulesVoid());
+        assertNull(starvation.rulesVoidReason());
     }
 
     @Test
     void proxyThatSpinsWhileOthersHaveTheCoresIsStarved() {
         healthyPlay();
         look(2, FULL, 200, List.of(share(0, true, 20_000, 30_000, FULL)));
-        assertNotNull(starvation.rulesVoid());
+        assertNotNull(starvation.rulesVoidReason());
     }
 
     @Test
     void whatTheHostTakesCountsAsAWait() {
         healthyPlay();
         look(2, TAKEN, 200, List.of(share(0, true, 45_000, 0, TAKEN)));
-        assertTrue(starvation.rulesVoid().startsWith("n0 waited "), starvation.rulesVoid());
+        assertTrue(starvation.rulesVoidReason().startsWith("n0 waited "), starvation.rulesVoidReason());
     }
 
     @Test
@@ -187,9 +187,9 @@
         look(20, FULL, 300_000, List.of(share(0, true, 4_000, 45_000, FULL)));
         healthyPlay();
         look(20, FULL, 200, List.of(share(0, true, 4_000, 300, FULL), share(2, false, 25_000, 40_000, FULL)));
-        starvation.judging(false);
+        starvation.setJudging(false);
         look(20, FULL, 300_000, List.of(share(0, true, 4_000, 45_000, FULL)));
-        assertNull(starvation.rulesVoid());
+        assertNull(starvation.rulesVoidReason());
         assertTrue(starvation.waited(102) > 700_000 && starvation.waited(102) < 800_000,
             "a start's wait counts to its own limit: " + starvation.waited(102));
     }
@@ -199,17 +199,17 @@
         healthyPlay();
         starvation.passed("the start of the next process of n0", 8_100_000, 3_200_000);
         assertEquals("the start of the next process of n0 took 8.1 s, of which it waited 3.2 s for a core",
-            starvation.rulesVoid());
+            starvation.rulesVoidReason());
     }
 
     @Test
     void limitCountsWithoutTheWaitAlone() {
-        Limit limit = new Limit(6_000_000);
-        assertEquals(Limit.Verdict.WITHIN, limit.of(6_000_000, 0));
-        assertEquals(Limit.Verdict.PASSED, limit.of(6_000_001, 0), "a process that had its cores is judged");
-        assertEquals(Limit.Verdict.PASSED, limit.of(8_000_000, 1_999_999));
-        assertEquals(Limit.Verdict.STARVED, limit.of(8_000_000, 2_000_000));
-        assertEquals(Limit.Verdict.PASSED, limit.of(20_000_000, 2_000_000));
-        assertTrue(!limit.over(18_000_000) && limit.over(18_000_001), "nobody waits for ever");
+        TimeLimit limit = new TimeLimit(6_000_000);
+        assertEquals(TimeLimit.Verdict.WITHIN, limit.verdict(6_000_000, 0));
+        assertEquals(TimeLimit.Verdict.PASSED, limit.verdict(6_000_001, 0), "a process that had its cores is judged");
+        assertEquals(TimeLimit.Verdict.PASSED, limit.verdict(8_000_000, 1_999_999));
+        assertEquals(TimeLimit.Verdict.STARVED, limit.verdict(8_000_000, 2_000_000));
+        assertEquals(TimeLimit.Verdict.PASSED, limit.verdict(20_000_000, 2_000_000));
+        assertTrue(!limit.isPastMaxWait(18_000_000) && limit.isPastMaxWait(18_000_001), "nobody waits for ever");
     }
 }
