--- a/lab/src/main/java/dockrelay/lab/scale/Progress.java
+++ b/lab/src/main/java/dockrelay/lab/scale/ProgressLog.java
@@ -2,6 +2,6 @@
 
 /** Takes lines that tell how a run goes on. */
 @FunctionalInterface
-public interface Progress {
-    void line(String text);
+public interface ProgressLog {
+    void log(String text);
 }
--- a/lab/src/main/java/dockrelay/lab/scale/ScaleCommand.java
+++ b/lab/src/main/java/dockrelay/lab/scale/ScaleCommand.java
@@ -42,7 +42,7 @@
             System.out.print(Tables.plain(result));
             System.out.println("figures: " + to);
             return 0;
-        } catch (RefusedException e) {
+        } catch (SizeRefusedException e) {
             System.err.println("refused: " + e.getMessage());
             return 1;
         }
--- a/lab/src/main/java/dockrelay/lab/scale/ScaleRun.java
+++ b/lab/src/main/java/dockrelay/lab/scale/ScaleRun.java
@@ -21,32 +21,32 @@
 
     private final ScaleSpec spec;
     private final long memory;
-    private final Progress progress;
+    private final ProgressLog progress;
 
-    public ScaleRun(ScaleSpec spec, Progress progress) {
+    public ScaleRun(ScaleSpec spec, ProgressLog progress) {
         this(spec, Machine.memory(), progress);
     }
 
-    ScaleRun(ScaleSpec spec, long memory, Progress progress) {
+    ScaleRun(ScaleSpec spec, long memory, ProgressLog progress) {
         this.spec = spec;
         this.memory = memory;
         this.progress = progress;
     }
 
     /** Refuses what would take more than half of the memory or too many processes, before anything runs. */
-    void check() throws RefusedException {
-        Estimate[] all = spec.sizes().stream().map(size -> spec.role().estimate(spec, size))
-            .toArray(Estimate[]::new);
+    void check() throws SizeRefusedException {
+        ResourceEstimate[] all = spec.sizes().stream().map(size -> spec.role().estimate(spec, size))
+            .toArray(ResourceEstimate[]::new);
         spec.done();
         for (int i = 0; i < all.length; i++) {
             String what = spec.name() + ": " + spec.role().name() + " at " + spec.sizes().get(i)
                 + " would take ";
             if (all[i].bytes() > memory / 2) {
-                throw new RefusedException(what + (all[i].bytes() >> 20) + " MiB; allowed is half of this"
+                throw new SizeRefusedException(what + (all[i].bytes() >> 20) + " MiB; allowed is half of this"
                     + " machine's memory, " + (memory / 2 >> 20) + " MiB: take smaller sizes");
             }
             if (all[i].processes() > MOST_PROCESSES) {
-                throw new RefusedException(what + all[i].processes() + " processes; allowed are "
+                throw new SizeRefusedException(what + all[i].processes() + " processes; allowed are "
                     + MOST_PROCESSES + ": take smaller sizes");
             }
         }
@@ -64,14 +64,14 @@
             for (int play = 1; play <= spec.plays(); play++) {
                 long began = System.nanoTime();
                 String what = spec.role().name() + " " + size + ", play " + play + " of " + spec.plays();
-                progress.line(what);
+                progress.log(what);
                 try {
                     figures.addAll(spec.role().play(spec, size, play, progress));
-                    progress.line(String.format(Locale.ROOT, "%s: %.1f s", what, (System.nanoTime() - began)
+                    progress.log(String.format(Locale.ROOT, "%s: %.1f s", what, (System.nanoTime() - began)
                         / 1e9));
-                } catch (RefusedException e) {
+                } catch (SizeRefusedException e) {
                     refused.add(new Refusal(spec.role().name(), size, e.getMessage()));
-                    progress.line(what + ": refused: " + e.getMessage());
+                    progress.log(what + ": refused: " + e.getMessage());
                     break;
                 }
             }
--- a/lab/src/main/java/dockrelay/lab/scale/ScaleSpec.java
+++ b/lab/src/main/java/dockrelay/lab/scale/ScaleSpec.java
@@ -86,7 +86,7 @@
     }
 
     /** The table of the role's own keys. */
-    public Section own() {
+    public Section roleSection() {
         return own;
     }
 
--- a/lab/src/main/java/dockrelay/lab/scale/list/HollowDiscovery.java
+++ b/lab/src/main/java/dockrelay/lab/scale/list/EmulatedDiscovery.java
@@ -33,18 +33,18 @@
  * Discovery for one list of any length, as the lab's own speaks: whole lists, and watches on which changes
  * are pushed. It is as fast as it can be: what is measured is who listens. One loop's thread owns it.
  */
-public final class HollowDiscovery {
+public final class EmulatedDiscovery {
     private static final long ALIVE_MILLIS = 2_000;
     private static final int LONGEST = 64 << 10;
 
-    private final HollowList list;
+    private final SyntheticBackendList list;
     private final EventLoop loop;
     private final Channel listener;
     private final List<Channel> watches = new ArrayList<>();
     private volatile CompletableFuture<Long> wholeTold = new CompletableFuture<>();
     private volatile boolean wholeNext;
 
-    public HollowDiscovery(EventLoop loop, HollowList list) {
+    public EmulatedDiscovery(EventLoop loop, SyntheticBackendList list) {
         this.loop = loop;
         this.list = list;
         this.listener = new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
@@ -102,7 +102,7 @@
             QueryStringDecoder query = new QueryStringDecoder(request.uri());
             if (!query.parameters().containsKey("watch")) {
                 FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
-                    HttpResponseStatus.OK, Unpooled.copiedBuffer(list.whole(), StandardCharsets.UTF_8));
+                    HttpResponseStatus.OK, Unpooled.copiedBuffer(list.fullListJson(), StandardCharsets.UTF_8));
                 HttpUtil.setContentLength(response, response.content().readableBytes());
                 context.writeAndFlush(response);
                 return;
@@ -115,7 +115,7 @@
             boolean whole = version <= 0 || wholeNext;
             wholeNext = false;
             ChannelFuture written = context.writeAndFlush(content(
-                (whole ? list.whole() : list.since(version)) + "\n"));
+                (whole ? list.fullListJson() : list.since(version)) + "\n"));
             CompletableFuture<Long> told = wholeTold;
             if (whole) {
                 written.addListener(done -> {
--- a/lab/src/main/java/dockrelay/lab/scale/list/ListPlay.java
+++ b/lab/src/main/java/dockrelay/lab/scale/list/ListPlay.java
@@ -1,15 +1,15 @@
 package dockrelay.lab.scale.list;
 
 import dockrelay.lab.process.Build;
-import dockrelay.lab.scale.Progress;
-import dockrelay.lab.scale.load.Calls;
-import dockrelay.lab.scale.load.FastNodes;
-import dockrelay.lab.scale.load.Found;
-import dockrelay.lab.scale.load.OpenLoop;
+import dockrelay.lab.scale.ProgressLog;
+import dockrelay.lab.scale.load.SingleClassWorkload;
+import dockrelay.lab.scale.load.EmulatedServers;
+import dockrelay.lab.scale.load.FigureSink;
+import dockrelay.lab.scale.load.OpenLoopGenerator;
 import dockrelay.lab.scale.load.ProxyUnderTest;
-import dockrelay.lab.scale.load.ProxyUnderTest.End;
-import dockrelay.lab.scale.load.ProxyUnderTest.Processor;
-import dockrelay.lab.scale.load.Told;
+import dockrelay.lab.scale.load.ProxyUnderTest.StartOutcome;
+import dockrelay.lab.scale.load.ProxyUnderTest.CpuTime;
+import dockrelay.lab.scale.load.FleetProxyConfig;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
@@ -39,20 +39,20 @@
     private final int size;
     private final boolean asked;
     private final long seed;
-    private final Found found;
-    private final Progress progress;
+    private final FigureSink found;
+    private final ProgressLog progress;
     private final EventLoopGroup nodesGroup = group("nodes"), discoveryGroup = group("discovery"),
         clientsGroup = group("clients");
-    private final FastNodes nodes = new FastNodes(nodesGroup.next(), ZONES.size(), NODES_EACH);
-    private final HollowList list;
-    private final HollowDiscovery discovery;
+    private final EmulatedServers nodes = new EmulatedServers(nodesGroup.next(), ZONES.size(), NODES_EACH);
+    private final SyntheticBackendList list;
+    private final EmulatedDiscovery discovery;
     private ProxyUnderTest proxy;
-    private InForce force;
-    private OpenLoop clients;
+    private ListVersionTracker force;
+    private OpenLoopGenerator clients;
     private double quietShare; // of a core, which requests alone take
     private List<Integer> lostOnes = List.of();
 
-    ListPlay(ListSpec spec, Build build, int size, String manner, long seed, Found found, Progress progress) {
+    ListPlay(ListSpec spec, Build build, int size, String manner, long seed, FigureSink found, ProgressLog progress) {
         this.spec = spec;
         this.build = build;
         this.size = size;
@@ -60,8 +60,8 @@
         this.seed = seed;
         this.found = found;
         this.progress = progress;
-        this.list = new HollowList(size, ZONES, KINDS, nodes::addressText);
-        this.discovery = new HollowDiscovery(discoveryGroup.next(), list);
+        this.list = new SyntheticBackendList(size, ZONES, KINDS, nodes::addressText);
+        this.discovery = new EmulatedDiscovery(discoveryGroup.next(), list);
     }
 
     private static EventLoopGroup group(String name) {
@@ -70,12 +70,12 @@
     }
 
     void run() throws Exception {
-        boolean known = start("start, list known", list.whole());
-        if (!start("start, nothing known", Told.NOTHING) && !(known && start(null, list.whole()))) {
+        boolean known = start("start, list known", list.fullListJson());
+        if (!start("start, nothing known", FleetProxyConfig.EMPTY_LIST) && !(known && start(null, list.fullListJson()))) {
             return;
         }
-        clients = new OpenLoop(clientsGroup.next(), spec.rate(), PATIENCE_MICROS, new Random(seed),
-            new Random(seed + 1), new Calls(proxy.address(), "any", TIMEOUT_SECONDS));
+        clients = new OpenLoopGenerator(clientsGroup.next(), spec.rate(), PATIENCE_MICROS, new Random(seed),
+            new Random(seed + 1), new SingleClassWorkload(proxy.address(), "any", TIMEOUT_SECONDS));
         clients.start();
         TimeUnit.MILLISECONDS.sleep(SETTLE_MILLIS);
         part("quiet", this::quiet);
@@ -86,8 +86,8 @@
         part("zone back, one change", () -> zone("zone back, one change", false));
         part("whole list again", this::again);
         part("zone lost, one by one", this::oneByOne);
-        if (proxy.alive()) {
-            found.add("MiB", "resident after all", proxy.resident() / MIB);
+        if (proxy.isAlive()) {
+            found.add("MiB", "resident after all", proxy.residentBytes() / MIB);
             found.add("MiB", "heap used, as it said at last", force.heapMiB());
         }
     }
@@ -96,34 +96,34 @@
     private boolean start(String what, String known) throws Exception {
         stop();
         proxy = new ProxyUnderTest(build);
-        force = new InForce(proxy);
+        force = new ListVersionTracker(proxy);
         CompletableFuture<Long> told = discovery.nextWhole();
-        String configuration = new Told(discovery.address(), asked, ListSpec.proxies(size), ZONES, KINDS,
-            Told.ANY, "[]", known).configuration(proxy, seed);
-        proxy.start(configuration, discovery.address(), force::hear);
-        End end = proxy.awaitReady(spec.readyWithin() / 1_000);
+        String configuration = new FleetProxyConfig(discovery.address(), asked, ListSpec.proxies(size), ZONES, KINDS,
+            FleetProxyConfig.ANY, "[]", known).toJson(proxy, seed);
+        proxy.start(configuration, discovery.address(), force::onLogLine);
+        StartOutcome end = proxy.awaitReady(spec.readyWithin() / 1_000);
         long ready = System.nanoTime();
-        Processor spent = proxy.processor();
+        CpuTime spent = proxy.cpuTime();
         if (what == null) {
-            return end == End.READY;
+            return end == StartOutcome.READY;
         }
-        if (end != End.READY) {
-            found.notReady(what, end, spec.readyWithin() / 1_000_000);
-            found.add("s", what + ": processor time until then", spent.used() / 1e9);
-            proxy.lastLines().forEach(line -> progress.line("    log: " + line));
+        if (end != StartOutcome.READY) {
+            found.addStartFailure(what, end, spec.readyWithin() / 1_000_000);
+            found.add("s", what + ": processor time until then", spent.usedNanos() / 1e9);
+            proxy.lastLogLines().forEach(line -> progress.log("    log: " + line));
             return false;
         }
-        found.add("ms", what + ": ready after", (ready - proxy.startedAt()) / MILLION);
-        found.add("ms", what + ": processor time", spent.used() / MILLION);
+        found.add("ms", what + ": ready after", (ready - proxy.startedAtNanos()) / MILLION);
+        found.add("ms", what + ": processor time", spent.usedNanos() / MILLION);
         found.add("ms", what + ": waited for a processor", spent.waited() / MILLION);
-        if (known.equals(Told.NOTHING)) {
+        if (known.equals(FleetProxyConfig.EMPTY_LIST)) {
             long taken = force.taken(list.version(), spec.readyWithin() / 1_000);
             long last = told.get(CALL_MILLIS, TimeUnit.MILLISECONDS);
             found.add("ms", what + ": list's last byte to its line in the log",
                 Math.max(0, taken - last) / MILLION);
         }
         TimeUnit.MILLISECONDS.sleep(SETTLE_MILLIS);
-        found.add("MiB", what + ": resident", proxy.resident() / MIB);
+        found.add("MiB", what + ": resident", proxy.residentBytes() / MIB);
         return true;
     }
 
@@ -133,62 +133,62 @@
     }
 
     private void part(String name, Happening what) throws Exception {
-        if (!proxy.alive()) {
+        if (!proxy.isAlive()) {
             return;
         }
-        progress.line("  " + name);
+        progress.log("  " + name);
         force.lateMillis(0);
-        clients.next();
-        Processor before = proxy.processor();
+        clients.swapTally();
+        CpuTime before = proxy.cpuTime();
         long began = System.nanoTime();
         try {
             what.happen();
         } catch (TimeoutException e) {
-            found.add(Found.EVENT, name + ": a change was not written within its time", 1);
+            found.add(FigureSink.EVENT_UNIT, name + ": a change was not written within its time", 1);
         }
         long took = System.nanoTime() - began;
-        Processor spent = proxy.processor().since(before);
-        if (proxy.alive()) {
-            found.processor(name, spent, took);
+        CpuTime spent = proxy.cpuTime().since(before);
+        if (proxy.isAlive()) {
+            found.addCpuTime(name, spent, took);
             long late = spec.counters() ? force.lateMillis(COUNTERS_MILLIS) : -1;
             if (late >= 0) {
                 found.add("ms", name + ": loop late, most", late);
             }
         }
-        found.requests(name, clients.next());
-        if (!proxy.alive()) {
-            found.add(Found.EVENT, name + ": " + (proxy.ranOutOfMemory() ? "out of memory"
+        found.addRequestFigures(name, clients.swapTally());
+        if (!proxy.isAlive()) {
+            found.add(FigureSink.EVENT_UNIT, name + ": " + (proxy.ranOutOfMemory() ? "out of memory"
                 : "ended by itself"), 1);
-            proxy.lastLines().forEach(line -> progress.line("    log: " + line));
+            proxy.lastLogLines().forEach(line -> progress.log("    log: " + line));
         }
     }
 
     private void quiet() throws InterruptedException {
-        Processor before = proxy.processor();
+        CpuTime before = proxy.cpuTime();
         long began = System.nanoTime();
         TimeUnit.MICROSECONDS.sleep(spec.quiet());
-        quietShare = (double) proxy.processor().since(before).used() / (System.nanoTime() - began);
+        quietShare = (double) proxy.cpuTime().since(before).usedNanos() / (System.nanoTime() - began);
     }
 
     /** Says the change; returns the times of its last byte and of its being in force, or of neither. */
     private long[] change(List<Integer> which, String state, long started) throws Exception {
-        long last = discovery.push(list.change(which, state, started))
+        long last = discovery.push(list.applyChange(which, state, started))
             .get(spec.lossBound(), TimeUnit.MICROSECONDS);
         return new long[] {last, list.version()};
     }
 
     private void inForce(String part, List<long[]> changes, long withinMillis) throws InterruptedException {
         long last = changes.get(changes.size() - 1)[1];
-        boolean all = force.since(last, withinMillis) > 0;
+        boolean all = force.awaitApplied(last, withinMillis) > 0;
         List<Double> times = new ArrayList<>();
         for (long[] one : changes) {
-            long since = changes.size() == 1 ? force.since(one[1], 0) : force.sinceExactly(one[1]);
+            long since = changes.size() == 1 ? force.awaitApplied(one[1], 0) : force.sinceExactly(one[1]);
             if (since > 0) {
                 times.add((since - one[0]) / MILLION);
             }
         }
         if (!all) {
-            found.add(Found.EVENT, part + ": not in force within " + spec.lossBound() / 1_000_000 + " s", 1);
+            found.add(FigureSink.EVENT_UNIT, part + ": not in force within " + spec.lossBound() / 1_000_000 + " s", 1);
         }
         if (changes.size() == 1 && all) {
             found.add("ms", part + ": in force after", Math.max(0, times.get(0)));
@@ -225,23 +225,23 @@
     /** What a change takes is told best where nothing else goes on. */
     private void alone() throws Exception {
         String part = "changes without requests";
-        clients.pause(true);
+        clients.setPaused(true);
         try {
             TimeUnit.MILLISECONDS.sleep(SETTLE_MILLIS);
-            Processor idle = proxy.processor();
+            CpuTime idle = proxy.cpuTime();
             long began = System.nanoTime();
             TimeUnit.MILLISECONDS.sleep(SETTLE_MILLIS);
-            Processor before = proxy.processor();
-            double share = (double) before.since(idle).used() / (System.nanoTime() - began);
+            CpuTime before = proxy.cpuTime();
+            double share = (double) before.since(idle).usedNanos() / (System.nanoTime() - began);
             began = System.nanoTime();
             int count = series(part, ALONE_RATE, ALONE_CHANGES);
-            double used = proxy.processor().since(before).used(), over = System.nanoTime() - began;
+            double used = proxy.cpuTime().since(before).usedNanos(), over = System.nanoTime() - began;
             found.add("ms", part + ": processor time a change", used / MILLION / count);
             found.add("ms", part + ": processor time a change, less idle",
                 Math.max(0, used - share * over) / MILLION / count);
             found.add("% of a core", part + ": idle before", 100 * share);
         } finally {
-            clients.pause(false);
+            clients.setPaused(false);
         }
     }
 
@@ -261,7 +261,7 @@
         do {
             TimeUnit.MILLISECONDS.sleep(MARK_MILLIS);
             changes.add(change(List.of(0), "active", -1));
-        } while (force.since(list.version(), MARK_MILLIS) == 0 && System.nanoTime() < by && proxy.alive());
+        } while (force.awaitApplied(list.version(), MARK_MILLIS) == 0 && System.nanoTime() < by && proxy.isAlive());
         inForce(part, changes, MARK_MILLIS);
         return changes.size();
     }
@@ -276,11 +276,11 @@
             nodes.start(LOST);
         }
         found.add("backends", part + ": backends", all.size());
-        Processor before = proxy.processor();
+        CpuTime before = proxy.cpuTime();
         long began = System.nanoTime();
         long[] told = change(all, lost ? "left" : "active", lost ? -1 : System.currentTimeMillis());
         inForce(part, List.of(told), spec.lossBound() / 1_000);
-        double used = proxy.processor().since(before).used() - quietShare * (System.nanoTime() - began);
+        double used = proxy.cpuTime().since(before).usedNanos() - quietShare * (System.nanoTime() - began);
         found.add("ms", part + ": processor time", Math.max(0, used) / MILLION);
         long after = nodes.arrivals(LOST);
         TimeUnit.MICROSECONDS.sleep(spec.afterLoss());
@@ -292,19 +292,19 @@
     /** The watch ends, and the next one is told all. */
     private void again() throws Exception {
         String part = "whole list again";
-        list.change(List.of(0), "active", -1);
-        Processor before = proxy.processor();
+        list.applyChange(List.of(0), "active", -1);
+        CpuTime before = proxy.cpuTime();
         long began = System.nanoTime();
         long last;
         try {
             last = discovery.tellWholeAgain().get(spec.lossBound(), TimeUnit.MICROSECONDS);
         } catch (TimeoutException e) {
-            found.add(Found.EVENT, part + ": not read to its end within "
+            found.add(FigureSink.EVENT_UNIT, part + ": not read to its end within "
                 + spec.lossBound() / 1_000_000 + " s", 1);
             return;
         }
         inForce(part, List.of(new long[] {last, list.version()}), spec.lossBound() / 1_000);
-        double used = proxy.processor().since(before).used() - quietShare * (System.nanoTime() - began);
+        double used = proxy.cpuTime().since(before).usedNanos() - quietShare * (System.nanoTime() - began);
         found.add("ms", part + ": processor time", Math.max(0, used) / MILLION);
         TimeUnit.MICROSECONDS.sleep(spec.quiet());
     }
@@ -318,28 +318,28 @@
         List<Integer> all = list.of(LOST);
         int mark = list.replacement(0);
         nodes.stop(LOST);
-        Processor before = proxy.processor();
+        CpuTime before = proxy.cpuTime();
         long began = System.nanoTime();
         for (int one : all) {
-            discovery.push(list.change(List.of(one), "left", -1));
+            discovery.push(list.applyChange(List.of(one), "left", -1));
         }
-        discovery.push(list.change(List.of(mark), "active", 0));
+        discovery.push(list.applyChange(List.of(mark), "active", 0));
         long by = began + spec.lossBound() * 1_000;
         boolean there = false;
-        while (!there && System.nanoTime() < by && proxy.alive()) {
+        while (!there && System.nanoTime() < by && proxy.isAlive()) {
             there = proxy.call("ATTACH " + list.id(mark), CALL_MILLIS).startsWith("200");
             if (!there) {
                 TimeUnit.MILLISECONDS.sleep(POLL_MILLIS);
             }
         }
         long took = System.nanoTime() - began;
-        double used = proxy.processor().since(before).used() - quietShare * took;
+        double used = proxy.cpuTime().since(before).usedNanos() - quietShare * took;
         if (there) {
             found.add("ms", part + ": all in force after", took / MILLION);
             found.add("ms", part + ": processor time", Math.max(0, used) / MILLION);
             TimeUnit.MICROSECONDS.sleep(spec.quiet());
         } else {
-            found.add(Found.EVENT, part + ": not in force within " + spec.lossBound() / 1_000_000 + " s", 1);
+            found.add(FigureSink.EVENT_UNIT, part + ": not in force within " + spec.lossBound() / 1_000_000 + " s", 1);
         }
     }
 
--- a/lab/src/main/java/dockrelay/lab/scale/list/ListRole.java
+++ b/lab/src/main/java/dockrelay/lab/scale/list/ListRole.java
@@ -1,9 +1,9 @@
 package dockrelay.lab.scale.list;
 
 import dockrelay.lab.process.Build;
-import dockrelay.lab.scale.Estimate;
+import dockrelay.lab.scale.ResourceEstimate;
 import dockrelay.lab.scale.Figure;
-import dockrelay.lab.scale.Progress;
+import dockrelay.lab.scale.ProgressLog;
 import dockrelay.lab.scale.Role;
 import dockrelay.lab.scale.ScaleSpec;
 import java.nio.file.Path;
@@ -23,13 +23,13 @@
     }
 
     @Override
-    public Estimate estimate(ScaleSpec spec, int size) {
+    public ResourceEstimate estimate(ScaleSpec spec, int size) {
         int heap = ListSpec.of(spec).heapMiB();
-        return new Estimate(PROXY + ((long) heap << 20) + OWN + ENTRY * size, 1);
+        return new ResourceEstimate(PROXY + ((long) heap << 20) + OWN + ENTRY * size, 1);
     }
 
     @Override
-    public List<Figure> play(ScaleSpec spec, int size, int play, Progress progress) throws Exception {
+    public List<Figure> play(ScaleSpec spec, int size, int play, ProgressLog progress) throws Exception {
         Build build = Build.load(Path.of(System.getProperty("stoatreel.root", ".")));
         ListSpec own = ListSpec.of(spec);
         List<Figure> figures = new ArrayList<>();
@@ -38,7 +38,7 @@
                 (unit, what, value) -> {
                     figures.add(new Figure(name(), what + " (" + manner + ")", size, unit, value, "real",
                         play));
-                    progress.line("  " + manner + ": " + what + " " + value + " " + unit);
+                    progress.log("  " + manner + ": " + what + " " + value + " " + unit);
                 }, progress)) {
                 one.run();
             }
--- a/lab/src/main/java/dockrelay/lab/scale/list/ListSpec.java
+++ b/lab/src/main/java/dockrelay/lab/scale/list/ListSpec.java
@@ -15,7 +15,7 @@
     private static final List<String> MANNERS = List.of("push", "ask");
 
     static ListSpec of(ScaleSpec spec) {
-        Section own = spec.own();
+        Section own = spec.roleSection();
         List<String> manners = own.texts("manners");
         if (!MANNERS.containsAll(manners)) {
             throw own.wrong("manners", "a list of " + String.join(", ", MANNERS));
--- a/lab/src/main/java/dockrelay/lab/scale/list/InForce.java
+++ b/lab/src/main/java/dockrelay/lab/scale/list/ListVersionTracker.java
@@ -17,7 +17,7 @@
  * when the turn is over. That is late by a millisecond or so, never early. Log lines are bounded: not every
  * version of a fast series is seen.
  */
-public final class InForce implements AutoCloseable {
+public final class ListVersionTracker implements AutoCloseable {
     private static final Pattern TAKEN =
         Pattern.compile("discovery: (?:list of|changes to) version (\\d+),.*");
     private static final Pattern COUNTED =
@@ -33,11 +33,11 @@
     private ProxyUnderTest.Talk talk;
     private long late, heapMiB, counted;
 
-    public InForce(ProxyUnderTest proxy) {
+    public ListVersionTracker(ProxyUnderTest proxy) {
         this.proxy = proxy;
     }
 
-    public void hear(LogTail.Line line) {
+    public void onLogLine(LogTail.Line line) {
         Matcher matcher = TAKEN.matcher(line.text());
         if (matcher.matches()) {
             long version = Long.parseLong(matcher.group(1));
@@ -81,7 +81,7 @@
     }
 
     /** When this version or a later one was in force; 0 where that was not seen in time. */
-    public synchronized long since(long version, long withinMillis) throws InterruptedException {
+    public synchronized long awaitApplied(long version, long withinMillis) throws InterruptedException {
         return await(since, version, withinMillis);
     }
 
@@ -99,7 +99,7 @@
                 return found.getValue();
             }
             long left = TimeUnit.NANOSECONDS.toMillis(by - System.nanoTime());
-            if (left <= 0 || !proxy.alive()) {
+            if (left <= 0 || !proxy.isAlive()) {
                 return 0;
             }
             wait(Math.min(left, 100));
@@ -109,7 +109,7 @@
     /** The most that the proxy's loop was late since this was asked last, by its own next counters. */
     public synchronized long lateMillis(long withinMillis) throws InterruptedException {
         long by = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(withinMillis), wanted = counted + 1;
-        while (counted < wanted && System.nanoTime() < by && proxy.alive()) {
+        while (counted < wanted && System.nanoTime() < by && proxy.isAlive()) {
             wait(100);
         }
         long most = late;
--- a/lab/src/main/java/dockrelay/lab/scale/list/HollowList.java
+++ b/lab/src/main/java/dockrelay/lab/scale/list/SyntheticBackendList.java
@@ -7,7 +7,7 @@
  * The list as discovery has it: hollow backends, each with an address of a node that answers. Its texts are
  * in the form that proxies are told it in.
  */
-public final class HollowList {
+public final class SyntheticBackendList {
     /** Who answers for a backend of this zone and number. */
     public interface Addresses {
         String of(int zone, int number);
@@ -34,7 +34,7 @@
     private final List<Hollow> entries = new ArrayList<>();
     private long version = 1;
 
-    public HollowList(int size, List<String> zones, List<String> kinds, Addresses addresses) {
+    public SyntheticBackendList(int size, List<String> zones, List<String> kinds, Addresses addresses) {
         this.zones = zones;
         this.kinds = kinds;
         this.addresses = addresses;
@@ -78,7 +78,7 @@
     }
 
     /** One change of the list: these are so from now on. Returns the text of it. */
-    public synchronized String change(List<Integer> which, String state, long startedMillis) {
+    public synchronized String applyChange(List<Integer> which, String state, long startedMillis) {
         version++;
         List<Hollow> changed = new ArrayList<>();
         for (int one : which) {
@@ -92,7 +92,7 @@
     }
 
     /** The whole list as of now. */
-    public synchronized String whole() {
+    public synchronized String fullListJson() {
         return text(entries.stream().filter(entry -> !entry.state.equals(LEFT)).toList(), true);
     }
 
--- a/lab/src/main/java/dockrelay/lab/scale/load/FastNodes.java
+++ b/lab/src/main/java/dockrelay/lab/scale/load/EmulatedServers.java
@@ -34,7 +34,7 @@
  * Each is a listener that any number of hollow backends may name as theirs, so that a list of tens of
  * thousands has somebody behind every entry. One loop's thread owns their connections.
  */
-public final class FastNodes {
+public final class EmulatedServers {
     private static final int LONGEST = 64 << 10, BACKLOG = 1024, PART = 30;
     private static final byte[] BODY = "ok\n".getBytes(StandardCharsets.US_ASCII);
 
@@ -46,7 +46,7 @@
     private final AtomicLongArray arrivals;
 
     /** Listens for all at once; not to be called on the loop. */
-    public FastNodes(EventLoop loop, int groups, int each) {
+    public EmulatedServers(EventLoop loop, int groups, int each) {
         this.loop = loop;
         this.each = each;
         this.listeners = new Channel[groups * each];
--- a/lab/src/main/java/dockrelay/lab/scale/load/Found.java
+++ b/lab/src/main/java/dockrelay/lab/scale/load/FigureSink.java
@@ -1,13 +1,13 @@
 package dockrelay.lab.scale.load;
 
-import dockrelay.lab.scale.load.ProxyUnderTest.End;
-import dockrelay.lab.scale.load.ProxyUnderTest.Processor;
+import dockrelay.lab.scale.load.ProxyUnderTest.StartOutcome;
+import dockrelay.lab.scale.load.ProxyUnderTest.CpuTime;
 
 /** Takes what a play has found, figure by figure. */
 @FunctionalInterface
-public interface Found {
+public interface FigureSink {
     /** Something that happened, or that did not: its figure is 1, and its name says what. */
-    String EVENT = "event";
+    String EVENT_UNIT = "event";
     long ENOUGH_FOR_A_THOUSANDTH = 1_000;
     /** Where one in a hundred left later than this, times from the intended send say nothing of the proxy. */
     double LATE_MILLIS = 5;
@@ -15,10 +15,10 @@
     void add(String unit, String what, double value);
 
     /** What became of requests in one part of a play. */
-    default void requests(String part, Tally tally) {
+    default void addRequestFigures(String part, Tally tally) {
         add("requests", part + ": sent", tally.sent());
         if (tally.lateMillis(99) > LATE_MILLIS) {
-            add(EVENT, part + ": latencies void, the generator was late", 1);
+            add(EVENT_UNIT, part + ": latencies void, the generator was late", 1);
         } else if (tally.served() + tally.unanswered() > 0) {
             add("ms", part + ": latency p50", tally.millis(50));
             add("ms", part + ": latency p99", tally.millis(99));
@@ -34,8 +34,8 @@
     }
 
     /** A start that did not come to serving. */
-    default void notReady(String what, End end, long withinSeconds) {
-        add(EVENT, what + ": " + switch (end) {
+    default void addStartFailure(String what, StartOutcome end, long withinSeconds) {
+        add(EVENT_UNIT, what + ": " + switch (end) {
             case OUT_OF_MEMORY -> "out of memory";
             case ENDED -> "ended by itself";
             default -> "not ready within " + withinSeconds + " s";
@@ -43,8 +43,8 @@
     }
 
     /** Of one core; waited is what it wanted a processor and had none. */
-    default void processor(String part, Processor spent, long nanos) {
-        add("% of a core", part + ": processor", 100.0 * spent.used() / nanos);
+    default void addCpuTime(String part, CpuTime spent, long nanos) {
+        add("% of a core", part + ": processor", 100.0 * spent.usedNanos() / nanos);
         add("% of the time", part + ": waited for a processor", 100.0 * spent.waited() / nanos);
     }
 }
--- a/lab/src/main/java/dockrelay/lab/scale/load/Told.java
+++ b/lab/src/main/java/dockrelay/lab/scale/load/FleetProxyConfig.java
@@ -12,16 +12,16 @@
  * What a proxy of a large fleet is told at its start, in the platform's words. Lists of any length are given
  * as JSON that is made already. Limits are those that {@code run} is made for.
  */
-public record Told(String discovery, boolean asked, int proxies, List<String> zones, List<String> kinds,
+public record FleetProxyConfig(String discovery, boolean asked, int proxies, List<String> zones, List<String> kinds,
                    String services, String tenants, String known) {
     /** One class that is open to all, and repeatable. */
-    public static final String ANY = "[" + service("any", null, null) + "]";
+    public static final String ANY = "[" + serviceJson("any", null, null) + "]";
     /** Nothing was known before. */
-    public static final String NOTHING = "{\"version\":0,\"full\":true,\"servers\":[]}";
+    public static final String EMPTY_LIST = "{\"version\":0,\"full\":true,\"servers\":[]}";
     private static final ObjectMapper JSON = new ObjectMapper();
 
     /** A class as the settings have it; open to all zones or kinds where these are null. */
-    public static String service(String name, List<String> zones, List<String> kinds) {
+    public static String serviceJson(String name, List<String> zones, List<String> kinds) {
         return "{\"Name\":\"" + name + "\",\"Aim\":0.25,\"HardLimit\":2.0,\"Idempotency\":\"idempotent\","
             + "\"DedupScope\":\"all\",\"MemorySpan\":60,\"LateWorth\":0.3,\"Streaming\":false,\"Worth\":1"
             + (zones == null ? "" : ",\"RunsIn\":[\"" + String.join("\",\"", zones) + "\"]")
@@ -29,7 +29,7 @@
     }
 
     /** The configuration of this proxy, which stands in the middle of the fleet. */
-    public String configuration(ProxyUnderTest proxy, long seed) {
+    public String toJson(ProxyUnderTest proxy, long seed) {
         ObjectNode top = JSON.createObjectNode();
         top.put("name", proxy.name());
         top.put("listen", LoopbackAddresses.hostAndPort(proxy.address()));
--- a/lab/src/main/java/dockrelay/lab/scale/load/LoadPlay.java
+++ b/lab/src/main/java/dockrelay/lab/scale/load/LoadPlay.java
@@ -1,10 +1,10 @@
 package dockrelay.lab.scale.load;
 
 import dockrelay.lab.process.Build;
-import dockrelay.lab.scale.list.HollowDiscovery;
-import dockrelay.lab.scale.list.HollowList;
-import dockrelay.lab.scale.load.ProxyUnderTest.End;
-import dockrelay.lab.scale.load.ProxyUnderTest.Processor;
+import dockrelay.lab.scale.list.EmulatedDiscovery;
+import dockrelay.lab.scale.list.SyntheticBackendList;
+import dockrelay.lab.scale.load.ProxyUnderTest.StartOutcome;
+import dockrelay.lab.scale.load.ProxyUnderTest.CpuTime;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
@@ -26,26 +26,26 @@
     private static final double[] PERCENTILES = {50, 99, 99.9};
 
     private final LoadRole.Keys keys;
-    private final Found found;
+    private final FigureSink found;
     private final EventLoopGroup nodesGroup = group("nodes"), clientsGroup = group("clients"),
         discoveryGroup = group("discovery");
-    private final FastNodes nodes = new FastNodes(nodesGroup.next(), ZONES.size(), NODES_EACH);
-    private final HollowDiscovery discovery;
+    private final EmulatedServers nodes = new EmulatedServers(nodesGroup.next(), ZONES.size(), NODES_EACH);
+    private final EmulatedDiscovery discovery;
     private final ProxyUnderTest proxy;
-    private final OpenLoop through, direct;
+    private final OpenLoopGenerator through, direct;
     private final long seed;
 
-    LoadPlay(LoadRole.Keys keys, Build build, int rate, long seed, Found found) throws IOException {
+    LoadPlay(LoadRole.Keys keys, Build build, int rate, long seed, FigureSink found) throws IOException {
         this.keys = keys;
         this.found = found;
         this.seed = seed;
-        HollowList list = new HollowList(ZONES.size() * NODES_EACH, ZONES, KINDS, nodes::addressText);
-        discovery = new HollowDiscovery(discoveryGroup.next(), list);
+        SyntheticBackendList list = new SyntheticBackendList(ZONES.size() * NODES_EACH, ZONES, KINDS, nodes::addressText);
+        discovery = new EmulatedDiscovery(discoveryGroup.next(), list);
         proxy = new ProxyUnderTest(build);
-        through = new OpenLoop(clientsGroup.next(), rate, PATIENCE_MICROS, new Random(seed),
-            new Random(seed + 1), new Calls(proxy.address(), "any", TIMEOUT_SECONDS));
-        direct = new OpenLoop(clientsGroup.next(), rate, PATIENCE_MICROS, new Random(seed + 2),
-            new Random(seed + 3), new Calls(nodes.addresses(), "any", TIMEOUT_SECONDS));
+        through = new OpenLoopGenerator(clientsGroup.next(), rate, PATIENCE_MICROS, new Random(seed),
+            new Random(seed + 1), new SingleClassWorkload(proxy.address(), "any", TIMEOUT_SECONDS));
+        direct = new OpenLoopGenerator(clientsGroup.next(), rate, PATIENCE_MICROS, new Random(seed + 2),
+            new Random(seed + 3), new SingleClassWorkload(nodes.addresses(), "any", TIMEOUT_SECONDS));
     }
 
     private static EventLoopGroup group(String name) {
@@ -63,30 +63,30 @@
 
     /** Returns how late the generator was, in milliseconds at 99 in 100. */
     double run() throws Exception {
-        proxy.start(new Told(discovery.address(), false, PROXIES, ZONES, KINDS, Told.ANY, "[]", Told.NOTHING)
-            .configuration(proxy, seed), discovery.address(), line -> { });
-        End end = proxy.awaitReady(READY_MILLIS);
-        if (end != End.READY) {
-            found.notReady("start", end, READY_MILLIS / 1_000);
+        proxy.start(new FleetProxyConfig(discovery.address(), false, PROXIES, ZONES, KINDS, FleetProxyConfig.ANY, "[]", FleetProxyConfig.EMPTY_LIST)
+            .toJson(proxy, seed), discovery.address(), line -> { });
+        StartOutcome end = proxy.awaitReady(READY_MILLIS);
+        if (end != StartOutcome.READY) {
+            found.addStartFailure("start", end, READY_MILLIS / 1_000);
             return 0;
         }
         through.start();
         direct.start();
         TimeUnit.MICROSECONDS.sleep(keys.warm());
-        through.next();
-        direct.next();
+        through.swapTally();
+        direct.swapTally();
         long arrived = arrivals(), began = System.nanoTime();
-        Processor before = proxy.processor();
+        CpuTime before = proxy.cpuTime();
         TimeUnit.MICROSECONDS.sleep(keys.length());
-        Tally with = through.next(), without = direct.next();
-        Processor spent = proxy.processor().since(before);
+        Tally with = through.swapTally(), without = direct.swapTally();
+        CpuTime spent = proxy.cpuTime().since(before);
         long took = System.nanoTime() - began;
         arrived = arrivals() - arrived;
-        through.pause(true);
-        direct.pause(true);
+        through.setPaused(true);
+        direct.setPaused(true);
         TimeUnit.MICROSECONDS.sleep(PATIENCE_MICROS); // what is out still is answered by then, or never
-        if (!proxy.alive()) {
-            found.notReady("run", End.ENDED, 0);
+        if (!proxy.isAlive()) {
+            found.addStartFailure("run", StartOutcome.ENDED, 0);
             return 0;
         }
         for (double percentile : PERCENTILES) {
@@ -102,9 +102,9 @@
         found.add("requests", "unanswered", with.unanswered());
         found.add("requests", "direct, not served", without.sent() - without.served());
         found.add("attempts", "attempts a request", (arrived - without.sent()) / (double) with.sent());
-        found.processor("run", spent, took);
-        found.add("ms", "processor time a request", spent.used() / MILLION / with.sent());
-        found.add("MiB", "resident", proxy.resident() / MIB);
+        found.addCpuTime("run", spent, took);
+        found.add("ms", "processor time a request", spent.usedNanos() / MILLION / with.sent());
+        found.add("MiB", "resident", proxy.residentBytes() / MIB);
         double late = Math.max(with.lateMillis(99), without.lateMillis(99));
         found.add("ms", "generator late p99", late);
         found.add("ms", "generator late p99.9", Math.max(with.lateMillis(99.9), without.lateMillis(99.9)));
--- a/lab/src/main/java/dockrelay/lab/scale/load/LoadRole.java
+++ b/lab/src/main/java/dockrelay/lab/scale/load/LoadRole.java
@@ -1,9 +1,9 @@
 package dockrelay.lab.scale.load;
 
 import dockrelay.lab.process.Build;
-import dockrelay.lab.scale.Estimate;
+import dockrelay.lab.scale.ResourceEstimate;
 import dockrelay.lab.scale.Figure;
-import dockrelay.lab.scale.Progress;
+import dockrelay.lab.scale.ProgressLog;
 import dockrelay.lab.scale.Role;
 import dockrelay.lab.scale.ScaleSpec;
 import dockrelay.lab.spec.Section;
@@ -22,7 +22,7 @@
     /** The role's own keys; times are in microseconds. */
     record Keys(long warm, long length, double lateMillis, int again) {
         static Keys of(ScaleSpec spec) {
-            Section own = spec.own();
+            Section own = spec.roleSection();
             Keys keys = new Keys(own.time("warm", 10 * SECOND, 0, 10 * MINUTE),
                 own.time("length", 30 * SECOND, SECOND, 60 * MINUTE),
                 own.time("late_most", 5_000, 100, SECOND) / 1e3, own.count("again", 2, 0, 20));
@@ -37,19 +37,19 @@
     }
 
     @Override
-    public Estimate estimate(ScaleSpec spec, int size) {
+    public ResourceEstimate estimate(ScaleSpec spec, int size) {
         Keys.of(spec);
-        return new Estimate(BYTES, 1);
+        return new ResourceEstimate(BYTES, 1);
     }
 
     @Override
-    public List<Figure> play(ScaleSpec spec, int size, int play, Progress progress) throws Exception {
+    public List<Figure> play(ScaleSpec spec, int size, int play, ProgressLog progress) throws Exception {
         Build build = Build.load(Path.of(System.getProperty("stoatreel.root", ".")));
         Keys keys = Keys.of(spec);
         List<Figure> figures = new ArrayList<>();
-        Found found = (unit, what, value) -> {
+        FigureSink found = (unit, what, value) -> {
             figures.add(new Figure(name(), what, size, unit, value, "real", play));
-            progress.line("  " + what + " " + value + " " + unit);
+            progress.log("  " + what + " " + value + " " + unit);
         };
         double late = 0;
         for (int i = 0; i <= keys.again; i++) {
@@ -59,12 +59,12 @@
             if (late <= keys.lateMillis) {
                 return figures;
             }
-            progress.line("  void: the generator was " + late + " ms late at 99 in 100");
+            progress.log("  void: the generator was " + late + " ms late at 99 in 100");
             if (i < keys.again) {
                 figures.clear();
             }
         }
-        found.add(Found.EVENT, "latencies void each time, the generator was late", 1);
+        found.add(FigureSink.EVENT_UNIT, "latencies void each time, the generator was late", 1);
         return withoutLatencies(figures);
     }
 
--- a/lab/src/main/java/dockrelay/lab/scale/load/OpenLoop.java
+++ b/lab/src/main/java/dockrelay/lab/scale/load/OpenLoopGenerator.java
@@ -29,19 +29,19 @@
  * Sends at planned times whatever became of the requests before, and counts each one's time from when it was
  * to be sent. Its own lateness is measured: what it could not send in time is not the proxy's.
  */
-public final class OpenLoop implements AutoCloseable {
+public final class OpenLoopGenerator implements AutoCloseable {
     private static final int LONGEST = 1 << 20, CONNECT_MILLIS = 1_000;
     private static final double SECOND = 1e9;
 
     /** What is sent next, and where to. */
-    public interface Shape {
-        InetSocketAddress target(RandomGenerator random);
+    public interface Workload {
+        InetSocketAddress nextTarget(RandomGenerator random);
 
-        FullHttpRequest request(RandomGenerator random, String id);
+        FullHttpRequest nextRequest(RandomGenerator random, String id);
     }
 
     private final EventLoop loop;
-    private final Shape shape;
+    private final Workload shape;
     private final double rate;
     private final long patienceMicros;
     private final RandomGenerator times, draws;
@@ -54,8 +54,8 @@
     private long numbers;
 
     /** Poisson arrivals of so many a second; a client waits so long for its answer. */
-    public OpenLoop(EventLoop loop, double rate, long patienceMicros, RandomGenerator times,
-                    RandomGenerator draws, Shape shape) {
+    public OpenLoopGenerator(EventLoop loop, double rate, long patienceMicros, RandomGenerator times,
+                    RandomGenerator draws, Workload shape) {
         this.loop = loop;
         this.rate = rate;
         this.patienceMicros = patienceMicros;
@@ -70,14 +70,14 @@
     }
 
     /** What is to be sent from now on counts here; returns what counted until then, which goes on filling. */
-    public Tally next() {
+    public Tally swapTally() {
         Tally before = tally;
         tally = new Tally();
         return before;
     }
 
     /** Sends nothing while this is so. */
-    public void pause(boolean on) {
+    public void setPaused(boolean on) {
         paused = on;
     }
 
@@ -100,8 +100,8 @@
         if (closed) {
             return;
         }
-        InetSocketAddress target = shape.target(draws);
-        FullHttpRequest request = shape.request(draws, prefix.substring(0, 8)
+        InetSocketAddress target = shape.nextTarget(draws);
+        FullHttpRequest request = shape.nextRequest(draws, prefix.substring(0, 8)
             + String.format("%08x", ++numbers));
         Waiting waiting = new Waiting(intended, tally);
         waiting.tally.addSent(micros(intended));
--- a/lab/src/main/java/dockrelay/lab/scale/load/ProxyUnderTest.java
+++ b/lab/src/main/java/dockrelay/lab/scale/load/ProxyUnderTest.java
@@ -31,12 +31,12 @@
     private static final long LOOK_NANOS = 2_000_000, END_MILLIS = 6_000;
 
     /** How a start went. */
-    public enum End { READY, OUT_OF_MEMORY, ENDED, NOT_READY }
+    public enum StartOutcome { READY, OUT_OF_MEMORY, ENDED, NOT_READY }
 
     /** Processor time, and the time in which it wanted a processor and had none, in nanoseconds. */
-    public record Processor(long used, long waited) {
-        public Processor since(Processor before) {
-            return new Processor(used - before.used, waited - before.waited);
+    public record CpuTime(long usedNanos, long waited) {
+        public CpuTime since(CpuTime before) {
+            return new CpuTime(usedNanos - before.usedNanos, waited - before.waited);
         }
     }
 
@@ -46,7 +46,7 @@
     private final Thread killer = new Thread(this::abandon, "killer");
     private LogTail log;
     private long startedAt;
-    private Processor last = new Processor(0, 0);
+    private CpuTime last = new CpuTime(0, 0);
 
     /** Its own folder is made here, and removed at the end. */
     public ProxyUnderTest(Build build) throws IOException {
@@ -79,37 +79,37 @@
         log = new LogTail(folder.resolve(name() + ".1").resolve("log"), hearer);
     }
 
-    public long startedAt() {
+    public long startedAtNanos() {
         return startedAt;
     }
 
     /** Asks until it says that it can serve; what else may become of it within the time is told as well. */
-    public End awaitReady(long withinMillis) {
+    public StartOutcome awaitReady(long withinMillis) {
         long by = startedAt + TimeUnit.MILLISECONDS.toNanos(withinMillis);
         while (System.nanoTime() < by) {
             if (!process.isAlive()) {
                 log.awaitEnd();
-                return log.saysOutOfMemory() ? End.OUT_OF_MEMORY : End.ENDED;
+                return log.saysOutOfMemory() ? StartOutcome.OUT_OF_MEMORY : StartOutcome.ENDED;
             }
-            processor();
+            cpuTime();
             try (Talk talk = new Talk(address(), START_ASK_MILLIS)) {
                 if (talk.healthy()) {
-                    return End.READY;
+                    return StartOutcome.READY;
                 }
             } catch (IOException e) {
                 LockSupport.parkNanos(LOOK_NANOS); // nobody listens there yet
             }
             LockSupport.parkNanos(LOOK_NANOS);
         }
-        return log.saysOutOfMemory() ? End.OUT_OF_MEMORY : End.NOT_READY;
+        return log.saysOutOfMemory() ? StartOutcome.OUT_OF_MEMORY : StartOutcome.NOT_READY;
     }
 
-    public boolean alive() {
+    public boolean isAlive() {
         return process.isAlive();
     }
 
     /** The last lines of its log, for whoever wants to know why. */
-    public List<String> lastLines() {
+    public List<String> lastLogLines() {
         return log.last();
     }
 
@@ -119,12 +119,12 @@
     }
 
     /** Resident memory in bytes; 0 where it is no more. */
-    public long resident() {
+    public long residentBytes() {
         return process.sampleUsage().residentKib() << 10;
     }
 
     /** Of all its threads that there are now; what it was at last where it is no more. */
-    public Processor processor() {
+    public CpuTime cpuTime() {
         long used = 0, waited = 0;
         Path tasks = Path.of("/proc", String.valueOf(process.pid()), "task");
         try (DirectoryStream<Path> threads = Files.newDirectoryStream(tasks)) {
@@ -140,8 +140,8 @@
         } catch (IOException | DirectoryIteratorException e) {
             return last;
         }
-        if (used >= last.used) { // one that has just ended has a thread or none left
-            last = new Processor(used, waited);
+        if (used >= last.usedNanos) { // one that has just ended has a thread or none left
+            last = new CpuTime(used, waited);
         }
         return last;
     }
--- a/lab/src/main/java/dockrelay/lab/scale/load/Calls.java
+++ b/lab/src/main/java/dockrelay/lab/scale/load/SingleClassWorkload.java
@@ -10,24 +10,24 @@
 import java.util.random.RandomGenerator;
 
 /** Plain requests of one class, to any of some addresses. */
-public record Calls(List<InetSocketAddress> targets, String type, double timeoutSeconds)
-    implements OpenLoop.Shape {
-    public Calls(InetSocketAddress target, String type, double timeoutSeconds) {
+public record SingleClassWorkload(List<InetSocketAddress> targets, String type, double timeoutSeconds)
+    implements OpenLoopGenerator.Workload {
+    public SingleClassWorkload(InetSocketAddress target, String type, double timeoutSeconds) {
         this(List.of(target), type, timeoutSeconds);
     }
 
     @Override
-    public InetSocketAddress target(RandomGenerator random) {
+    public InetSocketAddress nextTarget(RandomGenerator random) {
         return targets.get(random.nextInt(targets.size()));
     }
 
     @Override
-    public FullHttpRequest request(RandomGenerator random, String id) {
-        return message(type, id, timeoutSeconds, null);
+    public FullHttpRequest nextRequest(RandomGenerator random, String id) {
+        return buildRequest(type, id, timeoutSeconds, null);
     }
 
     /** A request that is safe to repeat; of nobody's where the tenant is null. */
-    public static FullHttpRequest message(String type, String id, double timeoutSeconds, String tenant) {
+    public static FullHttpRequest buildRequest(String type, String id, double timeoutSeconds, String tenant) {
         FullHttpRequest message = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET,
             "/" + type + "/" + id);
         message.headers().set(HttpHeaderNames.HOST, "app.svc").set("X-Request-ID", id)
--- a/lab/src/main/java/dockrelay/lab/scale/members/BudgetsRole.java
+++ b/lab/src/main/java/dockrelay/lab/scale/members/BudgetsRole.java
@@ -1,10 +1,10 @@
 package dockrelay.lab.scale.members;
 
 import dockrelay.fleet.budget.Budget;
-import dockrelay.lab.scale.Estimate;
+import dockrelay.lab.scale.ResourceEstimate;
 import dockrelay.lab.scale.Figure;
-import dockrelay.lab.scale.Progress;
-import dockrelay.lab.scale.RefusedException;
+import dockrelay.lab.scale.ProgressLog;
+import dockrelay.lab.scale.SizeRefusedException;
 import dockrelay.lab.scale.Role;
 import dockrelay.lab.scale.ScaleSpec;
 import java.util.ArrayList;
@@ -27,35 +27,35 @@
     }
 
     private static List<Integer> counts(ScaleSpec spec) {
-        return spec.own().counts("budgets", List.of(1, 32), 1, MOST_BUDGETS);
+        return spec.roleSection().counts("budgets", List.of(1, 32), 1, MOST_BUDGETS);
     }
 
     @Override
-    public Estimate estimate(ScaleSpec spec, int size) {
+    public ResourceEstimate estimate(ScaleSpec spec, int size) {
         counts(spec);
-        return new Estimate(size * (BYTES_OF_ONE + BYTES_EACH * size), 1);
+        return new ResourceEstimate(size * (BYTES_OF_ONE + BYTES_EACH * size), 1);
     }
 
     @Override
-    public List<Figure> play(ScaleSpec spec, int size, int play, Progress progress) throws RefusedException {
+    public List<Figure> play(ScaleSpec spec, int size, int play, ProgressLog progress) throws SizeRefusedException {
         String refused = FlatMember.KIND.refuses(Layout.of(size));
         if (refused != null) {
-            throw new RefusedException(refused);
+            throw new SizeRefusedException(refused);
         }
         Figures figures = new Figures(name(), size, "virtual", play);
         for (int count : counts(spec)) {
             try {
                 one(spec, size, count, play, figures);
             } catch (IllegalArgumentException e) { // a BudgetException is one
-                throw new RefusedException(count + " budgets: " + e.getMessage());
+                throw new SizeRefusedException(count + " budgets: " + e.getMessage());
             }
-            progress.line("budgets " + size + ": " + count + " budgets played");
+            progress.log("budgets " + size + ": " + count + " budgets played");
         }
         return figures.all();
     }
 
     private static void one(ScaleSpec spec, int size, int count, int play, Figures figures)
-        throws RefusedException {
+        throws SizeRefusedException {
         List<Budget> budgets = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             budgets.add(Budget.perSecond("b" + i, RATE));
@@ -72,7 +72,7 @@
             fleet.runUntil(2 * WARM);
         }
         if (keeper(fleet) < 0) {
-            throw new RefusedException("no keeper of " + count + " budgets was agreed on within "
+            throw new SizeRefusedException("no keeper of " + count + " budgets was agreed on within "
                 + 2 * WARM / SECOND + " s: nothing is lent");
         }
         fleet.out.clear();
--- a/lab/src/main/java/dockrelay/lab/scale/members/MembersRole.java
+++ b/lab/src/main/java/dockrelay/lab/scale/members/MembersRole.java
@@ -1,9 +1,9 @@
 package dockrelay.lab.scale.members;
 
-import dockrelay.lab.scale.Estimate;
+import dockrelay.lab.scale.ResourceEstimate;
 import dockrelay.lab.scale.Figure;
-import dockrelay.lab.scale.Progress;
-import dockrelay.lab.scale.RefusedException;
+import dockrelay.lab.scale.ProgressLog;
+import dockrelay.lab.scale.SizeRefusedException;
 import dockrelay.lab.scale.Role;
 import dockrelay.lab.scale.ScaleSpec;
 import dockrelay.lab.spec.Section;
@@ -35,31 +35,31 @@
     }
 
     private static HollowMember.Kind kind(ScaleSpec spec) {
-        String word = spec.own().text("machine", KINDS.get(KINDS.size() - 1).name());
+        String word = spec.roleSection().text("machine", KINDS.get(KINDS.size() - 1).name());
         return KINDS.stream().filter(kind -> kind.name().equals(word)).findFirst().orElseThrow(
-            () -> spec.own().wrong("machine", "one of " + String.join(", ", KINDS.stream()
+            () -> spec.roleSection().wrong("machine", "one of " + String.join(", ", KINDS.stream()
                 .map(HollowMember.Kind::name).toList())));
     }
 
     private static int threads(ScaleSpec spec) {
-        return spec.own().count("threads", 2, 1, MOST_THREADS);
+        return spec.roleSection().count("threads", 2, 1, MOST_THREADS);
     }
 
     private static int proxies(ScaleSpec spec) {
-        return spec.own().count("proxies", 4, 4, 20);
+        return spec.roleSection().count("proxies", 4, 4, 20);
     }
 
     /** Sockets and processes, by the clock, or the virtual network. */
     private static boolean real(ScaleSpec spec) {
-        String word = spec.own().text("network", "virtual");
+        String word = spec.roleSection().text("network", "virtual");
         if (!word.equals("virtual") && !word.equals("loopback")) {
-            throw spec.own().wrong("network", "one of virtual, loopback");
+            throw spec.roleSection().wrong("network", "one of virtual, loopback");
         }
         return word.equals("loopback");
     }
 
     private static Map<String, Long> numbers(ScaleSpec spec) {
-        Section own = spec.own();
+        Section own = spec.roleSection();
         long hour = 3_600 * SECOND;
         Map<String, Long> result = new LinkedHashMap<>();
         result.put("warm", own.time("warm", 30 * SECOND, 10 * SECOND, hour));
@@ -75,39 +75,39 @@
     }
 
     private static List<Scenario> scenarios(ScaleSpec spec) {
-        List<String> words = spec.own().texts("scenarios");
+        List<String> words = spec.roleSection().texts("scenarios");
         List<Scenario> result = Arrays.stream(Scenario.values())
             .filter(one -> words.isEmpty() || words.contains(one.word())).toList();
         if (result.size() != words.size() && !words.isEmpty()) {
-            throw spec.own().wrong("scenarios", "some of " + String.join(", ",
+            throw spec.roleSection().wrong("scenarios", "some of " + String.join(", ",
                 Arrays.stream(Scenario.values()).map(Scenario::word).toList()));
         }
         return result;
     }
 
     @Override
-    public Estimate estimate(ScaleSpec spec, int size) {
+    public ResourceEstimate estimate(ScaleSpec spec, int size) {
         HollowMember.Kind kind = kind(spec);
         numbers(spec);
         scenarios(spec);
         boolean real = real(spec);
         int proxies = proxies(spec), threads = threads(spec);
         if (kind.refuses(Layout.of(size)) != null) {
-            return new Estimate(0, 1); // nothing will be started
+            return new ResourceEstimate(0, 1); // nothing will be started
         }
         int known = kind == FlatMember.KIND ? size : Math.min(size, 200);
         long each = size * (BYTES_OF_ONE + BYTES_EACH * known);
-        return real ? new Estimate(each + proxies * BYTES_OF_PROXY, 1 + proxies)
-            : new Estimate(threads * each, 1);
+        return real ? new ResourceEstimate(each + proxies * BYTES_OF_PROXY, 1 + proxies)
+            : new ResourceEstimate(threads * each, 1);
     }
 
     @Override
-    public List<Figure> play(ScaleSpec spec, int size, int play, Progress progress) throws Exception {
+    public List<Figure> play(ScaleSpec spec, int size, int play, ProgressLog progress) throws Exception {
         HollowMember.Kind kind = kind(spec);
         Layout layout = Layout.of(size);
         String refused = kind.refuses(layout);
         if (refused != null) {
-            throw new RefusedException(refused);
+            throw new SizeRefusedException(refused);
         }
         if (real(spec)) {
             Figures figures = new Figures(name(), size, "real", play);
@@ -140,15 +140,15 @@
     }
 
     private List<Figure> one(ScaleSpec spec, HollowMember.Kind kind, Layout layout, Scenario scenario,
-                             int size, int play, Progress progress) {
+                             int size, int play, ProgressLog progress) {
         long began = System.nanoTime();
         Figures figures = new Figures(name(), size, "virtual", play);
         scenario.play(new Play(kind, layout, numbers(spec), spec.seed() * 1_000 + play * 10L
             + scenario.ordinal()), figures);
-        progress.line(String.format(Locale.ROOT, "members %d: %s took %.1f s", size, scenario.word(),
+        progress.log(String.format(Locale.ROOT, "members %d: %s took %.1f s", size, scenario.word(),
             (System.nanoTime() - began) / 1e9));
         for (Figure figure : figures.all()) {
-            progress.line(String.format(Locale.ROOT, "members %d: %s: %.4g %s", size, figure.name(),
+            progress.log(String.format(Locale.ROOT, "members %d: %s: %.4g %s", size, figure.name(),
                 figure.value(), figure.unit()));
         }
         return figures.all();
--- a/lab/src/main/java/dockrelay/lab/scale/tenants/Demand.java
+++ b/lab/src/main/java/dockrelay/lab/scale/tenants/Demand.java
@@ -1,8 +1,8 @@
 package dockrelay.lab.scale.tenants;
 
-import dockrelay.lab.scale.load.Calls;
-import dockrelay.lab.scale.load.OpenLoop;
-import dockrelay.lab.scale.load.Told;
+import dockrelay.lab.scale.load.SingleClassWorkload;
+import dockrelay.lab.scale.load.OpenLoopGenerator;
+import dockrelay.lab.scale.load.FleetProxyConfig;
 import io.netty.handler.codec.http.FullHttpRequest;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -17,7 +17,7 @@
  * tenants: a route is a class, with the zones in which it runs and the kind of backends that is open to it;
  * a service is a kind, and its backends are those of that kind; a tenant is a tenant, who uses a few routes.
  */
-final class Demand implements OpenLoop.Shape {
+final class Demand implements OpenLoopGenerator.Workload {
     static final int TENANTS = 190_000, SERVICES = 2_300, ROUTES = 34_000, PROXIES = 5_700, RATE = 530_000;
     /** Backends of a service, and routes that a tenant uses. */
     static final int BACKENDS_EACH = 2, ROUTES_EACH = 3;
@@ -67,7 +67,7 @@
                     runsIn.add(zone);
                 }
             }
-            text.append(i == 0 ? "" : ",").append(Told.service("route-" + i, runsIn,
+            text.append(i == 0 ? "" : ",").append(FleetProxyConfig.serviceJson("route-" + i, runsIn,
                 List.of("svc-" + service)));
         }
         return text.append(']').toString();
@@ -91,15 +91,15 @@
     }
 
     @Override
-    public InetSocketAddress target(RandomGenerator random) {
+    public InetSocketAddress nextTarget(RandomGenerator random) {
         return proxy;
     }
 
     @Override
-    public FullHttpRequest request(RandomGenerator random, String id) {
+    public FullHttpRequest nextRequest(RandomGenerator random, String id) {
         int tenant = zipf.draw(random);
         seen.add(tenant);
         int route = (int) (((long) tenant * STEP + random.nextInt(ROUTES_EACH)) % part(ROUTES, tenants));
-        return Calls.message("route-" + route, id, timeoutSeconds, "tenant-" + tenant);
+        return SingleClassWorkload.buildRequest("route-" + route, id, timeoutSeconds, "tenant-" + tenant);
     }
 }
--- a/lab/src/main/java/dockrelay/lab/scale/tenants/TenantsPlay.java
+++ b/lab/src/main/java/dockrelay/lab/scale/tenants/TenantsPlay.java
@@ -1,17 +1,17 @@
 package dockrelay.lab.scale.tenants;
 
 import dockrelay.lab.process.Build;
-import dockrelay.lab.scale.Progress;
-import dockrelay.lab.scale.list.HollowDiscovery;
-import dockrelay.lab.scale.list.HollowList;
-import dockrelay.lab.scale.list.InForce;
-import dockrelay.lab.scale.load.FastNodes;
-import dockrelay.lab.scale.load.Found;
-import dockrelay.lab.scale.load.OpenLoop;
+import dockrelay.lab.scale.ProgressLog;
+import dockrelay.lab.scale.list.EmulatedDiscovery;
+import dockrelay.lab.scale.list.SyntheticBackendList;
+import dockrelay.lab.scale.list.ListVersionTracker;
+import dockrelay.lab.scale.load.EmulatedServers;
+import dockrelay.lab.scale.load.FigureSink;
+import dockrelay.lab.scale.load.OpenLoopGenerator;
 import dockrelay.lab.scale.load.ProxyUnderTest;
-import dockrelay.lab.scale.load.ProxyUnderTest.End;
-import dockrelay.lab.scale.load.ProxyUnderTest.Processor;
-import dockrelay.lab.scale.load.Told;
+import dockrelay.lab.scale.load.ProxyUnderTest.StartOutcome;
+import dockrelay.lab.scale.load.ProxyUnderTest.CpuTime;
+import dockrelay.lab.scale.load.FleetProxyConfig;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
@@ -35,19 +35,19 @@
     private final boolean quotas;
     private final int size;
     private final long seed;
-    private final Found found;
-    private final Progress progress;
+    private final FigureSink found;
+    private final ProgressLog progress;
     private final EventLoopGroup nodesGroup = group("nodes"), clientsGroup = group("clients"),
         discoveryGroup = group("discovery");
-    private final FastNodes nodes = new FastNodes(nodesGroup.next(), ZONES.size(), NODES_EACH);
-    private final HollowList list;
-    private final HollowDiscovery discovery;
+    private final EmulatedServers nodes = new EmulatedServers(nodesGroup.next(), ZONES.size(), NODES_EACH);
+    private final SyntheticBackendList list;
+    private final EmulatedDiscovery discovery;
     private final ProxyUnderTest proxy;
-    private final InForce force;
-    private OpenLoop clients;
+    private final ListVersionTracker force;
+    private OpenLoopGenerator clients;
 
-    TenantsPlay(TenantsRole.Keys keys, Build build, int size, boolean quotas, long seed, Found found,
-                Progress progress) throws IOException {
+    TenantsPlay(TenantsRole.Keys keys, Build build, int size, boolean quotas, long seed, FigureSink found,
+                ProgressLog progress) throws IOException {
         this.keys = keys;
         this.quotas = quotas;
         this.size = size;
@@ -55,10 +55,10 @@
         this.found = found;
         this.progress = progress;
         List<String> services = Demand.services(size);
-        list = new HollowList(services.size() * Demand.BACKENDS_EACH, ZONES, services, nodes::addressText);
-        discovery = new HollowDiscovery(discoveryGroup.next(), list);
+        list = new SyntheticBackendList(services.size() * Demand.BACKENDS_EACH, ZONES, services, nodes::addressText);
+        discovery = new EmulatedDiscovery(discoveryGroup.next(), list);
         proxy = new ProxyUnderTest(build);
-        force = new InForce(proxy);
+        force = new ListVersionTracker(proxy);
     }
 
     private static EventLoopGroup group(String name) {
@@ -68,38 +68,38 @@
 
     void run() throws Exception {
         Demand demand = new Demand(size, ZONES, keys.skew(), proxy.address(), TIMEOUT_SECONDS);
-        String configuration = new Told(discovery.address(), false, Demand.part(Demand.PROXIES, size), ZONES,
-            Demand.services(size), demand.routes(), quotas ? demand.quotas() : "[]", Told.NOTHING)
-            .configuration(proxy, seed);
+        String configuration = new FleetProxyConfig(discovery.address(), false, Demand.part(Demand.PROXIES, size), ZONES,
+            Demand.services(size), demand.routes(), quotas ? demand.quotas() : "[]", FleetProxyConfig.EMPTY_LIST)
+            .toJson(proxy, seed);
         found.add("MiB", "configuration", configuration.getBytes(StandardCharsets.UTF_8).length / MIB);
-        proxy.start(configuration, discovery.address(), force::hear);
-        End end = proxy.awaitReady(keys.readyWithin() / 1_000);
+        proxy.start(configuration, discovery.address(), force::onLogLine);
+        StartOutcome end = proxy.awaitReady(keys.readyWithin() / 1_000);
         long ready = System.nanoTime();
-        Processor spent = proxy.processor();
-        if (end != End.READY) {
-            found.notReady("start", end, keys.readyWithin() / 1_000_000);
-            proxy.lastLines().forEach(line -> progress.line("    log: " + line));
+        CpuTime spent = proxy.cpuTime();
+        if (end != StartOutcome.READY) {
+            found.addStartFailure("start", end, keys.readyWithin() / 1_000_000);
+            proxy.lastLogLines().forEach(line -> progress.log("    log: " + line));
             return;
         }
-        found.add("ms", "start: ready after", (ready - proxy.startedAt()) / MILLION);
-        found.add("ms", "start: processor time", spent.used() / MILLION);
+        found.add("ms", "start: ready after", (ready - proxy.startedAtNanos()) / MILLION);
+        found.add("ms", "start: processor time", spent.usedNanos() / MILLION);
         TimeUnit.MILLISECONDS.sleep(SETTLE_MILLIS);
-        found.add("MiB", "start: resident", proxy.resident() / MIB);
-        clients = new OpenLoop(clientsGroup.next(), keys.rate(), PATIENCE_MICROS, new Random(seed),
+        found.add("MiB", "start: resident", proxy.residentBytes() / MIB);
+        clients = new OpenLoopGenerator(clientsGroup.next(), keys.rate(), PATIENCE_MICROS, new Random(seed),
             new Random(seed + 1), demand);
         clients.start();
         TimeUnit.MILLISECONDS.sleep(SETTLE_MILLIS);
-        clients.next();
-        Processor before = proxy.processor();
+        clients.swapTally();
+        CpuTime before = proxy.cpuTime();
         long began = System.nanoTime();
         TimeUnit.MICROSECONDS.sleep(keys.length());
         long took = System.nanoTime() - began;
-        spent = proxy.processor().since(before);
-        clients.pause(true);
+        spent = proxy.cpuTime().since(before);
+        clients.setPaused(true);
         TimeUnit.MICROSECONDS.sleep(PATIENCE_MICROS);
-        found.requests("load", clients.next());
+        found.addRequestFigures("load", clients.swapTally());
         if (!ended("load")) {
-            found.processor("load", spent, took);
+            found.addCpuTime("load", spent, took);
             found.add("tenants", "load: tenants that asked", demand.seen());
             changes();
             ended("changes of the list");
@@ -108,32 +108,32 @@
 
     /** What one changed backend takes, with so many routes to whom it may be open; nothing else goes on. */
     private void changes() throws Exception {
-        Processor before = proxy.processor();
+        CpuTime before = proxy.cpuTime();
         long by = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(CHANGE_MILLIS);
         int told = 0;
         do { // the first are told in any case; then one at a time until one is seen in the log
             String state = told % 2 == 0 ? "leaving" : "active";
-            discovery.push(list.change(List.of(told / 2 % Demand.BACKENDS_EACH), state, -1));
+            discovery.push(list.applyChange(List.of(told / 2 % Demand.BACKENDS_EACH), state, -1));
             TimeUnit.MILLISECONDS.sleep(++told < CHANGES ? APART_MILLIS : MARK_MILLIS);
-        } while (told < CHANGES || force.since(list.version(), MARK_MILLIS) == 0 && System.nanoTime() < by
-            && proxy.alive());
-        if (force.since(list.version(), 0) == 0) {
-            found.add(Found.EVENT,
+        } while (told < CHANGES || force.awaitApplied(list.version(), MARK_MILLIS) == 0 && System.nanoTime() < by
+            && proxy.isAlive());
+        if (force.awaitApplied(list.version(), 0) == 0) {
+            found.add(FigureSink.EVENT_UNIT,
                 "changes of the list: not in force within " + CHANGE_MILLIS / 1_000 + " s", 1);
             return;
         }
         found.add("ms", "changes of the list: processor time a change",
-            proxy.processor().since(before).used() / MILLION / told);
-        found.add("MiB", "resident after all", proxy.resident() / MIB);
+            proxy.cpuTime().since(before).usedNanos() / MILLION / told);
+        found.add("MiB", "resident after all", proxy.residentBytes() / MIB);
     }
 
     private boolean ended(String part) {
-        if (proxy.alive()) {
+        if (proxy.isAlive()) {
             return false;
         }
-        found.add(Found.EVENT,
+        found.add(FigureSink.EVENT_UNIT,
             part + ": " + (proxy.ranOutOfMemory() ? "out of memory" : "ended by itself"), 1);
-        proxy.lastLines().forEach(line -> progress.line("    log: " + line));
+        proxy.lastLogLines().forEach(line -> progress.log("    log: " + line));
         return true;
     }
 
--- a/lab/src/main/java/dockrelay/lab/scale/tenants/TenantsRole.java
+++ b/lab/src/main/java/dockrelay/lab/scale/tenants/TenantsRole.java
@@ -1,9 +1,9 @@
 package dockrelay.lab.scale.tenants;
 
 import dockrelay.lab.process.Build;
-import dockrelay.lab.scale.Estimate;
+import dockrelay.lab.scale.ResourceEstimate;
 import dockrelay.lab.scale.Figure;
-import dockrelay.lab.scale.Progress;
+import dockrelay.lab.scale.ProgressLog;
 import dockrelay.lab.scale.Role;
 import dockrelay.lab.scale.ScaleSpec;
 import dockrelay.lab.spec.Section;
@@ -23,7 +23,7 @@
     /** The role's own keys; times are in microseconds. */
     record Keys(List<String> quotas, double rate, double skew, long length, long readyWithin, int heapMiB) {
         static Keys of(ScaleSpec spec) {
-            Section own = spec.own();
+            Section own = spec.roleSection();
             List<String> quotas = own.texts("quotas");
             if (!QUOTAS.containsAll(quotas)) {
                 throw own.wrong("quotas", "a list of " + String.join(", ", QUOTAS));
@@ -40,12 +40,12 @@
     }
 
     @Override
-    public Estimate estimate(ScaleSpec spec, int size) {
-        return new Estimate(PROXY + ((long) Keys.of(spec).heapMiB << 20) + OWN + EACH * size, 1);
+    public ResourceEstimate estimate(ScaleSpec spec, int size) {
+        return new ResourceEstimate(PROXY + ((long) Keys.of(spec).heapMiB << 20) + OWN + EACH * size, 1);
     }
 
     @Override
-    public List<Figure> play(ScaleSpec spec, int size, int play, Progress progress) throws Exception {
+    public List<Figure> play(ScaleSpec spec, int size, int play, ProgressLog progress) throws Exception {
         Keys keys = Keys.of(spec);
         Build given = Build.load(Path.of(System.getProperty("stoatreel.root", ".")));
         Build build = keys.heapMiB == 0 ? given : new Build(given.root(), given.startCommand()
@@ -57,7 +57,7 @@
                     figures.add(new Figure(name(), what + " (" + quotas + " quotas)", size, unit, value,
                         "real",
                         play));
-                    progress.line("  " + quotas + " quotas: " + what + " " + value + " " + unit);
+                    progress.log("  " + quotas + " quotas: " + what + " " + value + " " + unit);
                 }, progress)) {
                 one.run();
             }
--- a/lab/src/test/java/dockrelay/lab/scale/ScaleRunTest.java
+++ b/lab/src/test/java/dockrelay/lab/scale/ScaleRunTest.java
@@ -29,15 +29,15 @@
         }
 
         @Override
-        public Estimate estimate(ScaleSpec spec, int size) {
-            return new Estimate((long) size << 20, spec.own().count("processes", 1, 1, 1000));
+        public ResourceEstimate estimate(ScaleSpec spec, int size) {
+            return new ResourceEstimate((long) size << 20, spec.roleSection().count("processes", 1, 1, 1000));
         }
 
         @Override
-        public List<Figure> play(ScaleSpec spec, int size, int play, Progress progress)
-            throws RefusedException {
+        public List<Figure> play(ScaleSpec spec, int size, int play, ProgressLog progress)
+            throws SizeRefusedException {
             if (size > 400) {
-                throw new RefusedException(size + " things; allowed are 1 to 400");
+                throw new SizeRefusedException(size + " things; allowed are 1 to 400");
             }
             played++;
             return List.of(new Figure(name(), "work", size, "steps", 2.0 * size, "module", play));
@@ -53,7 +53,7 @@
     @Test
     void whatWouldPassHalfOfTheMemoryIsRefusedInOneLineWithTheFigure() {
         ScaleRun run = new ScaleRun(spec("sizes = [100, 513]"), MEMORY, line -> { });
-        RefusedException refused = assertThrows(RefusedException.class,
+        SizeRefusedException refused = assertThrows(SizeRefusedException.class,
             () -> run.play(Path.of("."), "", part -> { }));
         assertEquals("x.toml: doubling at 513 would take 513 MiB; allowed is half of this machine's memory, "
             + "512 MiB: take smaller sizes", refused.getMessage());
@@ -63,7 +63,7 @@
     @Test
     void tooManyProcessesAreRefused() {
         ScaleRun run = new ScaleRun(spec("sizes = [100]\n[doubling]\nprocesses = 201"), MEMORY, line -> { });
-        RefusedException refused = assertThrows(RefusedException.class,
+        SizeRefusedException refused = assertThrows(SizeRefusedException.class,
             () -> run.play(Path.of("."), "", part -> { }));
         assertEquals("x.toml: doubling at 100 would take 201 processes; allowed are 200: take smaller sizes",
             refused.getMessage());
--- a/lab/src/test/java/dockrelay/lab/scale/load/FoundTest.java
+++ b/lab/src/test/java/dockrelay/lab/scale/load/FoundTest.java
@@ -4,14 +4,14 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dockrelay.lab.scale.load.ProxyUnderTest.End;
+import dockrelay.lab.scale.load.ProxyUnderTest.StartOutcome;
 import java.util.LinkedHashMap;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
 class FoundTest {
     private final Map<String, Double> figures = new LinkedHashMap<>();
-    private final Found found = (unit, what, value) -> figures.put(what, value);
+    private final FigureSink found = (unit, what, value) -> figures.put(what, value);
 
     private static Tally tally(long late, int count) {
         Tally tally = new Tally();
@@ -24,8 +24,8 @@
 
     @Test
     void latenciesAreToldWithWhatEnoughRequestsCanTell() {
-        found.requests("few", tally(100, 100));
-        found.requests("many", tally(100, 2_000));
+        found.addRequestFigures("few", tally(100, 100));
+        found.addRequestFigures("many", tally(100, 2_000));
         assertEquals(5, figures.get("few: latency p50"), 0.1);
         assertEquals(10, figures.get("few: latency p99"), 0.1);
         assertFalse(figures.containsKey("few: latency p99.9"));
@@ -34,7 +34,7 @@
 
     @Test
     void aLateGeneratorVoidsLatenciesAndSaysSo() {
-        found.requests("part", tally(6_000, 100));
+        found.addRequestFigures("part", tally(6_000, 100));
         assertEquals(1.0, figures.get("part: latencies void, the generator was late"));
         assertFalse(figures.containsKey("part: latency p99"));
         assertEquals(6, figures.get("part: generator late p99"), 0.1);
@@ -42,8 +42,8 @@
 
     @Test
     void whatDidNotServeIsAnEventWithItsReason() {
-        found.notReady("start", End.OUT_OF_MEMORY, 60);
-        found.notReady("start", End.NOT_READY, 60);
+        found.addStartFailure("start", StartOutcome.OUT_OF_MEMORY, 60);
+        found.addStartFailure("start", StartOutcome.NOT_READY, 60);
         assertEquals(Map.of("start: out of memory", 1.0, "start: not ready within 60 s", 1.0), figures);
     }
 }
--- a/lab/src/test/java/dockrelay/lab/scale/load/OpenLoopTest.java
+++ b/lab/src/test/java/dockrelay/lab/scale/load/OpenLoopTest.java
@@ -31,8 +31,8 @@
         group.shutdownGracefully(0, 200, TimeUnit.MILLISECONDS).syncUninterruptibly();
     }
 
-    private OpenLoop loop(InetSocketAddress to, long patience) {
-        return new OpenLoop(group.next(), 500, patience, new Random(1), new Random(2), new Calls(to, "any",
+    private OpenLoopGenerator loop(InetSocketAddress to, long patience) {
+        return new OpenLoopGenerator(group.next(), 500, patience, new Random(1), new Random(2), new SingleClassWorkload(to, "any",
             2));
     }
 
@@ -83,12 +83,12 @@
     @Test
     void sendsWhateverBecameOfThoseBeforeAndCountsFromTheIntendedSend() throws Exception {
         try (Holding holding = new Holding();
-             OpenLoop loop = loop((InetSocketAddress) holding.listener.getLocalSocketAddress(), 60_000_000)) {
+             OpenLoopGenerator loop = loop((InetSocketAddress) holding.listener.getLocalSocketAddress(), 60_000_000)) {
             loop.start();
             holding.arrived.await(); // nothing was answered, and still all these came
-            loop.pause(true);
+            loop.setPaused(true);
             long heldFor = (System.nanoTime() - holding.firstAt) / 1_000_000;
-            Tally tally = loop.next();
+            Tally tally = loop.swapTally();
             while (tally.served() < HELD) {
                 holding.answer();
                 TimeUnit.MILLISECONDS.sleep(1);
@@ -100,11 +100,11 @@
     @Test
     void whoGetsNoAnswerCountsWithTheTimeThatItWaited() throws Exception {
         try (Holding holding = new Holding();
-             OpenLoop loop = loop((InetSocketAddress) holding.listener.getLocalSocketAddress(), 100_000)) {
+             OpenLoopGenerator loop = loop((InetSocketAddress) holding.listener.getLocalSocketAddress(), 100_000)) {
             loop.start();
             holding.arrived.await();
-            loop.pause(true);
-            Tally tally = loop.next();
+            loop.setPaused(true);
+            Tally tally = loop.swapTally();
             while (tally.unanswered() < HELD) {
                 TimeUnit.MILLISECONDS.sleep(1);
             }
@@ -115,18 +115,18 @@
 
     @Test
     void nodesAnswerInTheirGroupsAndAStoppedGroupRefuses() throws Exception {
-        FastNodes nodes = new FastNodes(group.next(), 2, 3);
-        try (OpenLoop loop = loop(nodes.address(1, 4), 60_000_000)) {
+        EmulatedServers nodes = new EmulatedServers(group.next(), 2, 3);
+        try (OpenLoopGenerator loop = loop(nodes.address(1, 4), 60_000_000)) {
             loop.start();
             while (nodes.arrivals(1) < HELD) {
                 TimeUnit.MILLISECONDS.sleep(1);
             }
             assertEquals(0, nodes.arrivals(0));
             nodes.stop(1);
-            loop.next();
-            Tally refused = loop.next();
+            loop.swapTally();
+            Tally refused = loop.swapTally();
             while (refused.failed() == 0) {
-                refused = refused.sent() > 0 ? refused : loop.next();
+                refused = refused.sent() > 0 ? refused : loop.swapTally();
                 TimeUnit.MILLISECONDS.sleep(1);
             }
             nodes.start(1);
--- a/lab/src/test/java/dockrelay/lab/scale/tenants/DemandTest.java
+++ b/lab/src/test/java/dockrelay/lab/scale/tenants/DemandTest.java
@@ -5,7 +5,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
-import dockrelay.lab.scale.list.HollowList;
+import dockrelay.lab.scale.list.SyntheticBackendList;
 import io.netty.handler.codec.http.FullHttpRequest;
 import java.net.InetSocketAddress;
 import java.util.HashSet;
@@ -33,10 +33,10 @@
     @Test
     void everyRouteHasABackend() throws Exception {
         List<String> services = Demand.services(TENANTS);
-        HollowList list = new HollowList(services.size() * Demand.BACKENDS_EACH, ZONES, services,
+        SyntheticBackendList list = new SyntheticBackendList(services.size() * Demand.BACKENDS_EACH, ZONES, services,
             (zone, number) -> "127.0.0.1:1");
         Set<String> there = new HashSet<>();
-        for (JsonNode one : JSON.readTree(list.whole()).get("servers")) {
+        for (JsonNode one : JSON.readTree(list.fullListJson()).get("servers")) {
             there.add(one.get("kind").asText() + " in " + one.get("zone").asText());
         }
         for (JsonNode route : JSON.readTree(demand.routes())) {
@@ -54,7 +54,7 @@
         Random random = new Random(3);
         int first = 0, all = 20_000;
         for (int i = 0; i < all; i++) {
-            FullHttpRequest request = demand.request(random, "id" + i);
+            FullHttpRequest request = demand.nextRequest(random, "id" + i);
             assertTrue(routes.contains(request.headers().get("X-Priority-Class")));
             first += request.headers().get("X-Tenant-Id").equals("tenant-0") ? 1 : 0;
         }
