--- a/lab/src/main/java/dockrelay/lab/LabRun.java
+++ b/lab/src/main/java/dockrelay/lab/LabRun.java
@@ -9,7 +9,7 @@
 import dockrelay.lab.referee.Referee;
 import dockrelay.lab.report.Result;
 import dockrelay.lab.report.Sample;
-import dockrelay.lab.report.Score;
+import dockrelay.lab.report.OutcomeStatistics;
 import dockrelay.lab.spec.Experiment;
 import dockrelay.lab.starvation.LatenessRecorder;
 import dockrelay.lab.starvation.TimeLimit;
@@ -61,7 +61,7 @@
         this.build = build;
         this.out = out;
         this.progress = progress;
-        starvation = new StarvationDetector(Referee.SOCKET_TOLERANCE_MICROS, plan.experiment().proxies().cores());
+        starvation = new StarvationDetector(Referee.SOCKET_TOLERANCE_MICROS, plan.experiment().proxies().cpuCores());
     }
 
     Result play() throws IOException, FailedStart, VoidPlayException, InterruptedException {
@@ -77,7 +77,7 @@
         EmulatorNetwork net = new EmulatorNetwork(plan.seed());
         Emulator world = new Emulator(plan, net, clock, referee);
         List<Sample> samples = new ArrayList<>();
-        Score score = new Score(plan);
+        OutcomeStatistics score = new OutcomeStatistics(plan);
         LatenessRecorder generator = new LatenessRecorder();
         try (ProxyFleet proxies = new ProxyFleet(plan, build, out.resolve("proxies"), clock, referee, world,
             net, leftovers, starvation, generator)) {
@@ -92,15 +92,15 @@
             beat(net, net.emulatorLoop(), proxies.starvationMonitor().emulatorLateness, clock.nowMicros() + BEAT);
             beat(net, net.clientLoop(), proxies.starvationMonitor().clientsLateness, clock.nowMicros() + BEAT);
             long zero = clock.nowMicros() + LEAD;
-            for (Break fault : plan.breaks()) {
-                if (fault.kind().ofProxies()) {
+            for (Break fault : plan.faults()) {
+                if (fault.kind().targetsProxies()) {
                     proxies.scheduleFault(fault, zero);
                 } else {
                     world.scheduleFault(fault, zero);
                 }
             }
             MembershipMonitor members = new MembershipMonitor(plan, proxies, clock);
-            if (experiment.permissions().peers()) {
+            if (experiment.permissions().peerProtocol()) {
                 members.start();
             }
             clients.start(zero);
@@ -165,7 +165,7 @@
     }
 
     private void watch(Experiment experiment, long zero, OpenLoopClients clients, Emulator world,
-        Score score,
+        OutcomeStatistics score,
                        List<Sample> samples) throws InterruptedException {
         long end = zero + experiment.length();
         long slowest = experiment.classes().stream().mapToLong(Experiment.ServiceClass::deadline).max()
@@ -175,10 +175,10 @@
             if (at >= 0 && clock.nowMicros() < end) {
                 Sample sample = Sample.of(at, world.requestsPerBackend(), world.overloadedBackendCount());
                 samples.add(sample);
-                Score.Part now = score.seconds()[Math.max(0, (int) at - 1)];
+                OutcomeStatistics.Part now = score.seconds()[Math.max(0, (int) at - 1)];
                 StringBuilder happening = new StringBuilder();
-                for (Break fault : plan.breaks()) {
-                    if (fault.at() <= at * SECOND && at * SECOND < fault.until()) {
+                for (Break fault : plan.faults()) {
+                    if (fault.at() <= at * SECOND && at * SECOND < fault.endAt()) {
                         happening.append(", ").append(fault.kind().name().toLowerCase(Locale.ROOT));
                     }
                 }
--- a/lab/src/main/java/dockrelay/lab/Main.java
+++ b/lab/src/main/java/dockrelay/lab/Main.java
@@ -81,7 +81,7 @@
             if (most < 1) {
                 throw new SpecException("--plays = " + most + "; allowed are 1 and more");
             }
-            Plan plan = Plan.of(ExperimentReader.read(file, settings), seed);
+            Plan plan = Plan.generate(ExperimentReader.read(file, settings), seed);
             Build build = Build.load(root);
             Progress progress = new Progress();
             Plays<Result> plays = new Plays<>(most, Result::voidBecause, text -> {
@@ -199,12 +199,12 @@
 
         @Override
         public Integer call() {
-            Plan plan = Plan.of(ExperimentReader.read(file), seed);
+            Plan plan = Plan.generate(ExperimentReader.read(file), seed);
             System.out.printf("%s: %s%n%d proxies, %d nodes, %d requests at %.0f/s in %d s, %d faults%n"
                 + "plan %s%n",
                 plan.experiment().name(), plan.experiment().shows(), plan.experiment().proxies().count(),
                 plan.nodes().size(), plan.arrivals().size(), plan.rate(),
-                plan.experiment().length() / 1_000_000, plan.breaks().size(), plan.hash());
+                plan.experiment().length() / 1_000_000, plan.faults().size(), plan.hash());
             return 0;
         }
     }
--- a/lab/src/main/java/dockrelay/lab/Series.java
+++ b/lab/src/main/java/dockrelay/lab/Series.java
@@ -54,7 +54,7 @@
         });
         try {
             Result result = plays.play(() -> new LabRun(
-                Plan.of(ExperimentReader.read(side.file, side.settings), seed), side.build, place,
+                Plan.generate(ExperimentReader.read(side.file, side.settings), seed), side.build, place,
                 text -> progress.say(side.name + ", seed " + seed + ": " + text)).play());
             progress.end();
             System.out.print(side.name + ": " + result.summary());
--- a/lab/src/main/java/dockrelay/lab/link/Relay.java
+++ b/lab/src/main/java/dockrelay/lab/link/Relay.java
@@ -1,6 +1,6 @@
 package dockrelay.lab.link;
 
-import dockrelay.lab.plan.Seeds;
+import dockrelay.lab.plan.RandomStreams;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
@@ -59,8 +59,8 @@
         this.links = links;
         this.clock = clock;
         this.timer = timer;
-        a = new Side(nameA, realA, new Courier(Seeds.stream(seed, nameA + " to " + nameB)));
-        b = new Side(nameB, realB, new Courier(Seeds.stream(seed, nameB + " to " + nameA)));
+        a = new Side(nameA, realA, new Courier(RandomStreams.stream(seed, nameA + " to " + nameB)));
+        b = new Side(nameB, realB, new Courier(RandomStreams.stream(seed, nameB + " to " + nameA)));
         listen(a, b, forA);
         listen(b, a, forB);
     }
@@ -129,7 +129,7 @@
     }
 
     private LinkHandler link(String there, String here) {
-        return new LinkHandler(links, here, there, clock, timer, Seeds.stream(passed.get(), there + here));
+        return new LinkHandler(links, here, there, clock, timer, RandomStreams.stream(passed.get(), there + here));
     }
 
     /** Where the first reaches the second. */
--- a/lab/src/main/java/dockrelay/lab/plan/Plan.java
+++ b/lab/src/main/java/dockrelay/lab/plan/Plan.java
@@ -2,11 +2,11 @@
 
 import dockrelay.lab.spec.Experiment;
 import dockrelay.lab.spec.Experiment.Clients;
-import dockrelay.lab.spec.Experiment.Disk;
+import dockrelay.lab.spec.Experiment.DiskFault;
 import dockrelay.lab.spec.Experiment.Fault;
 import dockrelay.lab.spec.Experiment.FaultKind;
-import dockrelay.lab.spec.Experiment.Folder;
-import dockrelay.lab.spec.Experiment.Kind;
+import dockrelay.lab.spec.Experiment.FolderOnRestart;
+import dockrelay.lab.spec.Experiment.NodeKind;
 import dockrelay.lab.spec.Experiment.Link;
 import dockrelay.lab.spec.Experiment.ServiceClass;
 import dockrelay.lab.spec.SpecException;
@@ -28,7 +28,7 @@
  * same plan to the byte, which its hash shows.
  */
 public record Plan(Experiment experiment, long seed, List<Node> nodes, double[] meanWork, double rate,
-                   List<Arrival> arrivals, List<Break> breaks, String hash) {
+                   List<Arrival> arrivals, List<Break> faults, String hash) {
     private static final double SECOND = 1_000_000;
     /** Bursts: so much of the time the rate is so much higher; the mean stays. */
     private static final double BURST_SHARE = 0.2, BURST_RATE = 2;
@@ -63,17 +63,17 @@
 
     /** A fault with its victims drawn. */
     public record Break(long at, long lasts, FaultKind kind, List<Integer> victims, double size,
-                        Folder folder, Disk disk, Link link) {
-        public long until() {
+                        FolderOnRestart folder, DiskFault disk, Link link) {
+        public long endAt() {
             return at + lasts;
         }
     }
 
-    public static Plan of(Experiment experiment, long seed) {
+    public static Plan generate(Experiment experiment, long seed) {
         List<Node> nodes = nodes(experiment, seed);
         double[] means = new double[experiment.classes().size()];
         double[] cvs = new double[means.length];
-        RandomGenerator random = Seeds.stream(seed, "classes");
+        RandomGenerator random = RandomStreams.stream(seed, "classes");
         double shares = 0, work = 0;
         for (int i = 0; i < means.length; i++) {
             ServiceClass c = experiment.classes().get(i);
@@ -93,15 +93,15 @@
     }
 
     private static List<Node> nodes(Experiment experiment, long seed) {
-        RandomGenerator random = Seeds.stream(seed, "nodes");
+        RandomGenerator random = RandomStreams.stream(seed, "nodes");
         Experiment.Nodes spec = experiment.nodes();
         Experiment.Choke choke = spec.choke();
-        double shares = spec.kinds().stream().mapToDouble(Kind::share).sum();
+        double shares = spec.kinds().stream().mapToDouble(NodeKind::share).sum();
         List<Node> result = new ArrayList<>();
         int zones = spec.zones().size();
         for (int i = 0; i < spec.count(); i++) {
             // By turns rather than drawn: eight nodes of two kinds are to be about as many of each as stated.
-            Kind kind = kindAt(spec.kinds(), shares * ((i * 0.6180339887498949 + 0.5) % 1));
+            NodeKind kind = kindAt(spec.kinds(), shares * ((i * 0.6180339887498949 + 0.5) % 1));
             double slower = choke.slower().draw(random);
             Experiment.Connections connections = spec.connections();
             Figures figures = new Figures(kind.cores(), kind.speed().draw(random),
@@ -111,7 +111,7 @@
                 choke.below().draw(random), Math.round(choke.rest().draw(random)),
                 Math.round(choke.most().draw(random)), kind.coldFrom().draw(random),
                 Math.round(kind.coldTime().draw(random)), kind.warmBy() == Experiment.WarmBy.REQUESTS,
-                experiment.rules().fallMultiple(), experiment.rules().fall(),
+                experiment.ruleLimits().overloadMultiple(), experiment.ruleLimits().overloadTime(),
                 (int) Math.round(connections.capPerCore().draw(random) * kind.cores()),
                 connections.fullTax().draw(random), connections.handshakeWork().draw(random),
                 Math.round(connections.handshakeDelay().draw(random)), spec.probes().work().draw(random),
@@ -124,9 +124,9 @@
         return result;
     }
 
-    private static Kind kindAt(List<Kind> kinds, double at) {
+    private static NodeKind kindAt(List<NodeKind> kinds, double at) {
         double sum = 0;
-        for (Kind kind : kinds) {
+        for (NodeKind kind : kinds) {
             sum += kind.share();
             if (at < sum) {
                 return kind;
@@ -148,7 +148,7 @@
             }
             return result;
         }
-        RandomGenerator times = Seeds.stream(seed, "arrivals");
+        RandomGenerator times = RandomStreams.stream(seed, "arrivals");
         double swing = clients.swing().draw(times);
         double highest = rate * peak(clients, swing);
         double at = 0;
@@ -191,7 +191,7 @@
         List<Break> result = new ArrayList<>();
         int number = 0;
         for (Fault fault : experiment.faults()) {
-            RandomGenerator random = Seeds.stream(seed, "fault " + number++);
+            RandomGenerator random = RandomStreams.stream(seed, "fault " + number++);
             for (int i = 0; i < fault.times(); i++) {
                 result.add(new Break(fault.at() + i * fault.every(), fault.lasts(), fault.kind(),
                     victims(experiment, fault, nodes, random), fault.size().draw(random), fault.folder(),
@@ -204,10 +204,10 @@
 
     private static List<Integer> victims(Experiment experiment, Fault fault, List<Node> nodes,
         RandomGenerator random) {
-        if (!fault.kind().ofNodes() && !fault.kind().ofProxies()) {
+        if (!fault.kind().targetsNodes() && !fault.kind().targetsProxies()) {
             return List.of();
         }
-        List<String> names = fault.kind().ofNodes() ? nodes.stream().map(Node::name).toList()
+        List<String> names = fault.kind().targetsNodes() ? nodes.stream().map(Node::name).toList()
             : IntStream.range(0, experiment.proxies().count()).mapToObj(i -> "n" + i).toList();
         List<Integer> result = new ArrayList<>();
         for (String victim : fault.victims()) {
@@ -275,7 +275,7 @@
     }
 
     private static String hash(List<Node> nodes, double[] means, List<Arrival> arrivals, List<Break> breaks) {
-        MessageDigest digest = Seeds.sha256();
+        MessageDigest digest = RandomStreams.sha256();
         for (double mean : means) {
             digest.update((mean + "\n").getBytes(StandardCharsets.UTF_8));
         }
--- a/lab/src/main/java/dockrelay/lab/plan/Seeds.java
+++ b/lab/src/main/java/dockrelay/lab/plan/RandomStreams.java
@@ -8,19 +8,19 @@
 import java.util.random.RandomGeneratorFactory;
 
 /** A stream of random numbers for each purpose, so that a change of one purpose moves none of the others. */
-public final class Seeds {
+public final class RandomStreams {
     private static final RandomGeneratorFactory<RandomGenerator> FACTORY =
         RandomGeneratorFactory.of("L64X128MixRandom");
 
-    private Seeds() {
+    private RandomStreams() {
     }
 
     public static RandomGenerator stream(long seed, String purpose) {
-        return FACTORY.create(number(seed, purpose));
+        return FACTORY.create(deriveSeed(seed, purpose));
     }
 
     /** A number that is the same for the same seed and purpose, on every machine. */
-    public static long number(long seed, String purpose) {
+    public static long deriveSeed(long seed, String purpose) {
         byte[] text = (seed + "/" + purpose).getBytes(StandardCharsets.UTF_8);
         return ByteBuffer.wrap(sha256().digest(text)).getLong();
     }
--- a/lab/src/main/java/dockrelay/lab/plan/Requests.java
+++ b/lab/src/main/java/dockrelay/lab/plan/Requests.java
@@ -23,7 +23,7 @@
         this.experiment = experiment;
         this.means = means;
         this.cvs = cvs;
-        this.draws = Seeds.stream(seed, "requests");
+        this.draws = RandomStreams.stream(seed, "requests");
         this.retries = experiment.clients().retries().draw(draws);
         classShares = sums(experiment.classes().stream().mapToDouble(ServiceClass::share).toArray());
         tenantShares = sums(experiment.tenants().stream().mapToDouble(Tenant::share).toArray());
--- a/lab/src/main/java/dockrelay/lab/process/DiskFaults.java
+++ b/lab/src/main/java/dockrelay/lab/process/DiskFaults.java
@@ -1,6 +1,6 @@
 package dockrelay.lab.process;
 
-import dockrelay.lab.spec.Experiment.Disk;
+import dockrelay.lab.spec.Experiment.DiskFault;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -17,7 +17,7 @@
     }
 
     /** Spoils the folder's files and says how; says so too where there is nothing to spoil. */
-    public static String apply(Path folder, Disk kind, RandomGenerator random) throws IOException {
+    public static String apply(Path folder, DiskFault kind, RandomGenerator random) throws IOException {
         List<Path> files = new ArrayList<>();
         try (Stream<Path> all = Files.walk(folder)) {
             for (Path file : all.filter(Files::isRegularFile).sorted().toList()) {
@@ -26,8 +26,8 @@
                 }
             }
         }
-        if (kind == Disk.WHOLE || files.isEmpty()) {
-            return kind == Disk.WHOLE ? "" : "nothing to spoil in " + folder;
+        if (kind == DiskFault.WHOLE || files.isEmpty()) {
+            return kind == DiskFault.WHOLE ? "" : "nothing to spoil in " + folder;
         }
         Path file = files.get(random.nextInt(files.size()));
         byte[] bytes = Files.readAllBytes(file);
--- a/lab/src/main/java/dockrelay/lab/process/MembershipMonitor.java
+++ b/lab/src/main/java/dockrelay/lab/process/MembershipMonitor.java
@@ -125,7 +125,7 @@
         List<Gone> gone = read(folder, zero);
         List<Long> detected = new ArrayList<>();
         long missed = 0;
-        for (Break fault : plan.breaks()) {
+        for (Break fault : plan.faults()) {
             if (fault.kind() == FaultKind.KILL || fault.kind() == FaultKind.PAUSE) {
                 for (int victim : fault.victims()) {
                     for (int observer = 0; observer < plan.experiment().proxies().count(); observer++) {
@@ -136,7 +136,7 @@
                         String name = "n" + observer, member = "n" + victim;
                         long first = gone.stream().filter(one -> one.observer.equals(name)
                             && one.member.equals(member) && one.at >= fault.at()
-                            && one.at <= Math.min(fault.until() + AFTER, fault.at() + LOOKED_FOR))
+                            && one.at <= Math.min(fault.endAt() + AFTER, fault.at() + LOOKED_FOR))
                             .mapToLong(Gone::at).min().orElse(-1);
                         if (first >= 0) {
                             detected.add(first - fault.at());
@@ -172,14 +172,14 @@
     /** How long after the end of each fault of proxies or between them all agreed, or null. */
     private List<Map<String, Object>> agreements(long zero) {
         List<Map<String, Object>> result = new ArrayList<>();
-        for (Break fault : plan.breaks()) {
-            if (!fault.kind().ofProxies() && fault.kind() != FaultKind.LINK) {
+        for (Break fault : plan.faults()) {
+            if (!fault.kind().targetsProxies() && fault.kind() != FaultKind.LINK) {
                 continue;
             }
             Map<String, Object> one = new LinkedHashMap<>();
             one.put("fault", fault.kind().name().toLowerCase(Locale.ROOT));
-            one.put("until_s", fault.until() / 1e6);
-            one.put("agreed_after_s", agreedAfter(zero, fault.until()));
+            one.put("until_s", fault.endAt() / 1e6);
+            one.put("agreed_after_s", agreedAfter(zero, fault.endAt()));
             result.add(one);
         }
         return result;
@@ -187,7 +187,7 @@
 
     /** From when on all agreed, up to the next fault or the end; null where they did not. */
     private Double agreedAfter(long zero, long end) {
-        long next = plan.breaks().stream().mapToLong(Break::at).filter(at -> at > end).min()
+        long next = plan.faults().stream().mapToLong(Break::at).filter(at -> at > end).min()
             .orElse(Long.MAX_VALUE);
         Double since = null;
         synchronized (rounds) {
@@ -203,12 +203,12 @@
 
     /** Single members of other groups are not known. */
     private boolean grouped(int one, int other) {
-        return plan.experiment().proxies().zone(one).equals(plan.experiment().proxies().zone(other));
+        return plan.experiment().proxies().zoneOf(one).equals(plan.experiment().proxies().zoneOf(other));
     }
 
     private boolean struck(int proxy, long from, long until, boolean links) {
-        return plan.breaks().stream().anyMatch(fault -> fault.at() <= until && fault.until() >= from
-            && (fault.kind().ofProxies() ? fault.victims().contains(proxy)
+        return plan.faults().stream().anyMatch(fault -> fault.at() <= until && fault.endAt() >= from
+            && (fault.kind().targetsProxies() ? fault.victims().contains(proxy)
                 : links && fault.kind() == FaultKind.LINK && fault.link().passage().mode() != Mode.OPEN));
     }
 
--- a/lab/src/main/java/dockrelay/lab/process/ProxyConfiguration.java
+++ b/lab/src/main/java/dockrelay/lab/process/ProxyConfiguration.java
@@ -28,8 +28,8 @@
         top.put("console", console);
         top.put("discovery", discovery);
         top.put("seed", Long.toHexString(seed));
-        top.put("limits", Map.of("cores", experiment.proxies().cores(), "memory_mb",
-            experiment.proxies().memory() >> 20, "sockets", experiment.proxies().descriptors()));
+        top.put("limits", Map.of("cores", experiment.proxies().cpuCores(), "memory_mb",
+            experiment.proxies().maxMemoryBytes() >> 20, "sockets", experiment.proxies().maxDescriptors()));
         top.put("known", known);
         if (peers != null) {
             top.put("peer_listen", peerListen);
@@ -38,14 +38,14 @@
             top.put("peers", named);
             Map<String, List<String>> zones = new LinkedHashMap<>();
             for (int i = 0; i < peers.size() && !experiment.proxies().zones().isEmpty(); i++) {
-                zones.computeIfAbsent(experiment.proxies().zone(i), zone -> new ArrayList<>()).add("n" + i);
+                zones.computeIfAbsent(experiment.proxies().zoneOf(i), zone -> new ArrayList<>()).add("n" + i);
             }
             if (!zones.isEmpty()) {
                 top.put("peer_groups", Map.of("zones", zones));
             }
         }
-        if (experiment.permissions().extra() > 0) {
-            top.put("budgets", Map.of("extra", Map.of("per_second", experiment.permissions().extra())));
+        if (experiment.permissions().extraAttemptsPerSecond() > 0) {
+            top.put("budgets", Map.of("extra", Map.of("per_second", experiment.permissions().extraAttemptsPerSecond())));
         }
         top.put("settings", settings(experiment, proxy.index()));
         try {
@@ -63,24 +63,24 @@
         s.put("DomainType", "proxy");
         s.put("FailureDomains", e.nodes().zones());
         s.put("Kinds",
-            new ArrayList<>(new TreeSet<>(e.nodes().kinds().stream().map(Experiment.Kind::name).toList())));
+            new ArrayList<>(new TreeSet<>(e.nodes().kinds().stream().map(Experiment.NodeKind::name).toList())));
         s.put("Me", me);
-        s.put("Obligations", Map.of("AnswerSlack", e.rules().answerSlack() / SECOND, "AskWithin",
-            e.rules().askWithin() / SECOND, "Cold", e.rules().cold() / SECOND, "ColdShare",
-            e.rules().coldShare(),
-            "DrainGrace", e.rules().drainGrace() / SECOND, "Fall", e.rules().fall() / SECOND, "FallMultiple",
-            e.rules().fallMultiple()));
+        s.put("Obligations", Map.of("AnswerSlack", e.ruleLimits().responseSlack() / SECOND, "AskWithin",
+            e.ruleLimits().maxListFetchInterval() / SECOND, "Cold", e.ruleLimits().warmUpTime() / SECOND, "ColdShare",
+            e.ruleLimits().maxColdShare(),
+            "DrainGrace", e.ruleLimits().drainGrace() / SECOND, "Fall", e.ruleLimits().overloadTime() / SECOND, "FallMultiple",
+            e.ruleLimits().overloadMultiple()));
         Map<String, Object> allowed = new LinkedHashMap<>();
-        allowed.put("ConnIdle", e.nodes().connections().idle() / SECOND);
+        allowed.put("ConnIdle", e.nodes().connections().idleTimeout() / SECOND);
         allowed.put("ConnectTimeout", e.nodes().connections().connectTimeout() / SECOND);
         allowed.put("MaxAttempts", e.permissions().maxAttempts());
         allowed.put("MaxRetryAfter", e.clients().maxRetryAfter() / SECOND);
-        allowed.put("MayCancel", e.permissions().cancel());
+        allowed.put("MayCancel", e.permissions().mayCancel());
         allowed.put("MostHeld", 20_000);
-        allowed.put("Peers", e.permissions().peers());
+        allowed.put("Peers", e.permissions().peerProtocol());
         allowed.put("Probes", e.permissions().probes());
         allowed.put("RetryAfter", e.permissions().retryAfter());
-        allowed.put("SecondCopies", e.permissions().secondCopies());
+        allowed.put("SecondCopies", e.permissions().redundantAttempts());
         allowed.put("StreamsPerConn", 1);
         s.put("Permissions", allowed);
         s.put("Prices", Map.of("LateFail", 0.08, "Probe", 0.01, "Waste", 0.18));
@@ -94,7 +94,7 @@
         s.put("Services", services);
         double shares = e.tenants().stream().mapToDouble(Experiment.Tenant::share).sum();
         s.put("Tenants", e.tenants().stream()
-            .map(tenant -> Map.of("Name", tenant.name(), "QuotaRps", tenant.quota(),
+            .map(tenant -> Map.of("Name", tenant.name(), "QuotaRps", tenant.quotaPerSecond(),
             "Share", tenant.share() / shares)).toList());
         s.put("Tick", 0.005);
         s.put("Tier", 0);
@@ -108,14 +108,14 @@
     private static Map<String, Object> service(ServiceClass c) {
         Map<String, Object> s = new LinkedHashMap<>();
         s.put("Name", c.name());
-        s.put("Aim", c.aim() / SECOND);
+        s.put("Aim", c.latencyTarget() / SECOND);
         s.put("HardLimit", c.deadline() / SECOND);
-        s.put("Idempotency", c.effect().name().toLowerCase(Locale.ROOT));
-        s.put("DedupScope", c.scope().name().toLowerCase(Locale.ROOT));
-        s.put("MemorySpan", c.window() / SECOND);
-        s.put("LateWorth", c.lateWorth());
+        s.put("Idempotency", c.idempotency().name().toLowerCase(Locale.ROOT));
+        s.put("DedupScope", c.dedupScope().name().toLowerCase(Locale.ROOT));
+        s.put("MemorySpan", c.dedupWindow() / SECOND);
+        s.put("LateWorth", c.lateValue());
         s.put("Streaming", false);
-        s.put("Worth", c.worth());
+        s.put("Worth", c.value());
         return s;
     }
 }
--- a/lab/src/main/java/dockrelay/lab/process/ProxyFleet.java
+++ b/lab/src/main/java/dockrelay/lab/process/ProxyFleet.java
@@ -2,11 +2,11 @@
 
 import dockrelay.lab.plan.Plan;
 import dockrelay.lab.plan.Plan.Break;
-import dockrelay.lab.plan.Seeds;
+import dockrelay.lab.plan.RandomStreams;
 import dockrelay.lab.referee.Referee;
 import dockrelay.lab.referee.Rule;
 import dockrelay.lab.spec.Experiment;
-import dockrelay.lab.spec.Experiment.Folder;
+import dockrelay.lab.spec.Experiment.FolderOnRestart;
 import dockrelay.lab.starvation.LatenessRecorder;
 import dockrelay.lab.starvation.TimeLimit;
 import dockrelay.lab.starvation.TimeLimit.Verdict;
@@ -73,10 +73,10 @@
         int count = plan.experiment().proxies().count();
         for (int i = 0; i < count; i++) {
             all.add(new ProxyProcess(i, build, folder, LoopbackAddresses.freeProxyAddress(i),
-                plan.experiment().proxies().sharedSocket(), plan.experiment().proxies().fileLimit(),
-                plan.experiment().proxies().pinned() ? processor(i) : -1, leftovers));
+                plan.experiment().proxies().sharedListenSocket(), plan.experiment().proxies().maxFileBytes(),
+                plan.experiment().proxies().pinnedToCore() ? processor(i) : -1, leftovers));
         }
-        peers = plan.experiment().permissions().peers() ? new PeerNetwork(count, plan.seed(), net, clock)
+        peers = plan.experiment().permissions().peerProtocol() ? new PeerNetwork(count, plan.seed(), net, clock)
             : null;
         watch = new StarvationWatch(starvation, clock, count, generator,
             () -> all.stream().flatMap(proxy -> proxy.watched().stream()).toList());
@@ -155,7 +155,7 @@
         int i = proxy.index();
         return ProxyConfiguration.toJson(plan.experiment(), proxy, LoopbackAddresses.hostAndPort(proxy.listenAddress()),
             LoopbackAddresses.hostAndPort(proxy.consoleAddress()), world.discoveryAddress(i),
-            Seeds.number(plan.seed(), proxy.name() + " start " + proxy.starts()), world.backendListFor(i, starts),
+            RandomStreams.deriveSeed(plan.seed(), proxy.name() + " start " + proxy.starts()), world.backendListFor(i, starts),
             peers == null ? null : peers.listen(i), peers == null ? null : peers.seenBy(i));
     }
 
@@ -221,14 +221,14 @@
                 continue;
             }
             ProxyProcess.Usage usage = proxy.sampleUsage();
-            if (usage.residentKib() * 1024 > limits.memory() && peakKib[i] * 1024 <= limits.memory()) {
+            if (usage.residentKib() * 1024 > limits.maxMemoryBytes() && peakKib[i] * 1024 <= limits.maxMemoryBytes()) {
                 referee.process(Rule.MEMORY, i, clock.nowMicros(), "holds " + usage.residentKib() / 1024
                     + " MiB of "
-                    + (limits.memory() >> 20));
+                    + (limits.maxMemoryBytes() >> 20));
             }
-            if (usage.descriptors() > limits.descriptors() && peakDescriptors[i] <= limits.descriptors()) {
+            if (usage.descriptors() > limits.maxDescriptors() && peakDescriptors[i] <= limits.maxDescriptors()) {
                 referee.process(Rule.DESCRIPTORS, i, clock.nowMicros(), "holds " + usage.descriptors() + " of "
-                    + limits.descriptors());
+                    + limits.maxDescriptors());
             }
             peakKib[i] = Math.max(peakKib[i], usage.residentKib());
             peakDescriptors[i] = Math.max(peakDescriptors[i], usage.descriptors());
@@ -284,12 +284,12 @@
     private void again(ProxyProcess proxy, Break fault, long after) {
         thread.schedule(() -> {
             try {
-                String spoilt = DiskFaults.apply(proxy.tmp(), fault.disk(), Seeds.stream(plan.seed(),
+                String spoilt = DiskFaults.apply(proxy.tmp(), fault.disk(), RandomStreams.stream(plan.seed(),
                     proxy.name() + " disk " + proxy.starts()));
                 if (!spoilt.isEmpty()) {
                     System.err.println(proxy.name() + ": " + spoilt);
                 }
-                start(proxy, fault.folder() == Folder.KEPT);
+                start(proxy, fault.folder() == FolderOnRestart.KEPT);
             } catch (IOException e) {
                 referee.process(Rule.CRASH, proxy.index(), clock.nowMicros(), "could not be started again: " + e);
             }
--- a/lab/src/main/java/dockrelay/lab/referee/Referee.java
+++ b/lab/src/main/java/dockrelay/lab/referee/Referee.java
@@ -1,9 +1,9 @@
 package dockrelay.lab.referee;
 
 import dockrelay.lab.plan.Plan;
-import dockrelay.lab.plan.Seeds;
+import dockrelay.lab.plan.RandomStreams;
 import dockrelay.lab.spec.Experiment;
-import dockrelay.lab.spec.Experiment.Effect;
+import dockrelay.lab.spec.Experiment.Idempotency;
 import dockrelay.lab.spec.Experiment.ServiceClass;
 import java.util.ArrayList;
 import java.util.EnumMap;
@@ -91,7 +91,7 @@
                 + experiment.permissions().maxAttempts());
         }
         for (Attempt earlier : of.attempts) {
-            if (earlier.state == Attempt.State.HELD && !experiment.permissions().secondCopies()) {
+            if (earlier.state == Attempt.State.HELD && !experiment.permissions().redundantAttempts()) {
                 breach(Rule.ATTEMPTS, now, id, proxy, "a second copy beside the one at "
                     + name(earlier.node));
             }
@@ -103,19 +103,19 @@
             }
         }
         Told last = told.get(pair(proxy, node));
-        if (last != null && !last.usable && now > last.at + experiment.rules().drainGrace() + SOCKET_TOLERANCE_MICROS) {
+        if (last != null && !last.usable && now > last.at + experiment.ruleLimits().drainGrace() + SOCKET_TOLERANCE_MICROS) {
             breach(Rule.DRAIN, now, id, proxy, "sent to " + name(node) + " "
                 + (now - last.at) / 1000 + " ms after it was told to stop");
         }
         Long out = marked.get(pair(proxy, node));
-        if (out != null && now > out + experiment.rules().drainGrace() + SOCKET_TOLERANCE_MICROS) {
+        if (out != null && now > out + experiment.ruleLimits().drainGrace() + SOCKET_TOLERANCE_MICROS) {
             breach(Rule.DRAIN, now, id, proxy, "sent to " + name(node) + " " + (now - out) / 1000
                 + " ms after its yes to DETACH");
         }
-        if (!of.attempts.isEmpty() && experiment.permissions().extra() > 0) {
+        if (!of.attempts.isEmpty() && experiment.permissions().extraAttemptsPerSecond() > 0) {
             extra(now, id, proxy);
         }
-        RandomGenerator random = Seeds.stream(of.arrival.salt(), "attempt at " + node);
+        RandomGenerator random = RandomStreams.stream(of.arrival.salt(), "attempt at " + node);
         double noise = type.attemptNoise().draw(random);
         double work = of.arrival.work() * Math.exp(random.nextGaussian() * noise - noise * noise / 2);
         Attempt attempt = new Attempt(of, node, of.attempts.size(), now, Math.max(1, work));
@@ -126,7 +126,7 @@
 
     /** A bucket of the whole: what is sent within it may arrive bunched by what the way takes. */
     private void extra(long now, String id, int proxy) {
-        double rate = experiment.permissions().extra();
+        double rate = experiment.permissions().extraAttemptsPerSecond();
         double most = Math.max(LEAST_BURST, rate) + rate * WAY / 1e6;
         extraLeft = extras++ == 0 ? most : Math.min(most, extraLeft + rate * (now - extraAt) / 1e6);
         extraAt = now;
@@ -144,26 +144,26 @@
 
     /** Why a class forbids another attempt after one that may have run; null where it does not. */
     private String forbids(ServiceClass type, Attempt earlier, int node, long now) {
-        if (type.effect() == Effect.IDEMPOTENT) {
+        if (type.idempotency() == Idempotency.IDEMPOTENT) {
             return null;
         }
-        if (type.effect() == Effect.AT_MOST_ONCE) {
+        if (type.idempotency() == Idempotency.AT_MOST_ONCE) {
             return type.name() + " may have run at " + name(earlier.node) + " and went to " + name(node);
         }
         Plan.Node before = plan.nodes().get(earlier.node), next = plan.nodes().get(node);
-        boolean same = switch (type.scope()) {
+        boolean same = switch (type.dedupScope()) {
             case ALL -> true;
             case ZONE -> before.zone().equals(next.zone());
             case CELL -> before.cell() == next.cell();
         };
         if (!same) {
             return type.name() + " went from " + before.name() + " to " + next.name() + ", another "
-                + type.scope().name().toLowerCase(java.util.Locale.ROOT);
+                + type.dedupScope().name().toLowerCase(java.util.Locale.ROOT);
         }
-        return now - earlier.arrivedAtMicros <= type.window() + SOCKET_TOLERANCE_MICROS ? null : type.name() + " went to " + next.name()
+        return now - earlier.arrivedAtMicros <= type.dedupWindow() + SOCKET_TOLERANCE_MICROS ? null : type.name() + " went to " + next.name()
             + " "
             + (now - earlier.arrivedAtMicros) / 1000 + " ms after " + before.name() + ", which remembers it for "
-            + type.window() / 1000;
+            + type.dedupWindow() / 1000;
     }
 
     public synchronized void attemptEnded(Attempt attempt, Attempt.State state, double spent) {
@@ -186,8 +186,8 @@
             }
         } else if (status == 429 || status == 503) {
             ServiceClass type = experiment.classes().get(one.arrival.serviceClass());
-            boolean harmless = type.effect() == Effect.IDEMPOTENT
-                || type.effect() == Effect.DEDUPLICATED && type.scope() == Experiment.Scope.ALL;
+            boolean harmless = type.idempotency() == Idempotency.IDEMPOTENT
+                || type.idempotency() == Idempotency.DEDUPLICATED && type.dedupScope() == Experiment.DedupScope.ALL;
             if (!harmless && one.attempts.stream().anyMatch(attempt -> attempt.state.mayHaveRun())) {
                 breach(Rule.REFUSAL, now, one.id, one.proxy, type.name() + " was refused with " + status
                     + " though it may have run at " + name(one.attempts.get(0).node));
--- a/lab/src/main/java/dockrelay/lab/report/Figure.java
+++ b/lab/src/main/java/dockrelay/lab/report/Figure.java
@@ -1,6 +1,6 @@
 package dockrelay.lab.report;
 
-import dockrelay.lab.report.Score.End;
+import dockrelay.lab.report.OutcomeStatistics.Outcome;
 import java.util.function.ToDoubleFunction;
 
 /** The figures by which plays are compared. */
@@ -12,7 +12,7 @@
     WASTE("waste", 4, Result::waste),
     P50("p50 ms", 1, result -> result.score.whole().latency.getValueAtPercentile(50) / 1e3),
     P99("p99 ms", 1, result -> result.score.whole().latency.getValueAtPercentile(99) / 1e3),
-    REFUSED("refused share", 4, result -> (double) result.score.whole().count(End.REFUSED)
+    REFUSED("refused share", 4, result -> (double) result.score.whole().count(Outcome.REFUSED)
         / Math.max(1, result.score.whole().requests)),
     ATTEMPTS("attempts a request", 3, Result::attemptsPerRequest),
     CONNECTIONS("new connections a request", 3, Result::connectionsPerRequest),
--- a/lab/src/main/java/dockrelay/lab/report/HtmlReport.java
+++ b/lab/src/main/java/dockrelay/lab/report/HtmlReport.java
@@ -2,8 +2,8 @@
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import dockrelay.lab.plan.Plan.Break;
-import dockrelay.lab.report.Score.End;
-import dockrelay.lab.report.Score.Part;
+import dockrelay.lab.report.OutcomeStatistics.Outcome;
+import dockrelay.lab.report.OutcomeStatistics.Part;
 import java.io.FileNotFoundException;
 import java.io.IOException;
 import java.io.InputStream;
@@ -27,9 +27,9 @@
         data.put("rate", Math.round(result.plan.rate()));
         data.put("series", series(result));
         List<Map<String, Object>> bands = new ArrayList<>();
-        for (Break fault : result.plan.breaks()) {
+        for (Break fault : result.plan.faults()) {
             List<String> victims = result.victims(fault);
-            bands.add(Map.of("from", fault.at() / 1e6, "to", fault.until() / 1e6, "text",
+            bands.add(Map.of("from", fault.at() / 1e6, "to", fault.endAt() / 1e6, "text",
                 fault.kind().name().toLowerCase(Locale.ROOT).replace('_', ' ') + (victims.size() > 3
                     ? " of " + victims.size() : " " + String.join(" ", victims))));
         }
@@ -53,7 +53,7 @@
         List<Object> at = new ArrayList<>(), share = new ArrayList<>(), p50 = new ArrayList<>(), p99 =
             new ArrayList<>();
         Map<String, List<Object>> ends = new LinkedHashMap<>();
-        for (End end : End.values()) {
+        for (Outcome end : Outcome.values()) {
             ends.put(end.name().toLowerCase(Locale.ROOT), new ArrayList<>());
         }
         for (int i = 0; i < seconds.length; i++) {
@@ -63,7 +63,7 @@
             share.add(part.requests == 0 ? null : part.share());
             p50.add(any ? part.latency.getValueAtPercentile(50) / 1e3 : null);
             p99.add(any ? part.latency.getValueAtPercentile(99) / 1e3 : null);
-            for (End end : End.values()) {
+            for (Outcome end : Outcome.values()) {
                 ends.get(end.name().toLowerCase(Locale.ROOT)).add(part.count(end));
             }
         }
--- a/lab/src/main/java/dockrelay/lab/report/Score.java
+++ b/lab/src/main/java/dockrelay/lab/report/OutcomeStatistics.java
@@ -14,9 +14,9 @@
  * worth its class's worth times its work over the class's mean. Told from the clients' loop, read after the
  * run.
  */
-public final class Score {
+public final class OutcomeStatistics {
     /** How a client's request ended, over all its tries. */
-    public enum End { IN_TIME, LATE, REFUSED, FAILED, UNANSWERED, UNREACHABLE }
+    public enum Outcome { IN_TIME, LATE, REFUSED, FAILED, UNANSWERED, UNREACHABLE }
 
     private static final long SECOND = 1_000_000;
     private static final int WINDOW = 10;
@@ -26,17 +26,17 @@
     public static final class Part {
         public double asked, earned, unservedLate;
         public long requests, tries;
-        public final Map<End, Long> ends = new EnumMap<>(End.class);
+        public final Map<Outcome, Long> ends = new EnumMap<>(Outcome.class);
         public final Histogram latency = new Histogram(LONGEST, 3);
 
-        private void add(double worth, double share, boolean late, End how, long latencyMicros, int ofTries) {
+        private void add(double worth, double share, boolean late, Outcome how, long latencyMicros, int ofTries) {
             asked += worth;
             earned += worth * share;
             unservedLate += late ? worth : 0;
             requests++;
             tries += ofTries;
             ends.merge(how, 1L, Long::sum);
-            if (how == End.IN_TIME || how == End.LATE) {
+            if (how == Outcome.IN_TIME || how == Outcome.LATE) {
                 latency.recordValue(Math.min(LONGEST, Math.max(0, latencyMicros)));
             }
         }
@@ -45,7 +45,7 @@
             return asked > 0 ? earned / asked : 1;
         }
 
-        public long count(End end) {
+        public long count(Outcome end) {
             return ends.getOrDefault(end, 0L);
         }
     }
@@ -56,7 +56,7 @@
     private final Part[] seconds;
     private final Map<String, Part> tenants = new TreeMap<>();
 
-    public Score(Plan plan) {
+    public OutcomeStatistics(Plan plan) {
         this.plan = plan;
         classes = parts(plan.experiment().classes().size());
         seconds = parts((int) ((plan.experiment().length() + SECOND - 1) / SECOND));
@@ -71,11 +71,11 @@
     }
 
     /** Latency counts from the intended send. */
-    public synchronized void ended(Arrival arrival, End how, long latency, int tries) {
+    public synchronized void recordOutcome(Arrival arrival, Outcome how, long latency, int tries) {
         ServiceClass type = plan.experiment().classes().get(arrival.serviceClass());
-        double worth = type.worth() * arrival.work() / plan.meanWork()[arrival.serviceClass()];
-        double share = how == End.IN_TIME ? 1 : how == End.LATE ? type.lateWorth() : 0;
-        boolean late = share == 0 && latency > type.aim();
+        double worth = type.value() * arrival.work() / plan.meanWork()[arrival.serviceClass()];
+        double share = how == Outcome.IN_TIME ? 1 : how == Outcome.LATE ? type.lateValue() : 0;
+        boolean late = share == 0 && latency > type.latencyTarget();
         Part second = seconds[(int) (arrival.at() / SECOND)];
         Part tenant = tenants.computeIfAbsent(arrival.tenant(), none -> new Part());
         for (Part part : new Part[] {second, classes[arrival.serviceClass()], tenant}) {
--- a/lab/src/main/java/dockrelay/lab/report/Result.java
+++ b/lab/src/main/java/dockrelay/lab/report/Result.java
@@ -7,8 +7,8 @@
 import dockrelay.lab.process.ProxyFleet;
 import dockrelay.lab.referee.Referee;
 import dockrelay.lab.referee.Rule;
-import dockrelay.lab.report.Score.End;
-import dockrelay.lab.report.Score.Part;
+import dockrelay.lab.report.OutcomeStatistics.Outcome;
+import dockrelay.lab.report.OutcomeStatistics.Part;
 import dockrelay.lab.spec.Experiment;
 import dockrelay.lab.spec.Units;
 import java.io.IOException;
@@ -30,7 +30,7 @@
     private static final double SECOND = 1_000_000, MILLI = 1_000;
 
     public final Plan plan;
-    public final Score score;
+    public final OutcomeStatistics score;
     public final List<Sample> samples;
     public final List<Referee.Violation> broken;
     private final Map<String, Object> values = new LinkedHashMap<>();
@@ -43,7 +43,7 @@
         String latenciesVoid, Map<String, Object> starvation, List<Long> leftovers) {
     }
 
-    public Result(Plan plan, String build, Score score, Referee referee, List<ProxyFleet.ResourceUsage> proxies,
+    public Result(Plan plan, String build, OutcomeStatistics score, Referee referee, List<ProxyFleet.ResourceUsage> proxies,
                   List<Sample> samples, Own own, long fallen, long discoveryLines,
                   long[] peerTraffic, Map<String, Object> members) {
         this.plan = plan;
@@ -114,10 +114,10 @@
             round(samples.stream().mapToDouble(Sample::mean).average().orElse(0)), "most_held",
             samples.stream().mapToInt(Sample::most).max().orElse(0), "discovery_lines", discoveryLines));
         List<Map<String, Object>> faults = new ArrayList<>();
-        for (Break one : plan.breaks()) {
+        for (Break one : plan.faults()) {
             faults.add(map("kind", one.kind().name().toLowerCase(Locale.ROOT), "at_s", one.at() / SECOND,
                 "until_s",
-                one.until() / SECOND, "victims", victims(one), "size", round(one.size())));
+                one.endAt() / SECOND, "victims", victims(one), "size", round(one.size())));
         }
         values.put("faults", faults);
         values.put("lab", map("generator_late_ms", percentiles(own.generatorLateness), "loop_late_ms",
@@ -175,7 +175,7 @@
     }
 
     public List<String> victims(Break one) {
-        return one.victims().stream().map(victim -> one.kind().ofNodes() ? plan.nodes().get(victim).name()
+        return one.victims().stream().map(victim -> one.kind().targetsNodes() ? plan.nodes().get(victim).name()
             : "n" + victim).toList();
     }
 
@@ -207,7 +207,7 @@
             Part part = seconds[i];
             text.append(String.format(Locale.ROOT, "%d,%.3f,%.3f,%d", i, part.asked, part.earned,
                 part.requests));
-            for (End end : End.values()) {
+            for (Outcome end : Outcome.values()) {
                 text.append(',').append(part.count(end));
             }
             Sample sample = sampleAt(i);
@@ -230,7 +230,7 @@
 
     private static Map<String, Object> part(Part part) {
         Map<String, Object> ends = new LinkedHashMap<>();
-        for (End end : End.values()) {
+        for (Outcome end : Outcome.values()) {
             ends.put(word(end), part.count(end));
         }
         return map("worth_in_time", round(part.share()), "requests", part.requests, "tries_per_request",
@@ -281,10 +281,10 @@
         text.append(String.format(Locale.ROOT,
             "%d requests at %.0f/s: in time %d, late %d, refused %d, failed %d, "
             + "unanswered %d, unreachable %d; p50 %s, p99 %s%n", whole.requests, plan.rate(),
-            whole.count(End.IN_TIME),
-            whole.count(End.LATE), whole.count(End.REFUSED), whole.count(End.FAILED),
-            whole.count(End.UNANSWERED),
-            whole.count(End.UNREACHABLE), Units.time(whole.latency.getValueAtPercentile(50)),
+            whole.count(Outcome.IN_TIME),
+            whole.count(Outcome.LATE), whole.count(Outcome.REFUSED), whole.count(Outcome.FAILED),
+            whole.count(Outcome.UNANSWERED),
+            whole.count(Outcome.UNREACHABLE), Units.time(whole.latency.getValueAtPercentile(50)),
             Units.time(whole.latency.getValueAtPercentile(99))));
         if (values.get("members") instanceof Map<?, ?> members && !members.isEmpty()) {
             text.append("members: ").append(members).append('\n');
--- a/lab/src/main/java/dockrelay/lab/scale/ScaleSpec.java
+++ b/lab/src/main/java/dockrelay/lab/scale/ScaleSpec.java
@@ -1,6 +1,6 @@
 package dockrelay.lab.scale;
 
-import dockrelay.lab.spec.Section;
+import dockrelay.lab.spec.TomlSection;
 import dockrelay.lab.spec.SpecException;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -21,25 +21,25 @@
     private final int plays;
     private final long seed;
     private final boolean quick;
-    private final Section top, own;
+    private final TomlSection top, own;
 
-    private ScaleSpec(Path file, Section top, Role wanted, boolean quick) {
+    private ScaleSpec(Path file, TomlSection top, Role wanted, boolean quick) {
         this.file = file;
         this.top = top;
         this.quick = quick;
-        String name = top.text("role", wanted == null ? null : wanted.name());
+        String name = top.readText("role", wanted == null ? null : wanted.name());
         role = wanted != null ? wanted : Roles.of(name);
         if (role == null) {
-            throw top.wrong("role", "one of " + Roles.names());
+            throw top.invalidValue("role", "one of " + Roles.names());
         }
-        List<Integer> all = top.counts("sizes", null, 1, MOST_SIZE);
-        List<Integer> few = top.counts("quick_sizes", all.subList(0, Math.min(2, all.size())), 1,
+        List<Integer> all = top.readAscendingCounts("sizes", null, 1, MOST_SIZE);
+        List<Integer> few = top.readAscendingCounts("quick_sizes", all.subList(0, Math.min(2, all.size())), 1,
             MOST_SIZE);
         sizes = quick ? few : all;
-        int given = top.count("plays", 1, 1, MOST_PLAYS);
+        int given = top.readCount("plays", 1, 1, MOST_PLAYS);
         plays = quick ? 1 : given;
-        seed = top.count("seed", 1, 0, Integer.MAX_VALUE);
-        own = top.child(role.name());
+        seed = top.readCount("seed", 1, 0, Integer.MAX_VALUE);
+        own = top.readTable(role.name());
     }
 
     /**
@@ -57,7 +57,7 @@
 
     /** The same from a text, for tests. */
     public static ScaleSpec of(Path file, String text, Role role, boolean quick) {
-        return new ScaleSpec(file, Section.of(file, text), role, quick);
+        return new ScaleSpec(file, TomlSection.parse(file, text), role, quick);
     }
 
     public String name() {
@@ -86,13 +86,13 @@
     }
 
     /** The table of the role's own keys. */
-    public Section roleSection() {
+    public TomlSection roleSection() {
         return own;
     }
 
     /** Refuses keys that nothing has read. */
     void done() {
-        top.done();
-        own.done();
+        top.rejectUnknownKeys();
+        own.rejectUnknownKeys();
     }
 }
--- a/lab/src/main/java/dockrelay/lab/scale/list/ListSpec.java
+++ b/lab/src/main/java/dockrelay/lab/scale/list/ListSpec.java
@@ -2,7 +2,7 @@
 
 import dockrelay.lab.process.Build;
 import dockrelay.lab.scale.ScaleSpec;
-import dockrelay.lab.spec.Section;
+import dockrelay.lab.spec.TomlSection;
 import java.util.List;
 
 /** The keys of the role {@code list}. Times are in microseconds. */
@@ -15,22 +15,22 @@
     private static final List<String> MANNERS = List.of("push", "ask");
 
     static ListSpec of(ScaleSpec spec) {
-        Section own = spec.roleSection();
-        List<String> manners = own.texts("manners");
+        TomlSection own = spec.roleSection();
+        List<String> manners = own.readTexts("manners");
         if (!MANNERS.containsAll(manners)) {
-            throw own.wrong("manners", "a list of " + String.join(", ", MANNERS));
+            throw own.invalidValue("manners", "a list of " + String.join(", ", MANNERS));
         }
         return new ListSpec(manners.isEmpty() ? MANNERS : manners,
-            own.number("rate", 93, 1, 10_000),
-            own.time("quiet", 5 * SECOND, SECOND, 10 * MINUTE),
-            own.time("restart_every", Math.round(7.6 * SECOND), SECOND, 10 * MINUTE),
-            own.count("restarts", spec.quick() ? 1 : 2, 1, 1_000),
-            own.number("fast_rate", 10, 0.1, 1_000),
-            own.time("fast", 10 * SECOND, SECOND, 10 * MINUTE),
-            own.time("after_loss", 3 * SECOND, SECOND, 10 * MINUTE),
-            own.time("loss_bound", MINUTE, SECOND, 60 * MINUTE),
-            own.time("ready_within", 3 * MINUTE, SECOND, 60 * MINUTE),
-            own.count("heap_mb", 0, 0, 1_024), own.flag("counters", true));
+            own.readNumber("rate", 93, 1, 10_000),
+            own.readMicros("quiet", 5 * SECOND, SECOND, 10 * MINUTE),
+            own.readMicros("restart_every", Math.round(7.6 * SECOND), SECOND, 10 * MINUTE),
+            own.readCount("restarts", spec.quick() ? 1 : 2, 1, 1_000),
+            own.readNumber("fast_rate", 10, 0.1, 1_000),
+            own.readMicros("fast", 10 * SECOND, SECOND, 10 * MINUTE),
+            own.readMicros("after_loss", 3 * SECOND, SECOND, 10 * MINUTE),
+            own.readMicros("loss_bound", MINUTE, SECOND, 60 * MINUTE),
+            own.readMicros("ready_within", 3 * MINUTE, SECOND, 60 * MINUTE),
+            own.readCount("heap_mb", 0, 0, 1_024), own.readBoolean("counters", true));
     }
 
     /** The fleet grows with its list: as many backends a proxy as at the size that is to be carried. */
--- a/lab/src/main/java/dockrelay/lab/scale/load/LoadRole.java
+++ b/lab/src/main/java/dockrelay/lab/scale/load/LoadRole.java
@@ -6,7 +6,7 @@
 import dockrelay.lab.scale.ProgressLog;
 import dockrelay.lab.scale.Role;
 import dockrelay.lab.scale.ScaleSpec;
-import dockrelay.lab.spec.Section;
+import dockrelay.lab.spec.TomlSection;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
@@ -22,10 +22,10 @@
     /** The role's own keys; times are in microseconds. */
     record Keys(long warm, long length, double lateMillis, int again) {
         static Keys of(ScaleSpec spec) {
-            Section own = spec.roleSection();
-            Keys keys = new Keys(own.time("warm", 10 * SECOND, 0, 10 * MINUTE),
-                own.time("length", 30 * SECOND, SECOND, 60 * MINUTE),
-                own.time("late_most", 5_000, 100, SECOND) / 1e3, own.count("again", 2, 0, 20));
+            TomlSection own = spec.roleSection();
+            Keys keys = new Keys(own.readMicros("warm", 10 * SECOND, 0, 10 * MINUTE),
+                own.readMicros("length", 30 * SECOND, SECOND, 60 * MINUTE),
+                own.readMicros("late_most", 5_000, 100, SECOND) / 1e3, own.readCount("again", 2, 0, 20));
             return spec.quick() ? new Keys(Math.min(keys.warm, 2 * SECOND), Math.min(keys.length, 5 * SECOND),
                 keys.lateMillis, keys.again) : keys;
         }
--- a/lab/src/main/java/dockrelay/lab/scale/members/BudgetsRole.java
+++ b/lab/src/main/java/dockrelay/lab/scale/members/BudgetsRole.java
@@ -27,7 +27,7 @@
     }
 
     private static List<Integer> counts(ScaleSpec spec) {
-        return spec.roleSection().counts("budgets", List.of(1, 32), 1, MOST_BUDGETS);
+        return spec.roleSection().readAscendingCounts("budgets", List.of(1, 32), 1, MOST_BUDGETS);
     }
 
     @Override
--- a/lab/src/main/java/dockrelay/lab/scale/members/MembersRole.java
+++ b/lab/src/main/java/dockrelay/lab/scale/members/MembersRole.java
@@ -6,7 +6,7 @@
 import dockrelay.lab.scale.SizeRefusedException;
 import dockrelay.lab.scale.Role;
 import dockrelay.lab.scale.ScaleSpec;
-import dockrelay.lab.spec.Section;
+import dockrelay.lab.spec.TomlSection;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -35,51 +35,51 @@
     }
 
     private static HollowMember.Kind kind(ScaleSpec spec) {
-        String word = spec.roleSection().text("machine", KINDS.get(KINDS.size() - 1).name());
+        String word = spec.roleSection().readText("machine", KINDS.get(KINDS.size() - 1).name());
         return KINDS.stream().filter(kind -> kind.name().equals(word)).findFirst().orElseThrow(
-            () -> spec.roleSection().wrong("machine", "one of " + String.join(", ", KINDS.stream()
+            () -> spec.roleSection().invalidValue("machine", "one of " + String.join(", ", KINDS.stream()
                 .map(HollowMember.Kind::name).toList())));
     }
 
     private static int threads(ScaleSpec spec) {
-        return spec.roleSection().count("threads", 2, 1, MOST_THREADS);
+        return spec.roleSection().readCount("threads", 2, 1, MOST_THREADS);
     }
 
     private static int proxies(ScaleSpec spec) {
-        return spec.roleSection().count("proxies", 4, 4, 20);
+        return spec.roleSection().readCount("proxies", 4, 4, 20);
     }
 
     /** Sockets and processes, by the clock, or the virtual network. */
     private static boolean real(ScaleSpec spec) {
-        String word = spec.roleSection().text("network", "virtual");
+        String word = spec.roleSection().readText("network", "virtual");
         if (!word.equals("virtual") && !word.equals("loopback")) {
-            throw spec.roleSection().wrong("network", "one of virtual, loopback");
+            throw spec.roleSection().invalidValue("network", "one of virtual, loopback");
         }
         return word.equals("loopback");
     }
 
     private static Map<String, Long> numbers(ScaleSpec spec) {
-        Section own = spec.roleSection();
+        TomlSection own = spec.roleSection();
         long hour = 3_600 * SECOND;
         Map<String, Long> result = new LinkedHashMap<>();
-        result.put("warm", own.time("warm", 30 * SECOND, 10 * SECOND, hour));
-        result.put("quiet", own.time("quiet", 30 * SECOND, 10 * SECOND, hour));
-        result.put("gap", own.time("gap", 12 * SECOND, 5 * SECOND, hour));
-        result.put("look", own.time("look", 30 * SECOND, 10 * SECOND, hour));
-        result.put("cut_for", own.time("cut_for", 180 * SECOND, 10 * SECOND, hour));
-        result.put("loss_for", own.time("loss_for", 120 * SECOND, 10 * SECOND, hour));
-        result.put("loss_member_minutes", (long) own.count("loss_member_minutes", 1_000_000, 1, 1_000_000));
-        result.put("long_up_to", (long) own.count("long_up_to", 1_000_000, 1, 1_000_000));
-        result.put("deaths", (long) own.count("deaths", 5, 1, MOST_DEATHS));
+        result.put("warm", own.readMicros("warm", 30 * SECOND, 10 * SECOND, hour));
+        result.put("quiet", own.readMicros("quiet", 30 * SECOND, 10 * SECOND, hour));
+        result.put("gap", own.readMicros("gap", 12 * SECOND, 5 * SECOND, hour));
+        result.put("look", own.readMicros("look", 30 * SECOND, 10 * SECOND, hour));
+        result.put("cut_for", own.readMicros("cut_for", 180 * SECOND, 10 * SECOND, hour));
+        result.put("loss_for", own.readMicros("loss_for", 120 * SECOND, 10 * SECOND, hour));
+        result.put("loss_member_minutes", (long) own.readCount("loss_member_minutes", 1_000_000, 1, 1_000_000));
+        result.put("long_up_to", (long) own.readCount("long_up_to", 1_000_000, 1, 1_000_000));
+        result.put("deaths", (long) own.readCount("deaths", 5, 1, MOST_DEATHS));
         return result;
     }
 
     private static List<Scenario> scenarios(ScaleSpec spec) {
-        List<String> words = spec.roleSection().texts("scenarios");
+        List<String> words = spec.roleSection().readTexts("scenarios");
         List<Scenario> result = Arrays.stream(Scenario.values())
             .filter(one -> words.isEmpty() || words.contains(one.word())).toList();
         if (result.size() != words.size() && !words.isEmpty()) {
-            throw spec.roleSection().wrong("scenarios", "some of " + String.join(", ",
+            throw spec.roleSection().invalidValue("scenarios", "some of " + String.join(", ",
                 Arrays.stream(Scenario.values()).map(Scenario::word).toList()));
         }
         return result;
--- a/lab/src/main/java/dockrelay/lab/scale/members/RealProxies.java
+++ b/lab/src/main/java/dockrelay/lab/scale/members/RealProxies.java
@@ -56,7 +56,7 @@
         Files.createDirectories(folder);
         Path file = Files.writeString(folder.resolve("world.toml"), "shows = \"members\"\n[proxies]\ncount = "
             + count + "\n[nodes]\ncount = 4\n[permissions]\npeers = true\n");
-        plan = Plan.of(ExperimentReader.read(file), seed);
+        plan = Plan.generate(ExperimentReader.read(file), seed);
         Build build = Build.load(root);
         leftovers = new ChildProcessRegistry(ChildProcessRegistry.defaultFolder());
         leftovers.killOrphans();
--- a/lab/src/main/java/dockrelay/lab/scale/tenants/TenantsRole.java
+++ b/lab/src/main/java/dockrelay/lab/scale/tenants/TenantsRole.java
@@ -6,7 +6,7 @@
 import dockrelay.lab.scale.ProgressLog;
 import dockrelay.lab.scale.Role;
 import dockrelay.lab.scale.ScaleSpec;
-import dockrelay.lab.spec.Section;
+import dockrelay.lab.spec.TomlSection;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
@@ -23,14 +23,14 @@
     /** The role's own keys; times are in microseconds. */
     record Keys(List<String> quotas, double rate, double skew, long length, long readyWithin, int heapMiB) {
         static Keys of(ScaleSpec spec) {
-            Section own = spec.roleSection();
-            List<String> quotas = own.texts("quotas");
+            TomlSection own = spec.roleSection();
+            List<String> quotas = own.readTexts("quotas");
             if (!QUOTAS.containsAll(quotas)) {
-                throw own.wrong("quotas", "a list of " + String.join(", ", QUOTAS));
+                throw own.invalidValue("quotas", "a list of " + String.join(", ", QUOTAS));
             }
-            return new Keys(quotas.isEmpty() ? QUOTAS : quotas, own.number("rate", 93, 1, 10_000),
-                own.number("skew", 1, 0, 4), own.time("length", 15 * SECOND, SECOND, 60 * MINUTE),
-                own.time("ready_within", MINUTE, SECOND, 60 * MINUTE), own.count("heap_mb", 0, 0, 1_024));
+            return new Keys(quotas.isEmpty() ? QUOTAS : quotas, own.readNumber("rate", 93, 1, 10_000),
+                own.readNumber("skew", 1, 0, 4), own.readMicros("length", 15 * SECOND, SECOND, 60 * MINUTE),
+                own.readMicros("ready_within", MINUTE, SECOND, 60 * MINUTE), own.readCount("heap_mb", 0, 0, 1_024));
         }
     }
 
--- a/lab/src/main/java/dockrelay/lab/spec/Experiment.java
+++ b/lab/src/main/java/dockrelay/lab/spec/Experiment.java
@@ -6,7 +6,7 @@
 /** What an experiment file says, checked and with its defaults. Times are in microseconds. */
 public record Experiment(String name, String shows, long length, long settle, Proxies proxies, Nodes nodes,
                          Clients clients, List<Tenant> tenants, List<ServiceClass> classes,
-                         Discovery discovery, Rules rules,
+                         Discovery discovery, RuleLimits ruleLimits,
                          Permissions permissions, List<Fault> faults) {
 
     /** How arrivals are spread over time. */
@@ -16,10 +16,10 @@
     public enum Spread { EXP, LOGNORMAL, FIXED }
 
     /** Whether a request may run twice, as the settings name it. */
-    public enum Effect { IDEMPOTENT, DEDUPLICATED, AT_MOST_ONCE }
+    public enum Idempotency { IDEMPOTENT, DEDUPLICATED, AT_MOST_ONCE }
 
     /** Which nodes drop a repeat. */
-    public enum Scope { ALL, ZONE, CELL }
+    public enum DedupScope { ALL, ZONE, CELL }
 
     /** What makes a cold node warm. */
     public enum WarmBy { REQUESTS, TIME }
@@ -37,32 +37,32 @@
         }
 
         /** Whether its victims are nodes. */
-        public boolean ofNodes() {
+        public boolean targetsNodes() {
             return Boolean.TRUE.equals(nodes);
         }
 
         /** Whether its victims are proxies. */
-        public boolean ofProxies() {
+        public boolean targetsProxies() {
             return Boolean.FALSE.equals(nodes);
         }
     }
 
     /** The processes under test; by turns in these zones of their own, each one's group of the fleet. */
-    public record Proxies(int count, long memory, int descriptors, double cores, long startWithin,
-                          boolean sharedSocket, long fileLimit, boolean pinned, List<String> zones) {
+    public record Proxies(int count, long maxMemoryBytes, int maxDescriptors, double cpuCores, long startWithin,
+                          boolean sharedListenSocket, long maxFileBytes, boolean pinnedToCore, List<String> zones) {
         /** Empty where no zones are named. */
-        public String zone(int proxy) {
+        public String zoneOf(int proxy) {
             return zones.isEmpty() ? "" : zones.get(proxy % zones.size());
         }
     }
 
     /** The emulated fleet. */
-    public record Nodes(int count, List<String> zones, int cellSize, List<Kind> kinds, Choke choke,
+    public record Nodes(int count, List<String> zones, int cellSize, List<NodeKind> kinds, Choke choke,
                         Connections connections, Probes probes) {
     }
 
     /** A kind of machine. Speeds are in units of a standard core. */
-    public record Kind(String name, double share, int cores, Range speed, Range slotsPerCore,
+    public record NodeKind(String name, double share, int cores, Range speed, Range slotsPerCore,
         Range queuePerCore,
                        Range coldFrom, Range coldTime, WarmBy warmBy, Range errorRate, boolean dropsExpired,
                        boolean stopsOnCancel) {
@@ -73,7 +73,7 @@
     }
 
     /** What connections cost a node. */
-    public record Connections(Range handshakeWork, Range handshakeDelay, long idle, long connectTimeout,
+    public record Connections(Range handshakeWork, Range handshakeDelay, long idleTimeout, long connectTimeout,
         Range capPerCore, Range fullTax) {
     }
 
@@ -82,7 +82,7 @@
     }
 
     /** A tenant: its part of the requests, and the rate that all proxies together owe it in full. */
-    public record Tenant(String name, double share, double quota) {
+    public record Tenant(String name, double share, double quotaPerSecond) {
     }
 
     /** One request of a recorded trace; an empty class, tenant or key is drawn, and work below 0 too. */
@@ -91,40 +91,40 @@
 
     /** The load and how clients act. */
     public record Clients(double load, double rate, Arrivals arrivals, Range swing, long swingPeriod,
-                          List<Double> steps, Range retries, Range tryShare, Range backoff, double honour,
-                          long maxRetryAfter, Range notice, int keys, double keySkew, List<Traced> trace) {
+                          List<Double> steps, Range retries, Range tryShare, Range retryBackoff, double honourRetryAfterProbability,
+                          long maxRetryAfter, Range proxyRemovalDelay, int keys, double keySkew, List<Traced> trace) {
     }
 
     /** A class of requests. */
     public record ServiceClass(String name, double share, Range work, Spread spread, Range cv,
         Range attemptNoise,
-                               long aim, long deadline, double worth, double lateWorth, Effect effect,
-                               Scope scope, long window) {
+                               long latencyTarget, long deadline, double value, double lateValue, Idempotency idempotency,
+                               DedupScope dedupScope, long dedupWindow) {
     }
 
     /** How late and how busy discovery is. */
-    public record Discovery(Range noticeDeath, Range noticeStart, Range callCost, Range lineCost,
-        long timeout,
-                            Range lag) {
+    public record Discovery(Range deathDetectionDelay, Range startDetectionDelay, Range callServiceTime, Range entryServiceTime,
+        long callTimeout,
+                            Range propagationDelay) {
     }
 
     /** The figures of the rules. */
-    public record Rules(long answerSlack, long askWithin, double coldShare, long cold, long drainGrace,
-        long fall, double fallMultiple) {
+    public record RuleLimits(long responseSlack, long maxListFetchInterval, double maxColdShare, long warmUpTime, long drainGrace,
+        long overloadTime, double overloadMultiple) {
     }
 
     /**
      * What the settings allow the proxies; extra is a budget of copies, hedges and retries a second, or 0.
      */
-    public record Permissions(int maxAttempts, boolean cancel, boolean secondCopies, boolean probes,
-        boolean peers, boolean retryAfter, double extra) {
+    public record Permissions(int maxAttempts, boolean mayCancel, boolean redundantAttempts, boolean probes,
+        boolean peerProtocol, boolean retryAfter, double extraAttemptsPerSecond) {
     }
 
     /** What becomes of a proxy's folder between its processes. */
-    public enum Folder { KEPT, EMPTY }
+    public enum FolderOnRestart { KEPT, EMPTY }
 
     /** What befalls the files of a proxy's folder while no process has it. */
-    public enum Disk { WHOLE, TRUNCATED, FLIPPED, REMOVED, SWAPPED }
+    public enum DiskFault { WHOLE, TRUNCATED, FLIPPED, REMOVED, SWAPPED }
 
     /** A fault of the network from the ones to the others, and back where it is of both directions. */
     public record Link(List<String> from, List<String> to, boolean both, Passage passage) {
@@ -132,6 +132,6 @@
 
     /** Something that breaks: once, or again and again, on victims that are named or drawn. */
     public record Fault(FaultKind kind, long at, long lasts, double part, int count, List<String> victims,
-        Range size, long every, int times, Folder folder, Disk disk, Link link) {
+        Range size, long every, int times, FolderOnRestart folder, DiskFault disk, Link link) {
     }
 }
--- a/lab/src/main/java/dockrelay/lab/spec/Section.java
+++ b/lab/src/main/java/dockrelay/lab/spec/TomlSection.java
@@ -20,7 +20,7 @@
  * One table of an experiment file. Each read says what is allowed, so an error can; {@link #done()} names
  * the keys that nothing has read.
  */
-public final class Section {
+public final class TomlSection {
     private static final int FAR = 3;
 
     private final Path file;
@@ -29,7 +29,7 @@
     private final Overrides overrides;
     private final Set<String> read = new LinkedHashSet<>();
 
-    private Section(Path file, TomlTable table, String path, Overrides overrides) {
+    private TomlSection(Path file, TomlTable table, String path, Overrides overrides) {
         this.file = file;
         this.table = table;
         this.path = path;
@@ -37,52 +37,52 @@
     }
 
     /** The whole of a file's text. */
-    public static Section of(Path file, String text) {
-        return of(file, text, Overrides.of(List.of()));
+    public static TomlSection parse(Path file, String text) {
+        return parse(file, text, Overrides.of(List.of()));
     }
 
-    static Section of(Path file, String text, Overrides overrides) {
+    static TomlSection parse(Path file, String text, Overrides overrides) {
         TomlParseResult parsed = Toml.parse(text);
         if (parsed.hasErrors()) {
             TomlParseError first = parsed.errors().get(0);
             throw new SpecException(file + ":" + first.position().line() + ": not TOML: "
                 + first.getMessage().replace('\n', ' '));
         }
-        return new Section(file, parsed, "", overrides);
+        return new TomlSection(file, parsed, "", overrides);
     }
 
     /** A table that may be absent: every key then has its default. */
-    public Section child(String key) {
+    public TomlSection readTable(String key) {
         Object value = get(key);
         if (value == null) {
-            return new Section(file, Toml.parse(""), path + key + ".", overrides);
+            return new TomlSection(file, Toml.parse(""), path + key + ".", overrides);
         }
         if (value instanceof TomlTable below) {
-            return new Section(file, below, path + key + ".", overrides);
+            return new TomlSection(file, below, path + key + ".", overrides);
         }
-        throw wrong(key, "a table, [" + path + key + "]");
+        throw invalidValue(key, "a table, [" + path + key + "]");
     }
 
     /** The tables of an array of them; none where it is absent. */
-    public List<Section> each(String key) {
-        List<Section> result = new ArrayList<>();
+    public List<TomlSection> readTables(String key) {
+        List<TomlSection> result = new ArrayList<>();
         Object value = get(key);
         if (value == null) {
             return result;
         }
         if (!(value instanceof TomlArray array)) {
-            throw wrong(key, "tables, [[" + path + key + "]]");
+            throw invalidValue(key, "tables, [[" + path + key + "]]");
         }
         for (int i = 0; i < array.size(); i++) {
             if (!(array.get(i) instanceof TomlTable)) {
-                throw wrong(key, "tables, [[" + path + key + "]]");
+                throw invalidValue(key, "tables, [[" + path + key + "]]");
             }
-            result.add(new Section(file, array.getTable(i), path + key + "[" + i + "].", overrides));
+            result.add(new TomlSection(file, array.getTable(i), path + key + "[" + i + "].", overrides));
         }
         return result;
     }
 
-    public String text(String key, String fallback) {
+    public String readText(String key, String fallback) {
         Object value = get(key);
         if (value == null && fallback != null) {
             return fallback;
@@ -90,10 +90,10 @@
         if (value instanceof String text) {
             return text;
         }
-        throw wrong(key, "a text in quotes");
+        throw invalidValue(key, "a text in quotes");
     }
 
-    public List<String> texts(String key) {
+    public List<String> readTexts(String key) {
         List<String> result = new ArrayList<>();
         Object value = get(key);
         if (value == null) {
@@ -102,31 +102,31 @@
         if (value instanceof TomlArray array) {
             for (int i = 0; i < array.size(); i++) {
                 if (!(array.get(i) instanceof String text)) {
-                    throw wrong(key, "a list of texts in quotes");
+                    throw invalidValue(key, "a list of texts in quotes");
                 }
                 result.add(text);
             }
             return result;
         }
-        throw wrong(key, "a list of texts in quotes");
+        throw invalidValue(key, "a list of texts in quotes");
     }
 
-    public <T extends Enum<T>> T choice(String key, T fallback, Class<T> type) {
-        String words = String.join(", ", Arrays.stream(type.getEnumConstants()).map(Section::word).toList());
-        String text = text(key, fallback == null ? null : word(fallback));
+    public <T extends Enum<T>> T readEnum(String key, T fallback, Class<T> type) {
+        String words = String.join(", ", Arrays.stream(type.getEnumConstants()).map(TomlSection::word).toList());
+        String text = readText(key, fallback == null ? null : word(fallback));
         for (T constant : type.getEnumConstants()) {
             if (word(constant).equals(text)) {
                 return constant;
             }
         }
-        throw wrong(key, "one of " + words);
+        throw invalidValue(key, "one of " + words);
     }
 
     static String word(Enum<?> constant) {
         return constant.name().toLowerCase(Locale.ROOT);
     }
 
-    public boolean flag(String key, boolean fallback) {
+    public boolean readBoolean(String key, boolean fallback) {
         Object value = get(key);
         if (value == null) {
             return fallback;
@@ -134,10 +134,10 @@
         if (value instanceof Boolean flag) {
             return flag;
         }
-        throw wrong(key, "true or false");
+        throw invalidValue(key, "true or false");
     }
 
-    public int count(String key, int fallback, int least, int most) {
+    public int readCount(String key, int fallback, int least, int most) {
         Object value = get(key);
         if (value == null) {
             return fallback;
@@ -145,11 +145,11 @@
         if (value instanceof Long count && count >= least && count <= most) {
             return count.intValue();
         }
-        throw wrong(key, "a whole number from " + least + " to " + most);
+        throw invalidValue(key, "a whole number from " + least + " to " + most);
     }
 
     /** Whole numbers in rising order. */
-    public List<Integer> counts(String key, List<Integer> fallback, int least, int most) {
+    public List<Integer> readAscendingCounts(String key, List<Integer> fallback, int least, int most) {
         Object value = get(key);
         if (value == null && fallback != null) {
             return fallback;
@@ -166,55 +166,55 @@
             }
         }
         if (result.isEmpty()) {
-            throw wrong(key, "a rising list of whole numbers from " + least + " to " + most);
+            throw invalidValue(key, "a rising list of whole numbers from " + least + " to " + most);
         }
         return result;
     }
 
-    public double number(String key, double fallback, double least, double most) {
+    public double readNumber(String key, double fallback, double least, double most) {
         Object value = get(key);
         double number = value == null ? fallback : value instanceof Number given ? given.doubleValue()
             : Double.NaN;
         if (number >= least && number <= most) {
             return number;
         }
-        throw wrong(key, "a number from " + Units.plain(least) + " to " + Units.plain(most));
+        throw invalidValue(key, "a number from " + Units.plain(least) + " to " + Units.plain(most));
     }
 
-    public Range range(String key, Range fallback, double least, double most) {
-        return range(key, fallback, least, most, value -> value instanceof Number number
+    public Range readRange(String key, Range fallback, double least, double most) {
+        return readRange(key, fallback, least, most, value -> value instanceof Number number
             ? number.doubleValue()
             : Double.NaN, "a number, or two as [low, high], from " + Units.plain(least) + " to "
             + Units.plain(most));
     }
 
     /** A time, in microseconds. */
-    public long time(String key, long fallback, long least, long most) {
-        Range range = times(key, Range.of(fallback), least, most);
+    public long readMicros(String key, long fallback, long least, long most) {
+        Range range = readMicrosRange(key, Range.of(fallback), least, most);
         if (range.low() != range.high()) {
-            throw wrong(key, "one time from " + Units.time(least) + " to " + Units.time(most));
+            throw invalidValue(key, "one time from " + Units.time(least) + " to " + Units.time(most));
         }
         return Math.round(range.low());
     }
 
-    public Range times(String key, Range fallback, long least, long most) {
-        return range(key, fallback, least, most,
+    public Range readMicrosRange(String key, Range fallback, long least, long most) {
+        return readRange(key, fallback, least, most,
             value -> value instanceof String text ? Units.micros(text) : Double.NaN,
             "a time such as \"250ms\", or two as [low, high], from " + Units.time(least) + " to "
             + Units.time(most));
     }
 
-    public long bytes(String key, long fallback, long least, long most) {
+    public long readBytes(String key, long fallback, long least, long most) {
         Object value = get(key);
         double bytes = value == null ? fallback : value instanceof String text ? Units.bytes(text)
             : Double.NaN;
         if (bytes >= least && bytes <= most) {
             return Math.round(bytes);
         }
-        throw wrong(key, "a size such as \"192MiB\", from " + least + " to " + most + " bytes");
+        throw invalidValue(key, "a size such as \"192MiB\", from " + least + " to " + most + " bytes");
     }
 
-    private Range range(String key, Range fallback, double least, double most, ToDoubleFunction<Object> read,
+    private Range readRange(String key, Range fallback, double least, double most, ToDoubleFunction<Object> read,
         String allowed) {
         Object value = get(key);
         if (value == null) {
@@ -226,7 +226,7 @@
         if (range.low() >= least && range.high() <= most && range.low() <= range.high()) {
             return range;
         }
-        throw wrong(key, allowed);
+        throw invalidValue(key, allowed);
     }
 
     private Object get(String key) {
@@ -236,7 +236,7 @@
     }
 
     /** Refuses what has not been read, as a misspelt key would otherwise be taken for its default. */
-    public void done() {
+    public void rejectUnknownKeys() {
         for (String key : table.keySet()) {
             if (!read.contains(key)) {
                 String near =
@@ -249,7 +249,7 @@
         }
     }
 
-    public SpecException wrong(String key, String allowed) {
+    public SpecException invalidValue(String key, String allowed) {
         return new SpecException(at(key) + path + key + " = " + shown(key) + ": allowed is " + allowed);
     }
 
--- a/lab/src/main/java/dockrelay/lab/world/DiscoveryService.java
+++ b/lab/src/main/java/dockrelay/lab/world/DiscoveryService.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.ObjectMapper;
-import dockrelay.lab.plan.Seeds;
+import dockrelay.lab.plan.RandomStreams;
 import dockrelay.lab.referee.Referee;
 import dockrelay.lab.spec.Experiment;
 import io.netty.buffer.Unpooled;
@@ -88,10 +88,10 @@
         this.loop = net.emulatorLoop();
         this.clock = clock;
         this.referee = referee;
-        this.random = Seeds.stream(seed, "discovery");
-        this.callCost = spec.callCost().draw(random);
-        this.lineCost = spec.lineCost().draw(random);
-        this.queue = new CallQueue(spec.timeout());
+        this.random = RandomStreams.stream(seed, "discovery");
+        this.callCost = spec.callServiceTime().draw(random);
+        this.lineCost = spec.entryServiceTime().draw(random);
+        this.queue = new CallQueue(spec.callTimeout());
         this.reachableSince = new long[askers];
         this.shown = new long[askers];
         this.lags = new long[askers];
@@ -102,7 +102,7 @@
             }
             views.add(view);
             shown[i] = version;
-            lags[i] = Math.round(spec.lag().draw(random));
+            lags[i] = Math.round(spec.propagationDelay().draw(random));
             listeners.add(listener(i));
         }
         net.links().watch(() -> loop.execute(this::settle));
@@ -167,7 +167,7 @@
 
     /** A node died: the list knows after a while. */
     void died(Node node) {
-        later(spec.noticeDeath().draw(random), () -> {
+        later(spec.deathDetectionDelay().draw(random), () -> {
             if (!node.up()) {
                 change(node, "left");
             }
@@ -176,7 +176,7 @@
 
     /** A node is there again: the list knows after a while. */
     void started(Node node) {
-        later(spec.noticeStart().draw(random), () -> {
+        later(spec.startDetectionDelay().draw(random), () -> {
             if (node.up()) {
                 change(node, "active");
             }
--- a/lab/src/main/java/dockrelay/lab/world/Emulator.java
+++ b/lab/src/main/java/dockrelay/lab/world/Emulator.java
@@ -33,7 +33,7 @@
         this.proxies = askers;
         for (Plan.Node node : plan.nodes()) {
             Node made = new Node(node, plan.seed(), askers, net, clock, referee,
-                experiment.nodes().connections().idle(), experiment.permissions().probes());
+                experiment.nodes().connections().idleTimeout(), experiment.permissions().probes());
             made.reserve();
             nodes.add(made);
         }
@@ -96,7 +96,7 @@
      */
     public void scheduleFault(Break fault, long zero) {
         at(zero + fault.at(), () -> begin(fault));
-        at(zero + fault.until(), () -> end(fault));
+        at(zero + fault.endAt(), () -> end(fault));
     }
 
     private void at(long when, Runnable action) {
--- a/lab/src/main/java/dockrelay/lab/world/EmulatorNetwork.java
+++ b/lab/src/main/java/dockrelay/lab/world/EmulatorNetwork.java
@@ -2,7 +2,7 @@
 
 import dockrelay.lab.link.LinkHandler;
 import dockrelay.lab.link.Links;
-import dockrelay.lab.plan.Seeds;
+import dockrelay.lab.plan.RandomStreams;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
@@ -69,7 +69,7 @@
         EventLoop loop = here.equals(CLIENTS) ? clientLoop() : emulatorLoop();
         return new LinkHandler(links, here, there, clock::nowMicros,
             (micros, action) -> schedule(loop, micros, action),
-            Seeds.stream(seed, here + " and " + there + " " + connections.incrementAndGet()));
+            RandomStreams.stream(seed, here + " and " + there + " " + connections.incrementAndGet()));
     }
 
     /** Nodes and discovery. */
--- a/lab/src/main/java/dockrelay/lab/world/FrontLoadBalancer.java
+++ b/lab/src/main/java/dockrelay/lab/world/FrontLoadBalancer.java
@@ -1,6 +1,6 @@
 package dockrelay.lab.world;
 
-import dockrelay.lab.plan.Seeds;
+import dockrelay.lab.plan.RandomStreams;
 import dockrelay.lab.spec.Experiment;
 import io.netty.buffer.Unpooled;
 import io.netty.bootstrap.Bootstrap;
@@ -59,8 +59,8 @@
         this.net = net;
         this.loop = net.clientLoop();
         this.clock = clock;
-        this.random = Seeds.stream(seed, "front");
-        this.notice = Math.round(spec.notice().draw(random));
+        this.random = RandomStreams.stream(seed, "front");
+        this.notice = Math.round(spec.proxyRemovalDelay().draw(random));
     }
 
     /** Asks all proxies from now on whether they can serve. */
--- a/lab/src/main/java/dockrelay/lab/world/Node.java
+++ b/lab/src/main/java/dockrelay/lab/world/Node.java
@@ -3,7 +3,7 @@
 import dockrelay.lab.plan.Plan;
 import dockrelay.lab.plan.Plan.Break;
 import dockrelay.lab.plan.Plan.Figures;
-import dockrelay.lab.plan.Seeds;
+import dockrelay.lab.plan.RandomStreams;
 import dockrelay.lab.referee.Attempt;
 import dockrelay.lab.referee.Referee;
 import dockrelay.lab.spec.Experiment.FaultKind;
@@ -81,7 +81,7 @@
         this.idleMillis = idle / 1000;
         this.probes = probes;
         this.askers = askers;
-        this.random = Seeds.stream(seed, "node " + plan.name());
+        this.random = RandomStreams.stream(seed, "node " + plan.name());
     }
 
     /** Takes connections from now on; cold where it was down before. */
--- a/lab/src/main/java/dockrelay/lab/world/OpenLoopClients.java
+++ b/lab/src/main/java/dockrelay/lab/world/OpenLoopClients.java
@@ -2,14 +2,14 @@
 
 import dockrelay.lab.plan.Plan;
 import dockrelay.lab.plan.Plan.Arrival;
-import dockrelay.lab.plan.Seeds;
+import dockrelay.lab.plan.RandomStreams;
 import dockrelay.lab.referee.Referee;
 import dockrelay.lab.referee.ClientRequest;
-import dockrelay.lab.report.Score;
-import dockrelay.lab.report.Score.End;
+import dockrelay.lab.report.OutcomeStatistics;
+import dockrelay.lab.report.OutcomeStatistics.Outcome;
 import dockrelay.lab.spec.Experiment;
-import dockrelay.lab.spec.Experiment.Effect;
-import dockrelay.lab.spec.Experiment.Scope;
+import dockrelay.lab.spec.Experiment.Idempotency;
+import dockrelay.lab.spec.Experiment.DedupScope;
 import dockrelay.lab.spec.Experiment.ServiceClass;
 import dockrelay.lab.starvation.LatenessRecorder;
 import io.netty.buffer.Unpooled;
@@ -41,13 +41,13 @@
     private final Clock clock;
     private final Referee referee;
     private final FrontLoadBalancer front;
-    private final Score score;
+    private final OutcomeStatistics score;
     private final LatenessRecorder lateness;
     private int next;
     private long zero;
     private int inHand;
 
-    public OpenLoopClients(Plan plan, EmulatorNetwork net, Clock clock, Referee referee, FrontLoadBalancer front, Score score,
+    public OpenLoopClients(Plan plan, EmulatorNetwork net, Clock clock, Referee referee, FrontLoadBalancer front, OutcomeStatistics score,
         LatenessRecorder lateness) {
         this.plan = plan;
         this.experiment = plan.experiment();
@@ -99,7 +99,7 @@
             this.arrival = arrival;
             this.type = experiment.classes().get(arrival.serviceClass());
             this.intended = zero + arrival.at();
-            this.random = Seeds.stream(arrival.salt(), "client");
+            this.random = RandomStreams.stream(arrival.salt(), "client");
             inHand++;
         }
 
@@ -112,16 +112,16 @@
             long left = intended + type.deadline() - now;
             long timeout = Math.min(left, Math.round(type.deadline() * arrival.tryShare()));
             if (timeout < LEAST) {
-                finish(End.FAILED, now - intended); // a wait ran out the time while it was late itself
+                finish(Outcome.FAILED, now - intended); // a wait ran out the time while it was late itself
                 return;
             }
             if (connection == null) {
                 tries++;
-                again(End.UNREACHABLE, true, 0);
+                again(Outcome.UNREACHABLE, true, 0);
                 return;
             }
-            boolean safe = type.effect() == Effect.IDEMPOTENT;
-            String id = HexFormat.of().toHexDigits(Seeds.number(arrival.salt(), "try " + tries));
+            boolean safe = type.idempotency() == Idempotency.IDEMPOTENT;
+            String id = HexFormat.of().toHexDigits(RandomStreams.deriveSeed(arrival.salt(), "try " + tries));
             String content = safe ? "" : "order " + id + " for " + type.name() + "\n";
             ClientRequest one = new ClientRequest(id, safe ? "GET" : "POST", "/" + type.name() + "/"
                 + (arrival.route().isEmpty() ? arrival.index() : arrival.route()),
@@ -129,7 +129,7 @@
             referee.requestSent(one, tries == 0);
             tries++;
             connection.send(this, one, message(one));
-            connection.deadline(net.schedule(loop, timeout + experiment.rules().answerSlack() + Referee.SOCKET_TOLERANCE_MICROS,
+            connection.deadline(net.schedule(loop, timeout + experiment.ruleLimits().responseSlack() + Referee.SOCKET_TOLERANCE_MICROS,
                 () -> connection.overdue(one)));
         }
 
@@ -152,7 +152,7 @@
 
         /** The proxy could not be reached at all: nothing was taken. */
         void unreachable() {
-            again(End.UNREACHABLE, true, 0);
+            again(Outcome.UNREACHABLE, true, 0);
         }
 
         /** The connection ended without a whole answer. A request that nobody read may go once more. */
@@ -166,13 +166,13 @@
             }
             referee.responseMissing(one, now, "the connection ended without a whole answer after "
                 + (now - one.sentAtMicros) / 1000 + " ms");
-            again(End.FAILED, false, 0);
+            again(Outcome.FAILED, false, 0);
         }
 
         /** No answer although the time and all slack are over. */
         void unanswered(ClientRequest one) {
             referee.responseMissing(one, clock.nowMicros(), "no answer within " + one.timeoutMicros / 1000 + " ms");
-            again(End.UNANSWERED, false, 0);
+            again(Outcome.UNANSWERED, false, 0);
         }
 
         void answered(ClientRequest one, FullHttpResponse response) {
@@ -180,9 +180,9 @@
             int status = response.status().code();
             referee.responseReceived(one, now, status, response.content().toString(StandardCharsets.UTF_8));
             if (status == 200) {
-                finish(now - intended <= type.aim() ? End.IN_TIME : now - intended <= type.deadline()
-                    ? End.LATE
-                    : End.FAILED, now - intended);
+                finish(now - intended <= type.latencyTarget() ? Outcome.IN_TIME : now - intended <= type.deadline()
+                    ? Outcome.LATE
+                    : Outcome.FAILED, now - intended);
                 return;
             }
             boolean refused = status == 429 || status == 503;
@@ -195,17 +195,17 @@
                     after = 0; // a date, say: clients here heed seconds
                 }
             }
-            again(refused ? End.REFUSED : End.FAILED, refused, after);
+            again(refused ? Outcome.REFUSED : Outcome.FAILED, refused, after);
         }
 
         /** Tries again where the client may and still has the time; else this was its end. */
-        private void again(End how, boolean harmless, double advice) {
+        private void again(Outcome how, boolean harmless, double advice) {
             long now = clock.nowMicros();
-            boolean may = harmless || type.effect() == Effect.IDEMPOTENT
-                || type.effect() == Effect.DEDUPLICATED && type.scope() == Scope.ALL
-                    && now - intended < type.window();
-            double wait = experiment.clients().backoff().draw(random) * (1 << Math.min(10, tries - 1));
-            if (random.nextDouble() < experiment.clients().honour()) {
+            boolean may = harmless || type.idempotency() == Idempotency.IDEMPOTENT
+                || type.idempotency() == Idempotency.DEDUPLICATED && type.dedupScope() == DedupScope.ALL
+                    && now - intended < type.dedupWindow();
+            double wait = experiment.clients().retryBackoff().draw(random) * (1 << Math.min(10, tries - 1));
+            if (random.nextDouble() < experiment.clients().honourRetryAfterProbability()) {
                 wait = Math.max(wait, advice);
             }
             if (may && tries <= arrival.retries() && now + wait < intended + type.deadline()) {
@@ -215,9 +215,9 @@
             }
         }
 
-        private void finish(End how, long latency) {
+        private void finish(Outcome how, long latency) {
             inHand--;
-            score.ended(arrival, how, latency, tries);
+            score.recordOutcome(arrival, how, latency, tries);
         }
     }
 }
--- a/lab/src/test/java/dockrelay/lab/RealBudgetsTest.java
+++ b/lab/src/test/java/dockrelay/lab/RealBudgetsTest.java
@@ -67,7 +67,7 @@
             at = "25s"
             victims = ["n0"]
             """.formatted(EXTRA));
-        Result result = JudgedPlay.of(() -> new LabRun(Plan.of(ExperimentReader.read(file), 3),
+        Result result = JudgedPlay.of(() -> new LabRun(Plan.generate(ExperimentReader.read(file), 3),
             Build.load(Path.of("..")), folder.resolve("out"), text -> { }).play());
         assertEquals(List.of(), result.broken);
         int keepers = 0;
--- a/lab/src/test/java/dockrelay/lab/RealGroupsTest.java
+++ b/lab/src/test/java/dockrelay/lab/RealGroupsTest.java
@@ -81,7 +81,7 @@
         // one that does not is void there.
         Result result = new Plays<Result>(Plays.MOST, played -> holds(played) ? null
             : played.rulesVoidBecause(), System.out::println).play(() -> new LabRun(
-            Plan.of(ExperimentReader.read(file), 3), Build.load(Path.of("..")), folder.resolve("out"),
+            Plan.generate(ExperimentReader.read(file), 3), Build.load(Path.of("..")), folder.resolve("out"),
             text -> { }).play());
         judge(result);
     }
--- a/lab/src/test/java/dockrelay/lab/RealMembersTest.java
+++ b/lab/src/test/java/dockrelay/lab/RealMembersTest.java
@@ -55,7 +55,7 @@
             at = "26s"
             victims = ["n0"]
             """);
-        Result result = JudgedPlay.of(() -> new LabRun(Plan.of(ExperimentReader.read(file), 3),
+        Result result = JudgedPlay.of(() -> new LabRun(Plan.generate(ExperimentReader.read(file), 3),
             Build.load(Path.of("..")), folder.resolve("out"), text -> { }).play());
         assertEquals(List.of(), result.broken);
         Map<?, ?> members = (Map<?, ?>) result.values().get("members");
--- a/lab/src/test/java/dockrelay/lab/RealProxiesTest.java
+++ b/lab/src/test/java/dockrelay/lab/RealProxiesTest.java
@@ -6,7 +6,7 @@
 import dockrelay.lab.plan.Plan;
 import dockrelay.lab.process.Build;
 import dockrelay.lab.report.Result;
-import dockrelay.lab.report.Score.End;
+import dockrelay.lab.report.OutcomeStatistics.Outcome;
 import dockrelay.lab.spec.ExperimentReader;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -66,11 +66,11 @@
             at = "3s"
             victims = ["n2"]
             """);
-        Result result = JudgedPlay.of(() -> new LabRun(Plan.of(ExperimentReader.read(file), 3),
+        Result result = JudgedPlay.of(() -> new LabRun(Plan.generate(ExperimentReader.read(file), 3),
             Build.load(Path.of("..")), folder.resolve("out"), text -> { }).play());
         result.write(folder.resolve("out"));
         assertEquals(List.of(), result.broken);
-        assertTrue(result.score.whole().count(End.IN_TIME) > result.score.whole().requests / 2,
+        assertTrue(result.score.whole().count(Outcome.IN_TIME) > result.score.whole().requests / 2,
             result.summary());
         assertTrue(Files.readString(folder.resolve("out/report.html")).contains("<title>Lab report</title>"));
         assertEquals(List.of(2, 1, 1), ((List<?>) result.values().get("proxies")).stream()
--- a/lab/src/test/java/dockrelay/lab/RefereeProofTest.java
+++ b/lab/src/test/java/dockrelay/lab/RefereeProofTest.java
@@ -95,7 +95,7 @@
         Build build = new Build(root, "FAULT=" + fault + " exec " + java
             + " -Xmx600m -XX:+UseSerialGC -XX:TieredStopAtLevel=1 -cp '"
             + System.getProperty("java.class.path") + "' dockrelay.lab.StandIn");
-        Result result = JudgedPlay.of(() -> new LabRun(Plan.of(ExperimentReader.read(file), 7), build,
+        Result result = JudgedPlay.of(() -> new LabRun(Plan.generate(ExperimentReader.read(file), 7), build,
             folder.resolve("out-" + fault), text -> { }).play());
         System.out.println(fault + ": " + ((Map<?, ?>) result.values().get("lab")).get("starvation"));
         return result.broken.stream().map(one -> one.rule()).collect(Collectors.toCollection(TreeSet::new));
--- a/lab/src/test/java/dockrelay/lab/link/LinkTest.java
+++ b/lab/src/test/java/dockrelay/lab/link/LinkTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dockrelay.lab.link.Passage.Mode;
-import dockrelay.lab.plan.Seeds;
+import dockrelay.lab.plan.RandomStreams;
 import dockrelay.lab.world.LoopbackAddresses;
 import dockrelay.lab.world.Clock;
 import dockrelay.lab.world.EmulatorNetwork;
@@ -27,7 +27,7 @@
     @Test
     void aStreamKeepsItsOrderAndDatagramsAreLostDoubledAndOvertakenAsOftenAsStated() {
         Passage passage = new Passage(Mode.OPEN, 10_000, 20_000, 0.1, 0.05, 0.2);
-        Courier courier = new Courier(Seeds.stream(1, "courier"));
+        Courier courier = new Courier(RandomStreams.stream(1, "courier"));
         long before = 0;
         for (long now = 0; now < 2_000_000; now += 1_000) {
             long at = courier.stream(now, passage);
--- a/lab/src/test/java/dockrelay/lab/scale/ScaleRunTest.java
+++ b/lab/src/test/java/dockrelay/lab/scale/ScaleRunTest.java
@@ -30,7 +30,7 @@
 
         @Override
         public ResourceEstimate estimate(ScaleSpec spec, int size) {
-            return new ResourceEstimate((long) size << 20, spec.roleSection().count("processes", 1, 1, 1000));
+            return new ResourceEstimate((long) size << 20, spec.roleSection().readCount("processes", 1, 1, 1000));
         }
 
         @Override
--- a/lab/src/test/java/dockrelay/lab/spec/ExperimentReaderTest.java
+++ b/lab/src/test/java/dockrelay/lab/spec/ExperimentReaderTest.java
@@ -20,7 +20,7 @@
 
     private String wrong(String text) throws IOException {
         Path file = Files.writeString(folder.resolve("one.toml"), "shows = \"x\"\n" + text);
-        String message = assertThrows(SpecException.class, () -> Plan.of(ExperimentReader.read(file), 1))
+        String message = assertThrows(SpecException.class, () -> Plan.generate(ExperimentReader.read(file), 1))
             .getMessage();
         assertEquals(1, message.lines().count(), message);
         return message.replace(folder + "/", "");
@@ -62,8 +62,8 @@
     @Test
     void theSameSeedGivesTheSamePlanAndAnotherSeedAnother() {
         Experiment experiment = ExperimentReader.read(Path.of("../experiments/steady.toml"));
-        assertEquals(Plan.of(experiment, 1).hash(), Plan.of(experiment, 1).hash());
-        assertNotEquals(Plan.of(experiment, 1).hash(), Plan.of(experiment, 2).hash());
+        assertEquals(Plan.generate(experiment, 1).hash(), Plan.generate(experiment, 1).hash());
+        assertNotEquals(Plan.generate(experiment, 1).hash(), Plan.generate(experiment, 2).hash());
     }
 
     @Test
@@ -71,7 +71,7 @@
         Files.writeString(folder.resolve("day.csv"), "# recorded\n0.5,slot-booking,70,port,k1\n1.25\n");
         Path file = Files.writeString(folder.resolve("trace.toml"),
             "shows = \"x\"\n[clients]\narrivals = \"trace\"\ntrace = \"day.csv\"\n");
-        List<Plan.Arrival> arrivals = Plan.of(ExperimentReader.read(file), 1).arrivals();
+        List<Plan.Arrival> arrivals = Plan.generate(ExperimentReader.read(file), 1).arrivals();
         assertEquals(2, arrivals.size());
         assertEquals(List.of(500_000L, 1, 70_000.0, "port", "k1"), List.of(arrivals.get(0).at(),
             arrivals.get(0).serviceClass(), arrivals.get(0).work(), arrivals.get(0).tenant(),
@@ -86,7 +86,7 @@
         try (Stream<Path> files = Files.list(Path.of("../experiments"))) {
             // The folder beside them holds scale runs, which are of another form.
             for (Path file : files.filter(Files::isRegularFile).toList()) {
-                Plan plan = Plan.of(ExperimentReader.read(file), 1);
+                Plan plan = Plan.generate(ExperimentReader.read(file), 1);
                 assertTrue(plan.arrivals().size() > 100, file.toString());
             }
         }
--- a/lab/src/test/java/dockrelay/lab/world/NodeModelTest.java
+++ b/lab/src/test/java/dockrelay/lab/world/NodeModelTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dockrelay.lab.plan.Plan.Figures;
-import dockrelay.lab.plan.Seeds;
+import dockrelay.lab.plan.RandomStreams;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -31,7 +31,7 @@
     @Test
     void whatIsDoneIsWhatWasGivenAndNoMoreThanTheCoresCan() {
         for (int seed = 0; seed < 300; seed++) {
-            RandomGenerator random = Seeds.stream(seed, "schedule");
+            RandomGenerator random = RandomStreams.stream(seed, "schedule");
             boolean cold = random.nextBoolean();
             NodeModel model = new NodeModel(figures(), 0, cold);
             Map<Long, double[]> open = new HashMap<>();
