--- a/lab/src/main/java/dockrelay/lab/link/BlackHole.java
+++ b/lab/src/main/java/dockrelay/lab/link/BlackHoleListener.java
@@ -13,28 +13,28 @@
  * filled by
  * connections of its own, so that the system drops what else knocks. Closed, it resets who was in the queue.
  */
-public final class BlackHole implements AutoCloseable {
-    private static final int ENOUGH = 8;
+public final class BlackHoleListener implements AutoCloseable {
+    private static final int FILLER_CONNECTIONS = 8;
 
     private final ServerSocketChannel listener;
-    private final List<SocketChannel> filling = new ArrayList<>();
+    private final List<SocketChannel> fillerConnections = new ArrayList<>();
 
-    public BlackHole(InetSocketAddress at) throws IOException {
+    public BlackHoleListener(InetSocketAddress address) throws IOException {
         listener = ServerSocketChannel.open();
         listener.setOption(StandardSocketOptions.SO_REUSEADDR, true);
-        listener.bind(at, 1);
-        for (int i = 0; i < ENOUGH; i++) {
-            SocketChannel one = SocketChannel.open();
-            one.configureBlocking(false);
-            one.connect(at); // over loopback it is up at once, or the queue is full
-            filling.add(one);
+        listener.bind(address, 1);
+        for (int i = 0; i < FILLER_CONNECTIONS; i++) {
+            SocketChannel connection = SocketChannel.open();
+            connection.configureBlocking(false);
+            connection.connect(address); // over loopback it is up at once, or the queue is full
+            fillerConnections.add(connection);
         }
     }
 
     @Override
     public void close() throws IOException {
-        for (SocketChannel one : filling) {
-            one.close();
+        for (SocketChannel connection : fillerConnections) {
+            connection.close();
         }
         listener.close();
     }
--- a/lab/src/main/java/dockrelay/lab/link/LinkHandler.java
+++ b/lab/src/main/java/dockrelay/lab/link/LinkHandler.java
@@ -14,157 +14,161 @@
 public final class LinkHandler extends ChannelDuplexHandler {
     /** Runs something on the connection's loop after so many microseconds. */
     public interface Timer {
-        void later(long micros, Runnable action);
+        void schedule(long delayMicros, Runnable action);
     }
 
     /**
      * After a silence, what the system has kept for us is held this long, to see whether the other side has
      * reset the connection meanwhile: the network it stands for would have had nothing to deliver then.
      */
-    private static final long MOMENT = 5_000;
+    private static final long RESET_DETECTION_MICROS = 5_000;
 
-    private final Links links;
-    private final String here, there;
+    private final LinkTable links;
+    private final String localEndpoint, remoteEndpoint;
     private final LongSupplier clock;
     private final Timer timer;
-    private final Lane in, out;
-    private final Runnable changed = this::changed;
-    private boolean wasSilent;
-    private long trustedFrom;
-    private ChannelHandlerContext context;
-
-    public LinkHandler(Links links, String here, String there, LongSupplier clock, Timer timer,
+    private final Direction inbound, outbound;
+    private final Runnable linkListener = this::onLinkChange;
+    private boolean inboundWasSilent;
+    private long holdUntil;
+    private ChannelHandlerContext handlerContext;
+
+    public LinkHandler(LinkTable links, String localEndpoint, String remoteEndpoint, LongSupplier clock,
+        Timer timer,
                        RandomGenerator random) {
         this.links = links;
-        this.here = here;
-        this.there = there;
+        this.localEndpoint = localEndpoint;
+        this.remoteEndpoint = remoteEndpoint;
         this.clock = clock;
         this.timer = timer;
-        this.in = new Lane(there, here, new Courier(random));
-        this.out = new Lane(here, there, new Courier(random));
+        this.inbound = new Direction(remoteEndpoint, localEndpoint, new LinkDelayModel(random));
+        this.outbound = new Direction(localEndpoint, remoteEndpoint, new LinkDelayModel(random));
     }
 
     /**
      * One direction: what waits in it, each with when it arrives. Silent, all of it waits for the network.
      */
-    private final class Lane {
-        private final String from, to;
-        private final Courier courier;
-        private final Deque<Runnable> waiting = new ArrayDeque<>();
-        private final Deque<Long> due = new ArrayDeque<>();
-        private boolean timed;
-
-        Lane(String from, String to, Courier courier) {
-            this.from = from;
-            this.to = to;
-            this.courier = courier;
+    private final class Direction {
+        private final String sender, receiver;
+        private final LinkDelayModel delayModel;
+        private final Deque<Runnable> pending = new ArrayDeque<>();
+        private final Deque<Long> arrivalTimes = new ArrayDeque<>();
+        private boolean timerPending;
+
+        Direction(String sender, String receiver, LinkDelayModel delayModel) {
+            this.sender = sender;
+            this.receiver = receiver;
+            this.delayModel = delayModel;
         }
 
-        void pass(Runnable action, long trusted) {
-            Passage passage = links.between(from, to);
-            if (waiting.isEmpty() && passage.plain() && trusted <= clock.getAsLong()) {
+        void send(Runnable action, long notBefore) {
+            Passage conditions = links.conditionsBetween(sender, receiver);
+            if (pending.isEmpty() && conditions.isUnimpaired() && notBefore <= clock.getAsLong()) {
                 action.run();
                 return;
             }
-            waiting.add(action);
-            due.add(Math.max(trusted, courier.stream(clock.getAsLong(), passage)));
-            go();
+            pending.add(action);
+            arrivalTimes.add(Math.max(notBefore, delayModel.streamArrival(clock.getAsLong(), conditions)));
+            deliverDue();
         }
 
-        void go() {
+        void deliverDue() {
             long now = clock.getAsLong();
-            while (!waiting.isEmpty() && due.peek() <= now && links.between(from, to).mode() == Mode.OPEN) {
-                due.poll();
-                waiting.poll().run();
+            while (!pending.isEmpty() && arrivalTimes.peek() <= now && links.conditionsBetween(sender,
+                receiver).mode() == Mode.OPEN) {
+                arrivalTimes.poll();
+                pending.poll().run();
             }
-            if (!waiting.isEmpty() && !timed && links.between(from, to).mode() == Mode.OPEN) {
-                timed = true;
-                timer.later(due.peek() - now, () -> {
-                    timed = false;
-                    go();
+            if (!pending.isEmpty() && !timerPending && links.conditionsBetween(sender, receiver)
+                .mode() == Mode.OPEN) {
+                timerPending = true;
+                timer.schedule(arrivalTimes.peek() - now, () -> {
+                    timerPending = false;
+                    deliverDue();
                 });
             }
         }
     }
 
     @Override
-    public void handlerAdded(ChannelHandlerContext added) {
-        context = added;
-        links.watch(changed);
-        if (added.channel().isActive()) {
-            apply();
+    public void handlerAdded(ChannelHandlerContext context) {
+        handlerContext = context;
+        links.addListener(linkListener);
+        if (context.channel().isActive()) {
+            applyLinkMode();
         }
     }
 
     @Override
-    public void channelActive(ChannelHandlerContext active) throws Exception {
-        apply();
-        super.channelActive(active);
+    public void channelActive(ChannelHandlerContext context) throws Exception {
+        applyLinkMode();
+        super.channelActive(context);
     }
 
     @Override
-    public void channelInactive(ChannelHandlerContext gone) throws Exception {
-        links.forget(changed);
-        while (!in.waiting.isEmpty()) {
-            in.waiting.poll().run(); // ended in order: what was sent before the end arrives before it
+    public void channelInactive(ChannelHandlerContext context) throws Exception {
+        links.removeListener(linkListener);
+        while (!inbound.pending.isEmpty()) {
+            inbound.pending.poll().run(); // ended in order: what was sent before the end arrives before it
         }
-        out.waiting.clear();
-        super.channelInactive(gone);
+        outbound.pending.clear();
+        super.channelInactive(context);
     }
 
-    private void changed() {
-        context.executor().execute(() -> {
-            if (context.channel().isActive()) {
-                apply();
-                in.go();
-                out.go();
+    private void onLinkChange() {
+        handlerContext.executor().execute(() -> {
+            if (handlerContext.channel().isActive()) {
+                applyLinkMode();
+                inbound.deliverDue();
+                outbound.deliverDue();
             }
         });
     }
 
     /** A connection across a silent direction hears nothing; across a reset one it ends. */
-    private void apply() {
-        Mode inward = links.between(there, here).mode(), outward = links.between(here, there).mode();
-        if (inward == Mode.RESET || outward == Mode.RESET) {
-            context.channel().config().setOption(ChannelOption.SO_LINGER, 0);
-            context.close();
+    private void applyLinkMode() {
+        Mode inboundMode = links.conditionsBetween(remoteEndpoint, localEndpoint).mode(), outboundMode =
+            links.conditionsBetween(localEndpoint, remoteEndpoint).mode();
+        if (inboundMode == Mode.RESET || outboundMode == Mode.RESET) {
+            handlerContext.channel().config().setOption(ChannelOption.SO_LINGER, 0);
+            handlerContext.close();
         } else {
-            if (wasSilent && inward == Mode.OPEN) {
-                trustedFrom = clock.getAsLong() + MOMENT;
+            if (inboundWasSilent && inboundMode == Mode.OPEN) {
+                holdUntil = clock.getAsLong() + RESET_DETECTION_MICROS;
             }
-            wasSilent = inward == Mode.SILENT;
-            context.channel().config().setAutoRead(inward == Mode.OPEN);
+            inboundWasSilent = inboundMode == Mode.SILENT;
+            handlerContext.channel().config().setAutoRead(inboundMode == Mode.OPEN);
         }
     }
 
     /** Reset: what was sent into the silence before that would have been dropped with the sender's queue. */
     @Override
-    public void exceptionCaught(ChannelHandlerContext from, Throwable cause) {
-        if (clock.getAsLong() <= trustedFrom) {
-            in.waiting.clear();
+    public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
+        if (clock.getAsLong() <= holdUntil) {
+            inbound.pending.clear();
         }
-        from.fireExceptionCaught(cause);
+        context.fireExceptionCaught(cause);
     }
 
     @Override
-    public void channelRead(ChannelHandlerContext from, Object message) {
-        in.pass(() -> {
-            from.fireChannelRead(message);
-            from.fireChannelReadComplete();
-        }, trustedFrom);
+    public void channelRead(ChannelHandlerContext context, Object message) {
+        inbound.send(() -> {
+            context.fireChannelRead(message);
+            context.fireChannelReadComplete();
+        }, holdUntil);
     }
 
     @Override
-    public void write(ChannelHandlerContext to, Object message, ChannelPromise promise) {
-        out.pass(() -> to.writeAndFlush(message, promise), 0);
+    public void write(ChannelHandlerContext context, Object message, ChannelPromise promise) {
+        outbound.send(() -> context.writeAndFlush(message, promise), 0);
     }
 
     @Override
-    public void close(ChannelHandlerContext to, ChannelPromise promise) {
-        if (out.waiting.isEmpty()) {
-            to.close(promise);
+    public void close(ChannelHandlerContext context, ChannelPromise promise) {
+        if (outbound.pending.isEmpty()) {
+            context.close(promise);
         } else {
-            out.pass(() -> to.close(promise), 0); // the end comes after what was written before it
+            outbound.send(() -> context.close(promise), 0); // the end comes after what was written before it
         }
     }
 }
--- a/lab/src/main/java/dockrelay/lab/link/Passage.java
+++ b/lab/src/main/java/dockrelay/lab/link/Passage.java
@@ -11,20 +11,21 @@
      */
     public enum Mode { OPEN, SILENT, RESET }
 
-    public static final Passage PLAIN = new Passage(Mode.OPEN, 0, 0, 0, 0, 0);
+    public static final Passage UNIMPAIRED = new Passage(Mode.OPEN, 0, 0, 0, 0, 0);
 
     /** Both at once: the worse way of the two, delays one after the other. */
-    Passage and(Passage other) {
+    Passage combine(Passage other) {
         return new Passage(mode.compareTo(other.mode) >= 0 ? mode : other.mode, delay + other.delay,
-            jitter + other.jitter, either(loss, other.loss), either(duplicate, other.duplicate),
-            either(reorder, other.reorder));
+            jitter + other.jitter, eitherProbability(loss, other.loss),
+                eitherProbability(duplicate, other.duplicate),
+            eitherProbability(reorder, other.reorder));
     }
 
-    private static double either(double a, double b) {
+    private static double eitherProbability(double a, double b) {
         return 1 - (1 - a) * (1 - b);
     }
 
-    boolean plain() {
-        return equals(PLAIN);
+    boolean isUnimpaired() {
+        return equals(UNIMPAIRED);
     }
 }
--- a/lab/src/main/java/dockrelay/lab/link/Relay.java
+++ b/lab/src/main/java/dockrelay/lab/link/Relay.java
@@ -29,49 +29,52 @@
  */
 public final class Relay implements AutoCloseable {
     private final EventLoop loop;
-    private final Links links;
+    private final LinkTable links;
     private final LongSupplier clock;
     private final LinkHandler.Timer timer;
-    private final Side a, b;
-    private final AtomicLong passed = new AtomicLong(), bytes = new AtomicLong();
+    private final RelayedPeer peerA, peerB;
+    private final AtomicLong forwardedDatagrams = new AtomicLong(), forwardedBytes = new AtomicLong();
 
     /** One of the two: where it really is, and where the other one is for it. */
-    private final class Side {
+    private final class RelayedPeer {
         final String name;
-        final InetSocketAddress real;
-        Channel datagrams, streams;
-        Courier courier;
+        final InetSocketAddress realAddress;
+        Channel datagramChannel, streamListener;
+        LinkDelayModel delayModel;
 
-        Side(String name, InetSocketAddress real, Courier courier) {
+        RelayedPeer(String name, InetSocketAddress realAddress, LinkDelayModel delayModel) {
             this.name = name;
-            this.real = real;
-            this.courier = courier;
+            this.realAddress = realAddress;
+            this.delayModel = delayModel;
         }
     }
 
     /**
      * Party a, really at {@code realA}, reaches b at a port of {@code forA}; likewise the other way round.
      */
-    public Relay(String nameA, InetSocketAddress realA, String forA, String nameB, InetSocketAddress realB,
-        String forB,
-                 EventLoop loop, Links links, LongSupplier clock, LinkHandler.Timer timer, long seed) {
+    public Relay(String nameA, InetSocketAddress realAddressA, String hostForA, String nameB,
+        InetSocketAddress realAddressB,
+        String hostForB,
+                 EventLoop loop, LinkTable links, LongSupplier clock, LinkHandler.Timer timer, long seed) {
         this.loop = loop;
         this.links = links;
         this.clock = clock;
         this.timer = timer;
-        a = new Side(nameA, realA, new Courier(RandomStreams.stream(seed, nameA + " to " + nameB)));
-        b = new Side(nameB, realB, new Courier(RandomStreams.stream(seed, nameB + " to " + nameA)));
-        listen(a, b, forA);
-        listen(b, a, forB);
+        peerA = new RelayedPeer(nameA, realAddressA,
+            new LinkDelayModel(RandomStreams.stream(seed, nameA + " to " + nameB)));
+        peerB = new RelayedPeer(nameB, realAddressB,
+            new LinkDelayModel(RandomStreams.stream(seed, nameB + " to " + nameA)));
+        listen(peerA, peerB, hostForA);
+        listen(peerB, peerA, hostForB);
     }
 
-    private void listen(Side from, Side to, String host) {
-        from.datagrams = new Bootstrap().group(loop).channel(NioDatagramChannel.class)
+    private void listen(RelayedPeer from, RelayedPeer to, String host) {
+        from.datagramChannel = new Bootstrap().group(loop).channel(NioDatagramChannel.class)
             .handler(new SimpleChannelInboundHandler<DatagramPacket>() {
                 @Override
                 protected void channelRead0(ChannelHandlerContext context, DatagramPacket packet) {
-                    if (packet.sender().equals(from.real)) {
-                        pass(from, to, packet.content());
+                    if (packet.sender().equals(from.realAddress)) {
+                        forwardDatagram(from, to, packet.content());
                     }
                 }
 
@@ -80,99 +83,101 @@
                     // A peer that is down refuses datagrams: that is what it is to look like.
                 }
             }).bind(new InetSocketAddress(host, 0)).syncUninterruptibly().channel();
-        InetSocketAddress address = (InetSocketAddress) from.datagrams.localAddress();
-        from.streams = new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
+        InetSocketAddress address = (InetSocketAddress) from.datagramChannel.localAddress();
+        from.streamListener = new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
             .option(ChannelOption.SO_REUSEADDR, true).childOption(ChannelOption.TCP_NODELAY, true)
             .childOption(ChannelOption.AUTO_READ, false).childHandler(new ChannelInitializer<>() {
                 @Override
                 protected void initChannel(Channel channel) {
-                    join(channel, from, to);
+                    connectStream(channel, from, to);
                 }
             }).bind(address).syncUninterruptibly().channel();
     }
 
-    private void pass(Side from, Side to, ByteBuf content) {
+    private void forwardDatagram(RelayedPeer from, RelayedPeer to, ByteBuf content) {
         long now = clock.getAsLong();
-        Passage passage = links.between(from.name, to.name);
-        for (long at : from.courier.datagram(now, passage)) {
-            passed.incrementAndGet();
-            bytes.addAndGet(content.readableBytes());
+        Passage conditions = links.conditionsBetween(from.name, to.name);
+        for (long arrival : from.delayModel.datagramArrivals(now, conditions)) {
+            forwardedDatagrams.incrementAndGet();
+            forwardedBytes.addAndGet(content.readableBytes());
             ByteBuf copy = content.retainedDuplicate();
-            Runnable send = () -> to.datagrams.writeAndFlush(new DatagramPacket(copy, to.real));
-            if (at <= now) {
+            Runnable send = () -> to.datagramChannel.writeAndFlush(new DatagramPacket(copy, to.realAddress));
+            if (arrival <= now) {
                 send.run();
             } else {
-                timer.later(at - now, send);
+                timer.schedule(arrival - now, send);
             }
         }
     }
 
     /** Carries a stream on to the other one, from the address at which that one knows this one. */
-    private void join(Channel near, Side from, Side to) {
+    private void connectStream(Channel accepted, RelayedPeer from, RelayedPeer to) {
         InetSocketAddress source = new InetSocketAddress(
-            ((InetSocketAddress) to.datagrams.localAddress()).getAddress(), 0);
+            ((InetSocketAddress) to.datagramChannel.localAddress()).getAddress(), 0);
         new Bootstrap().group(loop).channel(NioSocketChannel.class).option(ChannelOption.TCP_NODELAY, true)
             .option(ChannelOption.AUTO_READ, false).handler(new ChannelInboundHandlerAdapter())
-            .connect(to.real, source).addListener((ChannelFutureListener) done -> {
-                if (!done.isSuccess() || !links.connects(from.name, to.name)) {
-                    near.config().setOption(ChannelOption.SO_LINGER, 0);
-                    near.close();
-                    done.channel().close();
+            .connect(to.realAddress, source).addListener((ChannelFutureListener) connectFuture -> {
+                if (!connectFuture.isSuccess() || !links.canConnect(from.name, to.name)) {
+                    accepted.config().setOption(ChannelOption.SO_LINGER, 0);
+                    accepted.close();
+                    connectFuture.channel().close();
                     return;
                 }
-                Channel far = done.channel();
+                Channel outgoing = connectFuture.channel();
                 // The network lies on the near half; the far one only passes on.
-                far.pipeline().addLast(new Pump(near));
-                near.pipeline().addLast(link(from.name, to.name), new Pump(far));
-                far.config().setAutoRead(true);
+                outgoing.pipeline().addLast(new StreamForwarder(accepted));
+                accepted.pipeline().addLast(newLinkHandler(from.name, to.name),
+                    new StreamForwarder(outgoing));
+                outgoing.config().setAutoRead(true);
             });
     }
 
-    private LinkHandler link(String there, String here) {
-        return new LinkHandler(links, here, there, clock, timer, RandomStreams.stream(passed.get(), there + here));
+    private LinkHandler newLinkHandler(String remoteEndpoint, String localEndpoint) {
+        return new LinkHandler(links, localEndpoint, remoteEndpoint, clock, timer,
+            RandomStreams.stream(forwardedDatagrams.get(), remoteEndpoint + localEndpoint));
     }
 
     /** Where the first reaches the second. */
     public InetSocketAddress peerAddressForA() {
-        return (InetSocketAddress) a.datagrams.localAddress();
+        return (InetSocketAddress) peerA.datagramChannel.localAddress();
     }
 
     public InetSocketAddress peerAddressForB() {
-        return (InetSocketAddress) b.datagrams.localAddress();
+        return (InetSocketAddress) peerB.datagramChannel.localAddress();
     }
 
     /** Datagrams that have passed, in both directions. */
     public long forwardedDatagrams() {
-        return passed.get();
+        return forwardedDatagrams.get();
     }
 
     public long forwardedBytes() {
-        return bytes.get();
+        return forwardedBytes.get();
     }
 
     @Override
     public void close() {
-        for (Side side : new Side[] {a, b}) {
-            side.datagrams.close();
-            side.streams.close();
+        for (RelayedPeer peer : new RelayedPeer[] {peerA, peerB}) {
+            peer.datagramChannel.close();
+            peer.streamListener.close();
         }
     }
 
-    private static final class Pump extends ChannelInboundHandlerAdapter {
-        private final Channel to;
+    private static final class StreamForwarder extends ChannelInboundHandlerAdapter {
+        private final Channel destination;
 
-        Pump(Channel to) {
-            this.to = to;
+        StreamForwarder(Channel destination) {
+            this.destination = destination;
         }
 
         @Override
         public void channelRead(ChannelHandlerContext context, Object message) {
-            to.writeAndFlush(message);
+            destination.writeAndFlush(message);
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            to.close();
+            destination.close();
         }
 
         @Override
--- a/lab/src/main/java/dockrelay/lab/world/CallQueue.java
+++ b/lab/src/main/java/dockrelay/lab/world/CallQueue.java
@@ -6,21 +6,22 @@
  * in microseconds.
  */
 final class CallQueue {
-    private final long maxWait;
-    private long busyUntil;
+    private final long maxWaitMicros;
+    private long busyUntilMicros;
 
-    CallQueue(long maxWait) {
-        this.maxWait = maxWait;
+    CallQueue(long maxWaitMicros) {
+        this.maxWaitMicros = maxWaitMicros;
     }
 
     /** What becomes of a call: in how long it is answered, or fails. */
-    record Turn(long after, boolean served) {
+    record CallOutcome(long delayMicros, boolean served) {
     }
 
     /** Takes in a call that takes discovery so long once its turn has come. */
-    Turn take(long now, long cost) {
-        long wait = Math.max(0, busyUntil - now);
-        busyUntil = now + wait + cost;
-        return wait > maxWait ? new Turn(maxWait, false) : new Turn(wait + cost, true);
+    CallOutcome enqueue(long now, long serviceMicros) {
+        long waitMicros = Math.max(0, busyUntilMicros - now);
+        busyUntilMicros = now + waitMicros + serviceMicros;
+        return waitMicros > maxWaitMicros ? new CallOutcome(maxWaitMicros, false)
+            : new CallOutcome(waitMicros + serviceMicros, true);
     }
 }
--- a/lab/src/main/java/dockrelay/lab/world/ClientConnection.java
+++ b/lab/src/main/java/dockrelay/lab/world/ClientConnection.java
@@ -11,78 +11,78 @@
 
 /** A client's connection to a proxy; one request is on it at a time. */
 final class ClientConnection extends SimpleChannelInboundHandler<FullHttpResponse> {
-    private final FrontLoadBalancer front;
+    private final FrontLoadBalancer loadBalancer;
     private final int proxy;
-    private ChannelFuture opening;
-    private OpenLoopClients.Request request;
-    private ClientRequest one;
-    private Future<?> deadline;
-    private boolean reused, ended;
+    private ChannelFuture connectFuture;
+    private OpenLoopClients.PlannedRequest request;
+    private ClientRequest currentTry;
+    private Future<?> deadlineTimer;
+    private boolean reused, closing;
 
-    ClientConnection(FrontLoadBalancer front, int proxy) {
-        this.front = front;
+    ClientConnection(FrontLoadBalancer loadBalancer, int proxy) {
+        this.loadBalancer = loadBalancer;
         this.proxy = proxy;
     }
 
-    void opening(ChannelFuture future) {
-        this.opening = future;
+    void setConnectFuture(ChannelFuture future) {
+        this.connectFuture = future;
     }
 
     int proxy() {
         return proxy;
     }
 
-    boolean usable() {
-        return !ended && opening.channel().isActive();
+    boolean isUsable() {
+        return !closing && connectFuture.channel().isActive();
     }
 
-    void end() {
-        ended = true;
-        opening.channel().close();
+    void close() {
+        closing = true;
+        connectFuture.channel().close();
     }
 
-    void deadline(Future<?> timer) {
-        deadline = timer;
+    void setDeadlineTimer(Future<?> timer) {
+        deadlineTimer = timer;
     }
 
-    void send(OpenLoopClients.Request of, ClientRequest sent, FullHttpRequest message) {
-        request = of;
-        one = sent;
-        if (opening.channel().isActive()) {
-            opening.channel().writeAndFlush(message);
+    void send(OpenLoopClients.PlannedRequest newRequest, ClientRequest newTry, FullHttpRequest message) {
+        request = newRequest;
+        currentTry = newTry;
+        if (connectFuture.channel().isActive()) {
+            connectFuture.channel().writeAndFlush(message);
             return;
         }
-        opening.addListener(future -> {
+        connectFuture.addListener(future -> {
             if (future.isSuccess()) {
-                opening.channel().writeAndFlush(message);
+                connectFuture.channel().writeAndFlush(message);
             } else {
                 message.release();
-                ended = true;
-                OpenLoopClients.Request waiting = take();
-                if (waiting != null) {
-                    waiting.unreachable();
+                closing = true;
+                OpenLoopClients.PlannedRequest pendingRequest = detachRequest();
+                if (pendingRequest != null) {
+                    pendingRequest.onUnreachable();
                 }
             }
         });
     }
 
     /** The request that it carried, which it has no more to do with. */
-    private OpenLoopClients.Request take() {
-        OpenLoopClients.Request carried = request;
+    private OpenLoopClients.PlannedRequest detachRequest() {
+        OpenLoopClients.PlannedRequest carriedRequest = request;
         request = null;
-        if (deadline != null) {
-            deadline.cancel(false);
-            deadline = null;
+        if (deadlineTimer != null) {
+            deadlineTimer.cancel(false);
+            deadlineTimer = null;
         }
-        return carried;
+        return carriedRequest;
     }
 
-    void overdue(ClientRequest which) {
-        if (request != null && one == which) {
-            OpenLoopClients.Request carried = take();
-            ended = true;
-            opening.channel().close();
-            carried.unanswered(which);
+    void onDeadline(ClientRequest overdueTry) {
+        if (request != null && currentTry == overdueTry) {
+            OpenLoopClients.PlannedRequest carriedRequest = detachRequest();
+            closing = true;
+            connectFuture.channel().close();
+            carriedRequest.onTimeout(overdueTry);
         }
     }
 
@@ -92,29 +92,29 @@
             context.close(); // an answer that nobody asked for
             return;
         }
-        ClientRequest answered = one;
-        OpenLoopClients.Request carried = take();
+        ClientRequest answeredTry = currentTry;
+        OpenLoopClients.PlannedRequest carriedRequest = detachRequest();
         if (HttpUtil.isKeepAlive(response) && response.decoderResult().isSuccess()) {
             reused = true;
-            front.rest(this);
+            loadBalancer.release(this);
         } else {
-            ended = true;
+            closing = true;
             context.close();
         }
         if (response.decoderResult().isSuccess()) {
-            carried.answered(answered, response);
+            carriedRequest.onResponse(answeredTry, response);
         } else {
-            carried.broke(answered, false);
+            carriedRequest.onConnectionClosed(answeredTry, false);
         }
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-        ended = true;
-        front.closed(this);
+        closing = true;
+        loadBalancer.onClosed(this);
         if (request != null) {
-            ClientRequest broken = one;
-            take().broke(broken, reused);
+            ClientRequest brokenTry = currentTry;
+            detachRequest().onConnectionClosed(brokenTry, reused);
         }
     }
 
--- a/lab/src/main/java/dockrelay/lab/world/Clock.java
+++ b/lab/src/main/java/dockrelay/lab/world/Clock.java
@@ -2,15 +2,15 @@
 
 /** The world's time: microseconds from its making, on the steady clock, and what the wall clock says then. */
 public final class Clock {
-    private final long start = System.nanoTime();
-    private final long wallMillis = System.currentTimeMillis();
+    private final long startNanos = System.nanoTime();
+    private final long startUnixMillis = System.currentTimeMillis();
 
     public long nowMicros() {
-        return (System.nanoTime() - start) / 1000;
+        return (System.nanoTime() - startNanos) / 1000;
     }
 
     /** Unix time in milliseconds at that moment. */
-    public long unixMillis(long at) {
-        return wallMillis + at / 1000;
+    public long unixMillis(long micros) {
+        return startUnixMillis + micros / 1000;
     }
 }
--- a/lab/src/main/java/dockrelay/lab/world/DiscoveryService.java
+++ b/lab/src/main/java/dockrelay/lab/world/DiscoveryService.java
@@ -39,282 +39,289 @@
  * The one discovery: whole lists and watches, calls one after another, late news. One loop's thread owns it.
  */
 public final class DiscoveryService {
-    private static final String NAME = "discovery";
-    private static final long ALIVE_MILLIS = 2_000;
+    private static final String ENDPOINT = "discovery";
+    private static final long KEEP_ALIVE_MILLIS = 2_000;
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final int LONGEST = 64 << 10;
+    private static final int MAX_REQUEST_BYTES = 64 << 10;
     /** What discovery has counts as known so long after it could be reached, whether it was asked or not. */
-    private static final long KNOWN_AFTER = 6_000_000;
+    private static final long INFORMED_AFTER_MICROS = 6_000_000;
     private static final long UNREACHABLE = Long.MAX_VALUE;
-    private static final long REACHABLE_CHECK = 100_000;
+    private static final long REACHABILITY_CHECK_MICROS = 100_000;
 
-    private record Entry(Node node, String state, long startedMillis, long version) {
+    private record ListEntry(EmulatedBackend backend, String state, long startedMillis, long version) {
     }
 
     private static final class Watch {
         final Channel channel;
-        final int asker;
+        final int proxy;
         long version;
 
-        Watch(Channel channel, int asker, long version) {
+        Watch(Channel channel, int proxy, long version) {
             this.channel = channel;
-            this.asker = asker;
+            this.proxy = proxy;
             this.version = version;
         }
     }
 
-    private final EmulatorNetwork net;
+    private final EmulatorNetwork network;
     private final EventLoop loop;
     private final Clock clock;
     private final Referee referee;
     /** The list as each proxy is shown it: some are shown changes later than others. */
-    private final List<List<Entry>> views = new ArrayList<>();
-    private final long[] shown, lags;
+    private final List<List<ListEntry>> views = new ArrayList<>();
+    private final long[] visibleVersions, propagationDelays;
     private final List<Watch> watches = new ArrayList<>();
-    private final List<Channel> open = new ArrayList<>();
+    private final List<Channel> connections = new ArrayList<>();
     private final List<Listener> listeners = new ArrayList<>();
     private final RandomGenerator random;
-    private final double callCost, lineCost;
+    private final double callServiceMicros, entryServiceMicros;
     private final Experiment.Discovery spec;
     private final CallQueue queue;
     private final long[] reachableSince; // by each proxy; UNREACHABLE while it is not
-    private long version = 1, lines;
-    private boolean down;
+    private long version = 1, entriesSent;
+    private boolean inOutage;
 
-    DiscoveryService(Experiment.Discovery spec, long seed, int askers, List<Node> nodes, EmulatorNetwork net, Clock clock,
+    DiscoveryService(Experiment.Discovery spec, long seed, int proxyCount, List<EmulatedBackend> backends,
+        EmulatorNetwork network, Clock clock,
         Referee referee) {
         this.spec = spec;
-        this.net = net;
-        this.loop = net.emulatorLoop();
+        this.network = network;
+        this.loop = network.emulatorLoop();
         this.clock = clock;
         this.referee = referee;
         this.random = RandomStreams.stream(seed, "discovery");
-        this.callCost = spec.callServiceTime().draw(random);
-        this.lineCost = spec.entryServiceTime().draw(random);
+        this.callServiceMicros = spec.callServiceTime().draw(random);
+        this.entryServiceMicros = spec.entryServiceTime().draw(random);
         this.queue = new CallQueue(spec.callTimeout());
-        this.reachableSince = new long[askers];
-        this.shown = new long[askers];
-        this.lags = new long[askers];
-        for (int i = 0; i < askers; i++) {
-            List<Entry> view = new ArrayList<>();
-            for (Node node : nodes) {
-                view.add(new Entry(node, "active", 0, version));
+        this.reachableSince = new long[proxyCount];
+        this.visibleVersions = new long[proxyCount];
+        this.propagationDelays = new long[proxyCount];
+        for (int i = 0; i < proxyCount; i++) {
+            List<ListEntry> view = new ArrayList<>();
+            for (EmulatedBackend backend : backends) {
+                view.add(new ListEntry(backend, "active", 0, version));
             }
             views.add(view);
-            shown[i] = version;
-            lags[i] = Math.round(spec.propagationDelay().draw(random));
-            listeners.add(listener(i));
+            visibleVersions[i] = version;
+            propagationDelays[i] = Math.round(spec.propagationDelay().draw(random));
+            listeners.add(newListener(i));
         }
-        net.links().watch(() -> loop.execute(this::settle));
-        loop.scheduleWithFixedDelay(this::alive, ALIVE_MILLIS, ALIVE_MILLIS, TimeUnit.MILLISECONDS);
+        network.links().addListener(() -> loop.execute(this::updateListeners));
+        loop.scheduleWithFixedDelay(this::sendKeepAlives, KEEP_ALIVE_MILLIS, KEEP_ALIVE_MILLIS,
+            TimeUnit.MILLISECONDS);
     }
 
-    private Listener listener(int asker) {
-        return new Listener(net, loop, LoopbackAddresses.discoveryAddress(asker), () -> new ChannelHandler[] {
-            net.link(NAME, "n" + asker, clock), new HttpServerCodec(), new HttpObjectAggregator(LONGEST),
-            new Call(asker)});
+    private Listener newListener(int proxy) {
+        return new Listener(network, loop, LoopbackAddresses.discoveryAddress(proxy), () ->
+            new ChannelHandler[] {
+            network.newLinkHandler(ENDPOINT, "n" + proxy, clock), new HttpServerCodec(),
+                new HttpObjectAggregator(MAX_REQUEST_BYTES),
+            new CallHandler(proxy)});
     }
 
     /** Moves to new addresses; the old ones refuse from then on. Not to be called on the loop. */
     void move() {
-        List<Listener> next = new ArrayList<>();
+        List<Listener> newListeners = new ArrayList<>();
         for (int i = 0; i < listeners.size(); i++) {
-            next.add(listener(i));
+            newListeners.add(newListener(i));
         }
         loop.submit(() -> {
-            listeners.forEach(listener -> listener.state(Listener.State.REFUSING));
+            listeners.forEach(listener -> listener.setState(Listener.State.REFUSING));
             listeners.clear();
-            listeners.addAll(next);
-            Arrays.fill(reachableSince, down ? UNREACHABLE : clock.nowMicros());
-            new ArrayList<>(open).forEach(Channel::close);
+            listeners.addAll(newListeners);
+            Arrays.fill(reachableSince, inOutage ? UNREACHABLE : clock.nowMicros());
+            new ArrayList<>(connections).forEach(Channel::close);
         }).syncUninterruptibly();
     }
 
-    private void settle() {
+    private void updateListeners() {
         for (int i = 0; i < listeners.size(); i++) {
-            listeners.get(i).state(net.links().connects("n" + i, NAME) ? Listener.State.TAKING
-                : Listener.State.DARK);
+            listeners.get(i).setState(network.links().canConnect("n" + i, ENDPOINT) ? Listener.State.ACCEPTING
+                : Listener.State.SILENT);
         }
-        noteReachable();
+        updateReachability();
     }
 
-    private void noteReachable() {
+    private void updateReachability() {
         for (int i = 0; i < reachableSince.length; i++) {
-            boolean reachable = !down && net.links().connects("n" + i, NAME);
+            boolean reachable = !inOutage && network.links().canConnect("n" + i, ENDPOINT);
             long since = reachableSince[i] == UNREACHABLE ? clock.nowMicros() : reachableSince[i];
             reachableSince[i] = reachable ? since : UNREACHABLE;
         }
     }
 
     /** Counts a change as known, if it still holds, once the proxy could have asked for it long enough. */
-    private void countAsKnown(int asker, Entry entry, long changedAt) {
-        if (views.get(asker).get(entry.node.plan().index()) != entry) {
+    private void reportWhenInformed(int proxy, ListEntry entry, long changedAt) {
+        if (views.get(proxy).get(entry.backend.plan().index()) != entry) {
             return;
         }
-        boolean reachable = reachableSince[asker] != UNREACHABLE;
-        long due = reachable ? Math.max(changedAt, reachableSince[asker]) + KNOWN_AFTER - clock.nowMicros()
-            : REACHABLE_CHECK;
-        if (reachable && due <= 0) {
-            told(List.of(entry), asker);
+        boolean reachable = reachableSince[proxy] != UNREACHABLE;
+        long delayMicros = reachable ? Math.max(changedAt, reachableSince[proxy])
+            + INFORMED_AFTER_MICROS - clock.nowMicros()
+            : REACHABILITY_CHECK_MICROS;
+        if (reachable && delayMicros <= 0) {
+            reportInformed(List.of(entry), proxy);
         } else {
-            later(due, () -> countAsKnown(asker, entry, changedAt));
+            schedule(delayMicros, () -> reportWhenInformed(proxy, entry, changedAt));
         }
     }
 
-    InetSocketAddress address(int asker) {
-        return listeners.get(asker).address();
+    InetSocketAddress addressFor(int proxy) {
+        return listeners.get(proxy).address();
     }
 
     /** A node died: the list knows after a while. */
-    void died(Node node) {
-        later(spec.deathDetectionDelay().draw(random), () -> {
-            if (!node.up()) {
-                change(node, "left");
+    void onCrash(EmulatedBackend backend) {
+        schedule(spec.deathDetectionDelay().draw(random), () -> {
+            if (!backend.isUp()) {
+                recordChange(backend, "left");
             }
         });
     }
 
     /** A node is there again: the list knows after a while. */
-    void started(Node node) {
-        later(spec.startDetectionDelay().draw(random), () -> {
-            if (node.up()) {
-                change(node, "active");
+    void onRestart(EmulatedBackend backend) {
+        schedule(spec.startDetectionDelay().draw(random), () -> {
+            if (backend.isUp()) {
+                recordChange(backend, "active");
             }
         });
     }
 
     /** The operators' word reaches the list at once. */
-    void leaving(Node node, boolean on) {
-        change(node, on ? "leaving" : "active");
+    void setDraining(EmulatedBackend backend, boolean draining) {
+        recordChange(backend, draining ? "leaving" : "active");
     }
 
-    private void later(double micros, Runnable action) {
-        net.schedule(loop, Math.round(micros), action);
+    private void schedule(double delayMicros, Runnable action) {
+        network.schedule(loop, Math.round(delayMicros), action);
     }
 
-    private void change(Node node, String state) {
-        Entry entry = new Entry(node, state, node.startedMillis(), ++version);
-        for (int i = 0; i < lags.length; i++) {
-            int asker = i;
-            if (lags[i] <= 0) {
-                show(asker, entry);
+    private void recordChange(EmulatedBackend backend, String state) {
+        ListEntry entry = new ListEntry(backend, state, backend.startedMillis(), ++version);
+        for (int i = 0; i < propagationDelays.length; i++) {
+            int proxy = i;
+            if (propagationDelays[i] <= 0) {
+                applyChange(proxy, entry);
             } else {
-                later(lags[i], () -> show(asker, entry));
+                schedule(propagationDelays[i], () -> applyChange(proxy, entry));
             }
         }
     }
 
-    private void show(int asker, Entry entry) {
-        views.get(asker).set(entry.node.plan().index(), entry);
-        shown[asker] = entry.version;
-        countAsKnown(asker, entry, clock.nowMicros());
+    private void applyChange(int proxy, ListEntry entry) {
+        views.get(proxy).set(entry.backend.plan().index(), entry);
+        visibleVersions[proxy] = entry.version;
+        reportWhenInformed(proxy, entry, clock.nowMicros());
         for (Watch watch : new ArrayList<>(watches)) {
-            if (watch.asker == asker) {
-                write(watch, views.get(asker).stream().filter(one -> one.version > watch.version).toList(),
+            if (watch.proxy == proxy) {
+                sendEntries(watch, views.get(proxy).stream()
+                    .filter(listed -> listed.version > watch.version).toList(),
                     false);
             }
         }
     }
 
-    private void write(Watch watch, List<Entry> changed, boolean full) {
-        watch.version = shown[watch.asker];
+    private void sendEntries(Watch watch, List<ListEntry> entries, boolean full) {
+        watch.version = visibleVersions[watch.proxy];
         watch.channel.writeAndFlush(new DefaultHttpContent(Unpooled.copiedBuffer(
-            text(changed, full, watch.asker) + "\n", StandardCharsets.UTF_8)));
-        told(changed, watch.asker);
+            toJson(entries, full, watch.proxy) + "\n", StandardCharsets.UTF_8)));
+        reportInformed(entries, watch.proxy);
     }
 
-    private void told(List<Entry> some, int asker) {
+    private void reportInformed(List<ListEntry> entries, int proxy) {
         long now = clock.nowMicros();
-        for (Entry entry : some) {
-            referee.discoveryEntrySent(asker, entry.node.plan().index(), entry.state.equals("active"), entry.startedMillis,
+        for (ListEntry entry : entries) {
+            referee.discoveryEntrySent(proxy, entry.backend.plan().index(), entry.state.equals("active"),
+                entry.startedMillis,
                 now);
         }
     }
 
     /** In the form that proxies are given it in. */
-    private String text(List<Entry> some, boolean full, int asker) {
-        lines += some.size();
+    private String toJson(List<ListEntry> entries, boolean full, int proxy) {
+        entriesSent += entries.size();
         try {
-            return JSON.writeValueAsString(list(some, full, asker));
+            return JSON.writeValueAsString(toListDocument(entries, full, proxy));
         } catch (JsonProcessingException e) {
             throw new IllegalStateException(e);
         }
     }
 
-    private List<Entry> present(int asker) {
-        return views.get(asker).stream().filter(entry -> !entry.state.equals("left")).toList();
+    private List<ListEntry> listedEntries(int proxy) {
+        return views.get(proxy).stream().filter(entry -> !entry.state.equals("left")).toList();
     }
 
     /** The whole list as of now, for a proxy's configuration. */
-    Map<String, Object> known(int asker, boolean told) {
-        List<Entry> all = present(asker);
-        if (told) {
-            told(all, asker);
-            reachableSince[asker] = reachableSince[asker] == UNREACHABLE ? UNREACHABLE : clock.nowMicros();
+    Map<String, Object> backendListFor(int proxy, boolean usedAtStart) {
+        List<ListEntry> entries = listedEntries(proxy);
+        if (usedAtStart) {
+            reportInformed(entries, proxy);
+            reachableSince[proxy] = reachableSince[proxy] == UNREACHABLE ? UNREACHABLE : clock.nowMicros();
         }
-        return list(all, true, asker);
+        return toListDocument(entries, true, proxy);
     }
 
-    private Map<String, Object> list(List<Entry> some, boolean full, int asker) {
+    private Map<String, Object> toListDocument(List<ListEntry> entries, boolean full, int proxy) {
         List<Map<String, Object>> servers = new ArrayList<>();
-        for (Entry entry : some) {
-            Map<String, Object> one = new LinkedHashMap<>();
-            one.put("id", entry.node.name());
-            one.put("addr", LoopbackAddresses.hostAndPort(entry.node.address(asker)));
-            one.put("zone", entry.node.plan().zone());
-            one.put("kind", entry.node.plan().kind());
-            one.put("cell", entry.node.plan().cell());
-            one.put("state", entry.state);
-            one.put("weight", entry.node.plan().figures().cores());
-            one.put("started_ms", entry.startedMillis);
-            servers.add(one);
+        for (ListEntry entry : entries) {
+            Map<String, Object> server = new LinkedHashMap<>();
+            server.put("id", entry.backend.name());
+            server.put("addr", LoopbackAddresses.hostAndPort(entry.backend.addressFor(proxy)));
+            server.put("zone", entry.backend.plan().zone());
+            server.put("kind", entry.backend.plan().kind());
+            server.put("cell", entry.backend.plan().cell());
+            server.put("state", entry.state);
+            server.put("weight", entry.backend.plan().figures().cores());
+            server.put("started_ms", entry.startedMillis);
+            servers.add(server);
         }
-        Map<String, Object> result = new LinkedHashMap<>();
-        result.put("version", shown[asker]);
-        result.put("full", full);
-        result.put("servers", servers);
-        return result;
+        Map<String, Object> document = new LinkedHashMap<>();
+        document.put("version", visibleVersions[proxy]);
+        document.put("full", full);
+        document.put("servers", servers);
+        return document;
     }
 
     /** Down: calls fail, watches end; news stays for whoever asks later. */
-    void outage(boolean on) {
-        down = on;
-        noteReachable();
-        if (on) {
-            new ArrayList<>(open).forEach(Channel::close);
+    void setOutage(boolean active) {
+        inOutage = active;
+        updateReachability();
+        if (active) {
+            new ArrayList<>(connections).forEach(Channel::close);
         }
     }
 
-    long linesSent() {
-        return lines;
+    long entriesSent() {
+        return entriesSent;
     }
 
-    private void alive() {
+    private void sendKeepAlives() {
         for (Watch watch : watches) {
             watch.channel.writeAndFlush(new DefaultHttpContent(Unpooled.copiedBuffer("\n",
                 StandardCharsets.UTF_8)));
         }
     }
 
-    private final class Call extends SimpleChannelInboundHandler<FullHttpRequest> {
-        private final int asker;
+    private final class CallHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
+        private final int proxy;
 
-        Call(int asker) {
-            this.asker = asker;
+        CallHandler(int proxy) {
+            this.proxy = proxy;
         }
 
         @Override
         public void channelActive(ChannelHandlerContext context) {
-            if (down) {
+            if (inOutage) {
                 context.close();
             } else {
-                open.add(context.channel());
+                connections.add(context.channel());
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            open.remove(context.channel());
+            connections.remove(context.channel());
             watches.removeIf(watch -> watch.channel == context.channel());
         }
 
@@ -327,49 +334,50 @@
         protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
             QueryStringDecoder query = new QueryStringDecoder(request.uri());
             if (!query.path().equals("/v1/servers")) {
-                fail(context, HttpResponseStatus.NOT_FOUND);
+                respondWithError(context, HttpResponseStatus.NOT_FOUND);
                 return;
             }
-            boolean watch = query.parameters().containsKey("watch");
-            long after = watch && query.parameters().containsKey("after")
+            boolean isWatch = query.parameters().containsKey("watch");
+            long afterVersion = isWatch && query.parameters().containsKey("after")
                 ? Long.parseLong(query.parameters().get("after").get(0)) : 0;
-            long cost = Math.round(callCost + lineCost * views.get(asker).size());
-            CallQueue.Turn turn = queue.take(clock.nowMicros(), cost);
-            net.schedule(loop, turn.after(), () -> {
-                if (turn.served()) {
-                    answer(context, watch, after);
+            long serviceMicros = Math.round(callServiceMicros + entryServiceMicros * views.get(proxy).size());
+            CallQueue.CallOutcome outcome = queue.enqueue(clock.nowMicros(), serviceMicros);
+            network.schedule(loop, outcome.delayMicros(), () -> {
+                if (outcome.served()) {
+                    respond(context, isWatch, afterVersion);
                 } else {
-                    fail(context, HttpResponseStatus.SERVICE_UNAVAILABLE);
+                    respondWithError(context, HttpResponseStatus.SERVICE_UNAVAILABLE);
                 }
             });
         }
 
-        private void answer(ChannelHandlerContext context, boolean watch, long after) {
-            if (down) {
-                fail(context, HttpResponseStatus.SERVICE_UNAVAILABLE);
+        private void respond(ChannelHandlerContext context, boolean isWatch, long afterVersion) {
+            if (inOutage) {
+                respondWithError(context, HttpResponseStatus.SERVICE_UNAVAILABLE);
                 return;
             }
-            List<Entry> all = present(asker);
-            if (!watch) {
+            List<ListEntry> entries = listedEntries(proxy);
+            if (!isWatch) {
                 FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
                     HttpResponseStatus.OK,
-                    Unpooled.copiedBuffer(text(all, true, asker), StandardCharsets.UTF_8));
+                    Unpooled.copiedBuffer(toJson(entries, true, proxy), StandardCharsets.UTF_8));
                 HttpUtil.setContentLength(response, response.content().readableBytes());
                 context.writeAndFlush(response);
-                told(all, asker);
+                reportInformed(entries, proxy);
                 return;
             }
-            HttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
-            HttpUtil.setTransferEncodingChunked(head, true);
-            context.writeAndFlush(head);
-            Watch one = new Watch(context.channel(), asker, after);
-            boolean full = after <= 0;
-            write(one, full ? all : views.get(asker).stream().filter(entry -> entry.version > after).toList(),
+            HttpResponse responseHead = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
+            HttpUtil.setTransferEncodingChunked(responseHead, true);
+            context.writeAndFlush(responseHead);
+            Watch newWatch = new Watch(context.channel(), proxy, afterVersion);
+            boolean full = afterVersion <= 0;
+            sendEntries(newWatch, full ? entries : views.get(proxy).stream()
+                .filter(entry -> entry.version > afterVersion).toList(),
                 full);
-            watches.add(one);
+            watches.add(newWatch);
         }
 
-        private void fail(ChannelHandlerContext context, HttpResponseStatus status) {
+        private void respondWithError(ChannelHandlerContext context, HttpResponseStatus status) {
             FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status,
                 Unpooled.EMPTY_BUFFER);
             HttpUtil.setContentLength(response, 0);
--- a/lab/src/main/java/dockrelay/lab/world/Emulator.java
+++ b/lab/src/main/java/dockrelay/lab/world/Emulator.java
@@ -14,49 +14,51 @@
 
 /** Nodes and discovery, on one loop, and the faults that befall them. */
 public final class Emulator {
-    private final EmulatorNetwork net;
+    private final EmulatorNetwork network;
     private final Clock clock;
-    private final List<Node> nodes = new ArrayList<>();
+    private final List<EmulatedBackend> backends = new ArrayList<>();
     private final DiscoveryService discovery;
     private final Referee referee;
-    private final int proxies;
-    private BiConsumer<String, Boolean> operator = (node, out) -> { };
-    private Runnable moved = () -> { };
-    private int outages;
+    private final int proxyCount;
+    private BiConsumer<String, Boolean> detachHandler = (backend, detached) -> { };
+    private Runnable discoveryMoveHandler = () -> { };
+    private int activeOutages;
 
-    public Emulator(Plan plan, EmulatorNetwork net, Clock clock, Referee referee) {
-        this.net = net;
+    public Emulator(Plan plan, EmulatorNetwork network, Clock clock, Referee referee) {
+        this.network = network;
         this.clock = clock;
         Experiment experiment = plan.experiment();
-        int askers = experiment.proxies().count();
+        int proxyCount = experiment.proxies().count();
         this.referee = referee;
-        this.proxies = askers;
+        this.proxyCount = proxyCount;
         for (Plan.Node node : plan.nodes()) {
-            Node made = new Node(node, plan.seed(), askers, net, clock, referee,
+            EmulatedBackend backend =
+                new EmulatedBackend(node, plan.seed(), proxyCount, network, clock, referee,
                 experiment.nodes().connections().idleTimeout(), experiment.permissions().probes());
-            made.reserve();
-            nodes.add(made);
+            backend.bindListeners();
+            backends.add(backend);
         }
-        on(() -> {
-            nodes.forEach(node -> node.start(false));
+        callOnLoop(() -> {
+            backends.forEach(node -> node.start(false));
             return null;
         });
-        discovery = new DiscoveryService(experiment.discovery(), plan.seed(), askers, nodes, net, clock,
+        discovery = new DiscoveryService(experiment.discovery(), plan.seed(), proxyCount, backends, network,
+            clock,
             referee);
     }
 
-    private <T> T on(Callable<T> action) {
-        return net.emulatorLoop().submit(action).syncUninterruptibly().getNow();
+    private <T> T callOnLoop(Callable<T> action) {
+        return network.emulatorLoop().submit(action).syncUninterruptibly().getNow();
     }
 
     /** Who takes nodes out (true) and puts them back at the proxies' consoles. To be told before a start. */
-    public void onBackendDetach(BiConsumer<String, Boolean> calls) {
-        operator = calls;
+    public void onBackendDetach(BiConsumer<String, Boolean> handler) {
+        detachHandler = handler;
     }
 
     /** Who tells the proxies where discovery is, once it has moved. To be told before a start. */
-    public void onDiscoveryMove(Runnable action) {
-        moved = action;
+    public void onDiscoveryMove(Runnable handler) {
+        discoveryMoveHandler = handler;
     }
 
     /** Takes discovery to new addresses. Not to be called on the loop. */
@@ -64,96 +66,97 @@
         discovery.move();
     }
 
-    public String discoveryAddress(int asker) {
-        return LoopbackAddresses.hostAndPort(discovery.address(asker));
+    public String discoveryAddress(int proxy) {
+        return LoopbackAddresses.hostAndPort(discovery.addressFor(proxy));
     }
 
     /** The list for a proxy's configuration; told where it starts with it. */
-    public Map<String, Object> backendListFor(int asker, boolean told) {
-        return on(() -> discovery.known(asker, told));
+    public Map<String, Object> backendListFor(int proxy, boolean usedAtStart) {
+        return callOnLoop(() -> discovery.backendListFor(proxy, usedAtStart));
     }
 
     /** What each node holds; below 0 where it is down. */
     public int[] requestsPerBackend() {
-        return on(() -> nodes.stream().mapToInt(Node::heldNow).toArray());
+        return callOnLoop(() -> backends.stream().mapToInt(EmulatedBackend::requestCount).toArray());
     }
 
     public long overloadedBackendCount() {
-        return on(() -> nodes.stream().filter(Node::crowded).count());
+        return callOnLoop(() -> backends.stream().filter(EmulatedBackend::isOverloaded).count());
     }
 
     public long overloadCrashedBackendCount() {
-        return on(() -> nodes.stream().filter(Node::fell).count());
+        return callOnLoop(() -> backends.stream().filter(EmulatedBackend::isCrashedByOverload).count());
     }
 
     public long discoveryEntriesSent() {
-        return on(discovery::linesSent);
+        return callOnLoop(discovery::entriesSent);
     }
 
     /**
      * Lets a fault of nodes or discovery begin at its time and end after it lasted; zero is when clients
      * come.
      */
-    public void scheduleFault(Break fault, long zero) {
-        at(zero + fault.at(), () -> begin(fault));
-        at(zero + fault.endAt(), () -> end(fault));
+    public void scheduleFault(Break fault, long loadStart) {
+        scheduleAt(loadStart + fault.at(), () -> startFault(fault));
+        scheduleAt(loadStart + fault.endAt(), () -> endFault(fault));
     }
 
-    private void at(long when, Runnable action) {
-        net.schedule(net.emulatorLoop(), when - clock.nowMicros(), action);
+    private void scheduleAt(long time, Runnable action) {
+        network.schedule(network.emulatorLoop(), time - clock.nowMicros(), action);
     }
 
-    private void begin(Break fault) {
+    private void startFault(Break fault) {
         switch (fault.kind()) {
-            case OUTAGE -> discovery.outage(++outages > 0);
-            case LINK -> lay(fault);
-            case MOVE -> moved.run();
+            case OUTAGE -> discovery.setOutage(++activeOutages > 0);
+            case LINK -> applyLinkFault(fault);
+            case MOVE -> discoveryMoveHandler.run();
             default -> { }
         }
-        for (int victim : fault.victims()) {
-            Node node = nodes.get(victim);
-            node.begin(fault);
-            if (fault.kind() == FaultKind.CRASH && node.up()) {
-                node.crash();
-                discovery.died(node);
+        for (int backendIndex : fault.victims()) {
+            EmulatedBackend backend = backends.get(backendIndex);
+            backend.startFault(fault);
+            if (fault.kind() == FaultKind.CRASH && backend.isUp()) {
+                backend.crash();
+                discovery.onCrash(backend);
             } else if (fault.kind() == FaultKind.DRAIN) {
-                discovery.leaving(node, true);
+                discovery.setDraining(backend, true);
             } else if (fault.kind() == FaultKind.DETACH) {
-                operator.accept(node.name(), true);
+                detachHandler.accept(backend.name(), true);
             }
         }
     }
 
-    private void end(Break fault) {
+    private void endFault(Break fault) {
         switch (fault.kind()) {
-            case OUTAGE -> discovery.outage(--outages > 0);
-            case LINK -> net.links().lift(fault);
+            case OUTAGE -> discovery.setOutage(--activeOutages > 0);
+            case LINK -> network.links().removeFault(fault);
             default -> { }
         }
-        for (int victim : fault.victims()) {
-            Node node = nodes.get(victim);
-            node.end(fault);
-            if (fault.kind() == FaultKind.CRASH && !node.up() && !node.suffers(FaultKind.CRASH)) {
-                node.start(true);
-                discovery.started(node);
-            } else if (fault.kind() == FaultKind.DRAIN && !node.suffers(FaultKind.DRAIN)) {
-                discovery.leaving(node, false);
-            } else if (fault.kind() == FaultKind.DETACH && !node.suffers(FaultKind.DETACH)) {
-                operator.accept(node.name(), false);
+        for (int backendIndex : fault.victims()) {
+            EmulatedBackend backend = backends.get(backendIndex);
+            backend.endFault(fault);
+            if (fault.kind() == FaultKind.CRASH && !backend.isUp() && !backend.hasFault(FaultKind.CRASH)) {
+                backend.start(true);
+                discovery.onRestart(backend);
+            } else if (fault.kind() == FaultKind.DRAIN && !backend.hasFault(FaultKind.DRAIN)) {
+                discovery.setDraining(backend, false);
+            } else if (fault.kind() == FaultKind.DETACH && !backend.hasFault(FaultKind.DETACH)) {
+                detachHandler.accept(backend.name(), false);
             }
         }
     }
 
     /** Lays it on, and lets the referee know which proxies it keeps from their clients. */
-    private void lay(Break fault) {
+    private void applyLinkFault(Break fault) {
         Set<String> from = Set.copyOf(fault.link().from()), to = Set.copyOf(fault.link().to());
-        net.links().lay(fault, from, to, fault.link().passage());
+        network.links().addFault(fault, from, to, fault.link().passage());
         if (fault.link().both()) {
-            net.links().lay(fault, to, from, fault.link().passage());
+            network.links().addFault(fault, to, from, fault.link().passage());
         }
-        if (from.contains(EmulatorNetwork.CLIENTS) || to.contains(EmulatorNetwork.CLIENTS)) {
+        if (from.contains(EmulatorNetwork.CLIENTS_ENDPOINT)
+            || to.contains(EmulatorNetwork.CLIENTS_ENDPOINT)) {
             long now = clock.nowMicros();
-            for (int i = 0; i < proxies; i++) {
+            for (int i = 0; i < proxyCount; i++) {
                 if (from.contains("n" + i) || to.contains("n" + i)) {
                     referee.excuseProxy(i, now, now + fault.lasts());
                 }
--- a/lab/src/main/java/dockrelay/lab/world/EmulatorNetwork.java
+++ b/lab/src/main/java/dockrelay/lab/world/EmulatorNetwork.java
@@ -1,7 +1,7 @@
 package dockrelay.lab.world;
 
 import dockrelay.lab.link.LinkHandler;
-import dockrelay.lab.link.Links;
+import dockrelay.lab.link.LinkTable;
 import dockrelay.lab.plan.RandomStreams;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
@@ -28,14 +28,14 @@
 /** The world's sockets and loops. */
 public final class EmulatorNetwork {
     /** The name of all clients together, as a party of the network. */
-    static final String CLIENTS = "clients";
-    private static final int BACKLOG = 1024;
+    static final String CLIENTS_ENDPOINT = "clients";
+    private static final int ACCEPT_BACKLOG = 1024;
 
     private final long seed;
-    private final Links links = new Links();
-    private final AtomicLong connections = new AtomicLong();
+    private final LinkTable links = new LinkTable();
+    private final AtomicLong connectionCount = new AtomicLong();
 
-    private final EventLoopGroup world = group("world"), clients = group("clients");
+    private final EventLoopGroup emulatorLoops = newLoopGroup("world"), clientLoops = newLoopGroup("clients");
 
     private final ScheduledThreadPoolExecutor timers = new ScheduledThreadPoolExecutor(1,
         new DefaultThreadFactory("timers", true));
@@ -47,7 +47,7 @@
         timers.setRejectedExecutionHandler(new ThreadPoolExecutor.DiscardPolicy());
     }
 
-    private static EventLoopGroup group(String name) {
+    private static EventLoopGroup newLoopGroup(String name) {
         return new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory(name, true),
             NioIoHandler.newFactory());
     }
@@ -56,40 +56,41 @@
      * Runs this on the loop after a time. The loop's own timers wake by the millisecond, and late by half of
      * one: a thread that only waits is some 0.1 ms late.
      */
-    public Future<?> schedule(EventLoop loop, long micros, Runnable action) {
-        return timers.schedule(() -> loop.execute(action), Math.max(0, micros), TimeUnit.MICROSECONDS);
+    public Future<?> schedule(EventLoop loop, long delayMicros, Runnable action) {
+        return timers.schedule(() -> loop.execute(action), Math.max(0, delayMicros), TimeUnit.MICROSECONDS);
     }
 
-    public Links links() {
+    public LinkTable links() {
         return links;
     }
 
     /** The network between a party of the world's and another, for one connection. */
-    LinkHandler link(String here, String there, Clock clock) {
-        EventLoop loop = here.equals(CLIENTS) ? clientLoop() : emulatorLoop();
-        return new LinkHandler(links, here, there, clock::nowMicros,
+    LinkHandler newLinkHandler(String localEndpoint, String remoteEndpoint, Clock clock) {
+        EventLoop loop = localEndpoint.equals(CLIENTS_ENDPOINT) ? clientLoop() : emulatorLoop();
+        return new LinkHandler(links, localEndpoint, remoteEndpoint, clock::nowMicros,
             (micros, action) -> schedule(loop, micros, action),
-            RandomStreams.stream(seed, here + " and " + there + " " + connections.incrementAndGet()));
+            RandomStreams.stream(seed, localEndpoint + " and " + remoteEndpoint + " "
+                + connectionCount.incrementAndGet()));
     }
 
     /** Nodes and discovery. */
     public EventLoop emulatorLoop() {
-        return world.next();
+        return emulatorLoops.next();
     }
 
     public EventLoop clientLoop() {
-        return clients.next();
+        return clientLoops.next();
     }
 
     /** Listens at this address; each connection gets the handlers that this gives it. */
-    ChannelFuture listen(EventLoop loop, InetSocketAddress at, Supplier<ChannelHandler[]> handlers) {
+    ChannelFuture listen(EventLoop loop, InetSocketAddress address, Supplier<ChannelHandler[]> handlers) {
         return new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
-            .option(ChannelOption.SO_BACKLOG, BACKLOG)
+            .option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG)
             .option(ChannelOption.SO_REUSEADDR, true).childOption(ChannelOption.TCP_NODELAY, true)
-            .childHandler(initializer(handlers)).bind(at);
+            .childHandler(initializer(handlers)).bind(address);
     }
 
-    Bootstrap connecting(EventLoop loop, int timeoutMillis, Supplier<ChannelHandler[]> handlers) {
+    Bootstrap newClientBootstrap(EventLoop loop, int timeoutMillis, Supplier<ChannelHandler[]> handlers) {
         return new Bootstrap().group(loop).channel(NioSocketChannel.class).option(ChannelOption.TCP_NODELAY,
             true)
             .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, timeoutMillis).handler(initializer(handlers));
@@ -106,7 +107,7 @@
 
     public void close() {
         timers.shutdownNow();
-        world.shutdownGracefully(0, 500, TimeUnit.MILLISECONDS);
-        clients.shutdownGracefully(0, 500, TimeUnit.MILLISECONDS);
+        emulatorLoops.shutdownGracefully(0, 500, TimeUnit.MILLISECONDS);
+        clientLoops.shutdownGracefully(0, 500, TimeUnit.MILLISECONDS);
     }
 }
--- a/lab/src/main/java/dockrelay/lab/world/FrontLoadBalancer.java
+++ b/lab/src/main/java/dockrelay/lab/world/FrontLoadBalancer.java
@@ -33,34 +33,35 @@
  */
 public final class FrontLoadBalancer {
     /** One that is well is asked again no sooner than this, and all together no oftener than each 10 ms. */
-    private static final long ASK_MILLIS = 100, EACH_MILLIS = 10;
-    private static final int ASK_TIMEOUT_MILLIS = 1000;
-    private static final int LONGEST = 1 << 20;
+    private static final long CHECK_INTERVAL_MILLIS = 100, MIN_CHECK_SPACING_MILLIS = 10;
+    private static final int TIMEOUT_MILLIS = 1000;
+    private static final int MAX_RESPONSE_BYTES = 1 << 20;
 
     private final InetSocketAddress[] proxies;
-    private final boolean[] admitted;
+    private final boolean[] healthy;
     private final long[] failingSince;
-    private final List<ClientConnection> idle = new ArrayList<>();
+    private final List<ClientConnection> idleConnections = new ArrayList<>();
     private final EventLoop loop;
     private final Clock clock;
-    private final EmulatorNetwork net;
+    private final EmulatorNetwork network;
     private final RandomGenerator random;
-    private final long notice;
-    private final IntConsumer well;
+    private final long removalDelayMicros;
+    private final IntConsumer onHealthy;
     private boolean closed;
 
     /** Each yes of a proxy at healthz is told on, on the clients' loop. */
-    public FrontLoadBalancer(InetSocketAddress[] proxies, Experiment.Clients spec, long seed, EmulatorNetwork net, Clock clock,
-        IntConsumer well) {
-        this.well = well;
+    public FrontLoadBalancer(InetSocketAddress[] proxies, Experiment.Clients spec, long seed,
+        EmulatorNetwork network, Clock clock,
+        IntConsumer onHealthy) {
+        this.onHealthy = onHealthy;
         this.proxies = proxies.clone();
-        this.admitted = new boolean[proxies.length];
+        this.healthy = new boolean[proxies.length];
         this.failingSince = new long[proxies.length];
-        this.net = net;
-        this.loop = net.clientLoop();
+        this.network = network;
+        this.loop = network.clientLoop();
         this.clock = clock;
         this.random = RandomStreams.stream(seed, "front");
-        this.notice = Math.round(spec.proxyRemovalDelay().draw(random));
+        this.removalDelayMicros = Math.round(spec.proxyRemovalDelay().draw(random));
     }
 
     /** Asks all proxies from now on whether they can serve. */
@@ -68,7 +69,7 @@
         for (int i = 0; i < proxies.length; i++) {
             int proxy = i;
             failingSince[i] = -1;
-            loop.execute(() -> ask(proxy));
+            loop.execute(() -> checkHealth(proxy));
         }
     }
 
@@ -76,8 +77,8 @@
     public int healthyProxyCount() {
         return loop.submit(() -> {
             int count = 0;
-            for (boolean one : admitted) {
-                count += one ? 1 : 0;
+            for (boolean isHealthy : healthy) {
+                count += isHealthy ? 1 : 0;
             }
             return count;
         }).syncUninterruptibly().getNow();
@@ -87,98 +88,100 @@
     public void close() {
         loop.execute(() -> {
             closed = true;
-            new ArrayList<>(idle).forEach(ClientConnection::end);
+            new ArrayList<>(idleConnections).forEach(ClientConnection::close);
         });
     }
 
-    private void ask(int proxy) {
+    private void checkHealth(int proxy) {
         if (closed) {
             return;
         }
-        connect(proxy, new Health(proxy)).addListener(future -> {
+        connect(proxy, new HealthCheck(proxy)).addListener(future -> {
             if (!future.isSuccess()) {
-                heard(proxy, false);
+                onHealthCheckResult(proxy, false);
             }
         });
     }
 
-    private void heard(int proxy, boolean well) {
+    private void onHealthCheckResult(int proxy, boolean passed) {
         long now = clock.nowMicros();
-        if (well) {
-            admitted[proxy] = true;
-            this.well.accept(proxy);
+        if (passed) {
+            healthy[proxy] = true;
+            this.onHealthy.accept(proxy);
             failingSince[proxy] = -1;
         } else if (failingSince[proxy] < 0) {
             failingSince[proxy] = now;
-        } else if (now - failingSince[proxy] >= notice) {
-            admitted[proxy] = false;
+        } else if (now - failingSince[proxy] >= removalDelayMicros) {
+            healthy[proxy] = false;
         }
-        long wait = well ? Math.max(ASK_MILLIS, EACH_MILLIS * proxies.length) : ASK_MILLIS;
-        loop.schedule(() -> ask(proxy), wait, TimeUnit.MILLISECONDS);
+        long delayMillis = passed ? Math.max(CHECK_INTERVAL_MILLIS,
+            MIN_CHECK_SPACING_MILLIS * proxies.length) : CHECK_INTERVAL_MILLIS;
+        loop.schedule(() -> checkHealth(proxy), delayMillis, TimeUnit.MILLISECONDS);
     }
 
     /** A connection at rest, or a new one to any proxy that is let in; null where there is none. */
-    ClientConnection pick() {
-        while (!idle.isEmpty()) {
-            int at = random.nextInt(idle.size());
-            ClientConnection one = idle.get(at);
-            idle.set(at, idle.get(idle.size() - 1));
-            idle.remove(idle.size() - 1);
-            if (one.usable()) {
-                return one;
+    ClientConnection acquire() {
+        while (!idleConnections.isEmpty()) {
+            int index = random.nextInt(idleConnections.size());
+            ClientConnection connection = idleConnections.get(index);
+            idleConnections.set(index, idleConnections.get(idleConnections.size() - 1));
+            idleConnections.remove(idleConnections.size() - 1);
+            if (connection.isUsable()) {
+                return connection;
             }
         }
-        return fresh();
+        return openConnection();
     }
 
     /** A new connection to any proxy that is let in; null where there is none. */
-    ClientConnection fresh() {
-        int count = 0, chosen = -1;
+    ClientConnection openConnection() {
+        int candidates = 0, chosenProxy = -1;
         for (int i = 0; i < proxies.length; i++) {
-            if (admitted[i] && random.nextInt(++count) == 0) {
-                chosen = i;
+            if (healthy[i] && random.nextInt(++candidates) == 0) {
+                chosenProxy = i;
             }
         }
-        if (chosen < 0) {
+        if (chosenProxy < 0) {
             return null;
         }
-        ClientConnection connection = new ClientConnection(this, chosen);
-        connection.opening(connect(chosen, connection));
+        ClientConnection connection = new ClientConnection(this, chosenProxy);
+        connection.setConnectFuture(connect(chosenProxy, connection));
         return connection;
     }
 
     private ChannelFuture connect(int proxy, ChannelHandler handler) {
-        String name = "n" + proxy;
-        Bootstrap bootstrap = net.connecting(loop, ASK_TIMEOUT_MILLIS, () -> new ChannelHandler[] {
-            net.link(EmulatorNetwork.CLIENTS, name, clock), new HttpClientCodec(), new HttpObjectAggregator(LONGEST),
+        String endpoint = "n" + proxy;
+        Bootstrap bootstrap = network.newClientBootstrap(loop, TIMEOUT_MILLIS, () -> new ChannelHandler[] {
+            network.newLinkHandler(EmulatorNetwork.CLIENTS_ENDPOINT, endpoint, clock),
+                new HttpClientCodec(), new HttpObjectAggregator(MAX_RESPONSE_BYTES),
             handler});
-        if (net.links().connects(EmulatorNetwork.CLIENTS, name)) {
+        if (network.links().canConnect(EmulatorNetwork.CLIENTS_ENDPOINT, endpoint)) {
             return bootstrap.connect(proxies[proxy]);
         }
         // Across a cut nothing comes up: the system is not asked, as it would bring it up.
-        Channel never = bootstrap.register().channel();
-        ChannelPromise promise = never.newPromise();
-        net.schedule(loop, ASK_TIMEOUT_MILLIS * 1000L, () -> {
+        Channel unconnected = bootstrap.register().channel();
+        ChannelPromise promise = unconnected.newPromise();
+        network.schedule(loop, TIMEOUT_MILLIS * 1000L, () -> {
             promise.tryFailure(new ConnectTimeoutException("across a cut"));
-            never.close();
+            unconnected.close();
         });
         return promise;
     }
 
-    void rest(ClientConnection connection) {
-        idle.add(connection);
+    void release(ClientConnection connection) {
+        idleConnections.add(connection);
     }
 
-    void closed(ClientConnection connection) {
-        idle.remove(connection);
+    void onClosed(ClientConnection connection) {
+        idleConnections.remove(connection);
     }
 
     /** What an answer to the question whether a proxy can serve says. */
-    private final class Health extends SimpleChannelInboundHandler<FullHttpResponse> {
+    private final class HealthCheck extends SimpleChannelInboundHandler<FullHttpResponse> {
         private final int proxy;
-        private boolean heard;
+        private boolean reported;
 
-        Health(int proxy) {
+        HealthCheck(int proxy) {
             this.proxy = proxy;
         }
 
@@ -188,23 +191,23 @@
                 "/healthz", Unpooled.EMPTY_BUFFER);
             request.headers().set(HttpHeaderNames.HOST, "app.svc").set(HttpHeaderNames.CONNECTION, "close");
             context.writeAndFlush(request);
-            context.executor().schedule(() -> context.close(), ASK_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+            context.executor().schedule(() -> context.close(), TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpResponse response) {
-            if (!heard) {
-                heard = true;
-                heard(proxy, response.status().code() == 200);
+            if (!reported) {
+                reported = true;
+                onHealthCheckResult(proxy, response.status().code() == 200);
             }
             context.close();
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            if (!heard) {
-                heard = true;
-                heard(proxy, false);
+            if (!reported) {
+                reported = true;
+                onHealthCheckResult(proxy, false);
             }
         }
 
--- a/lab/src/main/java/dockrelay/lab/world/Listener.java
+++ b/lab/src/main/java/dockrelay/lab/world/Listener.java
@@ -1,6 +1,6 @@
 package dockrelay.lab.world;
 
-import dockrelay.lab.link.BlackHole;
+import dockrelay.lab.link.BlackHoleListener;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandler;
 import io.netty.channel.EventLoop;
@@ -14,28 +14,29 @@
      * What happens to whoever connects: taken, refused as by a dead process, or no answer as by a lost
      * machine.
      */
-    enum State { TAKING, REFUSING, DARK }
+    enum State { ACCEPTING, REFUSING, SILENT }
 
     /** The system gives an address back a moment after its listener is closed. */
-    private static final long AGAIN = 10_000;
-    private static final int MOST_TRIES = 200;
+    private static final long REBIND_DELAY_MICROS = 10_000;
+    private static final int MAX_REBIND_ATTEMPTS = 200;
 
-    private final EmulatorNetwork net;
+    private final EmulatorNetwork network;
     private final EventLoop loop;
     private final Supplier<ChannelHandler[]> handlers;
     private final InetSocketAddress address;
-    private State wanted = State.TAKING;
+    private State targetState = State.ACCEPTING;
     private Channel channel;
-    private BlackHole hole;
-    private int tries;
-    private boolean busy;
+    private BlackHoleListener blackHole;
+    private int failedAttempts;
+    private boolean transitioning;
 
     /** Takes the address, and with it a port. Not to be called on the loop. */
-    Listener(EmulatorNetwork net, EventLoop loop, InetSocketAddress at, Supplier<ChannelHandler[]> handlers) {
-        this.net = net;
+    Listener(EmulatorNetwork network, EventLoop loop, InetSocketAddress bindAddress,
+        Supplier<ChannelHandler[]> handlers) {
+        this.network = network;
         this.loop = loop;
         this.handlers = handlers;
-        channel = net.listen(loop, at, handlers).syncUninterruptibly().channel();
+        channel = network.listen(loop, bindAddress, handlers).syncUninterruptibly().channel();
         address = (InetSocketAddress) channel.localAddress();
     }
 
@@ -43,61 +44,62 @@
         return address;
     }
 
-    void state(State state) {
-        wanted = state;
-        settle();
+    void setState(State state) {
+        targetState = state;
+        applyTargetState();
     }
 
-    private void settle() {
-        if (busy) {
+    private void applyTargetState() {
+        if (transitioning) {
             return;
         }
-        if (channel != null && wanted != State.TAKING) {
+        if (channel != null && targetState != State.ACCEPTING) {
             channel.close();
             channel = null;
-            later();
-        } else if (hole != null && wanted != State.DARK) {
+            applyLater();
+        } else if (blackHole != null && targetState != State.SILENT) {
             try {
-                hole.close();
+                blackHole.close();
             } catch (IOException e) {
                 throw new IllegalStateException(e);
             }
-            hole = null;
-            later();
-        } else if (wanted == State.DARK && hole == null) {
+            blackHole = null;
+            applyLater();
+        } else if (targetState == State.SILENT && blackHole == null) {
             try {
-                hole = new BlackHole(address);
-                tries = 0;
+                blackHole = new BlackHoleListener(address);
+                failedAttempts = 0;
             } catch (IOException e) {
-                failed(e);
+                onBindFailure(e);
             }
-        } else if (wanted == State.TAKING && channel == null) {
-            busy = true;
-            net.listen(loop, address, handlers).addListener((io.netty.channel.ChannelFutureListener) done -> {
-                busy = false;
-                if (done.isSuccess()) {
-                    channel = done.channel();
-                    tries = 0;
-                    settle(); // it may be wanted otherwise by now
+        } else if (targetState == State.ACCEPTING && channel == null) {
+            transitioning = true;
+            network.listen(loop, address, handlers)
+                .addListener((io.netty.channel.ChannelFutureListener) bindFuture -> {
+                transitioning = false;
+                if (bindFuture.isSuccess()) {
+                    channel = bindFuture.channel();
+                    failedAttempts = 0;
+                    applyTargetState(); // it may be wanted otherwise by now
                 } else {
-                    failed(done.cause());
+                    onBindFailure(bindFuture.cause());
                 }
             });
         }
     }
 
-    private void failed(Throwable cause) {
-        if (tries++ >= MOST_TRIES) {
+    private void onBindFailure(Throwable cause) {
+        if (failedAttempts++ >= MAX_REBIND_ATTEMPTS) {
             throw new IllegalStateException("cannot listen at " + address + " again", cause);
         }
-        later();
+        applyLater();
     }
 
-    private void later() {
-        busy = true;
-        net.schedule(loop, AGAIN, () -> {
-            busy = false;
-            settle();
+    private void applyLater() {
+        transitioning = true;
+        network.schedule(loop, REBIND_DELAY_MICROS, () -> {
+            transitioning = false;
+            applyTargetState();
         });
     }
 }
--- a/lab/src/main/java/dockrelay/lab/world/OpenLoopClients.java
+++ b/lab/src/main/java/dockrelay/lab/world/OpenLoopClients.java
@@ -32,192 +32,206 @@
  */
 public final class OpenLoopClients {
     /** A client that has less time than this left does not try again. */
-    private static final long LEAST = 1_000;
+    private static final long MIN_TRY_MICROS = 1_000;
 
     private final Plan plan;
     private final Experiment experiment;
-    private final EmulatorNetwork net;
+    private final EmulatorNetwork network;
     private final EventLoop loop;
     private final Clock clock;
     private final Referee referee;
-    private final FrontLoadBalancer front;
-    private final OutcomeStatistics score;
+    private final FrontLoadBalancer loadBalancer;
+    private final OutcomeStatistics statistics;
     private final LatenessRecorder lateness;
-    private int next;
-    private long zero;
-    private int inHand;
+    private int nextArrivalIndex;
+    private long loadStart;
+    private int inFlightRequests;
 
-    public OpenLoopClients(Plan plan, EmulatorNetwork net, Clock clock, Referee referee, FrontLoadBalancer front, OutcomeStatistics score,
+    public OpenLoopClients(Plan plan, EmulatorNetwork network, Clock clock, Referee referee,
+        FrontLoadBalancer loadBalancer, OutcomeStatistics statistics,
         LatenessRecorder lateness) {
         this.plan = plan;
         this.experiment = plan.experiment();
-        this.net = net;
-        this.loop = net.clientLoop();
+        this.network = network;
+        this.loop = network.clientLoop();
         this.clock = clock;
         this.referee = referee;
-        this.front = front;
-        this.score = score;
+        this.loadBalancer = loadBalancer;
+        this.statistics = statistics;
         this.lateness = lateness;
     }
 
     /** Sends from this moment on. */
-    public void start(long at) {
-        zero = at;
-        loop.execute(this::pump);
+    public void start(long startAt) {
+        loadStart = startAt;
+        loop.execute(this::sendDueRequests);
     }
 
     /** Sends what is due, then sleeps until the next is. */
-    private void pump() {
-        while (next < plan.arrivals().size()) {
-            Arrival arrival = plan.arrivals().get(next);
-            long wait = zero + arrival.at() - clock.nowMicros();
-            if (wait > 0) {
-                net.schedule(loop, wait, this::pump);
+    private void sendDueRequests() {
+        while (nextArrivalIndex < plan.arrivals().size()) {
+            Arrival arrival = plan.arrivals().get(nextArrivalIndex);
+            long delayMicros = loadStart + arrival.at() - clock.nowMicros();
+            if (delayMicros > 0) {
+                network.schedule(loop, delayMicros, this::sendDueRequests);
                 return;
             }
-            lateness.record(-wait);
-            next++;
-            new Request(arrival).send();
+            lateness.record(-delayMicros);
+            nextArrivalIndex++;
+            new PlannedRequest(arrival).send();
         }
     }
 
     /** Requests that are not over yet. */
     public int unfinishedRequestCount() {
-        return loop.submit(() -> inHand + plan.arrivals().size() - next).syncUninterruptibly().getNow();
+        return loop.submit(() -> inFlightRequests + plan.arrivals().size() - nextArrivalIndex)
+            .syncUninterruptibly().getNow();
     }
 
     /** One client's request, over all its tries. */
-    final class Request {
+    final class PlannedRequest {
         private final Arrival arrival;
-        private final ServiceClass type;
-        private final long intended;
+        private final ServiceClass serviceClass;
+        private final long plannedAt;
         private final RandomGenerator random;
-        private int tries;
-        private boolean crossed;
+        private int tryCount;
+        private boolean resentOnNewConnection;
 
-        Request(Arrival arrival) {
+        PlannedRequest(Arrival arrival) {
             this.arrival = arrival;
-            this.type = experiment.classes().get(arrival.serviceClass());
-            this.intended = zero + arrival.at();
+            this.serviceClass = experiment.classes().get(arrival.serviceClass());
+            this.plannedAt = loadStart + arrival.at();
             this.random = RandomStreams.stream(arrival.salt(), "client");
-            inHand++;
+            inFlightRequests++;
         }
 
         private void send() {
-            send(front.pick());
+            send(loadBalancer.acquire());
         }
 
         private void send(ClientConnection connection) {
             long now = clock.nowMicros();
-            long left = intended + type.deadline() - now;
-            long timeout = Math.min(left, Math.round(type.deadline() * arrival.tryShare()));
-            if (timeout < LEAST) {
-                finish(Outcome.FAILED, now - intended); // a wait ran out the time while it was late itself
+            long remaining = plannedAt + serviceClass.deadline() - now;
+            long timeoutMicros = Math.min(remaining,
+                Math.round(serviceClass.deadline() * arrival.tryShare()));
+            if (timeoutMicros < MIN_TRY_MICROS) {
+                finish(Outcome.FAILED, now - plannedAt); // a wait ran out the time while it was late itself
                 return;
             }
             if (connection == null) {
-                tries++;
-                again(Outcome.UNREACHABLE, true, 0);
+                tryCount++;
+                retryOrFinish(Outcome.UNREACHABLE, true, 0);
                 return;
             }
-            boolean safe = type.idempotency() == Idempotency.IDEMPOTENT;
-            String id = HexFormat.of().toHexDigits(RandomStreams.deriveSeed(arrival.salt(), "try " + tries));
-            String content = safe ? "" : "order " + id + " for " + type.name() + "\n";
-            ClientRequest one = new ClientRequest(id, safe ? "GET" : "POST", "/" + type.name() + "/"
+            boolean idempotent = serviceClass.idempotency() == Idempotency.IDEMPOTENT;
+            String requestId = HexFormat.of()
+                .toHexDigits(RandomStreams.deriveSeed(arrival.salt(), "try " + tryCount));
+            String body = idempotent ? "" : "order " + requestId + " for " + serviceClass.name() + "\n";
+            ClientRequest newTry =
+                new ClientRequest(requestId, idempotent ? "GET" : "POST", "/" + serviceClass.name() + "/"
                 + (arrival.route().isEmpty() ? arrival.index() : arrival.route()),
-                safe ? null : arrival.key(), content, arrival, connection.proxy(), now, timeout);
-            referee.requestSent(one, tries == 0);
-            tries++;
-            connection.send(this, one, message(one));
-            connection.deadline(net.schedule(loop, timeout + experiment.ruleLimits().responseSlack() + Referee.SOCKET_TOLERANCE_MICROS,
-                () -> connection.overdue(one)));
+                idempotent ? null : arrival.key(), body, arrival, connection.proxy(), now, timeoutMicros);
+            referee.requestSent(newTry, tryCount == 0);
+            tryCount++;
+            connection.send(this, newTry, toHttpRequest(newTry));
+            connection.setDeadlineTimer(network.schedule(loop, timeoutMicros + experiment.ruleLimits()
+                .responseSlack() + Referee.SOCKET_TOLERANCE_MICROS,
+                () -> connection.onDeadline(newTry)));
         }
 
-        private FullHttpRequest message(ClientRequest one) {
+        private FullHttpRequest toHttpRequest(ClientRequest currentTry) {
             FullHttpRequest message = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1,
-                HttpMethod.valueOf(one.method),
-                one.path, Unpooled.copiedBuffer(one.body, StandardCharsets.UTF_8));
-            message.headers().set(HttpHeaderNames.HOST, "app.svc").set("X-Request-ID", one.id)
-                .set("X-Priority-Class", type.name())
-                .set("X-Timeout", String.format(Locale.ROOT, "%.3f", one.timeoutMicros / 1e6));
+                HttpMethod.valueOf(currentTry.method),
+                currentTry.path, Unpooled.copiedBuffer(currentTry.body, StandardCharsets.UTF_8));
+            message.headers().set(HttpHeaderNames.HOST, "app.svc").set("X-Request-ID", currentTry.id)
+                .set("X-Priority-Class", serviceClass.name())
+                .set("X-Timeout", String.format(Locale.ROOT, "%.3f", currentTry.timeoutMicros / 1e6));
             if (!arrival.tenant().isEmpty()) {
                 message.headers().set("X-Tenant-Id", arrival.tenant());
             }
-            if (one.idempotencyKey != null) {
-                message.headers().set("Idempotency-Key", one.idempotencyKey);
+            if (currentTry.idempotencyKey != null) {
+                message.headers().set("Idempotency-Key", currentTry.idempotencyKey);
                 message.headers().set(HttpHeaderNames.CONTENT_LENGTH, message.content().readableBytes());
             }
             return message;
         }
 
         /** The proxy could not be reached at all: nothing was taken. */
-        void unreachable() {
-            again(Outcome.UNREACHABLE, true, 0);
+        void onUnreachable() {
+            retryOrFinish(Outcome.UNREACHABLE, true, 0);
         }
 
         /** The connection ended without a whole answer. A request that nobody read may go once more. */
-        void broke(ClientRequest one, boolean reused) {
+        void onConnectionClosed(ClientRequest currentTry, boolean reused) {
             long now = clock.nowMicros();
-            if (reused && !crossed && !referee.reachedBackend(one) && now < one.sentAtMicros + one.timeoutMicros) {
-                crossed = true;
-                tries--;
-                send(front.fresh());
+            if (reused && !resentOnNewConnection && !referee.reachedBackend(currentTry)
+                && now < currentTry.sentAtMicros + currentTry.timeoutMicros) {
+                resentOnNewConnection = true;
+                tryCount--;
+                send(loadBalancer.openConnection());
                 return;
             }
-            referee.responseMissing(one, now, "the connection ended without a whole answer after "
-                + (now - one.sentAtMicros) / 1000 + " ms");
-            again(Outcome.FAILED, false, 0);
+            referee.responseMissing(currentTry, now, "the connection ended without a whole answer after "
+                + (now - currentTry.sentAtMicros) / 1000 + " ms");
+            retryOrFinish(Outcome.FAILED, false, 0);
         }
 
         /** No answer although the time and all slack are over. */
-        void unanswered(ClientRequest one) {
-            referee.responseMissing(one, clock.nowMicros(), "no answer within " + one.timeoutMicros / 1000 + " ms");
-            again(Outcome.UNANSWERED, false, 0);
+        void onTimeout(ClientRequest currentTry) {
+            referee.responseMissing(currentTry, clock.nowMicros(), "no answer within "
+                + currentTry.timeoutMicros / 1000 + " ms");
+            retryOrFinish(Outcome.UNANSWERED, false, 0);
         }
 
-        void answered(ClientRequest one, FullHttpResponse response) {
+        void onResponse(ClientRequest currentTry, FullHttpResponse response) {
             long now = clock.nowMicros();
             int status = response.status().code();
-            referee.responseReceived(one, now, status, response.content().toString(StandardCharsets.UTF_8));
+            referee.responseReceived(currentTry, now, status, response.content()
+                .toString(StandardCharsets.UTF_8));
             if (status == 200) {
-                finish(now - intended <= type.latencyTarget() ? Outcome.IN_TIME : now - intended <= type.deadline()
+                finish(now - plannedAt <= serviceClass.latencyTarget() ? Outcome.IN_TIME
+                    : now - plannedAt <= serviceClass.deadline()
                     ? Outcome.LATE
-                    : Outcome.FAILED, now - intended);
+                    : Outcome.FAILED, now - plannedAt);
                 return;
             }
-            boolean refused = status == 429 || status == 503;
-            double after = 0;
-            String advice = response.headers().get(HttpHeaderNames.RETRY_AFTER);
-            if (advice != null) {
+            boolean rejected = status == 429 || status == 503;
+            double retryAfterMicros = 0;
+            String retryAfterHeader = response.headers().get(HttpHeaderNames.RETRY_AFTER);
+            if (retryAfterHeader != null) {
                 try {
-                    after = Math.min(Double.parseDouble(advice) * 1e6, experiment.clients().maxRetryAfter());
+                    retryAfterMicros = Math.min(Double.parseDouble(retryAfterHeader) * 1e6,
+                        experiment.clients().maxRetryAfter());
                 } catch (NumberFormatException e) {
-                    after = 0; // a date, say: clients here heed seconds
+                    retryAfterMicros = 0; // a date, say: clients here heed seconds
                 }
             }
-            again(refused ? Outcome.REFUSED : Outcome.FAILED, refused, after);
+            retryOrFinish(rejected ? Outcome.REFUSED : Outcome.FAILED, rejected, retryAfterMicros);
         }
 
         /** Tries again where the client may and still has the time; else this was its end. */
-        private void again(Outcome how, boolean harmless, double advice) {
+        private void retryOrFinish(Outcome outcome, boolean notExecuted, double retryAfterMicros) {
             long now = clock.nowMicros();
-            boolean may = harmless || type.idempotency() == Idempotency.IDEMPOTENT
-                || type.idempotency() == Idempotency.DEDUPLICATED && type.dedupScope() == DedupScope.ALL
-                    && now - intended < type.dedupWindow();
-            double wait = experiment.clients().retryBackoff().draw(random) * (1 << Math.min(10, tries - 1));
+            boolean mayRetry = notExecuted || serviceClass.idempotency() == Idempotency.IDEMPOTENT
+                || serviceClass.idempotency() == Idempotency.DEDUPLICATED
+                    && serviceClass.dedupScope() == DedupScope.ALL
+                    && now - plannedAt < serviceClass.dedupWindow();
+            double delayMicros = experiment.clients().retryBackoff()
+                .draw(random) * (1 << Math.min(10, tryCount - 1));
             if (random.nextDouble() < experiment.clients().honourRetryAfterProbability()) {
-                wait = Math.max(wait, advice);
+                delayMicros = Math.max(delayMicros, retryAfterMicros);
             }
-            if (may && tries <= arrival.retries() && now + wait < intended + type.deadline()) {
-                net.schedule(loop, Math.round(wait), this::send);
+            if (mayRetry && tryCount <= arrival.retries() && now + delayMicros < plannedAt
+                + serviceClass.deadline()) {
+                network.schedule(loop, Math.round(delayMicros), this::send);
             } else {
-                finish(how, now - intended);
+                finish(outcome, now - plannedAt);
             }
         }
 
-        private void finish(Outcome how, long latency) {
-            inHand--;
-            score.recordOutcome(arrival, how, latency, tries);
+        private void finish(Outcome outcome, long latencyMicros) {
+            inFlightRequests--;
+            statistics.recordOutcome(arrival, outcome, latencyMicros, tryCount);
         }
     }
 }
--- a/lab/src/test/java/dockrelay/lab/world/CallQueueTest.java
+++ b/lab/src/test/java/dockrelay/lab/world/CallQueueTest.java
@@ -7,33 +7,35 @@
 
 /** Calls that have failed were dropped from discovery's queue, so that a fleet could not overrun it. */
 class CallQueueTest {
-    private static final long SECOND = 1_000_000, COST = SECOND / 10, MAX_WAIT = SECOND;
+    private static final long SECOND_MICROS = 1_000_000, SERVICE_MICROS = SECOND_MICROS / 10,
+        MAX_WAIT_MICROS = SECOND_MICROS;
 
     @Test
-    void callsAreServedOneAfterAnother() {
-        CallQueue queue = new CallQueue(MAX_WAIT);
-        assertEquals(new CallQueue.Turn(COST, true), queue.take(0, COST));
-        assertEquals(new CallQueue.Turn(2 * COST, true), queue.take(0, COST));
-        assertEquals(new CallQueue.Turn(COST, true), queue.take(SECOND, COST), "it is idle again by then");
+    void callsAreServedOneAtATime() {
+        CallQueue queue = new CallQueue(MAX_WAIT_MICROS);
+        assertEquals(new CallQueue.CallOutcome(SERVICE_MICROS, true), queue.enqueue(0, SERVICE_MICROS));
+        assertEquals(new CallQueue.CallOutcome(2 * SERVICE_MICROS, true), queue.enqueue(0, SERVICE_MICROS));
+        assertEquals(new CallQueue.CallOutcome(SERVICE_MICROS, true),
+            queue.enqueue(SECOND_MICROS, SERVICE_MICROS), "it is idle again by then");
     }
 
     @Test
-    void aCallThatHasFailedKeepsItsPlace() {
-        CallQueue queue = new CallQueue(MAX_WAIT);
+    void failedCallStaysInTheQueue() {
+        CallQueue queue = new CallQueue(MAX_WAIT_MICROS);
         for (int i = 0; i < 30; i++) {
-            assertEquals(i <= 10, queue.take(0, COST).served(), "call " + i);
+            assertEquals(i <= 10, queue.enqueue(0, SERVICE_MICROS).served(), "call " + i);
         }
-        CallQueue.Turn behindThem = queue.take(SECOND, COST);
-        assertEquals(new CallQueue.Turn(MAX_WAIT, false), behindThem);
-        assertTrue(queue.take(3 * SECOND, COST).served());
+        CallQueue.CallOutcome laterCall = queue.enqueue(SECOND_MICROS, SERVICE_MICROS);
+        assertEquals(new CallQueue.CallOutcome(MAX_WAIT_MICROS, false), laterCall);
+        assertTrue(queue.enqueue(3 * SECOND_MICROS, SERVICE_MICROS).served());
     }
 
     @Test
-    void callsThatComeFasterThanTheyAreServedAreNotServedAnyMore() {
-        CallQueue queue = new CallQueue(MAX_WAIT);
+    void mostCallsFailUnderSustainedOverload() {
+        CallQueue queue = new CallQueue(MAX_WAIT_MICROS);
         int served = 0;
         for (int i = 0; i < 1_000; i++) {
-            served += queue.take(i * COST / 2, COST).served() ? 1 : 0;
+            served += queue.enqueue(i * SERVICE_MICROS / 2, SERVICE_MICROS).served() ? 1 : 0;
         }
         assertTrue(served < 50, served + " served");
     }
