--- a/lab/src/main/java/dockrelay/lab/link/BlackHoleListener.java
+++ b/lab/src/main/java/dockrelay/lab/link/BlackHoleListener.java
@@ -9,9 +9,9 @@
 import java.util.List;
 
 /**
- * An address at which no connection comes up, as behind a cut: a listener that accepts nothing, its queue
- * filled by
- * connections of its own, so that the system drops what else knocks. Closed, it resets who was in the queue.
+ * A listening address at which connection attempts time out, as behind a network partition. It never accepts
+ * and keeps its accept queue full with its own connections, so the kernel drops further SYNs. Closing it
+ * resets the connections in the queue.
  */
 public final class BlackHoleListener implements AutoCloseable {
     private static final int FILLER_CONNECTIONS = 8;
@@ -26,7 +26,7 @@
         for (int i = 0; i < FILLER_CONNECTIONS; i++) {
             SocketChannel connection = SocketChannel.open();
             connection.configureBlocking(false);
-            connection.connect(address); // over loopback it is up at once, or the queue is full
+            connection.connect(address); // on loopback it completes at once unless the accept queue is full
             fillerConnections.add(connection);
         }
     }
--- a/lab/src/main/java/dockrelay/lab/link/LinkDelayModel.java
+++ b/lab/src/main/java/dockrelay/lab/link/LinkDelayModel.java
@@ -3,19 +3,18 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Decides when what is sent over a passage arrives: a pure machine, told the time. A stream keeps its order
- * and loses
- * nothing: what is lost comes after the sender's wait for a repeat, and all behind it waits too. Datagrams
- * may be lost,
- * come twice, or overtake each other.
+ * Computes arrival times on one direction of an impaired link, in microseconds. It reads no clock: the caller
+ * passes the time. Streams stay ordered and complete, as with TCP: a lost segment arrives after the sender's
+ * retransmission timeout, and everything behind it waits too. Datagrams may be lost, duplicated or reordered.
+ * Not thread-safe.
  */
 public final class LinkDelayModel {
-    /** The least wait of a stream before it repeats what was lost, doubled each time it is lost again. */
+    /** Initial retransmission timeout of a stream; doubles with each further loss of the same segment. */
     private static final double INITIAL_RETRANSMIT_MICROS = 200_000;
     private static final int MAX_RETRANSMITS = 6;
     /**
-     * What is out of order comes so much later than it would have, in delays of the passage and at least
-     * this.
+     * Mean extra delay of a reordered datagram, unless twice the link's delay is more; also the maximum extra
+     * delay of a duplicate.
      */
     private static final double REORDER_DELAY_MICROS = 5_000;
     private static final long[] LOST = {};
@@ -27,10 +26,10 @@
         this.random = random;
     }
 
-    /** When a part of a stream that is sent now arrives; never before what was sent earlier. */
+    /** Returns when stream data sent now arrives; never earlier than data sent before it. */
     public long streamArrival(long now, Passage conditions) {
-        double delay = conditions.delay() + randomJitter(conditions), retransmitTimeout =
-            INITIAL_RETRANSMIT_MICROS;
+        double delay = conditions.delay() + randomJitter(conditions),
+            retransmitTimeout = INITIAL_RETRANSMIT_MICROS;
         for (int i = 0; i < MAX_RETRANSMITS && random.nextDouble() < conditions.loss(); i++) {
             delay += retransmitTimeout;
             retransmitTimeout *= 2;
@@ -39,7 +38,7 @@
         return lastStreamArrival;
     }
 
-    /** When a datagram that is sent now arrives: never, once, or twice. */
+    /** Returns the arrival times of a datagram sent now: none if it is lost, two if it is duplicated. */
     public long[] datagramArrivals(long now, Passage conditions) {
         if (conditions.mode() != Passage.Mode.OPEN || random.nextDouble() < conditions.loss()) {
             return LOST;
--- a/lab/src/main/java/dockrelay/lab/link/LinkHandler.java
+++ b/lab/src/main/java/dockrelay/lab/link/LinkHandler.java
@@ -10,16 +10,20 @@
 import java.util.function.LongSupplier;
 import java.util.random.RandomGenerator;
 
-/** The network on one connection that ends here: holds back, in order, what passes in each direction. */
+/**
+ * Emulates the network on one connection of the emulator: delays the data of each direction in order, stalls
+ * it while the link is silent and resets the connection on a link that resets. Runs on the connection's event
+ * loop.
+ */
 public final class LinkHandler extends ChannelDuplexHandler {
-    /** Runs something on the connection's loop after so many microseconds. */
+    /** Runs an action on the connection's event loop after a delay in microseconds. */
     public interface Timer {
         void schedule(long delayMicros, Runnable action);
     }
 
     /**
-     * After a silence, what the system has kept for us is held this long, to see whether the other side has
-     * reset the connection meanwhile: the network it stands for would have had nothing to deliver then.
+     * After a silent period, data buffered in the kernel is held back this long, to see whether the remote
+     * side has reset the connection in the meantime: a real network would not have delivered that data.
      */
     private static final long RESET_DETECTION_MICROS = 5_000;
 
@@ -34,8 +38,7 @@
     private ChannelHandlerContext handlerContext;
 
     public LinkHandler(LinkTable links, String localEndpoint, String remoteEndpoint, LongSupplier clock,
-        Timer timer,
-                       RandomGenerator random) {
+        Timer timer, RandomGenerator random) {
         this.links = links;
         this.localEndpoint = localEndpoint;
         this.remoteEndpoint = remoteEndpoint;
@@ -45,9 +48,7 @@
         this.outbound = new Direction(localEndpoint, remoteEndpoint, new LinkDelayModel(random));
     }
 
-    /**
-     * One direction: what waits in it, each with when it arrives. Silent, all of it waits for the network.
-     */
+    /** One direction of the connection: pending actions with their arrival times. Stalls while silent. */
     private final class Direction {
         private final String sender, receiver;
         private final LinkDelayModel delayModel;
@@ -61,6 +62,10 @@
             this.delayModel = delayModel;
         }
 
+        /**
+         * Runs the action when the data it carries arrives, after all earlier ones and not before the given
+         * time.
+         */
         void send(Runnable action, long notBefore) {
             Passage conditions = links.conditionsBetween(sender, receiver);
             if (pending.isEmpty() && conditions.isUnimpaired() && notBefore <= clock.getAsLong()) {
@@ -74,13 +79,13 @@
 
         void deliverDue() {
             long now = clock.getAsLong();
-            while (!pending.isEmpty() && arrivalTimes.peek() <= now && links.conditionsBetween(sender,
-                receiver).mode() == Mode.OPEN) {
+            while (!pending.isEmpty() && arrivalTimes.peek() <= now
+                && links.conditionsBetween(sender, receiver).mode() == Mode.OPEN) {
                 arrivalTimes.poll();
                 pending.poll().run();
             }
-            if (!pending.isEmpty() && !timerPending && links.conditionsBetween(sender, receiver)
-                .mode() == Mode.OPEN) {
+            if (!pending.isEmpty() && !timerPending
+                && links.conditionsBetween(sender, receiver).mode() == Mode.OPEN) {
                 timerPending = true;
                 timer.schedule(arrivalTimes.peek() - now, () -> {
                     timerPending = false;
@@ -109,7 +114,7 @@
     public void channelInactive(ChannelHandlerContext context) throws Exception {
         links.removeListener(linkListener);
         while (!inbound.pending.isEmpty()) {
-            inbound.pending.poll().run(); // ended in order: what was sent before the end arrives before it
+            inbound.pending.poll().run(); // data sent before the close is delivered before it
         }
         outbound.pending.clear();
         super.channelInactive(context);
@@ -125,10 +130,10 @@
         });
     }
 
-    /** A connection across a silent direction hears nothing; across a reset one it ends. */
+    /** Resets the connection if a direction is in reset mode; else reads only while inbound is open. */
     private void applyLinkMode() {
-        Mode inboundMode = links.conditionsBetween(remoteEndpoint, localEndpoint).mode(), outboundMode =
-            links.conditionsBetween(localEndpoint, remoteEndpoint).mode();
+        Mode inboundMode = links.conditionsBetween(remoteEndpoint, localEndpoint).mode(),
+            outboundMode = links.conditionsBetween(localEndpoint, remoteEndpoint).mode();
         if (inboundMode == Mode.RESET || outboundMode == Mode.RESET) {
             handlerContext.channel().config().setOption(ChannelOption.SO_LINGER, 0);
             handlerContext.close();
@@ -141,7 +146,10 @@
         }
     }
 
-    /** Reset: what was sent into the silence before that would have been dropped with the sender's queue. */
+    /**
+     * On a reset right after a silent period, drops the data held back: the remote side sent it into the
+     * silence, and a reset discards the sender's unacknowledged data.
+     */
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
         if (clock.getAsLong() <= holdUntil) {
@@ -168,7 +176,7 @@
         if (outbound.pending.isEmpty()) {
             context.close(promise);
         } else {
-            outbound.send(() -> context.close(promise), 0); // the end comes after what was written before it
+            outbound.send(() -> context.close(promise), 0); // the close follows the data written before it
         }
     }
 }
--- a/lab/src/main/java/dockrelay/lab/link/LinkTable.java
+++ b/lab/src/main/java/dockrelay/lab/link/LinkTable.java
@@ -6,17 +6,24 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /**
- * How the network stands between any two parties, in each direction. Read from all loops, changed from one.
+ * The conditions of the emulated network between any two endpoints, per direction. Any thread may read;
+ * changes come from one event loop.
  */
 public final class LinkTable {
-    /** Parties have names: clients, discovery, n0 and so on, s-1 and so on. */
+    /**
+     * Conditions laid on the directions between two sets of endpoints. Endpoint names: "clients",
+     * "discovery", "n0"... (proxies) and "s-1"... (backends).
+     */
     private record LinkFault(Object key, Set<String> from, Set<String> to, Passage conditions) {
     }
 
     private final List<LinkFault> faults = new CopyOnWriteArrayList<>();
     private final Set<Runnable> listeners = ConcurrentHashMap.newKeySet();
 
-    /** Lays a fault on all directions from the ones to the others, until it is lifted by the same key. */
+    /**
+     * Applies a link fault to every direction from an endpoint of the first set to one of the second, until
+     * it is removed by the same key.
+     */
     public void addFault(Object key, Set<String> from, Set<String> to, Passage conditions) {
         faults.add(new LinkFault(key, from, to, conditions));
         listeners.forEach(Runnable::run);
@@ -27,6 +34,7 @@
         listeners.forEach(Runnable::run);
     }
 
+    /** Returns the combined conditions of all faults on this direction. */
     public Passage conditionsBetween(String from, String to) {
         Passage combined = Passage.UNIMPAIRED;
         for (LinkFault fault : faults) {
@@ -37,13 +45,13 @@
         return combined;
     }
 
-    /** Whether a new connection between them can come up: its first messages need both directions. */
+    /** Whether a TCP handshake can complete between the two: it needs both directions. */
     public boolean canConnect(String endpointA, String endpointB) {
         return conditionsBetween(endpointA, endpointB).mode() != Passage.Mode.SILENT
             && conditionsBetween(endpointB, endpointA).mode() != Passage.Mode.SILENT;
     }
 
-    /** Runs this, on the changer's thread, after each change. */
+    /** Registers a listener that runs after each change, on the thread that made it. */
     public void addListener(Runnable listener) {
         listeners.add(listener);
     }
--- a/lab/src/main/java/dockrelay/lab/link/Relay.java
+++ b/lab/src/main/java/dockrelay/lab/link/Relay.java
@@ -21,11 +21,9 @@
 import java.util.function.LongSupplier;
 
 /**
- * The network between two processes: each reaches the other at an address of the relay's that is reserved
- * for it, and
- * hears it from there, datagrams and streams alike. Datagrams pass from its own address and port; a stream
- * comes from
- * the address with a port of its own.
+ * Emulates the network between two peer processes, for datagrams and streams. Each peer reaches the other at
+ * a relay address reserved for it and sees the other's traffic come from there: datagrams from the same
+ * address and port, streams from the same address and an ephemeral port. All sockets run on one event loop.
  */
 public final class Relay implements AutoCloseable {
     private final EventLoop loop;
@@ -35,7 +33,7 @@
     private final RelayedPeer peerA, peerB;
     private final AtomicLong forwardedDatagrams = new AtomicLong(), forwardedBytes = new AtomicLong();
 
-    /** One of the two: where it really is, and where the other one is for it. */
+    /** One peer: its real address, and the sockets at which it reaches the other peer. */
     private final class RelayedPeer {
         final String name;
         final InetSocketAddress realAddress;
@@ -50,12 +48,12 @@
     }
 
     /**
-     * Party a, really at {@code realA}, reaches b at a port of {@code forA}; likewise the other way round.
+     * Starts relaying. Peer a, listening at {@code realAddressA}, reaches peer b at a free port of the host
+     * {@code hostForA}; likewise peer b. Must not be called on the event loop.
      */
     public Relay(String nameA, InetSocketAddress realAddressA, String hostForA, String nameB,
-        InetSocketAddress realAddressB,
-        String hostForB,
-                 EventLoop loop, LinkTable links, LongSupplier clock, LinkHandler.Timer timer, long seed) {
+        InetSocketAddress realAddressB, String hostForB, EventLoop loop, LinkTable links,
+        LongSupplier clock, LinkHandler.Timer timer, long seed) {
         this.loop = loop;
         this.links = links;
         this.clock = clock;
@@ -68,6 +66,7 @@
         listen(peerB, peerA, hostForB);
     }
 
+    /** Opens the sockets at which one peer reaches the other: datagrams and streams on the same port. */
     private void listen(RelayedPeer from, RelayedPeer to, String host) {
         from.datagramChannel = new Bootstrap().group(loop).channel(NioDatagramChannel.class)
             .handler(new SimpleChannelInboundHandler<DatagramPacket>() {
@@ -80,7 +79,7 @@
 
                 @Override
                 public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-                    // A peer that is down refuses datagrams: that is what it is to look like.
+                    // A peer that is down answers with ICMP port unreachable: expected, so ignored.
                 }
             }).bind(new InetSocketAddress(host, 0)).syncUninterruptibly().channel();
         InetSocketAddress address = (InetSocketAddress) from.datagramChannel.localAddress();
@@ -94,6 +93,7 @@
             }).bind(address).syncUninterruptibly().channel();
     }
 
+    /** Forwards a datagram with the link's delay, loss and duplication, from the address of its sender. */
     private void forwardDatagram(RelayedPeer from, RelayedPeer to, ByteBuf content) {
         long now = clock.getAsLong();
         Passage conditions = links.conditionsBetween(from.name, to.name);
@@ -110,7 +110,9 @@
         }
     }
 
-    /** Carries a stream on to the other one, from the address at which that one knows this one. */
+    /**
+     * Connects an accepted stream to the other peer, from the address at which that peer reaches this one.
+     */
     private void connectStream(Channel accepted, RelayedPeer from, RelayedPeer to) {
         InetSocketAddress source = new InetSocketAddress(
             ((InetSocketAddress) to.datagramChannel.localAddress()).getAddress(), 0);
@@ -124,7 +126,7 @@
                     return;
                 }
                 Channel outgoing = connectFuture.channel();
-                // The network lies on the near half; the far one only passes on.
+                // The accepted connection emulates the network; the outgoing one only forwards.
                 outgoing.pipeline().addLast(new StreamForwarder(accepted));
                 accepted.pipeline().addLast(newLinkHandler(from.name, to.name),
                     new StreamForwarder(outgoing));
@@ -137,20 +139,22 @@
             RandomStreams.stream(forwardedDatagrams.get(), remoteEndpoint + localEndpoint));
     }
 
-    /** Where the first reaches the second. */
+    /** Returns the address at which peer a reaches peer b. */
     public InetSocketAddress peerAddressForA() {
         return (InetSocketAddress) peerA.datagramChannel.localAddress();
     }
 
+    /** Returns the address at which peer b reaches peer a. */
     public InetSocketAddress peerAddressForB() {
         return (InetSocketAddress) peerB.datagramChannel.localAddress();
     }
 
-    /** Datagrams that have passed, in both directions. */
+    /** Returns how many datagrams were forwarded, in both directions together. */
     public long forwardedDatagrams() {
         return forwardedDatagrams.get();
     }
 
+    /** Returns how many datagram payload bytes were forwarded, in both directions together. */
     public long forwardedBytes() {
         return forwardedBytes.get();
     }
@@ -163,6 +167,7 @@
         }
     }
 
+    /** Forwards what one connection receives to another, and closes that one with it. */
     private static final class StreamForwarder extends ChannelInboundHandlerAdapter {
         private final Channel destination;
 
