--- a/lab/src/main/java/dockrelay/lab/world/BackendModel.java
+++ b/lab/src/main/java/dockrelay/lab/world/BackendModel.java
@@ -10,21 +10,24 @@
 import java.util.PriorityQueue;
 
 /**
- * A planner node as a pure state machine: cores shared evenly by what runs in its slots, a waiting room,
- * crowding,
- * a cold start that can be pushed over. Times are microseconds and never go back; work is in microseconds of
- * a
+ * The capacity model of a backend, a state machine without clock or I/O: processor sharing of the cores among
+ * the jobs in its slots, a bounded queue, a slowdown under sustained overload, and a cold start during which
+ * too much work crashes it. Times are microseconds and must not decrease; work is in microseconds of a
  * standard core.
  */
 public final class BackendModel {
-    /** Warmth and crowding are looked at so often while they change. */
+    /** How often warm-up and overload are re-evaluated while they change. */
     private static final long STEP_MICROS = 20_000;
-    /** Warm by requests: once it has done the work of so much of its cold time; at its end in any case. */
+    /**
+     * A backend that warms up by requests is warm once it has done the work that it could do at full capacity
+     * in this share of its warm-up time, and at the end of that time in any case.
+     */
     private static final double WARM_UP_WORK_SHARE = 0.5;
-    /** Chance is not to push a node over: one window may hold so much more. */
+    /** Tolerance for random peaks, so that chance alone does not crash a cold backend. */
     private static final double CRASH_TOLERANCE = 1.1;
     private static final long NEVER = Long.MAX_VALUE;
 
+    /** A request or a piece of overhead; the attained work at its start and finish defines its progress. */
     private static final class Job {
         final long id;
         final double workMicros;
@@ -39,6 +42,7 @@
         }
     }
 
+    /** Work that was offered to a cold backend at a given time. */
     private record OfferedWork(long offeredAt, double workMicros) {
     }
 
@@ -64,7 +68,11 @@
         this.cold = cold && figures.coldTime() > 0;
     }
 
-    /** Takes a job and says so, or turns it away where slots and waiting room are full. */
+    /**
+     * Offers a request. Returns whether it was accepted; it is rejected if all slots and the queue are full,
+     * or if the backend has crashed. As in all methods with {@code endedJobs}, ids of requests that end by
+     * {@code now} are added to that list.
+     */
     public boolean offer(long now, long id, double workMicros, List<Long> endedJobs) {
         advance(now, endedJobs);
         recordColdWork(workMicros);
@@ -82,7 +90,7 @@
         return true;
     }
 
-    /** Work that takes no slot: handshakes and probes. */
+    /** Adds work that occupies no slot: handshakes and probes. */
     public void addOverhead(long now, double workMicros, List<Long> endedJobs) {
         advance(now, endedJobs);
         if (workMicros > 0 && !crashed) {
@@ -92,9 +100,7 @@
         }
     }
 
-    /**
-     * Stops a job, if it is still there, and tells how much work it has had; below 0 where it is not there.
-     */
+    /** Cancels a job and returns the work already done on it; -1 if the job does not exist. */
     public double cancel(long now, long id, List<Long> endedJobs) {
         advance(now, endedJobs);
         Job job = jobs.remove(id);
@@ -113,7 +119,7 @@
         return workReceived;
     }
 
-    /** Carries time on; what has ended by then is added to the list, in order. */
+    /** Advances the model to the given time; ended requests are added to the list in order of their end. */
     public void advance(long now, List<Long> endedJobs) {
         while (currentTime < now) {
             long stepEnd = needsStepping() ? Math.min(now, currentTime + STEP_MICROS) : now;
@@ -167,20 +173,20 @@
         }
     }
 
-    /** What one job gets in a microsecond. */
+    /** Returns the work per microsecond that each running job receives. */
     private double ratePerJob() {
         return runningJobs.isEmpty() ? 0 : figures.speed() * speedShare() * Math.min(1,
             (double) figures.cores() / runningJobs.size());
     }
 
-    /** The share of its speed that it has at present. */
+    /** Returns the share of the nominal speed that is available now. */
     private double speedShare() {
         double connectionLoad = Math.min(1, (double) openConnections / figures.connections());
-        return warmUpShare() / (overloaded ? figures.chokeSlower()
-            : 1) / slowdown * (1 - stolenCpuShare) * (1 - figures.fullTax() * connectionLoad);
+        return warmUpShare() / (overloaded ? figures.chokeSlower() : 1) / slowdown
+            * (1 - stolenCpuShare) * (1 - figures.fullTax() * connectionLoad);
     }
 
-    /** From the share it starts with up to 1. */
+    /** Returns the warm-up state: rises from the cold-start share of the nominal speed to 1. */
     public double warmUpShare() {
         if (!cold) {
             return 1;
@@ -198,7 +204,10 @@
         }
     }
 
-    /** A cold node that is sent a multiple of what it can do, for a while, falls over and stays down. */
+    /**
+     * Records work offered to a cold backend, and crashes it if the work in the window exceeds a multiple of
+     * its current capacity. A crashed backend stays down until it is started anew.
+     */
     private void recordColdWork(double workMicros) {
         if (!cold) {
             return;
@@ -212,7 +221,10 @@
         crashed = crashed || coldWorkSum > figures.fallMultiple() * CRASH_TOLERANCE * capacity;
     }
 
-    /** Crowded for long enough it turns slower, until it has been mostly idle for a while, or for long. */
+    /**
+     * Enters the slow overloaded state after sustained overload; leaves it once load has been low for the
+     * recovery time, or after the maximum duration.
+     */
     private void updateOverload(long now) {
         int requests = requestCount();
         if (overloaded) {
@@ -241,7 +253,7 @@
         return cold || overloaded || overloadSince >= 0;
     }
 
-    /** When it has to be looked at again, at the latest; Long.MAX_VALUE where nothing is to come. */
+    /** Returns the latest time of the next {@link #advance}; Long.MAX_VALUE if nothing is pending. */
     public long nextEventAt() {
         double rate = ratePerJob();
         Job nextToFinish = runningJobs.peek();
@@ -250,42 +262,45 @@
         return needsStepping() ? Math.min(finishAt, currentTime + STEP_MICROS) : finishAt;
     }
 
-    /** Slower by this factor, and with this share of its cores taken by another program. */
+    /** Sets the slowdown factor, and the share of the cores that another program takes. */
     public void setSlowdown(long now, double slowdownFactor, double cpuShareTaken, List<Long> endedJobs) {
         advance(now, endedJobs);
         slowdown = slowdownFactor;
         stolenCpuShare = cpuShareTaken;
     }
 
+    /** Sets the number of open connections, which reduce the speed. */
     public void setConnections(long now, int count, List<Long> endedJobs) {
         advance(now, endedJobs);
         openConnections = count;
     }
 
-    /** Requests that it holds, running or waiting. */
+    /** Returns the number of requests running or queued. */
     public int requestCount() {
         return usedSlots + queuedJobs.size();
     }
 
+    /** Whether the backend is in the slow state that follows sustained overload. */
     public boolean isOverloaded() {
         return overloaded;
     }
 
+    /** Whether the backend is still warming up after a cold start. */
     public boolean isCold() {
         return cold;
     }
 
-    /** Whether it was pushed over while cold. */
+    /** Whether too much work has crashed the backend while it was cold. */
     public boolean isCrashed() {
         return crashed;
     }
 
-    /** Work done since its start, of requests and of all else. */
+    /** Returns the work done since the start, including overhead. */
     public double workDone() {
         return workDone;
     }
 
-    /** The ids of what it holds, for whoever ends it. */
+    /** Returns the ids of all jobs. */
     public List<Long> jobIds() {
         return new ArrayList<>(jobs.keySet());
     }
--- a/lab/src/main/java/dockrelay/lab/world/CallQueue.java
+++ b/lab/src/main/java/dockrelay/lab/world/CallQueue.java
@@ -1,9 +1,9 @@
 package dockrelay.lab.world;
 
 /**
- * The one queue in which discovery serves its calls, one after another. A call that has waited too long
- * fails, but keeps its place: nobody takes it out, and those behind it wait for it all the same. Times are
- * in microseconds.
+ * The FIFO queue of calls to the discovery service, which serves one at a time. A call that would wait too
+ * long fails, but stays in the queue and still costs its service time, so a fleet can overload discovery.
+ * Times are in microseconds.
  */
 final class CallQueue {
     private final long maxWaitMicros;
@@ -13,11 +13,11 @@
         this.maxWaitMicros = maxWaitMicros;
     }
 
-    /** What becomes of a call: in how long it is answered, or fails. */
+    /** The outcome of a call, and after how many microseconds it is answered or fails. */
     record CallOutcome(long delayMicros, boolean served) {
     }
 
-    /** Takes in a call that takes discovery so long once its turn has come. */
+    /** Enqueues a call with the given service time and returns its outcome. */
     CallOutcome enqueue(long now, long serviceMicros) {
         long waitMicros = Math.max(0, busyUntilMicros - now);
         busyUntilMicros = now + waitMicros + serviceMicros;
--- a/lab/src/main/java/dockrelay/lab/world/ClientConnection.java
+++ b/lab/src/main/java/dockrelay/lab/world/ClientConnection.java
@@ -9,7 +9,9 @@
 import io.netty.handler.codec.http.HttpUtil;
 import java.util.concurrent.Future;
 
-/** A client's connection to a proxy; one request is on it at a time. */
+/**
+ * A client's connection to a proxy, with at most one request in flight. Owned by the client event loop.
+ */
 final class ClientConnection extends SimpleChannelInboundHandler<FullHttpResponse> {
     private final FrontLoadBalancer loadBalancer;
     private final int proxy;
@@ -66,7 +68,7 @@
         });
     }
 
-    /** The request that it carried, which it has no more to do with. */
+    /** Detaches and returns the request in flight, if any, and cancels its deadline timer. */
     private OpenLoopClients.PlannedRequest detachRequest() {
         OpenLoopClients.PlannedRequest carriedRequest = request;
         request = null;
@@ -89,7 +91,7 @@
     @Override
     protected void channelRead0(ChannelHandlerContext context, FullHttpResponse response) {
         if (request == null) {
-            context.close(); // an answer that nobody asked for
+            context.close(); // unsolicited response
             return;
         }
         ClientRequest answeredTry = currentTry;
--- a/lab/src/main/java/dockrelay/lab/world/Clock.java
+++ b/lab/src/main/java/dockrelay/lab/world/Clock.java
@@ -1,6 +1,8 @@
 package dockrelay.lab.world;
 
-/** The world's time: microseconds from its making, on the steady clock, and what the wall clock says then. */
+/**
+ * The lab's clock: microseconds since its creation on the monotonic clock, and the matching wall-clock time.
+ */
 public final class Clock {
     private final long startNanos = System.nanoTime();
     private final long startUnixMillis = System.currentTimeMillis();
@@ -9,7 +11,7 @@
         return (System.nanoTime() - startNanos) / 1000;
     }
 
-    /** Unix time in milliseconds at that moment. */
+    /** Converts a time of this clock in microseconds to Unix time in milliseconds. */
     public long unixMillis(long micros) {
         return startUnixMillis + micros / 1000;
     }
--- a/lab/src/main/java/dockrelay/lab/world/DiscoveryService.java
+++ b/lab/src/main/java/dockrelay/lab/world/DiscoveryService.java
@@ -36,21 +36,27 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The one discovery: whole lists and watches, calls one after another, late news. One loop's thread owns it.
+ * The emulated discovery service: answers calls for the full backend list and watches for changes, serves
+ * calls one at a time and learns of changes with a delay. Owned by the emulator's event loop.
  */
 public final class DiscoveryService {
     private static final String ENDPOINT = "discovery";
     private static final long KEEP_ALIVE_MILLIS = 2_000;
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final int MAX_REQUEST_BYTES = 64 << 10;
-    /** What discovery has counts as known so long after it could be reached, whether it was asked or not. */
+    /**
+     * A proxy counts as informed of a change once it has been able to reach discovery for this long after the
+     * change, whether or not it asked.
+     */
     private static final long INFORMED_AFTER_MICROS = 6_000_000;
     private static final long UNREACHABLE = Long.MAX_VALUE;
     private static final long REACHABILITY_CHECK_MICROS = 100_000;
 
+    /** A backend's entry in the list, with the list version that last changed it. */
     private record ListEntry(EmulatedBackend backend, String state, long startedMillis, long version) {
     }
 
+    /** An open watch of a proxy, with the list version last sent on it. */
     private static final class Watch {
         final Channel channel;
         final int proxy;
@@ -67,7 +73,7 @@
     private final EventLoop loop;
     private final Clock clock;
     private final Referee referee;
-    /** The list as each proxy is shown it: some are shown changes later than others. */
+    /** The backend list as each proxy sees it: some proxies see changes later than others. */
     private final List<List<ListEntry>> views = new ArrayList<>();
     private final long[] visibleVersions, propagationDelays;
     private final List<Watch> watches = new ArrayList<>();
@@ -77,13 +83,12 @@
     private final double callServiceMicros, entryServiceMicros;
     private final Experiment.Discovery spec;
     private final CallQueue queue;
-    private final long[] reachableSince; // by each proxy; UNREACHABLE while it is not
+    private final long[] reachableSince; // per proxy; UNREACHABLE while it cannot reach discovery
     private long version = 1, entriesSent;
     private boolean inOutage;
 
     DiscoveryService(Experiment.Discovery spec, long seed, int proxyCount, List<EmulatedBackend> backends,
-        EmulatorNetwork network, Clock clock,
-        Referee referee) {
+        EmulatorNetwork network, Clock clock, Referee referee) {
         this.spec = spec;
         this.network = network;
         this.loop = network.emulatorLoop();
@@ -112,14 +117,13 @@
     }
 
     private Listener newListener(int proxy) {
-        return new Listener(network, loop, LoopbackAddresses.discoveryAddress(proxy), () ->
-            new ChannelHandler[] {
-            network.newLinkHandler(ENDPOINT, "n" + proxy, clock), new HttpServerCodec(),
-                new HttpObjectAggregator(MAX_REQUEST_BYTES),
-            new CallHandler(proxy)});
+        return new Listener(network, loop, LoopbackAddresses.discoveryAddress(proxy),
+            () -> new ChannelHandler[] {
+                network.newLinkHandler(ENDPOINT, "n" + proxy, clock), new HttpServerCodec(),
+                new HttpObjectAggregator(MAX_REQUEST_BYTES), new CallHandler(proxy)});
     }
 
-    /** Moves to new addresses; the old ones refuse from then on. Not to be called on the loop. */
+    /** Moves to new addresses; the old ones refuse connections afterwards. Must not run on the event loop. */
     void move() {
         List<Listener> newListeners = new ArrayList<>();
         for (int i = 0; i < listeners.size(); i++) {
@@ -134,6 +138,7 @@
         }).syncUninterruptibly();
     }
 
+    /** Silences the listeners of the proxies that cannot reach discovery over their link. */
     private void updateListeners() {
         for (int i = 0; i < listeners.size(); i++) {
             listeners.get(i).setState(network.links().canConnect("n" + i, ENDPOINT) ? Listener.State.ACCEPTING
@@ -150,14 +155,17 @@
         }
     }
 
-    /** Counts a change as known, if it still holds, once the proxy could have asked for it long enough. */
+    /**
+     * Reports a change to the referee as known to the proxy once the proxy could have asked for it for
+     * {@link #INFORMED_AFTER_MICROS}, unless a later change has replaced it.
+     */
     private void reportWhenInformed(int proxy, ListEntry entry, long changedAt) {
         if (views.get(proxy).get(entry.backend.plan().index()) != entry) {
             return;
         }
         boolean reachable = reachableSince[proxy] != UNREACHABLE;
-        long delayMicros = reachable ? Math.max(changedAt, reachableSince[proxy])
-            + INFORMED_AFTER_MICROS - clock.nowMicros()
+        long delayMicros = reachable
+            ? Math.max(changedAt, reachableSince[proxy]) + INFORMED_AFTER_MICROS - clock.nowMicros()
             : REACHABILITY_CHECK_MICROS;
         if (reachable && delayMicros <= 0) {
             reportInformed(List.of(entry), proxy);
@@ -170,7 +178,7 @@
         return listeners.get(proxy).address();
     }
 
-    /** A node died: the list knows after a while. */
+    /** Removes a crashed backend from the list after the detection delay, if it is still down. */
     void onCrash(EmulatedBackend backend) {
         schedule(spec.deathDetectionDelay().draw(random), () -> {
             if (!backend.isUp()) {
@@ -179,7 +187,7 @@
         });
     }
 
-    /** A node is there again: the list knows after a while. */
+    /** Lists a restarted backend after the detection delay, if it is still up. */
     void onRestart(EmulatedBackend backend) {
         schedule(spec.startDetectionDelay().draw(random), () -> {
             if (backend.isUp()) {
@@ -188,7 +196,7 @@
         });
     }
 
-    /** The operators' word reaches the list at once. */
+    /** Marks a backend as draining or active again; an operator's change is listed without delay. */
     void setDraining(EmulatedBackend backend, boolean draining) {
         recordChange(backend, draining ? "leaving" : "active");
     }
@@ -197,6 +205,7 @@
         network.schedule(loop, Math.round(delayMicros), action);
     }
 
+    /** Gives a backend's entry a new version, which each proxy sees after its propagation delay. */
     private void recordChange(EmulatedBackend backend, String state) {
         ListEntry entry = new ListEntry(backend, state, backend.startedMillis(), ++version);
         for (int i = 0; i < propagationDelays.length; i++) {
@@ -209,15 +218,15 @@
         }
     }
 
+    /** Makes a changed entry visible to a proxy and sends it on the proxy's watches. */
     private void applyChange(int proxy, ListEntry entry) {
         views.get(proxy).set(entry.backend.plan().index(), entry);
         visibleVersions[proxy] = entry.version;
         reportWhenInformed(proxy, entry, clock.nowMicros());
         for (Watch watch : new ArrayList<>(watches)) {
             if (watch.proxy == proxy) {
-                sendEntries(watch, views.get(proxy).stream()
-                    .filter(listed -> listed.version > watch.version).toList(),
-                    false);
+                sendEntries(watch, views.get(proxy).stream().filter(listed -> listed.version > watch.version)
+                    .toList(), false);
             }
         }
     }
@@ -229,16 +238,16 @@
         reportInformed(entries, watch.proxy);
     }
 
+    /** Tells the referee which entries a proxy knows from now on. */
     private void reportInformed(List<ListEntry> entries, int proxy) {
         long now = clock.nowMicros();
         for (ListEntry entry : entries) {
             referee.discoveryEntrySent(proxy, entry.backend.plan().index(), entry.state.equals("active"),
-                entry.startedMillis,
-                now);
+                entry.startedMillis, now);
         }
     }
 
-    /** In the form that proxies are given it in. */
+    /** Serializes list entries as JSON for a proxy. */
     private String toJson(List<ListEntry> entries, boolean full, int proxy) {
         entriesSent += entries.size();
         try {
@@ -252,7 +261,11 @@
         return views.get(proxy).stream().filter(entry -> !entry.state.equals("left")).toList();
     }
 
-    /** The whole list as of now, for a proxy's configuration. */
+    /**
+     * Returns the full current list for a proxy's configuration.
+     *
+     * @param usedAtStart whether the proxy starts with this list; the referee then counts it as known to it
+     */
     Map<String, Object> backendListFor(int proxy, boolean usedAtStart) {
         List<ListEntry> entries = listedEntries(proxy);
         if (usedAtStart) {
@@ -262,6 +275,7 @@
         return toListDocument(entries, true, proxy);
     }
 
+    /** Builds the list in the format of the discovery API. */
     private Map<String, Object> toListDocument(List<ListEntry> entries, boolean full, int proxy) {
         List<Map<String, Object>> servers = new ArrayList<>();
         for (ListEntry entry : entries) {
@@ -283,7 +297,7 @@
         return document;
     }
 
-    /** Down: calls fail, watches end; news stays for whoever asks later. */
+    /** Starts or ends an outage: calls fail and watches close; changes remain available for later calls. */
     void setOutage(boolean active) {
         inOutage = active;
         updateReachability();
@@ -296,6 +310,7 @@
         return entriesSent;
     }
 
+    /** Sends an empty line on each watch as a keep-alive. */
     private void sendKeepAlives() {
         for (Watch watch : watches) {
             watch.channel.writeAndFlush(new DefaultHttpContent(Unpooled.copiedBuffer("\n",
@@ -303,6 +318,7 @@
         }
     }
 
+    /** A proxy's connection to discovery. */
     private final class CallHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         private final int proxy;
 
@@ -371,9 +387,8 @@
             context.writeAndFlush(responseHead);
             Watch newWatch = new Watch(context.channel(), proxy, afterVersion);
             boolean full = afterVersion <= 0;
-            sendEntries(newWatch, full ? entries : views.get(proxy).stream()
-                .filter(entry -> entry.version > afterVersion).toList(),
-                full);
+            sendEntries(newWatch, full ? entries
+                : views.get(proxy).stream().filter(entry -> entry.version > afterVersion).toList(), full);
             watches.add(newWatch);
         }
 
--- a/lab/src/main/java/dockrelay/lab/world/EmulatedBackend.java
+++ b/lab/src/main/java/dockrelay/lab/world/EmulatedBackend.java
@@ -41,12 +41,16 @@
 import java.util.concurrent.TimeUnit;
 import java.util.random.RandomGenerator;
 
-/** A planner node: its model played on sockets, with a listener for each proxy. One loop's thread owns it. */
+/**
+ * An emulated backend: runs its capacity model behind real sockets, with one listener per proxy. Owned by the
+ * emulator's event loop.
+ */
 public final class EmulatedBackend {
     private static final int MAX_REQUEST_BYTES = 64 << 10;
-    /** An attempt comes with the time that the proxy will wait; it is no use after that. */
+    /** Header with the seconds that the proxy waits for the response; it discards a later one. */
     private static final String TIMEOUT_HEADER = "X-Timeout";
 
+    /** A request in the backend, with the connection that its response goes to. */
     private record ActiveRequest(Attempt attempt, Channel channel, boolean keepAlive) {
     }
 
@@ -73,8 +77,7 @@
     private String loadReport = "";
 
     EmulatedBackend(Plan.Node plan, long seed, int proxyCount, EmulatorNetwork network, Clock clock,
-        Referee referee, long idleTimeoutMicros,
-        boolean answersProbes) {
+        Referee referee, long idleTimeoutMicros, boolean answersProbes) {
         this.plan = plan;
         this.network = network;
         this.loop = network.emulatorLoop();
@@ -86,7 +89,7 @@
         this.random = RandomStreams.stream(seed, "node " + plan.name());
     }
 
-    /** Takes connections from now on; cold where it was down before. */
+    /** Starts accepting connections; cold after a restart, so that it needs a warm-up. */
     void start(boolean cold) {
         up = true;
         crashedByOverload = false;
@@ -97,21 +100,21 @@
         updateListeners();
     }
 
-    /** Takes its addresses. To be called once, and not on the loop. */
+    /** Binds the listeners. Must be called once, and not on the event loop. */
     void bindListeners() {
         for (int i = 0; i < proxyCount; i++) {
             int proxy = i;
-            listeners.add(new Listener(network, loop, LoopbackAddresses.backendAddress(i), () ->
-                new ChannelHandler[] {
-                network.newLinkHandler(plan.name(), "n" + proxy, clock),
-                    new IdleStateHandler(0, 0, idleTimeoutMillis,
-                TimeUnit.MILLISECONDS), new HttpServerCodec(), new HttpObjectAggregator(MAX_REQUEST_BYTES),
-                new ProxyConnection(proxy)}));
+            listeners.add(new Listener(network, loop, LoopbackAddresses.backendAddress(i),
+                () -> new ChannelHandler[] {
+                    network.newLinkHandler(plan.name(), "n" + proxy, clock),
+                    new IdleStateHandler(0, 0, idleTimeoutMillis, TimeUnit.MILLISECONDS),
+                    new HttpServerCodec(), new HttpObjectAggregator(MAX_REQUEST_BYTES),
+                    new ProxyConnection(proxy)}));
         }
         network.links().addListener(() -> loop.execute(this::updateListeners));
     }
 
-    /** Whether its addresses take, refuse or swallow connections now. */
+    /** Sets each listener to accept, refuse or drop connections, by the backend's and the links' state. */
     private void updateListeners() {
         for (int i = 0; i < listeners.size(); i++) {
             listeners.get(i).setState(!network.links().canConnect("n" + i, plan.name())
@@ -120,7 +123,7 @@
         }
     }
 
-    /** Dies: its connections are reset and new ones refused. */
+    /** Crashes the backend: open connections are reset and new ones refused. */
     void crash() {
         up = false;
         updateListeners();
@@ -134,7 +137,7 @@
         }
     }
 
-    /** A fault sets in. Those in overlap add up: it is as slow as all of them together make it. */
+    /** Starts a fault. Overlapping faults combine: slowdown factors multiply. */
     void startFault(Break fault) {
         activeFaults.add(fault);
         applyFaults();
@@ -145,11 +148,12 @@
         applyFaults();
     }
 
-    /** Whether a fault of this kind lies on it. */
+    /** Whether a fault of this kind is active. */
     boolean hasFault(FaultKind kind) {
         return activeFaults.stream().anyMatch(fault -> fault.kind() == kind);
     }
 
+    /** Recomputes the effect of all active faults. */
     private void applyFaults() {
         slowdown = 1;
         double availableShare = 1;
@@ -189,7 +193,7 @@
         return listeners.get(proxy).address();
     }
 
-    /** For the report: what it holds, below 0 where it is down. */
+    /** Returns the number of requests running or queued; -1 while the backend is down. */
     int requestCount() {
         return up ? model.requestCount() : -1;
     }
@@ -202,6 +206,7 @@
         return crashedByOverload;
     }
 
+    /** Responds to the requests whose jobs ended, and crashes the backend if its model has crashed. */
     private void completeJobs(List<Long> endedJobs) {
         long now = clock.nowMicros();
         for (long id : endedJobs) {
@@ -224,6 +229,7 @@
         scheduleModelTimer();
     }
 
+    /** Sets the timer to the model's next event. */
     private void scheduleModelTimer() {
         long nextEventAt = up ? model.nextEventAt() : Long.MAX_VALUE;
         if (modelTimer != null && modelTimerAt == nextEventAt) {
@@ -238,7 +244,7 @@
             long timerId = ++modelTimerId;
             modelTimer = network.schedule(loop, nextEventAt - clock.nowMicros(), () -> {
                 if (timerId != modelTimerId) {
-                    return; // it was on its way when it was called off
+                    return; // cancelled after the timer had already queued it on the loop
                 }
                 modelTimer = null;
                 List<Long> endedJobs = new ArrayList<>();
@@ -260,7 +266,7 @@
             double workDone = model.cancel(now, id, endedJobs);
             referee.attemptEnded(request.attempt, Attempt.State.CANCELLED, workDone);
         } else {
-            // it runs on for nobody
+            // This kind of backend ignores a cancellation and runs the request to completion.
             referee.attemptEnded(request.attempt, Attempt.State.CANCELLED, request.attempt.workMicros);
         }
         completeJobs(endedJobs);
@@ -279,10 +285,10 @@
         }
         request.channel.writeAndFlush(response)
             .addListener(request.keepAlive ? ChannelFutureListener.CLOSE_ON_FAILURE
-            : ChannelFutureListener.CLOSE);
+                : ChannelFutureListener.CLOSE);
     }
 
-    /** What it says of its load: some time old and not exact. */
+    /** Returns the load report, which is up to one report period old and noisy. */
     private String currentLoadReport(long now) {
         Figures figures = plan.figures();
         if (now - reportedAt >= figures.reportPeriod()) {
@@ -297,7 +303,7 @@
         return loadReport;
     }
 
-    /** One connection of a proxy's. One request is on it at a time. */
+    /** A proxy's connection to the backend, with at most one request in flight. */
     private final class ProxyConnection extends SimpleChannelInboundHandler<FullHttpRequest> {
         private final int proxy;
         private long handshakeDoneAt;
@@ -364,28 +370,27 @@
                 return;
             }
             Attempt attempt = referee.attemptArrived(proxy, plan.index(), now, id, request.method().name(),
-                request.uri(),
-                request.headers().get("Idempotency-Key"), request.content().toString(StandardCharsets.UTF_8));
+                request.uri(), request.headers().get("Idempotency-Key"),
+                request.content().toString(StandardCharsets.UTF_8));
             if (attempt == null) {
                 respond(new ActiveRequest(null, context.channel(), keepAlive),
-                    HttpResponseStatus.BAD_REQUEST, "unknown\n",
-                    false);
+                    HttpResponseStatus.BAD_REQUEST, "unknown\n", false);
                 return;
             }
-            // the first request on a new connection waits for its handshake
+            // The first request on a new connection waits for the emulated handshake.
             long handshakeRemaining = handshakeDoneAt - now;
             if (handshakeRemaining > 0) {
                 network.schedule(loop, handshakeRemaining,
-                    () -> acceptRequest(context, attempt, keepAlive, clock.nowMicros(), request.headers()
-                        .get(TIMEOUT_HEADER)));
+                    () -> acceptRequest(context, attempt, keepAlive, clock.nowMicros(),
+                        request.headers().get(TIMEOUT_HEADER)));
             } else {
                 acceptRequest(context, attempt, keepAlive, now, request.headers().get(TIMEOUT_HEADER));
             }
         }
 
+        /** Fails, rejects or starts an attempt whose connection is set up. */
         private void acceptRequest(ChannelHandlerContext context, Attempt attempt, boolean keepAlive,
-            long now,
-            String timeout) {
+            long now, String timeout) {
             ActiveRequest request = new ActiveRequest(attempt, context.channel(), keepAlive);
             if (!up || !context.channel().isActive()) {
                 referee.attemptEnded(attempt, Attempt.State.CANCELLED, 0);
@@ -419,6 +424,7 @@
             completeJobs(endedJobs);
         }
 
+        /** Responds to a health check or load probe; anything else without a request id is not found. */
         private void respondToProbe(ChannelHandlerContext context, FullHttpRequest request,
             boolean keepAlive, long now) {
             ActiveRequest probeRequest = new ActiveRequest(null, context.channel(), keepAlive);
--- a/lab/src/main/java/dockrelay/lab/world/Emulator.java
+++ b/lab/src/main/java/dockrelay/lab/world/Emulator.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.Callable;
 import java.util.function.BiConsumer;
 
-/** Nodes and discovery, on one loop, and the faults that befall them. */
+/** The emulated backends and discovery service, on one event loop, and the faults injected into them. */
 public final class Emulator {
     private final EmulatorNetwork network;
     private final Clock clock;
@@ -32,9 +32,8 @@
         this.referee = referee;
         this.proxyCount = proxyCount;
         for (Plan.Node node : plan.nodes()) {
-            EmulatedBackend backend =
-                new EmulatedBackend(node, plan.seed(), proxyCount, network, clock, referee,
-                experiment.nodes().connections().idleTimeout(), experiment.permissions().probes());
+            EmulatedBackend backend = new EmulatedBackend(node, plan.seed(), proxyCount, network, clock,
+                referee, experiment.nodes().connections().idleTimeout(), experiment.permissions().probes());
             backend.bindListeners();
             backends.add(backend);
         }
@@ -43,58 +42,68 @@
             return null;
         });
         discovery = new DiscoveryService(experiment.discovery(), plan.seed(), proxyCount, backends, network,
-            clock,
-            referee);
+            clock, referee);
     }
 
     private <T> T callOnLoop(Callable<T> action) {
         return network.emulatorLoop().submit(action).syncUninterruptibly().getNow();
     }
 
-    /** Who takes nodes out (true) and puts them back at the proxies' consoles. To be told before a start. */
+    /**
+     * Sets the handler that detaches a backend (true) or attaches it again at the proxies' consoles. Must be
+     * set before the start.
+     */
     public void onBackendDetach(BiConsumer<String, Boolean> handler) {
         detachHandler = handler;
     }
 
-    /** Who tells the proxies where discovery is, once it has moved. To be told before a start. */
+    /** Sets the handler of a move of discovery, which informs the proxies. Must be set before the start. */
     public void onDiscoveryMove(Runnable handler) {
         discoveryMoveHandler = handler;
     }
 
-    /** Takes discovery to new addresses. Not to be called on the loop. */
+    /** Moves discovery to new addresses. Must not be called on the event loop. */
     public void moveDiscovery() {
         discovery.move();
     }
 
+    /** Returns the host and port at which a proxy reaches discovery. */
     public String discoveryAddress(int proxy) {
         return LoopbackAddresses.hostAndPort(discovery.addressFor(proxy));
     }
 
-    /** The list for a proxy's configuration; told where it starts with it. */
+    /**
+     * Returns the backend list for a proxy's configuration.
+     *
+     * @param usedAtStart whether the proxy starts with this list; the referee then counts it as known to it
+     */
     public Map<String, Object> backendListFor(int proxy, boolean usedAtStart) {
         return callOnLoop(() -> discovery.backendListFor(proxy, usedAtStart));
     }
 
-    /** What each node holds; below 0 where it is down. */
+    /** Returns the number of requests running or queued per backend; -1 for a backend that is down. */
     public int[] requestsPerBackend() {
         return callOnLoop(() -> backends.stream().mapToInt(EmulatedBackend::requestCount).toArray());
     }
 
+    /** Returns how many backends are slowed down by overload. */
     public long overloadedBackendCount() {
         return callOnLoop(() -> backends.stream().filter(EmulatedBackend::isOverloaded).count());
     }
 
+    /** Returns how many backends are down because too much work crashed them while cold. */
     public long overloadCrashedBackendCount() {
         return callOnLoop(() -> backends.stream().filter(EmulatedBackend::isCrashedByOverload).count());
     }
 
+    /** Returns the number of list entries that discovery has sent to proxies. */
     public long discoveryEntriesSent() {
         return callOnLoop(discovery::entriesSent);
     }
 
     /**
-     * Lets a fault of nodes or discovery begin at its time and end after it lasted; zero is when clients
-     * come.
+     * Schedules the start and the end of a fault. Its times count from {@code loadStart}, the start of the
+     * load.
      */
     public void scheduleFault(Break fault, long loadStart) {
         scheduleAt(loadStart + fault.at(), () -> startFault(fault));
@@ -146,7 +155,7 @@
         }
     }
 
-    /** Lays it on, and lets the referee know which proxies it keeps from their clients. */
+    /** Applies a link fault, and excuses the proxies that it cuts off from the clients in the referee. */
     private void applyLinkFault(Break fault) {
         Set<String> from = Set.copyOf(fault.link().from()), to = Set.copyOf(fault.link().to());
         network.links().addFault(fault, from, to, fault.link().passage());
--- a/lab/src/main/java/dockrelay/lab/world/EmulatorNetwork.java
+++ b/lab/src/main/java/dockrelay/lab/world/EmulatorNetwork.java
@@ -25,9 +25,9 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.Supplier;
 
-/** The world's sockets and loops. */
+/** The emulator's event loops, sockets, timers and emulated links. */
 public final class EmulatorNetwork {
-    /** The name of all clients together, as a party of the network. */
+    /** The endpoint name of all clients together in the emulated network. */
     static final String CLIENTS_ENDPOINT = "clients";
     private static final int ACCEPT_BACKLOG = 1024;
 
@@ -43,7 +43,7 @@
     public EmulatorNetwork(long seed) {
         this.seed = seed;
         timers.setRemoveOnCancelPolicy(true);
-        // At the end the loops still run for a moment: what they put off then is not to be done any more.
+        // During close() the loops still run for a moment; tasks that they schedule then are dropped.
         timers.setRejectedExecutionHandler(new ThreadPoolExecutor.DiscardPolicy());
     }
 
@@ -53,8 +53,8 @@
     }
 
     /**
-     * Runs this on the loop after a time. The loop's own timers wake by the millisecond, and late by half of
-     * one: a thread that only waits is some 0.1 ms late.
+     * Runs an action on an event loop after a delay. A dedicated timer thread fires about 0.1 ms late; the
+     * loop's own timers have millisecond resolution and are about 0.5 ms late.
      */
     public Future<?> schedule(EventLoop loop, long delayMicros, Runnable action) {
         return timers.schedule(() -> loop.execute(action), Math.max(0, delayMicros), TimeUnit.MICROSECONDS);
@@ -64,7 +64,7 @@
         return links;
     }
 
-    /** The network between a party of the world's and another, for one connection. */
+    /** Returns the link emulation of one connection between an emulator's endpoint and a remote one. */
     LinkHandler newLinkHandler(String localEndpoint, String remoteEndpoint, Clock clock) {
         EventLoop loop = localEndpoint.equals(CLIENTS_ENDPOINT) ? clientLoop() : emulatorLoop();
         return new LinkHandler(links, localEndpoint, remoteEndpoint, clock::nowMicros,
@@ -73,16 +73,17 @@
                 + connectionCount.incrementAndGet()));
     }
 
-    /** Nodes and discovery. */
+    /** Returns the event loop of the backends and the discovery service. */
     public EventLoop emulatorLoop() {
         return emulatorLoops.next();
     }
 
+    /** Returns the event loop of the clients and the front load balancer. */
     public EventLoop clientLoop() {
         return clientLoops.next();
     }
 
-    /** Listens at this address; each connection gets the handlers that this gives it. */
+    /** Binds a listener; each accepted connection gets its own handlers from the supplier. */
     ChannelFuture listen(EventLoop loop, InetSocketAddress address, Supplier<ChannelHandler[]> handlers) {
         return new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
             .option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG)
@@ -90,9 +91,10 @@
             .childHandler(initializer(handlers)).bind(address);
     }
 
+    /** Returns a bootstrap for outgoing connections; each gets its own handlers from the supplier. */
     Bootstrap newClientBootstrap(EventLoop loop, int timeoutMillis, Supplier<ChannelHandler[]> handlers) {
-        return new Bootstrap().group(loop).channel(NioSocketChannel.class).option(ChannelOption.TCP_NODELAY,
-            true)
+        return new Bootstrap().group(loop).channel(NioSocketChannel.class)
+            .option(ChannelOption.TCP_NODELAY, true)
             .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, timeoutMillis).handler(initializer(handlers));
     }
 
--- a/lab/src/main/java/dockrelay/lab/world/FrontLoadBalancer.java
+++ b/lab/src/main/java/dockrelay/lab/world/FrontLoadBalancer.java
@@ -28,12 +28,14 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Spreads clients' connections over the proxies. It lets a proxy in once its healthz said yes after a start,
- * and notices late that one is gone. One loop's thread owns it.
+ * The load balancer in front of the proxies: spreads client connections over the healthy ones. A proxy
+ * becomes eligible with a successful health check and is removed once checks have failed for the removal
+ * delay. Owned by the client event loop.
  */
 public final class FrontLoadBalancer {
-    /** One that is well is asked again no sooner than this, and all together no oftener than each 10 ms. */
+    /** Healthy proxies are checked at most every 100 ms each, and at most every 10 ms over all. */
     private static final long CHECK_INTERVAL_MILLIS = 100, MIN_CHECK_SPACING_MILLIS = 10;
+    /** Timeout of connecting, and of a health check after connecting. */
     private static final int TIMEOUT_MILLIS = 1000;
     private static final int MAX_RESPONSE_BYTES = 1 << 20;
 
@@ -49,10 +51,9 @@
     private final IntConsumer onHealthy;
     private boolean closed;
 
-    /** Each yes of a proxy at healthz is told on, on the clients' loop. */
+    /** {@code onHealthy} runs on the client event loop with a proxy's index at each passed health check. */
     public FrontLoadBalancer(InetSocketAddress[] proxies, Experiment.Clients spec, long seed,
-        EmulatorNetwork network, Clock clock,
-        IntConsumer onHealthy) {
+        EmulatorNetwork network, Clock clock, IntConsumer onHealthy) {
         this.onHealthy = onHealthy;
         this.proxies = proxies.clone();
         this.healthy = new boolean[proxies.length];
@@ -64,7 +65,7 @@
         this.removalDelayMicros = Math.round(spec.proxyRemovalDelay().draw(random));
     }
 
-    /** Asks all proxies from now on whether they can serve. */
+    /** Starts the health checks of all proxies. */
     public void start() {
         for (int i = 0; i < proxies.length; i++) {
             int proxy = i;
@@ -73,7 +74,7 @@
         }
     }
 
-    /** How many proxies it sends to. */
+    /** Returns how many proxies are eligible for connections. Must not be called on the client event loop. */
     public int healthyProxyCount() {
         return loop.submit(() -> {
             int count = 0;
@@ -84,7 +85,7 @@
         }).syncUninterruptibly().getNow();
     }
 
-    /** At rest it asks no more. */
+    /** Stops the health checks and closes the idle connections. */
     public void close() {
         loop.execute(() -> {
             closed = true;
@@ -119,7 +120,7 @@
         loop.schedule(() -> checkHealth(proxy), delayMillis, TimeUnit.MILLISECONDS);
     }
 
-    /** A connection at rest, or a new one to any proxy that is let in; null where there is none. */
+    /** Returns an idle connection, or a new one to a random healthy proxy; null if no proxy is healthy. */
     ClientConnection acquire() {
         while (!idleConnections.isEmpty()) {
             int index = random.nextInt(idleConnections.size());
@@ -133,7 +134,7 @@
         return openConnection();
     }
 
-    /** A new connection to any proxy that is let in; null where there is none. */
+    /** Opens a connection to a random healthy proxy; returns null if there is none. */
     ClientConnection openConnection() {
         int candidates = 0, chosenProxy = -1;
         for (int i = 0; i < proxies.length; i++) {
@@ -153,21 +154,21 @@
         String endpoint = "n" + proxy;
         Bootstrap bootstrap = network.newClientBootstrap(loop, TIMEOUT_MILLIS, () -> new ChannelHandler[] {
             network.newLinkHandler(EmulatorNetwork.CLIENTS_ENDPOINT, endpoint, clock),
-                new HttpClientCodec(), new HttpObjectAggregator(MAX_RESPONSE_BYTES),
-            handler});
+            new HttpClientCodec(), new HttpObjectAggregator(MAX_RESPONSE_BYTES), handler});
         if (network.links().canConnect(EmulatorNetwork.CLIENTS_ENDPOINT, endpoint)) {
             return bootstrap.connect(proxies[proxy]);
         }
-        // Across a cut nothing comes up: the system is not asked, as it would bring it up.
+        // The link is silent. A loopback connection would succeed, so fail with a timeout instead.
         Channel unconnected = bootstrap.register().channel();
         ChannelPromise promise = unconnected.newPromise();
         network.schedule(loop, TIMEOUT_MILLIS * 1000L, () -> {
-            promise.tryFailure(new ConnectTimeoutException("across a cut"));
+            promise.tryFailure(new ConnectTimeoutException("link to the proxy is silent"));
             unconnected.close();
         });
         return promise;
     }
 
+    /** Returns a connection to the idle ones after a response. */
     void release(ClientConnection connection) {
         idleConnections.add(connection);
     }
@@ -176,7 +177,7 @@
         idleConnections.remove(connection);
     }
 
-    /** What an answer to the question whether a proxy can serve says. */
+    /** One health check of a proxy. */
     private final class HealthCheck extends SimpleChannelInboundHandler<FullHttpResponse> {
         private final int proxy;
         private boolean reported;
--- a/lab/src/main/java/dockrelay/lab/world/Listener.java
+++ b/lab/src/main/java/dockrelay/lab/world/Listener.java
@@ -8,15 +8,19 @@
 import java.net.InetSocketAddress;
 import java.util.function.Supplier;
 
-/** One address of the world's that takes connections, refuses them, or swallows them. Its loop owns it. */
+/**
+ * A listening address of the emulator that accepts connections, refuses them, or lets them time out. Its
+ * event loop owns it.
+ */
 final class Listener {
     /**
-     * What happens to whoever connects: taken, refused as by a dead process, or no answer as by a lost
-     * machine.
+     * Connections are accepted, refused as if the process were dead, or time out as if the host were lost.
      */
     enum State { ACCEPTING, REFUSING, SILENT }
 
-    /** The system gives an address back a moment after its listener is closed. */
+    /**
+     * Delay before the address is bound again: the kernel releases it shortly after its listener is closed.
+     */
     private static final long REBIND_DELAY_MICROS = 10_000;
     private static final int MAX_REBIND_ATTEMPTS = 200;
 
@@ -30,7 +34,7 @@
     private int failedAttempts;
     private boolean transitioning;
 
-    /** Takes the address, and with it a port. Not to be called on the loop. */
+    /** Binds the address, which also fixes the port. Must not be called on the event loop. */
     Listener(EmulatorNetwork network, EventLoop loop, InetSocketAddress bindAddress,
         Supplier<ChannelHandler[]> handlers) {
         this.network = network;
@@ -80,7 +84,7 @@
                 if (bindFuture.isSuccess()) {
                     channel = bindFuture.channel();
                     failedAttempts = 0;
-                    applyTargetState(); // it may be wanted otherwise by now
+                    applyTargetState(); // the desired state may have changed while binding
                 } else {
                     onBindFailure(bindFuture.cause());
                 }
@@ -90,7 +94,7 @@
 
     private void onBindFailure(Throwable cause) {
         if (failedAttempts++ >= MAX_REBIND_ATTEMPTS) {
-            throw new IllegalStateException("cannot listen at " + address + " again", cause);
+            throw new IllegalStateException("listener at " + address + " cannot be bound again", cause);
         }
         applyLater();
     }
--- a/lab/src/main/java/dockrelay/lab/world/LoopbackAddresses.java
+++ b/lab/src/main/java/dockrelay/lab/world/LoopbackAddresses.java
@@ -6,14 +6,17 @@
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
 
-/** Who is reached where: each party at an address that is reserved for the one who asks. All are loopback. */
+/**
+ * Allocates loopback addresses. The host identifies both the service and the proxy: backends and discovery
+ * listen at a separate host for each proxy, so the emulator can tell the proxies apart.
+ */
 public final class LoopbackAddresses {
     private static final int HOSTS_PER_SUBNET = 250, MAX_BIND_ATTEMPTS = 20;
 
     private LoopbackAddresses() {
     }
 
-    /** Where a proxy takes clients, or its operators: the second byte tells which. */
+    /** Returns the loopback host of a service of or for a proxy; the second byte identifies the service. */
     private static String loopbackHost(int serviceByte, int proxy) {
         return "127." + serviceByte + "." + (1 + proxy / HOSTS_PER_SUBNET) + "."
             + (1 + proxy % HOSTS_PER_SUBNET);
@@ -27,16 +30,17 @@
         return new InetSocketAddress(loopbackHost(21, proxy), 0);
     }
 
-    /** An address for a proxy to listen at; its port is free at this moment. */
+    /** Returns an address for a proxy's client listener; its port is free at the time of the call. */
     public static InetSocketAddress freeProxyAddress(int proxy) throws IOException {
         return freeAddress(loopbackHost(22, proxy));
     }
 
+    /** Returns an address for a proxy's console; its port is free at the time of the call. */
     public static InetSocketAddress freeConsoleAddress(int proxy) throws IOException {
         return freeAddress(loopbackHost(23, proxy));
     }
 
-    /** Where the processes meet each other: a port that is free for datagrams and streams alike. */
+    /** Returns an address for a proxy's peer traffic, with a port that is free for both TCP and UDP. */
     public static InetSocketAddress freePeerAddress(int proxy) throws IOException {
         for (int i = 0; ; i++) {
             InetSocketAddress address = freeAddress(loopbackHost(24, proxy));
@@ -50,7 +54,7 @@
         }
     }
 
-    /** The host of the relays' addresses at which a proxy reaches the others, and hears them from. */
+    /** Returns the host of the relay addresses at which a proxy reaches its peers and sees their traffic. */
     public static String relayHost(int proxy) {
         return loopbackHost(25, proxy);
     }
--- a/lab/src/main/java/dockrelay/lab/world/OpenLoopClients.java
+++ b/lab/src/main/java/dockrelay/lab/world/OpenLoopClients.java
@@ -26,12 +26,11 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Open-loop clients: each request leaves at its planned time whatever became of the others, and its time
- * counts from
- * then. One loop's thread owns them.
+ * Open-loop clients: each request is sent at its planned time regardless of the others' progress, and its
+ * latency counts from that time. Owned by the client event loop.
  */
 public final class OpenLoopClients {
-    /** A client that has less time than this left does not try again. */
+    /** A client does not send a try with a shorter timeout than this. */
     private static final long MIN_TRY_MICROS = 1_000;
 
     private final Plan plan;
@@ -48,8 +47,7 @@
     private int inFlightRequests;
 
     public OpenLoopClients(Plan plan, EmulatorNetwork network, Clock clock, Referee referee,
-        FrontLoadBalancer loadBalancer, OutcomeStatistics statistics,
-        LatenessRecorder lateness) {
+        FrontLoadBalancer loadBalancer, OutcomeStatistics statistics, LatenessRecorder lateness) {
         this.plan = plan;
         this.experiment = plan.experiment();
         this.network = network;
@@ -61,13 +59,13 @@
         this.lateness = lateness;
     }
 
-    /** Sends from this moment on. */
+    /** Starts sending; planned times count from the given time. */
     public void start(long startAt) {
         loadStart = startAt;
         loop.execute(this::sendDueRequests);
     }
 
-    /** Sends what is due, then sleeps until the next is. */
+    /** Sends all requests that are due, then schedules itself for the next one. */
     private void sendDueRequests() {
         while (nextArrivalIndex < plan.arrivals().size()) {
             Arrival arrival = plan.arrivals().get(nextArrivalIndex);
@@ -82,13 +80,16 @@
         }
     }
 
-    /** Requests that are not over yet. */
+    /**
+     * Returns the number of planned requests that have not ended yet, including those not sent yet. Must not
+     * be called on the client event loop.
+     */
     public int unfinishedRequestCount() {
         return loop.submit(() -> inFlightRequests + plan.arrivals().size() - nextArrivalIndex)
             .syncUninterruptibly().getNow();
     }
 
-    /** One client's request, over all its tries. */
+    /** One client's request, across all its tries. */
     final class PlannedRequest {
         private final Arrival arrival;
         private final ServiceClass serviceClass;
@@ -115,7 +116,8 @@
             long timeoutMicros = Math.min(remaining,
                 Math.round(serviceClass.deadline() * arrival.tryShare()));
             if (timeoutMicros < MIN_TRY_MICROS) {
-                finish(Outcome.FAILED, now - plannedAt); // a wait ran out the time while it was late itself
+                // The backoff timer fired late, after the remaining time had run out.
+                finish(Outcome.FAILED, now - plannedAt);
                 return;
             }
             if (connection == null) {
@@ -127,22 +129,22 @@
             String requestId = HexFormat.of()
                 .toHexDigits(RandomStreams.deriveSeed(arrival.salt(), "try " + tryCount));
             String body = idempotent ? "" : "order " + requestId + " for " + serviceClass.name() + "\n";
-            ClientRequest newTry =
-                new ClientRequest(requestId, idempotent ? "GET" : "POST", "/" + serviceClass.name() + "/"
-                + (arrival.route().isEmpty() ? arrival.index() : arrival.route()),
+            ClientRequest newTry = new ClientRequest(requestId, idempotent ? "GET" : "POST",
+                "/" + serviceClass.name() + "/"
+                    + (arrival.route().isEmpty() ? arrival.index() : arrival.route()),
                 idempotent ? null : arrival.key(), body, arrival, connection.proxy(), now, timeoutMicros);
             referee.requestSent(newTry, tryCount == 0);
             tryCount++;
             connection.send(this, newTry, toHttpRequest(newTry));
-            connection.setDeadlineTimer(network.schedule(loop, timeoutMicros + experiment.ruleLimits()
-                .responseSlack() + Referee.SOCKET_TOLERANCE_MICROS,
+            connection.setDeadlineTimer(network.schedule(loop,
+                timeoutMicros + experiment.ruleLimits().responseSlack() + Referee.SOCKET_TOLERANCE_MICROS,
                 () -> connection.onDeadline(newTry)));
         }
 
         private FullHttpRequest toHttpRequest(ClientRequest currentTry) {
             FullHttpRequest message = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1,
-                HttpMethod.valueOf(currentTry.method),
-                currentTry.path, Unpooled.copiedBuffer(currentTry.body, StandardCharsets.UTF_8));
+                HttpMethod.valueOf(currentTry.method), currentTry.path,
+                Unpooled.copiedBuffer(currentTry.body, StandardCharsets.UTF_8));
             message.headers().set(HttpHeaderNames.HOST, "app.svc").set("X-Request-ID", currentTry.id)
                 .set("X-Priority-Class", serviceClass.name())
                 .set("X-Timeout", String.format(Locale.ROOT, "%.3f", currentTry.timeoutMicros / 1e6));
@@ -156,12 +158,15 @@
             return message;
         }
 
-        /** The proxy could not be reached at all: nothing was taken. */
+        /** The connection to the proxy failed, so nothing was sent and a further try is safe. */
         void onUnreachable() {
             retryOrFinish(Outcome.UNREACHABLE, true, 0);
         }
 
-        /** The connection ended without a whole answer. A request that nobody read may go once more. */
+        /**
+         * The connection closed before a complete response. A request on a reused connection may have crossed
+         * the proxy's idle close; if it reached no backend it is sent once more on a new connection.
+         */
         void onConnectionClosed(ClientRequest currentTry, boolean reused) {
             long now = clock.nowMicros();
             if (reused && !resentOnNewConnection && !referee.reachedBackend(currentTry)
@@ -171,14 +176,14 @@
                 send(loadBalancer.openConnection());
                 return;
             }
-            referee.responseMissing(currentTry, now, "the connection ended without a whole answer after "
+            referee.responseMissing(currentTry, now, "connection closed before a complete response, after "
                 + (now - currentTry.sentAtMicros) / 1000 + " ms");
             retryOrFinish(Outcome.FAILED, false, 0);
         }
 
-        /** No answer although the time and all slack are over. */
+        /** The response did not arrive within the timeout and the slack allowed on top of it. */
         void onTimeout(ClientRequest currentTry) {
-            referee.responseMissing(currentTry, clock.nowMicros(), "no answer within "
+            referee.responseMissing(currentTry, clock.nowMicros(), "no response within "
                 + currentTry.timeoutMicros / 1000 + " ms");
             retryOrFinish(Outcome.UNANSWERED, false, 0);
         }
@@ -186,13 +191,12 @@
         void onResponse(ClientRequest currentTry, FullHttpResponse response) {
             long now = clock.nowMicros();
             int status = response.status().code();
-            referee.responseReceived(currentTry, now, status, response.content()
-                .toString(StandardCharsets.UTF_8));
+            referee.responseReceived(currentTry, now, status,
+                response.content().toString(StandardCharsets.UTF_8));
             if (status == 200) {
                 finish(now - plannedAt <= serviceClass.latencyTarget() ? Outcome.IN_TIME
                     : now - plannedAt <= serviceClass.deadline()
-                    ? Outcome.LATE
-                    : Outcome.FAILED, now - plannedAt);
+                    ? Outcome.LATE : Outcome.FAILED, now - plannedAt);
                 return;
             }
             boolean rejected = status == 429 || status == 503;
@@ -203,26 +207,29 @@
                     retryAfterMicros = Math.min(Double.parseDouble(retryAfterHeader) * 1e6,
                         experiment.clients().maxRetryAfter());
                 } catch (NumberFormatException e) {
-                    retryAfterMicros = 0; // a date, say: clients here heed seconds
+                    retryAfterMicros = 0; // an HTTP date: these clients support only seconds
                 }
             }
             retryOrFinish(rejected ? Outcome.REFUSED : Outcome.FAILED, rejected, retryAfterMicros);
         }
 
-        /** Tries again where the client may and still has the time; else this was its end. */
+        /**
+         * Schedules another try after a backoff if the request's semantics, retry limit and deadline allow
+         * it; else ends the request.
+         */
         private void retryOrFinish(Outcome outcome, boolean notExecuted, double retryAfterMicros) {
             long now = clock.nowMicros();
             boolean mayRetry = notExecuted || serviceClass.idempotency() == Idempotency.IDEMPOTENT
                 || serviceClass.idempotency() == Idempotency.DEDUPLICATED
                     && serviceClass.dedupScope() == DedupScope.ALL
                     && now - plannedAt < serviceClass.dedupWindow();
-            double delayMicros = experiment.clients().retryBackoff()
-                .draw(random) * (1 << Math.min(10, tryCount - 1));
+            double delayMicros = experiment.clients().retryBackoff().draw(random)
+                * (1 << Math.min(10, tryCount - 1));
             if (random.nextDouble() < experiment.clients().honourRetryAfterProbability()) {
                 delayMicros = Math.max(delayMicros, retryAfterMicros);
             }
-            if (mayRetry && tryCount <= arrival.retries() && now + delayMicros < plannedAt
-                + serviceClass.deadline()) {
+            if (mayRetry && tryCount <= arrival.retries()
+                && now + delayMicros < plannedAt + serviceClass.deadline()) {
                 network.schedule(loop, Math.round(delayMicros), this::send);
             } else {
                 finish(outcome, now - plannedAt);
