--- a/lab/src/test/java/dockrelay/lab/link/LinkTest.java
+++ b/lab/src/test/java/dockrelay/lab/link/LinkTest.java
@@ -21,6 +21,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
+/** Tests the emulated network: impaired streams and datagrams, peer relays, and silent addresses. */
 class LinkTest {
     private static final int SHORT_TIMEOUT_MILLIS = 300, LONG_TIMEOUT_MILLIS = 10_000;
 
@@ -31,7 +32,8 @@
         long previousArrival = 0;
         for (long now = 0; now < 2_000_000; now += 1_000) {
             long arrival = delayModel.streamArrival(now, conditions);
-            assertTrue(arrival >= now + 10_000 && arrival >= previousArrival, "in order and never early");
+            assertTrue(arrival >= now + 10_000 && arrival >= previousArrival,
+                "stream data arrived out of order or before the link's delay");
             previousArrival = arrival;
         }
         int lost = 0, duplicated = 0, reordered = 0;
@@ -43,11 +45,15 @@
         }
         assertEquals(0.1, lost / 1e5, 0.005);
         assertEquals(0.9 * 0.05, duplicated / 1e5, 0.005);
-        assertTrue(reordered > 5_000 && reordered < 18_000, "behind those after it: " + reordered);
+        assertTrue(reordered > 5_000 && reordered < 18_000,
+            "expected 5000 to 18000 reordered datagrams, got " + reordered);
         assertEquals(0, delayModel.datagramArrivals(0, new Passage(Mode.SILENT, 0, 0, 0, 0, 0)).length);
     }
 
-    /** Two processes' sockets and a relay: each hears the other from where it reaches it, until it is cut. */
+    /**
+     * Each peer sees the other's traffic come from the address at which it reaches it, until the link is
+     * cut.
+     */
     @Test
     void relayForwardsTrafficInDirectionsThatAreNotCut() throws IOException {
         EmulatorNetwork network = new EmulatorNetwork(1);
@@ -56,11 +62,10 @@
              DatagramSocket socketB = new DatagramSocket(LoopbackAddresses.freePeerAddress(1));
              ServerSocket streamListener = new ServerSocket();
              Relay relay = new Relay("n0", (InetSocketAddress) socketA.getLocalSocketAddress(),
-                 LoopbackAddresses.relayHost(0),
-                 "n1", (InetSocketAddress) socketB.getLocalSocketAddress(), LoopbackAddresses.relayHost(1),
-                     network.emulatorLoop(),
-                 network.links(), clock::nowMicros, (micros, action) ->
-                     network.schedule(network.emulatorLoop(), micros, action), 1)) {
+                 LoopbackAddresses.relayHost(0), "n1", (InetSocketAddress) socketB.getLocalSocketAddress(),
+                     LoopbackAddresses.relayHost(1),
+                 network.emulatorLoop(), network.links(), clock::nowMicros,
+                 (micros, action) -> network.schedule(network.emulatorLoop(), micros, action), 1)) {
             socketA.setSoTimeout(LONG_TIMEOUT_MILLIS);
             socketB.setSoTimeout(LONG_TIMEOUT_MILLIS);
             assertEquals("to b", sendAndReceive(socketA, relay.peerAddressForA(), socketB,
@@ -79,8 +84,8 @@
             assertEquals("healed",
                 sendAndReceive(socketA, relay.peerAddressForA(), socketB, relay.peerAddressForB(), "healed"));
             streamListener.bind(socketB.getLocalSocketAddress());
-            try (Socket client = new Socket(relay.peerAddressForA().getAddress(), relay.peerAddressForA()
-                .getPort());
+            try (Socket client = new Socket(relay.peerAddressForA().getAddress(),
+                     relay.peerAddressForA().getPort());
                  Socket accepted = streamListener.accept()) {
                 assertEquals(relay.peerAddressForB().getAddress(), accepted.getInetAddress());
                 client.getOutputStream().write(7);
@@ -96,8 +101,7 @@
     }
 
     private static String sendAndReceive(DatagramSocket sender, InetSocketAddress destination,
-        DatagramSocket receiver,
-                               InetSocketAddress expectedSender, String text) throws IOException {
+        DatagramSocket receiver, InetSocketAddress expectedSender, String text) throws IOException {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
         sender.send(new DatagramPacket(bytes, bytes.length, destination));
         DatagramPacket packet = new DatagramPacket(new byte[100], 100);
@@ -106,7 +110,7 @@
         return new String(packet.getData(), 0, packet.getLength(), StandardCharsets.UTF_8);
     }
 
-    /** Nothing comes up behind a cut, and at its end the address is free again. */
+    /** Connection attempts time out while the address is silent and are refused once it is closed. */
     @Test
     void connectionAttemptsToABlackHoleTimeOut() throws IOException {
         InetSocketAddress address = LoopbackAddresses.freeProxyAddress(2);
--- a/lab/src/test/java/dockrelay/lab/world/BackendModelTest.java
+++ b/lab/src/test/java/dockrelay/lab/world/BackendModelTest.java
@@ -13,21 +13,22 @@
 import java.util.random.RandomGenerator;
 import org.junit.jupiter.api.Test;
 
+/** Tests the capacity model: conservation of work, the slowdown under overload, crashes while cold. */
 class BackendModelTest {
     private static final long SECOND_MICROS = 1_000_000;
 
     /**
-     * Two cores of speed 1.5; 4 slots, a waiting room of 3; slower by 3 after a second with 5 a core or more.
+     * Two cores of speed 1.5, 4 slots, a queue of 3. Slows down by a factor of 3 after one second with at
+     * least 2.5 requests per core.
      */
     private static Figures twoCoreBackend() {
         return new Figures(2, 1.5, 4, 3, 2.5, SECOND_MICROS, 3, 0.5, SECOND_MICROS, 10 * SECOND_MICROS, 0.3,
-            4 * SECOND_MICROS, false, 3,
-            SECOND_MICROS, 100, 0, 0, 0, 0, 0, 0, 0, true, true);
+            4 * SECOND_MICROS, false, 3, SECOND_MICROS, 100, 0, 0, 0, 0, 0, 0, 0, true, true);
     }
 
     /**
-     * Seeded schedules: work is neither lost nor made, and no job ends before a core alone could have done
-     * it.
+     * Random schedules from fixed seeds: the work done equals the work accepted, and no job finishes sooner
+     * than one core could finish it alone.
      */
     @Test
     void workDoneEqualsWorkAcceptedAndNeverExceedsCoreCapacity() {
@@ -49,8 +50,7 @@
                 } else {
                     model.advance(now, endedJobs);
                     assertTrue(model.isCrashed() || !hasRoom || model.requestCount() >= 7,
-                        "turned away with room, seed "
-                        + seed);
+                        "rejected although slots or queue were free, seed " + seed);
                 }
                 if (random.nextInt(10) == 0 && !openJobs.isEmpty()) {
                     long cancelledId = openJobs.keySet().iterator().next();
@@ -64,16 +64,18 @@
                 }
                 for (long endedId : endedJobs) {
                     double[] job = openJobs.remove(endedId);
-                    assertTrue(now - job[1] >= job[0] / 1.5 - 1, "sooner than a core can, seed " + seed);
+                    assertTrue(now - job[1] >= job[0] / 1.5 - 1,
+                        "job finished sooner than one core can finish it, seed " + seed);
                 }
                 endedJobs.clear();
-                assertTrue(model.workDone() <= 3.0 * now + 1, "more than both cores can, seed " + seed);
+                assertTrue(model.workDone() <= 3.0 * now + 1, "did more work than both cores can, seed "
+                    + seed);
             }
             if (!model.isCrashed()) {
                 model.advance(now + 1000 * SECOND_MICROS, endedJobs);
-                assertEquals(0, model.requestCount(), "all ends, seed " + seed);
+                assertEquals(0, model.requestCount(), "requests left at the end, seed " + seed);
                 assertEquals(acceptedWork + workOnCancelledJobs, model.workDone(), 1e-3 * acceptedWork,
-                    "work, seed " + seed);
+                    "work done differs from work accepted, seed " + seed);
             }
         }
     }
@@ -99,7 +101,8 @@
     }
 
     /**
-     * It can do 0.9 of work a microsecond when cold: three times that, and some for chance, pushes it over.
+     * The cold backend has a capacity of 0.9 work units per microsecond; three times that plus the tolerance
+     * for random peaks crashes it.
      */
     @Test
     void onlyAColdBackendCrashesAboveTheOverloadMultiple() {
--- a/lab/src/test/java/dockrelay/lab/world/CallQueueTest.java
+++ b/lab/src/test/java/dockrelay/lab/world/CallQueueTest.java
@@ -5,7 +5,10 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Calls that have failed were dropped from discovery's queue, so that a fleet could not overrun it. */
+/**
+ * Guards against failed calls being dropped from the queue: they would cost nothing, and a fleet of proxies
+ * could not overload the emulated discovery service.
+ */
 class CallQueueTest {
     private static final long SECOND_MICROS = 1_000_000, SERVICE_MICROS = SECOND_MICROS / 10,
         MAX_WAIT_MICROS = SECOND_MICROS;
@@ -16,7 +19,8 @@
         assertEquals(new CallQueue.CallOutcome(SERVICE_MICROS, true), queue.enqueue(0, SERVICE_MICROS));
         assertEquals(new CallQueue.CallOutcome(2 * SERVICE_MICROS, true), queue.enqueue(0, SERVICE_MICROS));
         assertEquals(new CallQueue.CallOutcome(SERVICE_MICROS, true),
-            queue.enqueue(SECOND_MICROS, SERVICE_MICROS), "it is idle again by then");
+            queue.enqueue(SECOND_MICROS, SERVICE_MICROS),
+            "the queue is empty again, so the call does not wait");
     }
 
     @Test
@@ -37,6 +41,6 @@
         for (int i = 0; i < 1_000; i++) {
             served += queue.enqueue(i * SERVICE_MICROS / 2, SERVICE_MICROS).served() ? 1 : 0;
         }
-        assertTrue(served < 50, served + " served");
+        assertTrue(served < 50, served + " calls served under overload, expected fewer than 50");
     }
 }
