--- a/lab/src/main/java/dockrelay/lab/process/Build.java
+++ b/lab/src/main/java/dockrelay/lab/process/Build.java
@@ -11,16 +11,16 @@
 public record Build(Path root, String startCommand) {
     /** Reads the command from the deploy file, as the platform does. */
     public static Build load(Path root) {
-        Path file = root.resolve("deploy/balancer.toml");
+        Path deployFile = root.resolve("deploy/balancer.toml");
         try {
-            TomlParseResult deploy = Toml.parse(Files.readString(file));
-            String run = deploy.hasErrors() ? null : deploy.getString("run");
-            if (run == null) {
-                throw new SpecException(file + ": no text run = \"...\" in it");
+            TomlParseResult deploy = Toml.parse(Files.readString(deployFile));
+            String startCommand = deploy.hasErrors() ? null : deploy.getString("run");
+            if (startCommand == null) {
+                throw new SpecException(deployFile + ": no text run = \"...\" in it");
             }
-            return new Build(root.toAbsolutePath().normalize(), run);
+            return new Build(root.toAbsolutePath().normalize(), startCommand);
         } catch (IOException e) {
-            throw new SpecException(file + ": cannot be read: " + e.getMessage());
+            throw new SpecException(deployFile + ": cannot be read: " + e.getMessage());
         }
     }
 }
--- a/lab/src/main/java/dockrelay/lab/process/ChildProcessRegistry.java
+++ b/lab/src/main/java/dockrelay/lab/process/ChildProcessRegistry.java
@@ -17,12 +17,12 @@
  * else's by then.
  */
 public final class ChildProcessRegistry {
-    private final Path folder, own;
+    private final Path folder, ownList;
 
     public ChildProcessRegistry(Path folder) throws IOException {
         this.folder = folder;
         Files.createDirectories(folder);
-        own = folder.resolve("lab-" + line(ProcessHandle.current()).replace(' ', '-') + "-"
+        ownList = folder.resolve("lab-" + toLine(ProcessHandle.current()).replace(' ', '-') + "-"
             + UUID.randomUUID());
     }
 
@@ -33,68 +33,68 @@
     }
 
     /** To be called right after a start. */
-    public synchronized void started(ProcessHandle process) throws IOException {
-        Files.writeString(own, line(process) + "\n", StandardOpenOption.CREATE,
+    public synchronized void register(ProcessHandle process) throws IOException {
+        Files.writeString(ownList, toLine(process) + "\n", StandardOpenOption.CREATE,
             StandardOpenOption.APPEND);
     }
 
     /** All that this lab started has ended. */
     public synchronized void deleteOwnList() throws IOException {
-        Files.deleteIfExists(own);
+        Files.deleteIfExists(ownList);
     }
 
     /** Ends what labs left behind that are no more; returns the ids of what was still there. */
     public List<Long> killOrphans() throws IOException {
-        List<Long> found = new ArrayList<>();
-        for (Path file : left()) {
-            found.addAll(killOrphans(file));
+        List<Long> killedPids = new ArrayList<>();
+        for (Path list : listsOfDeadLabs()) {
+            killedPids.addAll(killOrphans(list));
         }
-        return found;
+        return killedPids;
     }
 
     /** The lists of labs that are no more; one that runs sees to its own. */
-    List<Path> left() throws IOException {
-        List<Path> left = new ArrayList<>();
+    List<Path> listsOfDeadLabs() throws IOException {
+        List<Path> lists = new ArrayList<>();
         try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, "lab-*")) {
             for (Path file : files) {
-                if (find(file.getFileName().toString().substring("lab-".length()).split("-")) == null) {
-                    left.add(file);
+                if (findRunning(file.getFileName().toString().substring("lab-".length()).split("-")) == null) {
+                    lists.add(file);
                 }
             }
         }
-        return left;
+        return lists;
     }
 
     /** Ends what such a list names; nothing where another lab has done so meanwhile. */
-    List<Long> killOrphans(Path file) throws IOException {
-        List<Long> found = new ArrayList<>();
+    List<Long> killOrphans(Path list) throws IOException {
+        List<Long> killedPids = new ArrayList<>();
         List<String> lines;
         try {
-            lines = Files.readAllLines(file);
+            lines = Files.readAllLines(list);
         } catch (NoSuchFileException e) {
-            return found;
+            return killedPids;
         }
         for (String line : lines) {
-            ProcessHandle process = find(line.split(" "));
+            ProcessHandle process = findRunning(line.split(" "));
             if (process != null) {
-                found.add(process.pid());
+                killedPids.add(process.pid());
                 process.destroyForcibly();
             }
         }
-        Files.deleteIfExists(file);
-        return found;
+        Files.deleteIfExists(list);
+        return killedPids;
     }
 
-    private static String line(ProcessHandle process) {
+    private static String toLine(ProcessHandle process) {
         return process.pid() + " " + process.info().startInstant().map(Instant::toEpochMilli).orElse(0L);
     }
 
-    private static ProcessHandle find(String[] words) {
-        if (words.length < 2) {
+    private static ProcessHandle findRunning(String[] pidAndStart) {
+        if (pidAndStart.length < 2) {
             return null; // cut short by a crash while it was written: no process can be known by it
         }
-        return ProcessHandle.of(Long.parseLong(words[0]))
-            .filter(process -> line(process).equals(words[0] + " " + words[1])).filter(ProcessHandle::isAlive)
+        return ProcessHandle.of(Long.parseLong(pidAndStart[0]))
+            .filter(process -> toLine(process).equals(pidAndStart[0] + " " + pidAndStart[1])).filter(ProcessHandle::isAlive)
             .orElse(null);
     }
 }
--- a/lab/src/main/java/dockrelay/lab/process/DiskFaults.java
+++ b/lab/src/main/java/dockrelay/lab/process/DiskFaults.java
@@ -11,34 +11,34 @@
 
 /** What befalls a folder that no process has open. */
 public final class DiskFaults {
-    private static final int MOST_BITS = 8;
+    private static final int MAX_FLIPPED_BITS = 8;
 
     private DiskFaults() {
     }
 
     /** Spoils the folder's files and says how; says so too where there is nothing to spoil. */
-    public static String apply(Path folder, DiskFault kind, RandomGenerator random) throws IOException {
+    public static String apply(Path folder, DiskFault fault, RandomGenerator random) throws IOException {
         List<Path> files = new ArrayList<>();
-        try (Stream<Path> all = Files.walk(folder)) {
-            for (Path file : all.filter(Files::isRegularFile).sorted().toList()) {
+        try (Stream<Path> paths = Files.walk(folder)) {
+            for (Path file : paths.filter(Files::isRegularFile).sorted().toList()) {
                 if (Files.size(file) > 0) {
                     files.add(file);
                 }
             }
         }
-        if (kind == DiskFault.WHOLE || files.isEmpty()) {
-            return kind == DiskFault.WHOLE ? "" : "nothing to spoil in " + folder;
+        if (fault == DiskFault.WHOLE || files.isEmpty()) {
+            return fault == DiskFault.WHOLE ? "" : "nothing to spoil in " + folder;
         }
         Path file = files.get(random.nextInt(files.size()));
         byte[] bytes = Files.readAllBytes(file);
-        switch (kind) {
+        switch (fault) {
             case TRUNCATED -> {
                 int length = random.nextInt(bytes.length);
                 Files.write(file, java.util.Arrays.copyOf(bytes, length));
                 return file.getFileName() + " cut to " + length + " of " + bytes.length + " bytes";
             }
             case FLIPPED -> {
-                int count = 1 + random.nextInt(MOST_BITS);
+                int count = 1 + random.nextInt(MAX_FLIPPED_BITS);
                 for (int i = 0; i < count; i++) {
                     bytes[random.nextInt(bytes.length)] ^= (byte) (1 << random.nextInt(8));
                 }
@@ -51,12 +51,12 @@
             }
             case SWAPPED -> {
                 Path other = files.get(random.nextInt(files.size()));
-                byte[] others = Files.readAllBytes(other);
+                byte[] otherBytes = Files.readAllBytes(other);
                 Files.write(other, bytes);
-                Files.write(file, others);
+                Files.write(file, otherBytes);
                 return file.getFileName() + " and " + other.getFileName() + " exchanged";
             }
-            default -> throw new IllegalArgumentException(kind.name());
+            default -> throw new IllegalArgumentException(fault.name());
         }
     }
 }
--- a/lab/src/main/java/dockrelay/lab/process/PeerNetwork.java
+++ b/lab/src/main/java/dockrelay/lab/process/PeerNetwork.java
@@ -14,53 +14,53 @@
  * addresses.
  */
 final class PeerNetwork implements AutoCloseable {
-    private final InetSocketAddress[] listens;
+    private final InetSocketAddress[] listenAddresses;
     private final Relay[][] relays;
 
-    PeerNetwork(int count, long seed, EmulatorNetwork net, Clock clock) throws IOException {
-        listens = new InetSocketAddress[count];
+    PeerNetwork(int count, long seed, EmulatorNetwork network, Clock clock) throws IOException {
+        listenAddresses = new InetSocketAddress[count];
         relays = new Relay[count][count];
         for (int i = 0; i < count; i++) {
-            listens[i] = LoopbackAddresses.freePeerAddress(i);
+            listenAddresses[i] = LoopbackAddresses.freePeerAddress(i);
         }
         for (int i = 0; i < count; i++) {
             for (int j = i + 1; j < count; j++) {
-                relays[i][j] = new Relay("n" + i, listens[i], LoopbackAddresses.relayHost(i), "n" + j, listens[j],
-                    LoopbackAddresses.relayHost(j), net.emulatorLoop(), net.links(), clock::nowMicros,
-                    (micros, action) -> net.schedule(net.emulatorLoop(), micros, action), seed);
+                relays[i][j] = new Relay("n" + i, listenAddresses[i], LoopbackAddresses.relayHost(i), "n" + j, listenAddresses[j],
+                    LoopbackAddresses.relayHost(j), network.emulatorLoop(), network.links(), clock::nowMicros,
+                    (micros, action) -> network.schedule(network.emulatorLoop(), micros, action), seed);
             }
         }
     }
 
-    String listen(int proxy) {
-        return LoopbackAddresses.hostAndPort(listens[proxy]);
+    String listenAddress(int proxy) {
+        return LoopbackAddresses.hostAndPort(listenAddresses[proxy]);
     }
 
     /** All proxies in order as this one reaches them; itself where it listens. */
-    List<String> seenBy(int proxy) {
-        List<String> result = new ArrayList<>();
-        for (int i = 0; i < listens.length; i++) {
-            result.add(i == proxy ? listen(i) : LoopbackAddresses.hostAndPort(i > proxy ? relays[proxy][i].peerAddressForA()
+    List<String> addressesSeenBy(int proxy) {
+        List<String> addresses = new ArrayList<>();
+        for (int i = 0; i < listenAddresses.length; i++) {
+            addresses.add(i == proxy ? listenAddress(i) : LoopbackAddresses.hostAndPort(i > proxy ? relays[proxy][i].peerAddressForA()
                 : relays[i][proxy].peerAddressForB()));
         }
-        return result;
+        return addresses;
     }
 
     /** Datagrams and bytes of all pairs, in both directions. */
     long datagrams() {
-        return all().stream().mapToLong(Relay::forwardedDatagrams).sum();
+        return allRelays().stream().mapToLong(Relay::forwardedDatagrams).sum();
     }
 
     long bytes() {
-        return all().stream().mapToLong(Relay::forwardedBytes).sum();
+        return allRelays().stream().mapToLong(Relay::forwardedBytes).sum();
     }
 
-    private List<Relay> all() {
+    private List<Relay> allRelays() {
         List<Relay> result = new ArrayList<>();
         for (Relay[] row : relays) {
-            for (Relay one : row) {
-                if (one != null) {
-                    result.add(one);
+            for (Relay relay : row) {
+                if (relay != null) {
+                    result.add(relay);
                 }
             }
         }
@@ -69,6 +69,6 @@
 
     @Override
     public void close() {
-        all().forEach(Relay::close);
+        allRelays().forEach(Relay::close);
     }
 }
--- a/lab/src/main/java/dockrelay/lab/process/ProxyConfiguration.java
+++ b/lab/src/main/java/dockrelay/lab/process/ProxyConfiguration.java
@@ -14,108 +14,108 @@
 /** What a proxy is told at its start, in the platform's words and units. */
 public final class ProxyConfiguration {
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final double SECOND = 1_000_000;
+    private static final double MICROS_PER_SECOND = 1_000_000;
 
     private ProxyConfiguration() {
     }
 
-    public static String toJson(Experiment experiment, ProxyProcess proxy, String listen, String console,
-                            String discovery, long seed, Map<String, Object> known, String peerListen,
-                            List<String> peers) {
-        Map<String, Object> top = new LinkedHashMap<>();
-        top.put("name", proxy.name());
-        top.put("listen", listen);
-        top.put("console", console);
-        top.put("discovery", discovery);
-        top.put("seed", Long.toHexString(seed));
-        top.put("limits", Map.of("cores", experiment.proxies().cpuCores(), "memory_mb",
+    public static String toJson(Experiment experiment, ProxyProcess proxy, String listenAddress, String consoleAddress,
+                            String discoveryAddress, long seed, Map<String, Object> knownBackends, String peerListenAddress,
+                            List<String> peerAddresses) {
+        Map<String, Object> configuration = new LinkedHashMap<>();
+        configuration.put("name", proxy.name());
+        configuration.put("listen", listenAddress);
+        configuration.put("console", consoleAddress);
+        configuration.put("discovery", discoveryAddress);
+        configuration.put("seed", Long.toHexString(seed));
+        configuration.put("limits", Map.of("cores", experiment.proxies().cpuCores(), "memory_mb",
             experiment.proxies().maxMemoryBytes() >> 20, "sockets", experiment.proxies().maxDescriptors()));
-        top.put("known", known);
-        if (peers != null) {
-            top.put("peer_listen", peerListen);
-            Map<String, String> named = new LinkedHashMap<>();
-            peers.forEach(peer -> named.put("n" + named.size(), peer));
-            top.put("peers", named);
-            Map<String, List<String>> zones = new LinkedHashMap<>();
-            for (int i = 0; i < peers.size() && !experiment.proxies().zones().isEmpty(); i++) {
-                zones.computeIfAbsent(experiment.proxies().zoneOf(i), zone -> new ArrayList<>()).add("n" + i);
+        configuration.put("known", knownBackends);
+        if (peerAddresses != null) {
+            configuration.put("peer_listen", peerListenAddress);
+            Map<String, String> peersByName = new LinkedHashMap<>();
+            peerAddresses.forEach(peer -> peersByName.put("n" + peersByName.size(), peer));
+            configuration.put("peers", peersByName);
+            Map<String, List<String>> membersByZone = new LinkedHashMap<>();
+            for (int i = 0; i < peerAddresses.size() && !experiment.proxies().zones().isEmpty(); i++) {
+                membersByZone.computeIfAbsent(experiment.proxies().zoneOf(i), zone -> new ArrayList<>()).add("n" + i);
             }
-            if (!zones.isEmpty()) {
-                top.put("peer_groups", Map.of("zones", zones));
+            if (!membersByZone.isEmpty()) {
+                configuration.put("peer_groups", Map.of("zones", membersByZone));
             }
         }
         if (experiment.permissions().extraAttemptsPerSecond() > 0) {
-            top.put("budgets", Map.of("extra", Map.of("per_second", experiment.permissions().extraAttemptsPerSecond())));
+            configuration.put("budgets", Map.of("extra", Map.of("per_second", experiment.permissions().extraAttemptsPerSecond())));
         }
-        top.put("settings", settings(experiment, proxy.index()));
+        configuration.put("settings", settings(experiment, proxy.index()));
         try {
-            return JSON.writerWithDefaultPrettyPrinter().writeValueAsString(top);
+            return JSON.writerWithDefaultPrettyPrinter().writeValueAsString(configuration);
         } catch (JsonProcessingException e) {
             throw new IllegalStateException(e);
         }
     }
 
-    private static Map<String, Object> settings(Experiment e, int me) {
-        Map<String, Object> s = new LinkedHashMap<>();
-        s.put("Balancers", e.proxies().count());
-        s.put("Clients", Map.of("MarksRetry", false));
-        s.put("Discovery", "ask");
-        s.put("DomainType", "proxy");
-        s.put("FailureDomains", e.nodes().zones());
-        s.put("Kinds",
-            new ArrayList<>(new TreeSet<>(e.nodes().kinds().stream().map(Experiment.NodeKind::name).toList())));
-        s.put("Me", me);
-        s.put("Obligations", Map.of("AnswerSlack", e.ruleLimits().responseSlack() / SECOND, "AskWithin",
-            e.ruleLimits().maxListFetchInterval() / SECOND, "Cold", e.ruleLimits().warmUpTime() / SECOND, "ColdShare",
-            e.ruleLimits().maxColdShare(),
-            "DrainGrace", e.ruleLimits().drainGrace() / SECOND, "Fall", e.ruleLimits().overloadTime() / SECOND, "FallMultiple",
-            e.ruleLimits().overloadMultiple()));
-        Map<String, Object> allowed = new LinkedHashMap<>();
-        allowed.put("ConnIdle", e.nodes().connections().idleTimeout() / SECOND);
-        allowed.put("ConnectTimeout", e.nodes().connections().connectTimeout() / SECOND);
-        allowed.put("MaxAttempts", e.permissions().maxAttempts());
-        allowed.put("MaxRetryAfter", e.clients().maxRetryAfter() / SECOND);
-        allowed.put("MayCancel", e.permissions().mayCancel());
-        allowed.put("MostHeld", 20_000);
-        allowed.put("Peers", e.permissions().peerProtocol());
-        allowed.put("Probes", e.permissions().probes());
-        allowed.put("RetryAfter", e.permissions().retryAfter());
-        allowed.put("SecondCopies", e.permissions().redundantAttempts());
-        allowed.put("StreamsPerConn", 1);
-        s.put("Permissions", allowed);
-        s.put("Prices", Map.of("LateFail", 0.08, "Probe", 0.01, "Waste", 0.18));
-        s.put("Report", Map.of("How", "on_probe", "Names", List.of("outstanding", "errors_per_s")));
-        s.put("ScoringMix", Map.of("Whole", 0.55, "WorstClass", 0.3, "WorstTenant", 0.0, "WorstWindow",
+    private static Map<String, Object> settings(Experiment experiment, int proxyIndex) {
+        Map<String, Object> settings = new LinkedHashMap<>();
+        settings.put("Balancers", experiment.proxies().count());
+        settings.put("Clients", Map.of("MarksRetry", false));
+        settings.put("Discovery", "ask");
+        settings.put("DomainType", "proxy");
+        settings.put("FailureDomains", experiment.nodes().zones());
+        settings.put("Kinds",
+            new ArrayList<>(new TreeSet<>(experiment.nodes().kinds().stream().map(Experiment.NodeKind::name).toList())));
+        settings.put("Me", proxyIndex);
+        settings.put("Obligations", Map.of("AnswerSlack", experiment.ruleLimits().responseSlack() / MICROS_PER_SECOND, "AskWithin",
+            experiment.ruleLimits().maxListFetchInterval() / MICROS_PER_SECOND, "Cold", experiment.ruleLimits().warmUpTime() / MICROS_PER_SECOND, "ColdShare",
+            experiment.ruleLimits().maxColdShare(),
+            "DrainGrace", experiment.ruleLimits().drainGrace() / MICROS_PER_SECOND, "Fall", experiment.ruleLimits().overloadTime() / MICROS_PER_SECOND, "FallMultiple",
+            experiment.ruleLimits().overloadMultiple()));
+        Map<String, Object> permissions = new LinkedHashMap<>();
+        permissions.put("ConnIdle", experiment.nodes().connections().idleTimeout() / MICROS_PER_SECOND);
+        permissions.put("ConnectTimeout", experiment.nodes().connections().connectTimeout() / MICROS_PER_SECOND);
+        permissions.put("MaxAttempts", experiment.permissions().maxAttempts());
+        permissions.put("MaxRetryAfter", experiment.clients().maxRetryAfter() / MICROS_PER_SECOND);
+        permissions.put("MayCancel", experiment.permissions().mayCancel());
+        permissions.put("MostHeld", 20_000);
+        permissions.put("Peers", experiment.permissions().peerProtocol());
+        permissions.put("Probes", experiment.permissions().probes());
+        permissions.put("RetryAfter", experiment.permissions().retryAfter());
+        permissions.put("SecondCopies", experiment.permissions().redundantAttempts());
+        permissions.put("StreamsPerConn", 1);
+        settings.put("Permissions", permissions);
+        settings.put("Prices", Map.of("LateFail", 0.08, "Probe", 0.01, "Waste", 0.18));
+        settings.put("Report", Map.of("How", "on_probe", "Names", List.of("outstanding", "errors_per_s")));
+        settings.put("ScoringMix", Map.of("Whole", 0.55, "WorstClass", 0.3, "WorstTenant", 0.0, "WorstWindow",
             0.15));
         List<Map<String, Object>> services = new ArrayList<>();
-        for (ServiceClass c : e.classes()) {
-            services.add(service(c));
+        for (ServiceClass serviceClass : experiment.classes()) {
+            services.add(service(serviceClass));
         }
-        s.put("Services", services);
-        double shares = e.tenants().stream().mapToDouble(Experiment.Tenant::share).sum();
-        s.put("Tenants", e.tenants().stream()
+        settings.put("Services", services);
+        double shareSum = experiment.tenants().stream().mapToDouble(Experiment.Tenant::share).sum();
+        settings.put("Tenants", experiment.tenants().stream()
             .map(tenant -> Map.of("Name", tenant.name(), "QuotaRps", tenant.quotaPerSecond(),
-            "Share", tenant.share() / shares)).toList());
-        s.put("Tick", 0.005);
-        s.put("Tier", 0);
-        s.put("Tiers", List.of("nodes"));
-        s.put("Weights", "nominal");
-        s.put("WorthBy", "work");
-        s.put("Zone", e.nodes().zones().get(me % e.nodes().zones().size()));
-        return s;
+            "Share", tenant.share() / shareSum)).toList());
+        settings.put("Tick", 0.005);
+        settings.put("Tier", 0);
+        settings.put("Tiers", List.of("nodes"));
+        settings.put("Weights", "nominal");
+        settings.put("WorthBy", "work");
+        settings.put("Zone", experiment.nodes().zones().get(proxyIndex % experiment.nodes().zones().size()));
+        return settings;
     }
 
-    private static Map<String, Object> service(ServiceClass c) {
-        Map<String, Object> s = new LinkedHashMap<>();
-        s.put("Name", c.name());
-        s.put("Aim", c.latencyTarget() / SECOND);
-        s.put("HardLimit", c.deadline() / SECOND);
-        s.put("Idempotency", c.idempotency().name().toLowerCase(Locale.ROOT));
-        s.put("DedupScope", c.dedupScope().name().toLowerCase(Locale.ROOT));
-        s.put("MemorySpan", c.dedupWindow() / SECOND);
-        s.put("LateWorth", c.lateValue());
-        s.put("Streaming", false);
-        s.put("Worth", c.value());
-        return s;
+    private static Map<String, Object> service(ServiceClass serviceClass) {
+        Map<String, Object> service = new LinkedHashMap<>();
+        service.put("Name", serviceClass.name());
+        service.put("Aim", serviceClass.latencyTarget() / MICROS_PER_SECOND);
+        service.put("HardLimit", serviceClass.deadline() / MICROS_PER_SECOND);
+        service.put("Idempotency", serviceClass.idempotency().name().toLowerCase(Locale.ROOT));
+        service.put("DedupScope", serviceClass.dedupScope().name().toLowerCase(Locale.ROOT));
+        service.put("MemorySpan", serviceClass.dedupWindow() / MICROS_PER_SECOND);
+        service.put("LateWorth", serviceClass.lateValue());
+        service.put("Streaming", false);
+        service.put("Worth", serviceClass.value());
+        return service;
     }
 }
--- a/lab/src/main/java/dockrelay/lab/process/ProxyFleet.java
+++ b/lab/src/main/java/dockrelay/lab/process/ProxyFleet.java
@@ -11,7 +11,7 @@
 import dockrelay.lab.starvation.TimeLimit;
 import dockrelay.lab.starvation.TimeLimit.Verdict;
 import dockrelay.lab.starvation.StarvationDetector;
-import dockrelay.lab.starvation.StarvationWatch;
+import dockrelay.lab.starvation.StarvationMonitor;
 import dockrelay.lab.world.LoopbackAddresses;
 import dockrelay.lab.world.Clock;
 import dockrelay.lab.world.EmulatorNetwork;
@@ -33,12 +33,12 @@
 /** The processes under test: their starts and ends, what befalls them, and what the system says of them. */
 public final class ProxyFleet implements AutoCloseable {
     /** The world's loop, the clients' and some for all else. */
-    private static final int OWN_PROCESSORS = 3;
-    private static final long LOOK_MILLIS = 250, ASK_MILLIS = 50;
+    private static final int LAB_PROCESSORS = 3;
+    private static final long SAMPLE_PERIOD_MILLIS = 250, POLL_INTERVAL_MILLIS = 50;
     /** The next process of an upgrade has to say yes within this. */
-    private static final TimeLimit YES_WITHIN = new TimeLimit(6_000_000);
+    private static final TimeLimit UPGRADE_READY_LIMIT = new TimeLimit(6_000_000);
     /** SIGKILL follows SIGTERM after the longest deadline, of this at most, and 0.7 s. */
-    private static final long LONGEST_DEADLINE = 3_000_000, GRACE = 700_000;
+    private static final long MAX_DEADLINE_MICROS = 3_000_000, KILL_GRACE_MICROS = 700_000;
 
     /** What one proxy used, over all its processes. */
     public record ResourceUsage(String name, int starts, long peakResidentKib, int peakDescriptors, double cpuSeconds) {
@@ -47,228 +47,228 @@
     private final Plan plan;
     private final Clock clock;
     private final Referee referee;
-    private final Emulator world;
-    private final ChildProcessRegistry leftovers;
-    private final List<ProxyProcess> all = new ArrayList<>();
-    private final PeerNetwork peers;
-    private final StarvationDetector starvation;
-    private final StarvationWatch watch;
-    private final long[] peakKib;
+    private final Emulator emulator;
+    private final ChildProcessRegistry childProcesses;
+    private final List<ProxyProcess> proxies = new ArrayList<>();
+    private final PeerNetwork peerNetwork;
+    private final StarvationDetector starvationDetector;
+    private final StarvationMonitor starvationMonitor;
+    private final long[] peakResidentKib;
     private final int[] peakDescriptors;
-    private final boolean[] reported;
-    private final ScheduledExecutorService thread = Executors.newScheduledThreadPool(2,
+    private final boolean[] crashReported;
+    private final ScheduledExecutorService scheduler = Executors.newScheduledThreadPool(2,
         new DefaultThreadFactory("proxies", true));
-    private final ExecutorService operators = Executors.newSingleThreadExecutor(
+    private final ExecutorService operatorExecutor = Executors.newSingleThreadExecutor(
         new DefaultThreadFactory("operators", true));
 
-    public ProxyFleet(Plan plan, Build build, Path folder, Clock clock, Referee referee, Emulator world,
-                   EmulatorNetwork net, ChildProcessRegistry leftovers, StarvationDetector starvation, LatenessRecorder generator)
+    public ProxyFleet(Plan plan, Build build, Path folder, Clock clock, Referee referee, Emulator emulator,
+                   EmulatorNetwork network, ChildProcessRegistry childProcesses, StarvationDetector starvationDetector, LatenessRecorder generatorLateness)
         throws IOException {
         this.plan = plan;
         this.clock = clock;
         this.referee = referee;
-        this.world = world;
-        this.leftovers = leftovers;
-        this.starvation = starvation;
+        this.emulator = emulator;
+        this.childProcesses = childProcesses;
+        this.starvationDetector = starvationDetector;
         int count = plan.experiment().proxies().count();
         for (int i = 0; i < count; i++) {
-            all.add(new ProxyProcess(i, build, folder, LoopbackAddresses.freeProxyAddress(i),
+            proxies.add(new ProxyProcess(i, build, folder, LoopbackAddresses.freeProxyAddress(i),
                 plan.experiment().proxies().sharedListenSocket(), plan.experiment().proxies().maxFileBytes(),
-                plan.experiment().proxies().pinnedToCore() ? processor(i) : -1, leftovers));
+                plan.experiment().proxies().pinnedToCore() ? processorFor(i) : -1, childProcesses));
         }
-        peers = plan.experiment().permissions().peerProtocol() ? new PeerNetwork(count, plan.seed(), net, clock)
+        peerNetwork = plan.experiment().permissions().peerProtocol() ? new PeerNetwork(count, plan.seed(), network, clock)
             : null;
-        watch = new StarvationWatch(starvation, clock, count, generator,
-            () -> all.stream().flatMap(proxy -> proxy.watched().stream()).toList());
-        peakKib = new long[count];
+        starvationMonitor = new StarvationMonitor(starvationDetector, clock, count, generatorLateness,
+            () -> proxies.stream().flatMap(proxy -> proxy.monitoredProcesses().stream()).toList());
+        peakResidentKib = new long[count];
         peakDescriptors = new int[count];
-        reported = new boolean[count];
+        crashReported = new boolean[count];
     }
 
     /** By turns over those that are left when the lab has its own. */
-    private static int processor(int proxy) {
-        int all = Runtime.getRuntime().availableProcessors(), own = Math.min(OWN_PROCESSORS, all - 1);
-        return own + proxy % (all - own);
+    private static int processorFor(int proxy) {
+        int processors = Runtime.getRuntime().availableProcessors(), labProcessors = Math.min(LAB_PROCESSORS, processors - 1);
+        return labProcessors + proxy % (processors - labProcessors);
     }
 
     public InetSocketAddress[] listenAddresses() {
-        return all.stream().map(ProxyProcess::listenAddress).toArray(InetSocketAddress[]::new);
+        return proxies.stream().map(ProxyProcess::listenAddress).toArray(InetSocketAddress[]::new);
     }
 
     /** The consoles of those that run, by name. */
-    Map<String, InetSocketAddress> consoles() {
+    Map<String, InetSocketAddress> consoleAddresses() {
         Map<String, InetSocketAddress> result = new LinkedHashMap<>();
-        all.stream().filter(ProxyProcess::isAlive).forEach(proxy -> result.put(proxy.name(), proxy.consoleAddress()));
+        proxies.stream().filter(ProxyProcess::isAlive).forEach(proxy -> result.put(proxy.name(), proxy.consoleAddress()));
         return result;
     }
 
     public void start() throws IOException {
-        Native.load();
-        watch.start();
-        for (ProxyProcess proxy : all) {
+        SystemCalls.load();
+        starvationMonitor.start();
+        for (ProxyProcess proxy : proxies) {
             start(proxy, false);
         }
-        world.onBackendDetach((node, out) -> operators.execute(() -> mark(node, out)));
-        world.onDiscoveryMove(() -> operators.execute(this::moveDiscovery));
-        thread.scheduleWithFixedDelay(this::look, LOOK_MILLIS, LOOK_MILLIS, TimeUnit.MILLISECONDS);
+        emulator.onBackendDetach((backend, detach) -> operatorExecutor.execute(() -> setDetached(backend, detach)));
+        emulator.onDiscoveryMove(() -> operatorExecutor.execute(this::moveDiscovery));
+        scheduler.scheduleWithFixedDelay(this::sampleProcesses, SAMPLE_PERIOD_MILLIS, SAMPLE_PERIOD_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    private void start(ProxyProcess proxy, boolean keepFolder) throws IOException {
-        int i = proxy.index();
+    private void start(ProxyProcess proxy, boolean keepTmpFolder) throws IOException {
+        int index = proxy.index();
         if (!proxy.isAlive()) {
-            referee.forgot(i, keepFolder);
+            referee.proxyRestarted(index, keepTmpFolder);
         }
-        proxy.setConsoleAddress(LoopbackAddresses.freeConsoleAddress(i));
-        proxy.start(configuration(proxy, true),
+        proxy.setConsoleAddress(LoopbackAddresses.freeConsoleAddress(index));
+        proxy.start(configurationJson(proxy, true),
             Map.of("PROXY_LISTEN", LoopbackAddresses.hostAndPort(proxy.listenAddress()), "PROXY_CONSOLE",
-            LoopbackAddresses.hostAndPort(proxy.consoleAddress()), "PROXY_DISCOVERY", world.discoveryAddress(i)), keepFolder);
-        reported[i] = false;
+            LoopbackAddresses.hostAndPort(proxy.consoleAddress()), "PROXY_DISCOVERY", emulator.discoveryAddress(index)), keepTmpFolder);
+        crashReported[index] = false;
     }
 
     /**
      * Takes a node out at every proxy, or puts it back: an operator with as many hands as there are proxies.
      */
-    private void mark(String node, boolean out) {
-        all.parallelStream().forEach(proxy -> {
-            long asked = clock.nowMicros();
-            if (ConsoleClient.yes(proxy.consoleAddress(), (out ? "DETACH " : "ATTACH ") + node)) {
-                referee.marked(proxy.index(), node, out, out ? clock.nowMicros() : asked);
+    private void setDetached(String backend, boolean detach) {
+        proxies.parallelStream().forEach(proxy -> {
+            long calledAtMicros = clock.nowMicros();
+            if (ConsoleClient.succeeds(proxy.consoleAddress(), (detach ? "DETACH " : "ATTACH ") + backend)) {
+                referee.operatorMarked(proxy.index(), backend, detach, detach ? clock.nowMicros() : calledAtMicros);
             }
         });
     }
 
     /** Discovery is at other addresses from now on: each proxy's file says so, and SIGHUP has it read. */
     private void moveDiscovery() {
-        world.moveDiscovery();
-        for (ProxyProcess proxy : all) {
+        emulator.moveDiscovery();
+        for (ProxyProcess proxy : proxies) {
             try {
-                proxy.configure(configuration(proxy, false));
+                proxy.writeConfiguration(configurationJson(proxy, false));
                 proxy.signal("HUP");
             } catch (IOException e) {
-                referee.process(Rule.CRASH, proxy.index(), clock.nowMicros(), "could not be told of discovery: "
+                referee.processViolation(Rule.CRASH, proxy.index(), clock.nowMicros(), "could not be told of discovery: "
                     + e);
             }
         }
     }
 
-    private String configuration(ProxyProcess proxy, boolean starts) {
-        int i = proxy.index();
+    private String configurationJson(ProxyProcess proxy, boolean atStart) {
+        int index = proxy.index();
         return ProxyConfiguration.toJson(plan.experiment(), proxy, LoopbackAddresses.hostAndPort(proxy.listenAddress()),
-            LoopbackAddresses.hostAndPort(proxy.consoleAddress()), world.discoveryAddress(i),
-            RandomStreams.deriveSeed(plan.seed(), proxy.name() + " start " + proxy.starts()), world.backendListFor(i, starts),
-            peers == null ? null : peers.listen(i), peers == null ? null : peers.seenBy(i));
+            LoopbackAddresses.hostAndPort(proxy.consoleAddress()), emulator.discoveryAddress(index),
+            RandomStreams.deriveSeed(plan.seed(), proxy.name() + " start " + proxy.starts()), emulator.backendListFor(index, atStart),
+            peerNetwork == null ? null : peerNetwork.listenAddress(index), peerNetwork == null ? null : peerNetwork.addressesSeenBy(index));
     }
 
     /** Starts the next process beside the one there is; at its yes the old one is told to end. */
     private void upgrade(ProxyProcess proxy) throws IOException {
         start(proxy, true);
-        awaitYes(proxy, clock.nowMicros());
+        awaitSuccessorReady(proxy, clock.nowMicros());
     }
 
-    private void awaitYes(ProxyProcess proxy, long since) {
-        long took = clock.nowMicros() - since; // when it is asked: the answer may be late by itself
-        boolean yes = ConsoleClient.yes(proxy.consoleAddress(), "PING");
-        long waited = watch.waited(proxy.process());
-        Verdict verdict = YES_WITHIN.verdict(took, waited);
+    private void awaitSuccessorReady(ProxyProcess proxy, long startedAtMicros) {
+        long elapsedMicros = clock.nowMicros() - startedAtMicros; // when it is asked: the answer may be late by itself
+        boolean ready = ConsoleClient.succeeds(proxy.consoleAddress(), "PING");
+        long waitedMicros = starvationMonitor.waitedMicros(proxy.pidOrZero());
+        Verdict verdict = UPGRADE_READY_LIMIT.verdict(elapsedMicros, waitedMicros);
         if (verdict == Verdict.PASSED) {
-            referee.process(Rule.CRASH, proxy.index(), clock.nowMicros(), String.format(Locale.ROOT,
+            referee.processViolation(Rule.CRASH, proxy.index(), clock.nowMicros(), String.format(Locale.ROOT,
                 "the next process did not say yes within %.1f s; it waited %.1f s for a core",
-                YES_WITHIN.limitMicros() / 1e6, waited / 1e6));
-        } else if (verdict == Verdict.STARVED && (yes || YES_WITHIN.isPastMaxWait(took))) {
-            starvation.passed("the start of the next process of " + proxy.name(), took, waited);
+                UPGRADE_READY_LIMIT.limitMicros() / 1e6, waitedMicros / 1e6));
+        } else if (verdict == Verdict.STARVED && (ready || UPGRADE_READY_LIMIT.isPastMaxWait(elapsedMicros))) {
+            starvationDetector.limitExceededByWaiting("the start of the next process of " + proxy.name(), elapsedMicros, waitedMicros);
         }
-        if (yes) {
-            proxy.serves(false);
-            proxy.signalBefore("TERM");
-            thread.schedule(() -> proxy.signalBefore("KILL"), longest() + GRACE, TimeUnit.MICROSECONDS);
-        } else if (verdict != Verdict.PASSED && !YES_WITHIN.isPastMaxWait(took)) {
-            thread.schedule(() -> awaitYes(proxy, since), ASK_MILLIS, TimeUnit.MILLISECONDS);
+        if (ready) {
+            proxy.markReady(false);
+            proxy.signalPrevious("TERM");
+            scheduler.schedule(() -> proxy.signalPrevious("KILL"), maxDeadlineMicros() + KILL_GRACE_MICROS, TimeUnit.MICROSECONDS);
+        } else if (verdict != Verdict.PASSED && !UPGRADE_READY_LIMIT.isPastMaxWait(elapsedMicros)) {
+            scheduler.schedule(() -> awaitSuccessorReady(proxy, startedAtMicros), POLL_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
     /** A proxy has said at the clients' address that it can serve. */
     public void proxyReady(int proxy) {
-        all.get(proxy).serves(true);
+        proxies.get(proxy).markReady(true);
     }
 
     /** The longest that one of those that do not serve yet has waited for a core. */
     public long maxStartCpuWaitMicros() {
-        return all.stream().flatMap(proxy -> proxy.watched().stream()).filter(one -> !one.serves())
-            .mapToLong(one -> watch.waited(one.process())).max().orElse(0);
+        return proxies.stream().flatMap(proxy -> proxy.monitoredProcesses().stream()).filter(process -> !process.ready())
+            .mapToLong(process -> starvationMonitor.waitedMicros(process.pid())).max().orElse(0);
     }
 
     /** How late the lab was, to be told and asked. */
-    public StarvationWatch starvationMonitor() {
-        return watch;
+    public StarvationMonitor starvationMonitor() {
+        return starvationMonitor;
     }
 
     /** Those that are there no more though nobody told them to end. */
     public List<String> crashes() {
-        return all.stream().filter(proxy -> proxy.crashDescription() != null)
+        return proxies.stream().filter(proxy -> proxy.crashDescription() != null)
             .map(proxy -> proxy.name() + ": " + proxy.crashDescription()).toList();
     }
 
-    private void look() {
+    private void sampleProcesses() {
         Experiment.Proxies limits = plan.experiment().proxies();
-        for (ProxyProcess proxy : all) {
-            int i = proxy.index();
-            String crash = proxy.crashDescription();
-            if (crash != null && !reported[i]) {
-                reported[i] = true;
-                referee.process(Rule.CRASH, i, clock.nowMicros(), crash);
+        for (ProxyProcess proxy : proxies) {
+            int index = proxy.index();
+            String crashDescription = proxy.crashDescription();
+            if (crashDescription != null && !crashReported[index]) {
+                crashReported[index] = true;
+                referee.processViolation(Rule.CRASH, index, clock.nowMicros(), crashDescription);
             }
             if (!proxy.isAlive()) {
                 continue;
             }
             ProxyProcess.Usage usage = proxy.sampleUsage();
-            if (usage.residentKib() * 1024 > limits.maxMemoryBytes() && peakKib[i] * 1024 <= limits.maxMemoryBytes()) {
-                referee.process(Rule.MEMORY, i, clock.nowMicros(), "holds " + usage.residentKib() / 1024
+            if (usage.residentKib() * 1024 > limits.maxMemoryBytes() && peakResidentKib[index] * 1024 <= limits.maxMemoryBytes()) {
+                referee.processViolation(Rule.MEMORY, index, clock.nowMicros(), "holds " + usage.residentKib() / 1024
                     + " MiB of "
                     + (limits.maxMemoryBytes() >> 20));
             }
-            if (usage.descriptors() > limits.maxDescriptors() && peakDescriptors[i] <= limits.maxDescriptors()) {
-                referee.process(Rule.DESCRIPTORS, i, clock.nowMicros(), "holds " + usage.descriptors() + " of "
+            if (usage.descriptors() > limits.maxDescriptors() && peakDescriptors[index] <= limits.maxDescriptors()) {
+                referee.processViolation(Rule.DESCRIPTORS, index, clock.nowMicros(), "holds " + usage.descriptors() + " of "
                     + limits.maxDescriptors());
             }
-            peakKib[i] = Math.max(peakKib[i], usage.residentKib());
-            peakDescriptors[i] = Math.max(peakDescriptors[i], usage.descriptors());
+            peakResidentKib[index] = Math.max(peakResidentKib[index], usage.residentKib());
+            peakDescriptors[index] = Math.max(peakDescriptors[index], usage.descriptors());
         }
     }
 
     /** Lets a fault of proxies begin at its time; zero is when clients come. */
-    public void scheduleFault(Break fault, long zero) {
-        thread.schedule(() -> fault.victims().forEach(victim -> begin(fault, all.get(victim))),
-            Math.max(0, zero + fault.at() - clock.nowMicros()), TimeUnit.MICROSECONDS);
+    public void scheduleFault(Break fault, long clientsStartMicros) {
+        scheduler.schedule(() -> fault.victims().forEach(victim -> injectFault(fault, proxies.get(victim))),
+            Math.max(0, clientsStartMicros + fault.at() - clock.nowMicros()), TimeUnit.MICROSECONDS);
     }
 
-    private void begin(Break fault, ProxyProcess proxy) {
-        long now = clock.nowMicros(), until = now + fault.lasts();
+    private void injectFault(Break fault, ProxyProcess proxy) {
+        long nowMicros = clock.nowMicros(), untilMicros = nowMicros + fault.lasts();
         switch (fault.kind()) {
             case KILL -> {
-                referee.excuseProxy(proxy.index(), now, until);
+                referee.excuseProxy(proxy.index(), nowMicros, untilMicros);
                 proxy.signal("KILL");
-                again(proxy, fault, fault.lasts());
+                scheduleRestart(proxy, fault, fault.lasts());
             }
             case TERM -> {
                 proxy.signal("TERM");
-                thread.schedule(() -> {
+                scheduler.schedule(() -> {
                     if (proxy.isAlive()) {
                         proxy.signal("KILL");
                     }
-                }, longest() + GRACE, TimeUnit.MICROSECONDS);
-                again(proxy, fault, Math.max(fault.lasts(), longest() + GRACE + LOOK_MILLIS * 1000));
+                }, maxDeadlineMicros() + KILL_GRACE_MICROS, TimeUnit.MICROSECONDS);
+                scheduleRestart(proxy, fault, Math.max(fault.lasts(), maxDeadlineMicros() + KILL_GRACE_MICROS + SAMPLE_PERIOD_MILLIS * 1000));
             }
             case PAUSE -> {
-                referee.excuseProxy(proxy.index(), now, until);
+                referee.excuseProxy(proxy.index(), nowMicros, untilMicros);
                 proxy.signal("STOP");
-                thread.schedule(() -> proxy.signal("CONT"), fault.lasts(), TimeUnit.MICROSECONDS);
+                scheduler.schedule(() -> proxy.signal("CONT"), fault.lasts(), TimeUnit.MICROSECONDS);
             }
             case HANGUP -> proxy.signal("HUP");
             case UPGRADE -> {
                 try {
                     upgrade(proxy);
                 } catch (IOException e) {
-                    referee.process(Rule.CRASH, proxy.index(), now, "the next process could not be started: "
+                    referee.processViolation(Rule.CRASH, proxy.index(), nowMicros, "the next process could not be started: "
                         + e);
                 }
             }
@@ -276,57 +276,57 @@
         }
     }
 
-    private long longest() {
-        return Math.min(LONGEST_DEADLINE, plan.experiment().classes().stream()
+    private long maxDeadlineMicros() {
+        return Math.min(MAX_DEADLINE_MICROS, plan.experiment().classes().stream()
             .mapToLong(Experiment.ServiceClass::deadline).max().orElse(0));
     }
 
-    private void again(ProxyProcess proxy, Break fault, long after) {
-        thread.schedule(() -> {
+    private void scheduleRestart(ProxyProcess proxy, Break fault, long delayMicros) {
+        scheduler.schedule(() -> {
             try {
-                String spoilt = DiskFaults.apply(proxy.tmp(), fault.disk(), RandomStreams.stream(plan.seed(),
+                String damage = DiskFaults.apply(proxy.tmpFolder(), fault.disk(), RandomStreams.stream(plan.seed(),
                     proxy.name() + " disk " + proxy.starts()));
-                if (!spoilt.isEmpty()) {
-                    System.err.println(proxy.name() + ": " + spoilt);
+                if (!damage.isEmpty()) {
+                    System.err.println(proxy.name() + ": " + damage);
                 }
                 start(proxy, fault.folder() == FolderOnRestart.KEPT);
             } catch (IOException e) {
-                referee.process(Rule.CRASH, proxy.index(), clock.nowMicros(), "could not be started again: " + e);
+                referee.processViolation(Rule.CRASH, proxy.index(), clock.nowMicros(), "could not be started again: " + e);
             }
-        }, after, TimeUnit.MICROSECONDS);
+        }, delayMicros, TimeUnit.MICROSECONDS);
     }
 
     /** Tells all to end, and kills what does not in time. */
     public void stop() throws IOException {
-        thread.shutdownNow();
-        look();
-        List<Long> waited = all.stream().map(proxy -> watch.waited(proxy.process())).toList();
-        for (ProxyProcess proxy : all) {
-            proxy.signalBefore("KILL");
+        scheduler.shutdownNow();
+        sampleProcesses();
+        List<Long> waitedMicros = proxies.stream().map(proxy -> starvationMonitor.waitedMicros(proxy.pidOrZero())).toList();
+        for (ProxyProcess proxy : proxies) {
+            proxy.signalPrevious("KILL");
             proxy.signal("CONT");
             proxy.signal("TERM");
         }
-        long told = clock.nowMicros();
-        for (ProxyProcess proxy : all) {
-            awaitEnd(proxy, told, waited.get(proxy.index()));
+        long signalledAtMicros = clock.nowMicros();
+        for (ProxyProcess proxy : proxies) {
+            awaitExit(proxy, signalledAtMicros, waitedMicros.get(proxy.index()));
         }
-        watch.close();
-        leftovers.deleteOwnList();
+        starvationMonitor.close();
+        childProcesses.deleteOwnList();
     }
 
-    private void awaitEnd(ProxyProcess proxy, long told, long waitedBefore) {
-        TimeLimit limit = new TimeLimit(longest() + GRACE);
+    private void awaitExit(ProxyProcess proxy, long signalledAtMicros, long waitedBeforeMicros) {
+        TimeLimit limit = new TimeLimit(maxDeadlineMicros() + KILL_GRACE_MICROS);
         Verdict verdict = Verdict.WITHIN;
-        while (!proxy.awaitExit(ASK_MILLIS)) {
-            long took = clock.nowMicros() - told, waited = watch.waited(proxy.process()) - waitedBefore;
-            Verdict next = limit.verdict(took, waited);
-            if (next == Verdict.STARVED && verdict != next) {
-                starvation.passed("the end of " + proxy.name(), took, waited);
+        while (!proxy.awaitExit(POLL_INTERVAL_MILLIS)) {
+            long elapsedMicros = clock.nowMicros() - signalledAtMicros, waitedMicros = starvationMonitor.waitedMicros(proxy.pidOrZero()) - waitedBeforeMicros;
+            Verdict newVerdict = limit.verdict(elapsedMicros, waitedMicros);
+            if (newVerdict == Verdict.STARVED && verdict != newVerdict) {
+                starvationDetector.limitExceededByWaiting("the end of " + proxy.name(), elapsedMicros, waitedMicros);
             }
-            verdict = next;
-            if (verdict == Verdict.PASSED || limit.isPastMaxWait(took)) {
+            verdict = newVerdict;
+            if (verdict == Verdict.PASSED || limit.isPastMaxWait(elapsedMicros)) {
                 if (verdict == Verdict.PASSED) {
-                    referee.process(Rule.CRASH, proxy.index(), clock.nowMicros(), "did not end after SIGTERM");
+                    referee.processViolation(Rule.CRASH, proxy.index(), clock.nowMicros(), "did not end after SIGTERM");
                 }
                 proxy.signal("KILL");
                 proxy.awaitExit(5_000);
@@ -337,28 +337,28 @@
 
     /** Datagrams and bytes between the proxies; none where the settings allow no peers. */
     public long[] peerTraffic() {
-        return peers == null ? new long[2] : new long[] {peers.datagrams(), peers.bytes()};
+        return peerNetwork == null ? new long[2] : new long[] {peerNetwork.datagrams(), peerNetwork.bytes()};
     }
 
     public List<ResourceUsage> resourceUsages() {
-        List<ResourceUsage> result = new ArrayList<>();
-        for (ProxyProcess proxy : all) {
-            int i = proxy.index();
-            result.add(new ResourceUsage(proxy.name(), proxy.starts(), peakKib[i], peakDescriptors[i],
+        List<ResourceUsage> usages = new ArrayList<>();
+        for (ProxyProcess proxy : proxies) {
+            int index = proxy.index();
+            usages.add(new ResourceUsage(proxy.name(), proxy.starts(), peakResidentKib[index], peakDescriptors[index],
                 proxy.cpuSeconds()));
         }
-        return result;
+        return usages;
     }
 
     /** Leaves no process behind, whatever happened. */
     @Override
     public void close() {
-        thread.shutdownNow();
-        operators.shutdownNow();
-        watch.close();
-        all.forEach(ProxyProcess::close);
-        if (peers != null) {
-            peers.close();
+        scheduler.shutdownNow();
+        operatorExecutor.shutdownNow();
+        starvationMonitor.close();
+        proxies.forEach(ProxyProcess::close);
+        if (peerNetwork != null) {
+            peerNetwork.close();
         }
     }
 }
--- a/lab/src/main/java/dockrelay/lab/process/ProxyProcess.java
+++ b/lab/src/main/java/dockrelay/lab/process/ProxyProcess.java
@@ -1,7 +1,7 @@
 package dockrelay.lab.process;
 
-import dockrelay.lab.starvation.CoreCounts;
-import dockrelay.lab.starvation.Watched;
+import dockrelay.lab.starvation.CoreStats;
+import dockrelay.lab.starvation.MonitoredProcess;
 import java.io.File;
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -18,13 +18,13 @@
 
 /** One proxy under test, by its name: the process there is now, beside it the one before in an upgrade. */
 public final class ProxyProcess {
-    private static final String RESIDENT = "VmRSS:";
-    private static final int NO_SOCKET = -1;
-    private static final double TICKS = 100;
+    private static final String RESIDENT_PREFIX = "VmRSS:";
+    private static final int NO_DESCRIPTOR = -1;
+    private static final double TICKS_PER_SECOND = 100;
 
     /** What the system says of its processes together; 0 where it says nothing any more. */
     public record Usage(long residentKib, int descriptors) {
-        Usage and(Usage other) {
+        Usage plus(Usage other) {
             return new Usage(residentKib + other.residentKib, descriptors + other.descriptors);
         }
     }
@@ -33,17 +33,17 @@
      * One process: the next one of an upgrade, or not; told once it has been sent a signal to end; it serves
      * once it has said that it can.
      */
-    private static final class One {
+    private static final class Instance {
         final Process process;
-        final boolean upgrade;
-        boolean told, serves;
+        final boolean startedByUpgrade;
+        boolean exitRequested, ready;
 
-        One(Process process, boolean upgrade) {
+        Instance(Process process, boolean startedByUpgrade) {
             this.process = process;
-            this.upgrade = upgrade;
+            this.startedByUpgrade = startedByUpgrade;
         }
 
-        boolean alive() {
+        boolean isAlive() {
             return process.isAlive();
         }
     }
@@ -51,30 +51,30 @@
     private final int index;
     private final Build build;
     private final Path folder;
-    private final InetSocketAddress listen;
-    private final ChildProcessRegistry leftovers;
-    private final long fileLimit;
-    private final int socket, processor;
-    private final Map<Long, Long> ticks = new HashMap<>();
-    private InetSocketAddress console;
-    private One now, before;
-    private Path tmp, config;
+    private final InetSocketAddress listenAddress;
+    private final ChildProcessRegistry childProcesses;
+    private final long maxFileBytes;
+    private final int sharedSocketDescriptor, processor;
+    private final Map<Long, Long> cpuTicksByPid = new HashMap<>();
+    private InetSocketAddress consoleAddress;
+    private Instance current, previous;
+    private Path tmpFolder, configFile;
     private int starts;
 
     /**
      * With a shared socket the lab listens for clients, and each process inherits that. A processor below 0
      * leaves it to the system where it runs.
      */
-    public ProxyProcess(int index, Build build, Path folder, InetSocketAddress listen, boolean sharedSocket,
-                        long fileLimit, int processor, ChildProcessRegistry leftovers) throws IOException {
+    public ProxyProcess(int index, Build build, Path folder, InetSocketAddress listenAddress, boolean sharedSocket,
+                        long maxFileBytes, int processor, ChildProcessRegistry childProcesses) throws IOException {
         this.index = index;
         this.build = build;
         this.folder = folder;
-        this.listen = listen;
-        this.leftovers = leftovers;
-        this.fileLimit = fileLimit;
+        this.listenAddress = listenAddress;
+        this.childProcesses = childProcesses;
+        this.maxFileBytes = maxFileBytes;
         this.processor = processor;
-        this.socket = sharedSocket ? Native.listening(listen) : NO_SOCKET;
+        this.sharedSocketDescriptor = sharedSocket ? SystemCalls.openListeningSocket(listenAddress) : NO_DESCRIPTOR;
     }
 
     public int index() {
@@ -86,59 +86,59 @@
     }
 
     public InetSocketAddress listenAddress() {
-        return listen;
+        return listenAddress;
     }
 
     public synchronized InetSocketAddress consoleAddress() {
-        return console;
+        return consoleAddress;
     }
 
     /** The console's address of the process to be started next. */
-    public synchronized void setConsoleAddress(InetSocketAddress itsConsole) {
-        console = itsConsole;
+    public synchronized void setConsoleAddress(InetSocketAddress address) {
+        consoleAddress = address;
     }
 
     /** What outlives a process, where it is kept. */
-    public synchronized Path tmp() {
-        return tmp;
+    public synchronized Path tmpFolder() {
+        return tmpFolder;
     }
 
     /** Starts it as the platform does, with this configuration; one that still runs goes on beside it. */
-    public synchronized void start(String configuration, Map<String, String> environment, boolean keepFolder)
+    public synchronized void start(String configuration, Map<String, String> environment, boolean keepTmpFolder)
         throws IOException {
         starts++;
-        before = now != null && now.alive() ? now : null;
-        Path home = Files.createDirectories(folder.resolve(name() + "." + starts));
-        if (tmp == null || !keepFolder) {
-            tmp = Files.createDirectories(home.resolve("tmp"));
+        previous = current != null && current.isAlive() ? current : null;
+        Path processFolder = Files.createDirectories(folder.resolve(name() + "." + starts));
+        if (tmpFolder == null || !keepTmpFolder) {
+            tmpFolder = Files.createDirectories(processFolder.resolve("tmp"));
         }
-        config = home.resolve("config.json");
-        configure(configuration);
+        configFile = processFolder.resolve("config.json");
+        writeConfiguration(configuration);
         ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", build.startCommand())
             .directory(build.root().toFile())
-            .redirectErrorStream(true).redirectOutput(home.resolve("log").toFile());
+            .redirectErrorStream(true).redirectOutput(processFolder.resolve("log").toFile());
         builder.environment().put("PROXY_NAME", name());
-        builder.environment().put("PROXY_CONFIG", config.toAbsolutePath().toString());
-        builder.environment().put("TMPDIR", tmp.toAbsolutePath().toString());
+        builder.environment().put("PROXY_CONFIG", configFile.toAbsolutePath().toString());
+        builder.environment().put("TMPDIR", tmpFolder.toAbsolutePath().toString());
         builder.environment().putAll(environment);
-        if (socket == NO_SOCKET) {
-            now = new One(builder.redirectInput(new File("/dev/null")).start(), before != null);
+        if (sharedSocketDescriptor == NO_DESCRIPTOR) {
+            current = new Instance(builder.redirectInput(new File("/dev/null")).start(), previous != null);
         } else {
             builder.environment().put("PROXY_SOCKET_FD", "0");
-            now = new One(Native.start(builder, socket), before != null);
+            current = new Instance(SystemCalls.startWithInput(builder, sharedSocketDescriptor), previous != null);
         }
-        leftovers.started(now.process.toHandle());
+        childProcesses.register(current.process.toHandle());
         if (processor >= 0) {
-            Native.pin(now.process.pid(), processor);
+            SystemCalls.pin(current.process.pid(), processor);
         }
-        if (fileLimit > 0) {
-            Native.limitFiles(now.process.pid(), fileLimit);
+        if (maxFileBytes > 0) {
+            SystemCalls.limitFileSize(current.process.pid(), maxFileBytes);
         }
     }
 
     /** Writes its configuration anew; it reads it at a start and at SIGHUP. */
-    public synchronized void configure(String configuration) throws IOException {
-        Files.writeString(config, configuration);
+    public synchronized void writeConfiguration(String configuration) throws IOException {
+        Files.writeString(configFile, configuration);
     }
 
     public synchronized int starts() {
@@ -147,79 +147,79 @@
 
     /** The id of the process there is now. */
     public synchronized long pid() {
-        return now.process.pid();
+        return current.process.pid();
     }
 
     public synchronized boolean isAlive() {
-        return now != null && now.alive();
+        return current != null && current.isAlive();
     }
 
     /** The process there is now; 0 where none was started. */
-    public synchronized long process() {
-        return now == null ? 0 : now.process.pid();
+    public synchronized long pidOrZero() {
+        return current == null ? 0 : current.process.pid();
     }
 
     /** It has said that it can serve. At the clients' address it may be the one before that says so. */
-    public synchronized void serves(boolean atClientsAddress) {
-        if (now != null && now.alive() && !(atClientsAddress && now.upgrade)) {
-            now.serves = true;
+    public synchronized void markReady(boolean atClientsAddress) {
+        if (current != null && current.isAlive() && !(atClientsAddress && current.startedByUpgrade)) {
+            current.ready = true;
         }
     }
 
     /** What runs of it, to be watched; what has been told to end serves on to its end. */
-    public synchronized List<Watched> watched() {
-        List<Watched> result = new ArrayList<>();
-        for (One one : new One[] {now, before}) {
-            if (one != null && one.alive()) {
-                result.add(new Watched(name(), one.process.pid(), one.serves,
-                    processor < 0 ? CoreCounts.ALL : processor));
+    public synchronized List<MonitoredProcess> monitoredProcesses() {
+        List<MonitoredProcess> monitored = new ArrayList<>();
+        for (Instance instance : new Instance[] {current, previous}) {
+            if (instance != null && instance.isAlive()) {
+                monitored.add(new MonitoredProcess(name(), instance.process.pid(), instance.ready,
+                    processor < 0 ? CoreStats.ALL_CORES : processor));
             }
         }
-        return result;
+        return monitored;
     }
 
     /** What has ended though nobody told it to, and how; null where nothing has. */
     public synchronized String crashDescription() {
-        for (One one : new One[] {now, before}) {
-            if (one != null && !one.alive() && !one.told) {
-                return "process " + one.process.pid() + " ended by itself with " + one.process.exitValue();
+        for (Instance instance : new Instance[] {current, previous}) {
+            if (instance != null && !instance.isAlive() && !instance.exitRequested) {
+                return "process " + instance.process.pid() + " ended by itself with " + instance.process.exitValue();
             }
         }
         return null;
     }
 
     /** Sends a signal by its name to the process there is now; TERM and KILL count as being told to end. */
-    public synchronized void signal(String name) {
-        signal(now, name);
+    public synchronized void signal(String signalName) {
+        signal(current, signalName);
     }
 
     /** The same to the one before it, in an upgrade. */
-    public synchronized void signalBefore(String name) {
-        signal(before, name);
+    public synchronized void signalPrevious(String signalName) {
+        signal(previous, signalName);
     }
 
-    private static void signal(One one, String name) {
-        if (one == null || !one.alive()) {
+    private static void signal(Instance instance, String signalName) {
+        if (instance == null || !instance.isAlive()) {
             return;
         }
-        one.told = one.told || name.equals("TERM") || name.equals("KILL");
-        if (name.equals("KILL")) {
-            one.process.destroyForcibly();
-        } else if (name.equals("TERM")) {
-            one.process.destroy();
+        instance.exitRequested = instance.exitRequested || signalName.equals("TERM") || signalName.equals("KILL");
+        if (signalName.equals("KILL")) {
+            instance.process.destroyForcibly();
+        } else if (signalName.equals("TERM")) {
+            instance.process.destroy();
         } else {
-            Native.signal(one.process.pid(), name);
+            SystemCalls.signal(instance.process.pid(), signalName);
         }
     }
 
     /** Returns whether it has ended within this time. */
-    public boolean awaitExit(long millis) {
-        One one;
+    public boolean awaitExit(long timeoutMillis) {
+        Instance instance;
         synchronized (this) {
-            one = now;
+            instance = current;
         }
         try {
-            return one == null || one.process.waitFor(millis, TimeUnit.MILLISECONDS);
+            return instance == null || instance.process.waitFor(timeoutMillis, TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             return false;
@@ -227,34 +227,34 @@
     }
 
     public synchronized Usage sampleUsage() {
-        Usage usage = now == null ? new Usage(0, 0) : sampleUsage(now.process.pid());
-        return before == null || !before.alive() ? usage : usage.and(sampleUsage(before.process.pid()));
+        Usage usage = current == null ? new Usage(0, 0) : sampleUsage(current.process.pid());
+        return previous == null || !previous.isAlive() ? usage : usage.plus(sampleUsage(previous.process.pid()));
     }
 
     /** CPU time of all its processes, as far as it has been looked at. */
     public synchronized double cpuSeconds() {
-        return ticks.values().stream().mapToLong(Long::longValue).sum() / TICKS;
+        return cpuTicksByPid.values().stream().mapToLong(Long::longValue).sum() / TICKS_PER_SECOND;
     }
 
-    private Usage sampleUsage(long process) {
-        Path proc = Path.of("/proc", String.valueOf(process));
+    private Usage sampleUsage(long pid) {
+        Path procFolder = Path.of("/proc", String.valueOf(pid));
         try {
-            long resident = 0;
-            for (String line : Files.readAllLines(proc.resolve("status"))) {
-                if (line.startsWith(RESIDENT)) {
-                    resident = Long.parseLong(line.substring(RESIDENT.length()).trim().split(" ")[0]);
+            long residentKib = 0;
+            for (String line : Files.readAllLines(procFolder.resolve("status"))) {
+                if (line.startsWith(RESIDENT_PREFIX)) {
+                    residentKib = Long.parseLong(line.substring(RESIDENT_PREFIX.length()).trim().split(" ")[0]);
                 }
             }
             int descriptors = 0;
-            try (DirectoryStream<Path> open = Files.newDirectoryStream(proc.resolve("fd"))) {
-                for (Path ignored : open) {
+            try (DirectoryStream<Path> descriptorFiles = Files.newDirectoryStream(procFolder.resolve("fd"))) {
+                for (Path descriptorFile : descriptorFiles) {
                     descriptors++;
                 }
             }
-            String stat = Files.readString(proc.resolve("stat"));
+            String stat = Files.readString(procFolder.resolve("stat"));
             String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
-            ticks.put(process, Long.parseLong(fields[11]) + Long.parseLong(fields[12]));
-            return new Usage(resident, descriptors);
+            cpuTicksByPid.put(pid, Long.parseLong(fields[11]) + Long.parseLong(fields[12]));
+            return new Usage(residentKib, descriptors);
         } catch (IOException | UncheckedIOException | DirectoryIteratorException e) {
             return new Usage(0, 0); // it has just ended
         }
@@ -262,9 +262,9 @@
 
     void close() {
         signal("KILL");
-        signalBefore("KILL");
-        if (socket != NO_SOCKET) {
-            Native.close(socket);
+        signalPrevious("KILL");
+        if (sharedSocketDescriptor != NO_DESCRIPTOR) {
+            SystemCalls.close(sharedSocketDescriptor);
         }
     }
 }
--- a/lab/src/main/java/dockrelay/lab/referee/Attempt.java
+++ b/lab/src/main/java/dockrelay/lab/referee/Attempt.java
@@ -4,7 +4,7 @@
 public final class Attempt {
     /** How it stands or ended, as the node knows it. */
     public enum State {
-        HELD, REJECTED, SERVED, ERROR, CANCELLED;
+        IN_FLIGHT, REJECTED, SERVED, ERROR, CANCELLED;
 
         boolean mayHaveRun() {
             return this != REJECTED;
@@ -12,25 +12,25 @@
     }
 
     public final ClientRequest request;
-    public final int node, number;
+    public final int backend, number;
     public final long arrivedAtMicros;
     /** Its own draw around the request's work. */
     public final double workMicros;
-    double spent;
-    State state = State.HELD;
-    boolean won;
+    double spentMicros;
+    State state = State.IN_FLIGHT;
+    boolean responseDelivered;
 
-    Attempt(ClientRequest of, int node, int number, long at, double work) {
-        this.request = of;
-        this.node = node;
+    Attempt(ClientRequest request, int backend, int number, long arrivedAtMicros, double workMicros) {
+        this.request = request;
+        this.backend = backend;
         this.number = number;
-        this.arrivedAtMicros = at;
-        this.workMicros = work;
+        this.arrivedAtMicros = arrivedAtMicros;
+        this.workMicros = workMicros;
     }
 
     /** What this node answers it with: nobody else makes the same bytes. */
     public String expectedBody() {
-        return "node " + node + " served " + request.id + " as number " + number + ", "
+        return "node " + backend + " served " + request.id + " as number " + number + ", "
             + Long.toHexString(Double.doubleToLongBits(workMicros)) + "\n";
     }
 }
--- a/lab/src/main/java/dockrelay/lab/referee/ClientRequest.java
+++ b/lab/src/main/java/dockrelay/lab/referee/ClientRequest.java
@@ -12,16 +12,16 @@
     public final long sentAtMicros, timeoutMicros;
     final List<Attempt> attempts = new ArrayList<>(2);
 
-    public ClientRequest(String id, String method, String path, String key, String content, Arrival arrival, int proxy,
-        long sentAt, long timeout) {
+    public ClientRequest(String id, String method, String path, String idempotencyKey, String body, Arrival arrival, int proxy,
+        long sentAtMicros, long timeoutMicros) {
         this.id = id;
         this.method = method;
         this.path = path;
-        this.idempotencyKey = key;
-        this.body = content;
+        this.idempotencyKey = idempotencyKey;
+        this.body = body;
         this.arrival = arrival;
         this.proxy = proxy;
-        this.sentAtMicros = sentAt;
-        this.timeoutMicros = timeout;
+        this.sentAtMicros = sentAtMicros;
+        this.timeoutMicros = timeoutMicros;
     }
 }
--- a/lab/src/main/java/dockrelay/lab/starvation/LatenessRecorder.java
+++ b/lab/src/main/java/dockrelay/lab/starvation/LatenessRecorder.java
@@ -6,22 +6,22 @@
 /** How late one kind of the lab's acts was, in microseconds: told by one thread, asked by another. */
 public final class LatenessRecorder {
     private final Recorder recorder = new Recorder(3);
-    private final Histogram all = new Histogram(3);
+    private final Histogram totalHistogram = new Histogram(3);
 
-    public void record(long micros) {
-        recorder.recordValue(Math.max(0, micros));
+    public void record(long latenessMicros) {
+        recorder.recordValue(Math.max(0, latenessMicros));
     }
 
     /** Since the question before. */
-    public synchronized Histogram since() {
-        Histogram result = recorder.getIntervalHistogram();
-        all.add(result);
-        return result;
+    public synchronized Histogram takeInterval() {
+        Histogram interval = recorder.getIntervalHistogram();
+        totalHistogram.add(interval);
+        return interval;
     }
 
     /** From the start. */
     public synchronized Histogram total() {
-        since();
-        return all.copy();
+        takeInterval();
+        return totalHistogram.copy();
     }
 }
--- a/lab/src/main/java/dockrelay/lab/starvation/ProcessorTime.java
+++ b/lab/src/main/java/dockrelay/lab/starvation/ProcessorTime.java
@@ -5,18 +5,18 @@
  * long it ran, and how long it could have run and waited for a core; and the longest that one thread waited.
  * While it sleeps or is stopped it does neither.
  */
-public record ProcessorTime(long ran, long waited, long longest) {
-    public static final ProcessorTime NONE = new ProcessorTime(0, 0, 0);
+public record ProcessorTime(long ranMicros, long waitedMicros, long longestWaitMicros) {
+    public static final ProcessorTime ZERO = new ProcessorTime(0, 0, 0);
 
     /**
      * The most that one thing which it had to do can have waited: one thread after another at the worst, but
      * no longer than it all lasted, or than the one wait that had begun before.
      */
-    long inARow(long length) {
-        return Math.min(waited, Math.max(length, longest));
+    long maxSequentialWaitMicros(long intervalMicros) {
+        return Math.min(waitedMicros, Math.max(intervalMicros, longestWaitMicros));
     }
 
-    public ProcessorTime and(ProcessorTime other) {
-        return new ProcessorTime(ran + other.ran, waited + other.waited, Math.max(longest, other.longest));
+    public ProcessorTime plus(ProcessorTime other) {
+        return new ProcessorTime(ranMicros + other.ranMicros, waitedMicros + other.waitedMicros, Math.max(longestWaitMicros, other.longestWaitMicros));
     }
 }
--- a/lab/src/main/java/dockrelay/lab/starvation/SchedulerStats.java
+++ b/lab/src/main/java/dockrelay/lab/starvation/SchedulerStats.java
@@ -14,17 +14,17 @@
  * first thread's. Not for several threads of the lab at a time.
  */
 public final class SchedulerStats {
-    private static final long NANOS = 1000;
+    private static final long NANOS_PER_MICRO = 1000;
 
-    private final Path tasks;
-    private Map<String, ProcessorTime> last = new HashMap<>();
+    private final Path taskFolder;
+    private Map<String, ProcessorTime> lastTimesByThread = new HashMap<>();
 
-    public SchedulerStats(long process) {
-        this(Path.of("/proc", String.valueOf(process), "task"));
+    public SchedulerStats(long pid) {
+        this(Path.of("/proc", String.valueOf(pid), "task"));
     }
 
-    SchedulerStats(Path tasks) {
-        this.tasks = tasks;
+    SchedulerStats(Path taskFolder) {
+        this.taskFolder = taskFolder;
     }
 
     /** Whether this system counts at all. */
@@ -36,33 +36,33 @@
      * Since the question before, or the process's start. What a thread did after that and before its end is
      * lost, and so is a wait that goes on: it is counted when the thread gets its core.
      */
-    public ProcessorTime since() {
-        Map<String, ProcessorTime> now = new HashMap<>();
-        ProcessorTime result = ProcessorTime.NONE;
-        try (DirectoryStream<Path> all = Files.newDirectoryStream(tasks)) {
-            for (Path task : all) {
-                String name = task.getFileName().toString();
-                ProcessorTime one = read(task.resolve("schedstat"));
-                if (one != null) {
-                    ProcessorTime before = last.getOrDefault(name, ProcessorTime.NONE);
-                    now.put(name, one);
-                    long waited = one.waited() - before.waited();
-                    result = result.and(new ProcessorTime(one.ran() - before.ran(), waited, waited));
+    public ProcessorTime takeInterval() {
+        Map<String, ProcessorTime> timesByThread = new HashMap<>();
+        ProcessorTime interval = ProcessorTime.ZERO;
+        try (DirectoryStream<Path> threadFolders = Files.newDirectoryStream(taskFolder)) {
+            for (Path threadFolder : threadFolders) {
+                String threadId = threadFolder.getFileName().toString();
+                ProcessorTime total = readThread(threadFolder.resolve("schedstat"));
+                if (total != null) {
+                    ProcessorTime previous = lastTimesByThread.getOrDefault(threadId, ProcessorTime.ZERO);
+                    timesByThread.put(threadId, total);
+                    long waitedMicros = total.waitedMicros() - previous.waitedMicros();
+                    interval = interval.plus(new ProcessorTime(total.ranMicros() - previous.ranMicros(), waitedMicros, waitedMicros));
                 }
             }
         } catch (IOException | DirectoryIteratorException e) {
-            return result; // it has just ended
+            return interval; // it has just ended
         }
-        last = now;
-        return result;
+        lastTimesByThread = timesByThread;
+        return interval;
     }
 
     /** Null where the thread has just ended. */
-    private static ProcessorTime read(Path file) {
+    private static ProcessorTime readThread(Path schedstatFile) {
         try {
-            String[] words = Files.readString(file, StandardCharsets.US_ASCII).trim().split(" ");
-            return words.length < 2 ? null
-                : new ProcessorTime(Long.parseLong(words[0]) / NANOS, Long.parseLong(words[1]) / NANOS, 0);
+            String[] columns = Files.readString(schedstatFile, StandardCharsets.US_ASCII).trim().split(" ");
+            return columns.length < 2 ? null
+                : new ProcessorTime(Long.parseLong(columns[0]) / NANOS_PER_MICRO, Long.parseLong(columns[1]) / NANOS_PER_MICRO, 0);
         } catch (IOException e) {
             return null;
         }
--- a/lab/src/main/java/dockrelay/lab/starvation/StarvationDetector.java
+++ b/lab/src/main/java/dockrelay/lab/starvation/StarvationDetector.java
@@ -1,6 +1,6 @@
 package dockrelay.lab.starvation;
 
-import dockrelay.lab.starvation.Look.Share;
+import dockrelay.lab.starvation.LoadSample.ProcessSample;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -20,203 +20,203 @@
  */
 public final class StarvationDetector {
     /** A play in which more than one in a thousand of the lab's acts was later says nothing of latencies. */
-    static final long MOST_LATE = 20_000;
+    static final long MAX_LATENESS_MICROS = 20_000;
     /** A stretch is as long as the looks in it together, at the least. Waits and lateness add up in it. */
-    static final long STRETCH = 100_000;
+    static final long WINDOW_MICROS = 100_000;
     /**
      * Who had the cores is told over a stretch, and over this as the system counts cores by the hundredth of
      * a second: whichever says more of the process itself.
      */
-    private static final long OVER = 1_000_000;
-    private static final long MILLI = 1_000;
-    private static final double PER_MILLE = 99.9;
+    private static final long ATTRIBUTION_WINDOW_MICROS = 1_000_000;
+    private static final long MICROS_PER_MILLI = 1_000;
+    private static final double LATENESS_PERCENTILE = 99.9;
 
     /** The worst that befell one proxy in one stretch. */
-    public record Worst(String proxy, long at, long length, long waited, long late) {
-        long together() {
-            return waited + late;
+    public record Delay(String proxy, long atMicros, long windowMicros, long waitedMicros, long labLatenessMicros) {
+        long totalMicros() {
+            return waitedMicros + labLatenessMicros;
         }
     }
 
-    private final long most;
-    private final double cores;
-    private final Histogram generator = new Histogram(3), world = new Histogram(3);
-    private final Deque<Look> recent = new ArrayDeque<>();
-    private final Deque<Map<Long, Double>> waits = new ArrayDeque<>();
-    private final Map<Long, Double> waited = new HashMap<>();
-    private final Map<String, Double> all = new LinkedHashMap<>();
-    private Worst worst = new Worst("", 0, 0, 0, 0);
-    private String limit;
+    private final long maxDelayMicros;
+    private final double coresPerProxy;
+    private final Histogram generatorLateness = new Histogram(3), emulatorLateness = new Histogram(3);
+    private final Deque<LoadSample> recentSamples = new ArrayDeque<>();
+    private final Deque<Map<Long, Double>> waitsInWindow = new ArrayDeque<>();
+    private final Map<Long, Double> waitedByPid = new HashMap<>();
+    private final Map<String, Double> waitedByProxy = new LinkedHashMap<>();
+    private Delay longestDelay = new Delay("", 0, 0, 0, 0);
+    private String exceededLimit;
     private boolean judging;
-    private long looks;
+    private long judgedSamples;
 
     /** How much later than its time the referee lets an answer be, and how many cores a proxy may use. */
-    public StarvationDetector(long most, double cores) {
-        this.most = most;
-        this.cores = cores;
+    public StarvationDetector(long maxDelayMicros, double coresPerProxy) {
+        this.maxDelayMicros = maxDelayMicros;
+        this.coresPerProxy = coresPerProxy;
     }
 
     /** From when clients come until all are served, answers can be late. */
-    public synchronized void setJudging(boolean now) {
-        judging = now;
-        waits.clear();
+    public synchronized void setJudging(boolean enabled) {
+        judging = enabled;
+        waitsInWindow.clear();
     }
 
-    public synchronized void add(Look look) {
-        recent.addLast(look);
-        while (recent.size() > 1 && recent.stream().skip(1).mapToLong(Look::length).sum() >= OVER) {
-            recent.removeFirst();
+    public synchronized void add(LoadSample sample) {
+        recentSamples.addLast(sample);
+        while (recentSamples.size() > 1 && recentSamples.stream().skip(1).mapToLong(LoadSample::lengthMicros).sum() >= ATTRIBUTION_WINDOW_MICROS) {
+            recentSamples.removeFirst();
         }
         // A lab that is late as proxies took more than theirs is no excuse for them.
-        boolean proxiesDoing = proxiesHad(newest(STRETCH)) || proxiesHad(recent);
-        if (judging && !proxiesDoing) {
-            generator.add(look.generator());
-            world.add(look.world());
+        boolean causedByProxies = proxiesExceededCores(newestSamples(WINDOW_MICROS)) || proxiesExceededCores(recentSamples);
+        if (judging && !causedByProxies) {
+            generatorLateness.add(sample.generatorLateness());
+            emulatorLateness.add(sample.emulatorLateness());
         }
-        Map<Long, Double> now = new HashMap<>();
-        for (Share share : look.shares()) {
-            double wait = byOthers(share, look.length());
-            waited.merge(share.process(), wait, Double::sum);
-            all.merge(share.proxy(), wait, Double::sum);
-            if (share.serves()) {
-                now.put(share.process(), wait);
+        Map<Long, Double> waitsByPid = new HashMap<>();
+        for (ProcessSample process : sample.processes()) {
+            double waitMicros = waitCausedByOthers(process, sample.lengthMicros());
+            waitedByPid.merge(process.pid(), waitMicros, Double::sum);
+            waitedByProxy.merge(process.proxy(), waitMicros, Double::sum);
+            if (process.ready()) {
+                waitsByPid.put(process.pid(), waitMicros);
             }
         }
         if (judging) {
-            looks++;
-            waits.addLast(now);
-            judge(look, proxiesDoing);
+            judgedSamples++;
+            waitsInWindow.addLast(waitsByPid);
+            evaluateWindow(sample, causedByProxies);
         }
     }
 
     /** Looks at the stretch that ends now. */
-    private void judge(Look look, boolean proxiesDoing) {
-        List<Look> stretch = newest(STRETCH);
-        while (waits.size() > stretch.size()) {
-            waits.removeFirst();
+    private void evaluateWindow(LoadSample sample, boolean causedByProxies) {
+        List<LoadSample> window = newestSamples(WINDOW_MICROS);
+        while (waitsInWindow.size() > window.size()) {
+            waitsInWindow.removeFirst();
         }
-        stretch = stretch.subList(0, waits.size()); // what was before the clients came does not count
-        Map<Long, Double> sums = new HashMap<>();
-        waits.forEach(each -> each.forEach((process, wait) -> sums.merge(process, wait, Double::sum)));
-        long length = stretch.stream().mapToLong(Look::length).sum();
-        long late = proxiesDoing ? 0 : stretch.stream().mapToLong(Look::late).max().orElse(0);
-        if (late > worst.together()) {
-            worst = new Worst("", look.at(), length, 0, late);
+        window = window.subList(0, waitsInWindow.size()); // what was before the clients came does not count
+        Map<Long, Double> waitsByPid = new HashMap<>();
+        waitsInWindow.forEach(sampleWaits -> sampleWaits.forEach((pid, waitMicros) -> waitsByPid.merge(pid, waitMicros, Double::sum)));
+        long windowMicros = window.stream().mapToLong(LoadSample::lengthMicros).sum();
+        long labLatenessMicros = causedByProxies ? 0 : window.stream().mapToLong(LoadSample::maxLoopLatenessMicros).max().orElse(0);
+        if (labLatenessMicros > longestDelay.totalMicros()) {
+            longestDelay = new Delay("", sample.atMicros(), windowMicros, 0, labLatenessMicros);
         }
-        for (Share share : look.shares()) {
-            Worst one = new Worst(share.proxy(), look.at(), length,
-                Math.round(sums.getOrDefault(share.process(), 0.0)), late);
-            if (one.waited > 0 && one.together() > worst.together()) {
-                worst = one;
+        for (ProcessSample process : sample.processes()) {
+            Delay delay = new Delay(process.proxy(), sample.atMicros(), windowMicros,
+                Math.round(waitsByPid.getOrDefault(process.pid(), 0.0)), labLatenessMicros);
+            if (delay.waitedMicros > 0 && delay.totalMicros() > longestDelay.totalMicros()) {
+                longestDelay = delay;
             }
         }
     }
 
     /** The looks that end now and last so long together, at the least. */
-    private List<Look> newest(long atLeast) {
-        List<Look> result = new ArrayList<>();
-        long length = 0;
-        for (Iterator<Look> each = recent.descendingIterator(); each.hasNext() && length < atLeast;) {
-            Look one = each.next();
-            result.add(one);
-            length += one.length();
+    private List<LoadSample> newestSamples(long minMicros) {
+        List<LoadSample> samples = new ArrayList<>();
+        long lengthMicros = 0;
+        for (Iterator<LoadSample> iterator = recentSamples.descendingIterator(); iterator.hasNext() && lengthMicros < minMicros;) {
+            LoadSample sample = iterator.next();
+            samples.add(sample);
+            lengthMicros += sample.lengthMicros();
         }
-        return result;
+        return samples;
     }
 
     /**
      * Of a process's wait, the part that others' use of its cores accounts for: not its own threads, which
      * wait for one another, and not what proxies take beyond their own. What the host took counts too.
      */
-    private double byOthers(Share share, long length) {
-        double own = 0, taken = 0;
-        for (Collection<Look> looks : List.of(newest(STRETCH), recent)) {
-            CoreTime had = CoreTime.NONE;
-            long ran = 0;
-            for (Look look : looks) {
-                for (Share one : look.shares()) {
-                    if (one.process() == share.process()) {
-                        had = had.and(one.cores());
-                        ran += one.time().ran();
+    private double waitCausedByOthers(ProcessSample process, long sampleMicros) {
+        double ownShare = 0, stolenShare = 0;
+        for (Collection<LoadSample> window : List.of(newestSamples(WINDOW_MICROS), recentSamples)) {
+            CoreTime coreTime = CoreTime.ZERO;
+            long ranMicros = 0;
+            for (LoadSample sample : window) {
+                for (ProcessSample candidate : sample.processes()) {
+                    if (candidate.pid() == process.pid()) {
+                        coreTime = coreTime.plus(candidate.cores());
+                        ranMicros += candidate.processorTime().ranMicros();
                     }
                 }
             }
-            double whole = Math.max(had.busy() + had.stolen(), 1);
-            own = Math.max(own, Math.min(1, (ran + excess(looks, share.process())) / whole));
-            taken = Math.max(taken, had.stolen() / whole);
+            double totalMicros = Math.max(coreTime.busyMicros() + coreTime.stolenMicros(), 1);
+            ownShare = Math.max(ownShare, Math.min(1, (ranMicros + excessMicros(window, process.pid())) / totalMicros));
+            stolenShare = Math.max(stolenShare, coreTime.stolenMicros() / totalMicros);
         }
-        return share.time().inARow(length) * (1 - own) + Math.min(share.time().ran(), length) * taken;
+        return process.processorTime().maxSequentialWaitMicros(sampleMicros) * (1 - ownShare) + Math.min(process.processorTime().ranMicros(), sampleMicros) * stolenShare;
     }
 
     /** Whether most of the cores' use was by proxies beyond what they may use. */
-    private boolean proxiesHad(Collection<Look> looks) {
-        double excess = excess(looks, 0);
-        return excess > 0 && 2 * excess >= looks.stream().mapToLong(one -> one.cores().busy()).sum();
+    private boolean proxiesExceededCores(Collection<LoadSample> samples) {
+        double excessMicros = excessMicros(samples, 0);
+        return excessMicros > 0 && 2 * excessMicros >= samples.stream().mapToLong(sample -> sample.cores().busyMicros()).sum();
     }
 
     /** What proxies but this process took beyond the cores that they may use. */
-    private double excess(Collection<Look> looks, long but) {
-        Map<Long, Double> over = new HashMap<>();
-        for (Look look : looks) {
-            for (Share share : look.shares()) {
-                over.merge(share.process(), share.time().ran() - cores * look.length(), Double::sum);
+    private double excessMicros(Collection<LoadSample> samples, long excludedPid) {
+        Map<Long, Double> excessByPid = new HashMap<>();
+        for (LoadSample sample : samples) {
+            for (ProcessSample process : sample.processes()) {
+                excessByPid.merge(process.pid(), process.processorTime().ranMicros() - coresPerProxy * sample.lengthMicros(), Double::sum);
             }
         }
-        return over.entrySet().stream().filter(one -> one.getKey() != but)
-            .mapToDouble(one -> Math.max(0, one.getValue())).sum();
+        return excessByPid.entrySet().stream().filter(entry -> entry.getKey() != excludedPid)
+            .mapToDouble(entry -> Math.max(0, entry.getValue())).sum();
     }
 
     /** How long a process has waited for a core since its start, by others' doing. */
-    public synchronized long waited(long process) {
-        return Math.round(waited.getOrDefault(process, 0.0));
+    public synchronized long waitedMicros(long pid) {
+        return Math.round(waitedByPid.getOrDefault(pid, 0.0));
     }
 
     /** A limit of elapsed time was passed, but would not have been without the wait for a core. */
-    public synchronized void passed(String what, long took, long itWaited) {
-        if (limit == null) {
-            limit = String.format(Locale.ROOT, "%s took %.1f s, of which it waited %.1f s for a core", what,
-                took / 1e6, itWaited / 1e6);
+    public synchronized void limitExceededByWaiting(String action, long elapsedMicros, long waitMicros) {
+        if (exceededLimit == null) {
+            exceededLimit = String.format(Locale.ROOT, "%s took %.1f s, of which it waited %.1f s for a core", action,
+                elapsedMicros / 1e6, waitMicros / 1e6);
         }
     }
 
     /** Why the play's latencies say nothing of the proxies, in a line; null where they do. */
     public synchronized String latenciesVoidReason() {
-        if (generator.getValueAtPercentile(PER_MILLE) > MOST_LATE) {
-            return late("generator", generator);
+        if (generatorLateness.getValueAtPercentile(LATENESS_PERCENTILE) > MAX_LATENESS_MICROS) {
+            return latenessReason("generator", generatorLateness);
         }
-        return world.getValueAtPercentile(PER_MILLE) > MOST_LATE ? late("world's loop", world) : null;
+        return emulatorLateness.getValueAtPercentile(LATENESS_PERCENTILE) > MAX_LATENESS_MICROS ? latenessReason("world's loop", emulatorLateness) : null;
     }
 
     /** Why the referee cannot judge by this play, in a line; null where it can. */
     public synchronized String rulesVoidReason() {
-        if (worst.together() > most) {
+        if (longestDelay.totalMicros() > maxDelayMicros) {
             return String.format(Locale.ROOT, "%sthe lab was %d ms late, in %d ms at %.1f s after its start "
-                + "(bound %d ms together)", worst.waited < MILLI ? "" : worst.proxy + " waited "
-                + worst.waited / MILLI + " ms for cores that others had and ", worst.late / MILLI,
-                worst.length / MILLI, worst.at / 1e6, most / MILLI);
+                + "(bound %d ms together)", longestDelay.waitedMicros < MICROS_PER_MILLI ? "" : longestDelay.proxy + " waited "
+                + longestDelay.waitedMicros / MICROS_PER_MILLI + " ms for cores that others had and ", longestDelay.labLatenessMicros / MICROS_PER_MILLI,
+                longestDelay.windowMicros / MICROS_PER_MILLI, longestDelay.atMicros / 1e6, maxDelayMicros / MICROS_PER_MILLI);
         }
-        return limit;
+        return exceededLimit;
     }
 
-    private static String late(String what, Histogram by) {
-        return "the " + what + " was late: " + by.getValueAtPercentile(PER_MILLE) / 1000 + " ms at p99.9, of "
-            + MOST_LATE / 1000;
+    private static String latenessReason(String component, Histogram lateness) {
+        return "the " + component + " was late: " + lateness.getValueAtPercentile(LATENESS_PERCENTILE) / 1000 + " ms at p99.9, of "
+            + MAX_LATENESS_MICROS / 1000;
     }
 
     /** For the result: the worst stretch, and what each proxy waited for in all. */
-    public synchronized Map<String, Object> toResult(boolean counted) {
+    public synchronized Map<String, Object> toResult(boolean statsAvailable) {
         Map<String, Object> result = new LinkedHashMap<>();
-        result.put("counted", counted);
-        result.put("looks", looks);
-        result.put("bound_ms", most / 1e3);
-        result.put("worst_ms", worst.together() / 1e3);
-        result.put("worst_waited_ms", worst.waited / 1e3);
-        result.put("worst_lab_late_ms", worst.late / 1e3);
-        result.put("worst_proxy", worst.proxy);
-        result.put("worst_at_s", worst.at / 1e6);
-        Map<String, Object> each = new LinkedHashMap<>();
-        all.forEach((proxy, sum) -> each.put(proxy, Math.round(sum / 1e3)));
-        result.put("waited_ms", each);
+        result.put("counted", statsAvailable);
+        result.put("looks", judgedSamples);
+        result.put("bound_ms", maxDelayMicros / 1e3);
+        result.put("worst_ms", longestDelay.totalMicros() / 1e3);
+        result.put("worst_waited_ms", longestDelay.waitedMicros / 1e3);
+        result.put("worst_lab_late_ms", longestDelay.labLatenessMicros / 1e3);
+        result.put("worst_proxy", longestDelay.proxy);
+        result.put("worst_at_s", longestDelay.atMicros / 1e6);
+        Map<String, Object> waitedMillis = new LinkedHashMap<>();
+        waitedByProxy.forEach((proxy, micros) -> waitedMillis.put(proxy, Math.round(micros / 1e3)));
+        result.put("waited_ms", waitedMillis);
         return result;
     }
 }
