--- a/lab/src/main/java/dockrelay/lab/referee/Attempt.java
+++ b/lab/src/main/java/dockrelay/lab/referee/Attempt.java
@@ -1,11 +1,12 @@
 package dockrelay.lab.referee;
 
-/** One arrival of a request at a node. */
+/** One attempt of a proxy: a request that has arrived at a backend of the emulator. */
 public final class Attempt {
-    /** How it stands or ended, as the node knows it. */
+    /** How the attempt stands or ended, as the backend knows it. */
     public enum State {
         IN_FLIGHT, REJECTED, SERVED, ERROR, CANCELLED;
 
+        /** Whether the backend may have executed the request, so that repeating it may have an effect. */
         boolean mayHaveRun() {
             return this != REJECTED;
         }
@@ -14,7 +15,7 @@
     public final ClientRequest request;
     public final int backend, number;
     public final long arrivedAtMicros;
-    /** Its own draw around the request's work. */
+    /** CPU time on a standard core that this attempt takes: the request's work with noise applied. */
     public final double workMicros;
     double spentMicros;
     State state = State.IN_FLIGHT;
@@ -28,7 +29,7 @@
         this.workMicros = workMicros;
     }
 
-    /** What this node answers it with: nobody else makes the same bytes. */
+    /** The response body of this attempt, unique among all attempts, so that its origin can be verified. */
     public String expectedBody() {
         return "node " + backend + " served " + request.id + " as number " + number + ", "
             + Long.toHexString(Double.doubleToLongBits(workMicros)) + "\n";
--- a/lab/src/main/java/dockrelay/lab/referee/ClientRequest.java
+++ b/lab/src/main/java/dockrelay/lab/referee/ClientRequest.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One try of a client: what it sent and all that is known to have become of it. */
+/** One request as a client sent it, with the proxy's attempts that it led to. Times in microseconds. */
 public final class ClientRequest {
     public final String id, method, path, idempotencyKey, body;
     public final Arrival arrival;
@@ -12,8 +12,8 @@
     public final long sentAtMicros, timeoutMicros;
     final List<Attempt> attempts = new ArrayList<>(2);
 
-    public ClientRequest(String id, String method, String path, String idempotencyKey, String body, Arrival arrival, int proxy,
-        long sentAtMicros, long timeoutMicros) {
+    public ClientRequest(String id, String method, String path, String idempotencyKey, String body,
+        Arrival arrival, int proxy, long sentAtMicros, long timeoutMicros) {
         this.id = id;
         this.method = method;
         this.path = path;
--- a/lab/src/main/java/dockrelay/lab/referee/Rule.java
+++ b/lab/src/main/java/dockrelay/lab/referee/Rule.java
@@ -1,29 +1,29 @@
 package dockrelay.lab.referee;
 
-/** What a proxy must keep, as seen from outside. */
+/** The rules that a proxy must keep, each verifiable from outside its process. */
 public enum Rule {
-    /** Each request taken gets one whole final answer, in time. */
+    /** Each accepted request gets exactly one complete final response before its deadline. */
     ANSWERED,
-    /** What is served is what a node made for that request. */
+    /** The body of a successful response was produced by a backend for that request. */
     BODY,
-    /** Nothing reaches a node that no client sent in this form. */
+    /** Every request at a backend was sent by a client, and arrives unmodified. */
     FOREIGN,
-    /** No repeat beyond what the class allows. */
+    /** A request is repeated only where its service class allows it. */
     REPEAT,
-    /** A refusal promises that trying again is harmless. */
+    /** A rejection (429 or 503) implies that the client may safely retry. */
     REFUSAL,
-    /** No more attempts, and no second copies, than the settings allow. */
+    /** Attempts per request and redundant attempts stay within the settings. */
     ATTEMPTS,
-    /** Nothing new to a node that drains or is gone, after the grace. */
+    /** No new request goes to a draining or removed backend after the grace period. */
     DRAIN,
-    /** No cold node is pushed over by all proxies together. */
+    /** The proxies together do not overload a cold backend until it collapses. */
     COLD,
-    /** Copies, hedges and retries of all proxies together stay within the fleet's budget. */
+    /** Redundant attempts, hedges and retries of all proxies together stay within the fleet's budget. */
     BUDGET,
-    /** The process stays within its memory. */
+    /** The process stays within its memory limit. */
     MEMORY,
-    /** The process stays within its descriptors. */
+    /** The process stays within its limit of open file descriptors. */
     DESCRIPTORS,
-    /** The process ends only when it is told to. */
+    /** The process exits only when it is signalled to. */
     CRASH
 }
