--- a/lab/src/main/java/dockrelay/lab/process/ChildProcessRegistry.java
+++ b/lab/src/main/java/dockrelay/lab/process/ChildProcessRegistry.java
@@ -12,9 +12,8 @@
 import java.util.UUID;
 
 /**
- * Remembers in files which processes the lab has started, so that those of a lab that was killed can be
- * named and ended by a later one. A process is known by its id and start time: an id alone may be somebody
- * else's by then.
+ * Records in files which processes the lab has started, so that a later lab can kill the orphans of a lab
+ * that was killed. A process is identified by its id and start time, since the system reuses ids.
  */
 public final class ChildProcessRegistry {
     private final Path folder, ownList;
@@ -26,24 +25,24 @@
             + UUID.randomUUID());
     }
 
-    /** Where all labs of this user keep their lists. */
+    /** The folder where all labs of this user keep their lists of processes. */
     public static Path defaultFolder() {
         return Path.of(System.getProperty("java.io.tmpdir"), "dockrelay-lab-"
             + System.getProperty("user.name"));
     }
 
-    /** To be called right after a start. */
+    /** Adds a process to the list of this lab. To be called right after its start. */
     public synchronized void register(ProcessHandle process) throws IOException {
         Files.writeString(ownList, toLine(process) + "\n", StandardOpenOption.CREATE,
             StandardOpenOption.APPEND);
     }
 
-    /** All that this lab started has ended. */
+    /** Deletes the list of this lab. To be called when all its processes have exited. */
     public synchronized void deleteOwnList() throws IOException {
         Files.deleteIfExists(ownList);
     }
 
-    /** Ends what labs left behind that are no more; returns the ids of what was still there. */
+    /** Kills the orphans of labs that no longer run; returns the ids of the processes that still ran. */
     public List<Long> killOrphans() throws IOException {
         List<Long> killedPids = new ArrayList<>();
         for (Path list : listsOfDeadLabs()) {
@@ -52,12 +51,13 @@
         return killedPids;
     }
 
-    /** The lists of labs that are no more; one that runs sees to its own. */
+    /** The lists of labs that no longer run. */
     List<Path> listsOfDeadLabs() throws IOException {
         List<Path> lists = new ArrayList<>();
         try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, "lab-*")) {
             for (Path file : files) {
-                if (findRunning(file.getFileName().toString().substring("lab-".length()).split("-")) == null) {
+                if (findRunning(file.getFileName().toString().substring("lab-".length())
+                    .split("-")) == null) {
                     lists.add(file);
                 }
             }
@@ -65,7 +65,10 @@
         return lists;
     }
 
-    /** Ends what such a list names; nothing where another lab has done so meanwhile. */
+    /**
+     * Kills the processes in such a list and deletes it. Does nothing if another lab has deleted the list
+     * in the meantime.
+     */
     List<Long> killOrphans(Path list) throws IOException {
         List<Long> killedPids = new ArrayList<>();
         List<String> lines;
@@ -85,16 +88,19 @@
         return killedPids;
     }
 
+    /** Id and start time in milliseconds since the epoch. */
     private static String toLine(ProcessHandle process) {
         return process.pid() + " " + process.info().startInstant().map(Instant::toEpochMilli).orElse(0L);
     }
 
+    /** The running process with this id and start time; null if there is none. */
     private static ProcessHandle findRunning(String[] pidAndStart) {
         if (pidAndStart.length < 2) {
-            return null; // cut short by a crash while it was written: no process can be known by it
+            return null; // truncated by a crash during the write: identifies no process
         }
         return ProcessHandle.of(Long.parseLong(pidAndStart[0]))
-            .filter(process -> toLine(process).equals(pidAndStart[0] + " " + pidAndStart[1])).filter(ProcessHandle::isAlive)
+            .filter(process -> toLine(process).equals(pidAndStart[0] + " " + pidAndStart[1]))
+            .filter(ProcessHandle::isAlive)
             .orElse(null);
     }
 }
--- a/lab/src/main/java/dockrelay/lab/process/ConsoleClient.java
+++ b/lab/src/main/java/dockrelay/lab/process/ConsoleClient.java
@@ -9,20 +9,20 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 
-/** A call at a proxy's console: one line in, one or more lines out. */
+/** Client of a proxy's console: sends one line and reads a response of one or more lines. Blocks. */
 public final class ConsoleClient {
     private static final int TIMEOUT_MILLIS = 1_000;
 
     private ConsoleClient() {
     }
 
-    /** Whether the answer was a yes within the time that callers wait. */
+    /** Sends a command; returns whether it succeeded (status 200) before the timeout. */
     public static boolean succeeds(InetSocketAddress console, String command) {
         List<String> response = call(console, command);
         return !response.isEmpty() && response.get(0).startsWith("200");
     }
 
-    /** The lines of the answer; none where nobody is there, or too late. */
+    /** Sends a command and returns the lines of the response; none if it failed or timed out. */
     public static List<String> call(InetSocketAddress console, String command) {
         try (Socket socket = new Socket()) {
             socket.connect(console, TIMEOUT_MILLIS);
--- a/lab/src/main/java/dockrelay/lab/process/DiskFaults.java
+++ b/lab/src/main/java/dockrelay/lab/process/DiskFaults.java
@@ -9,14 +9,17 @@
 import java.util.random.RandomGenerator;
 import java.util.stream.Stream;
 
-/** What befalls a folder that no process has open. */
+/** Injects disk faults into a folder that no process uses at the time. */
 public final class DiskFaults {
     private static final int MAX_FLIPPED_BITS = 8;
 
     private DiskFaults() {
     }
 
-    /** Spoils the folder's files and says how; says so too where there is nothing to spoil. */
+    /**
+     * Damages files of the folder as the kind of fault says. Returns a description of the damage, or of why
+     * there was nothing to damage; an empty text where no fault was requested.
+     */
     public static String apply(Path folder, DiskFault fault, RandomGenerator random) throws IOException {
         List<Path> files = new ArrayList<>();
         try (Stream<Path> paths = Files.walk(folder)) {
@@ -27,7 +30,7 @@
             }
         }
         if (fault == DiskFault.WHOLE || files.isEmpty()) {
-            return fault == DiskFault.WHOLE ? "" : "nothing to spoil in " + folder;
+            return fault == DiskFault.WHOLE ? "" : "no file to damage in " + folder;
         }
         Path file = files.get(random.nextInt(files.size()));
         byte[] bytes = Files.readAllBytes(file);
@@ -35,7 +38,7 @@
             case TRUNCATED -> {
                 int length = random.nextInt(bytes.length);
                 Files.write(file, java.util.Arrays.copyOf(bytes, length));
-                return file.getFileName() + " cut to " + length + " of " + bytes.length + " bytes";
+                return file.getFileName() + " truncated to " + length + " of " + bytes.length + " bytes";
             }
             case FLIPPED -> {
                 int count = 1 + random.nextInt(MAX_FLIPPED_BITS);
@@ -43,7 +46,7 @@
                     bytes[random.nextInt(bytes.length)] ^= (byte) (1 << random.nextInt(8));
                 }
                 Files.write(file, bytes);
-                return file.getFileName() + " with " + count + " bits turned over";
+                return file.getFileName() + ": " + count + " bits flipped";
             }
             case REMOVED -> {
                 Files.delete(file);
@@ -54,7 +57,7 @@
                 byte[] otherBytes = Files.readAllBytes(other);
                 Files.write(other, bytes);
                 Files.write(file, otherBytes);
-                return file.getFileName() + " and " + other.getFileName() + " exchanged";
+                return file.getFileName() + " and " + other.getFileName() + " swapped";
             }
             default -> throw new IllegalArgumentException(fault.name());
         }
--- a/lab/src/main/java/dockrelay/lab/process/PeerNetwork.java
+++ b/lab/src/main/java/dockrelay/lab/process/PeerNetwork.java
@@ -10,8 +10,8 @@
 import java.util.List;
 
 /**
- * The network between the proxies themselves: a relay for each two, so that each sees others at its own
- * addresses.
+ * The emulated network between the proxies: a relay for each pair, so that faults can be injected per link.
+ * Each proxy reaches its peers at addresses of its own.
  */
 final class PeerNetwork implements AutoCloseable {
     private final InetSocketAddress[] listenAddresses;
@@ -25,32 +25,35 @@
         }
         for (int i = 0; i < count; i++) {
             for (int j = i + 1; j < count; j++) {
-                relays[i][j] = new Relay("n" + i, listenAddresses[i], LoopbackAddresses.relayHost(i), "n" + j, listenAddresses[j],
-                    LoopbackAddresses.relayHost(j), network.emulatorLoop(), network.links(), clock::nowMicros,
+                relays[i][j] = new Relay("n" + i, listenAddresses[i], LoopbackAddresses.relayHost(i),
+                    "n" + j, listenAddresses[j], LoopbackAddresses.relayHost(j), network.emulatorLoop(),
+                    network.links(), clock::nowMicros,
                     (micros, action) -> network.schedule(network.emulatorLoop(), micros, action), seed);
             }
         }
     }
 
+    /** The address at which a proxy listens for its peers. */
     String listenAddress(int proxy) {
         return LoopbackAddresses.hostAndPort(listenAddresses[proxy]);
     }
 
-    /** All proxies in order as this one reaches them; itself where it listens. */
+    /** The addresses of all proxies, in order of index, as seen by this one; its own is where it listens. */
     List<String> addressesSeenBy(int proxy) {
         List<String> addresses = new ArrayList<>();
         for (int i = 0; i < listenAddresses.length; i++) {
-            addresses.add(i == proxy ? listenAddress(i) : LoopbackAddresses.hostAndPort(i > proxy ? relays[proxy][i].peerAddressForA()
-                : relays[i][proxy].peerAddressForB()));
+            addresses.add(i == proxy ? listenAddress(i) : LoopbackAddresses.hostAndPort(
+                i > proxy ? relays[proxy][i].peerAddressForA() : relays[i][proxy].peerAddressForB()));
         }
         return addresses;
     }
 
-    /** Datagrams and bytes of all pairs, in both directions. */
+    /** The number of datagrams of all pairs, in both directions. */
     long datagrams() {
         return allRelays().stream().mapToLong(Relay::forwardedDatagrams).sum();
     }
 
+    /** The number of bytes of all pairs, in both directions. */
     long bytes() {
         return allRelays().stream().mapToLong(Relay::forwardedBytes).sum();
     }
--- a/lab/src/main/java/dockrelay/lab/process/ProxyConfiguration.java
+++ b/lab/src/main/java/dockrelay/lab/process/ProxyConfiguration.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 import java.util.TreeSet;
 
-/** What a proxy is told at its start, in the platform's words and units. */
+/** Writes the configuration file of a proxy, with the keys and units of the platform. */
 public final class ProxyConfiguration {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final double MICROS_PER_SECOND = 1_000_000;
@@ -19,8 +19,10 @@
     private ProxyConfiguration() {
     }
 
-    public static String toJson(Experiment experiment, ProxyProcess proxy, String listenAddress, String consoleAddress,
-                            String discoveryAddress, long seed, Map<String, Object> knownBackends, String peerListenAddress,
+    /** The configuration as JSON; without peers the keys of the peer network are absent. */
+    public static String toJson(Experiment experiment, ProxyProcess proxy, String listenAddress,
+                            String consoleAddress, String discoveryAddress, long seed,
+                            Map<String, Object> knownBackends, String peerListenAddress,
                             List<String> peerAddresses) {
         Map<String, Object> configuration = new LinkedHashMap<>();
         configuration.put("name", proxy.name());
@@ -38,14 +40,16 @@
             configuration.put("peers", peersByName);
             Map<String, List<String>> membersByZone = new LinkedHashMap<>();
             for (int i = 0; i < peerAddresses.size() && !experiment.proxies().zones().isEmpty(); i++) {
-                membersByZone.computeIfAbsent(experiment.proxies().zoneOf(i), zone -> new ArrayList<>()).add("n" + i);
+                membersByZone.computeIfAbsent(experiment.proxies().zoneOf(i), zone -> new ArrayList<>())
+                    .add("n" + i);
             }
             if (!membersByZone.isEmpty()) {
                 configuration.put("peer_groups", Map.of("zones", membersByZone));
             }
         }
         if (experiment.permissions().extraAttemptsPerSecond() > 0) {
-            configuration.put("budgets", Map.of("extra", Map.of("per_second", experiment.permissions().extraAttemptsPerSecond())));
+            configuration.put("budgets", Map.of("extra", Map.of("per_second",
+                experiment.permissions().extraAttemptsPerSecond())));
         }
         configuration.put("settings", settings(experiment, proxy.index()));
         try {
@@ -63,16 +67,21 @@
         settings.put("DomainType", "proxy");
         settings.put("FailureDomains", experiment.nodes().zones());
         settings.put("Kinds",
-            new ArrayList<>(new TreeSet<>(experiment.nodes().kinds().stream().map(Experiment.NodeKind::name).toList())));
+            new ArrayList<>(new TreeSet<>(experiment.nodes().kinds().stream()
+                .map(Experiment.NodeKind::name).toList())));
         settings.put("Me", proxyIndex);
-        settings.put("Obligations", Map.of("AnswerSlack", experiment.ruleLimits().responseSlack() / MICROS_PER_SECOND, "AskWithin",
-            experiment.ruleLimits().maxListFetchInterval() / MICROS_PER_SECOND, "Cold", experiment.ruleLimits().warmUpTime() / MICROS_PER_SECOND, "ColdShare",
-            experiment.ruleLimits().maxColdShare(),
-            "DrainGrace", experiment.ruleLimits().drainGrace() / MICROS_PER_SECOND, "Fall", experiment.ruleLimits().overloadTime() / MICROS_PER_SECOND, "FallMultiple",
-            experiment.ruleLimits().overloadMultiple()));
+        settings.put("Obligations", Map.of(
+            "AnswerSlack", experiment.ruleLimits().responseSlack() / MICROS_PER_SECOND,
+            "AskWithin", experiment.ruleLimits().maxListFetchInterval() / MICROS_PER_SECOND,
+            "Cold", experiment.ruleLimits().warmUpTime() / MICROS_PER_SECOND,
+            "ColdShare", experiment.ruleLimits().maxColdShare(),
+            "DrainGrace", experiment.ruleLimits().drainGrace() / MICROS_PER_SECOND,
+            "Fall", experiment.ruleLimits().overloadTime() / MICROS_PER_SECOND,
+            "FallMultiple", experiment.ruleLimits().overloadMultiple()));
         Map<String, Object> permissions = new LinkedHashMap<>();
         permissions.put("ConnIdle", experiment.nodes().connections().idleTimeout() / MICROS_PER_SECOND);
-        permissions.put("ConnectTimeout", experiment.nodes().connections().connectTimeout() / MICROS_PER_SECOND);
+        permissions.put("ConnectTimeout",
+            experiment.nodes().connections().connectTimeout() / MICROS_PER_SECOND);
         permissions.put("MaxAttempts", experiment.permissions().maxAttempts());
         permissions.put("MaxRetryAfter", experiment.clients().maxRetryAfter() / MICROS_PER_SECOND);
         permissions.put("MayCancel", experiment.permissions().mayCancel());
--- a/lab/src/main/java/dockrelay/lab/process/ProxyFleet.java
+++ b/lab/src/main/java/dockrelay/lab/process/ProxyFleet.java
@@ -30,18 +30,22 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 
-/** The processes under test: their starts and ends, what befalls them, and what the system says of them. */
+/**
+ * The proxies under test: starts and stops their processes, injects faults, and samples their resource usage
+ * for the referee.
+ */
 public final class ProxyFleet implements AutoCloseable {
-    /** The world's loop, the clients' and some for all else. */
+    /** Processors reserved for the lab: the emulator's loop, the clients' loop and everything else. */
     private static final int LAB_PROCESSORS = 3;
     private static final long SAMPLE_PERIOD_MILLIS = 250, POLL_INTERVAL_MILLIS = 50;
-    /** The next process of an upgrade has to say yes within this. */
+    /** The successor process of an upgrade has to answer PING within this time. */
     private static final TimeLimit UPGRADE_READY_LIMIT = new TimeLimit(6_000_000);
-    /** SIGKILL follows SIGTERM after the longest deadline, of this at most, and 0.7 s. */
+    /** SIGKILL follows SIGTERM after the longest deadline, capped at the first value, plus the second. */
     private static final long MAX_DEADLINE_MICROS = 3_000_000, KILL_GRACE_MICROS = 700_000;
 
-    /** What one proxy used, over all its processes. */
-    public record ResourceUsage(String name, int starts, long peakResidentKib, int peakDescriptors, double cpuSeconds) {
+    /** Resources that one proxy used, over all its processes. */
+    public record ResourceUsage(String name, int starts, long peakResidentKib, int peakDescriptors,
+        double cpuSeconds) {
     }
 
     private final Plan plan;
@@ -62,7 +66,8 @@
         new DefaultThreadFactory("operators", true));
 
     public ProxyFleet(Plan plan, Build build, Path folder, Clock clock, Referee referee, Emulator emulator,
-                   EmulatorNetwork network, ChildProcessRegistry childProcesses, StarvationDetector starvationDetector, LatenessRecorder generatorLateness)
+                   EmulatorNetwork network, ChildProcessRegistry childProcesses,
+                   StarvationDetector starvationDetector, LatenessRecorder generatorLateness)
         throws IOException {
         this.plan = plan;
         this.clock = clock;
@@ -76,8 +81,8 @@
                 plan.experiment().proxies().sharedListenSocket(), plan.experiment().proxies().maxFileBytes(),
                 plan.experiment().proxies().pinnedToCore() ? processorFor(i) : -1, childProcesses));
         }
-        peerNetwork = plan.experiment().permissions().peerProtocol() ? new PeerNetwork(count, plan.seed(), network, clock)
-            : null;
+        peerNetwork = plan.experiment().permissions().peerProtocol()
+            ? new PeerNetwork(count, plan.seed(), network, clock) : null;
         starvationMonitor = new StarvationMonitor(starvationDetector, clock, count, generatorLateness,
             () -> proxies.stream().flatMap(proxy -> proxy.monitoredProcesses().stream()).toList());
         peakResidentKib = new long[count];
@@ -85,32 +90,38 @@
         crashReported = new boolean[count];
     }
 
-    /** By turns over those that are left when the lab has its own. */
+    /** Assigns the processors not reserved for the lab round-robin. */
     private static int processorFor(int proxy) {
-        int processors = Runtime.getRuntime().availableProcessors(), labProcessors = Math.min(LAB_PROCESSORS, processors - 1);
+        int processors = Runtime.getRuntime().availableProcessors(),
+            labProcessors = Math.min(LAB_PROCESSORS, processors - 1);
         return labProcessors + proxy % (processors - labProcessors);
     }
 
+    /** The addresses at which the proxies listen for clients. */
     public InetSocketAddress[] listenAddresses() {
         return proxies.stream().map(ProxyProcess::listenAddress).toArray(InetSocketAddress[]::new);
     }
 
-    /** The consoles of those that run, by name. */
+    /** The console addresses of the running proxies, by proxy name. */
     Map<String, InetSocketAddress> consoleAddresses() {
         Map<String, InetSocketAddress> result = new LinkedHashMap<>();
-        proxies.stream().filter(ProxyProcess::isAlive).forEach(proxy -> result.put(proxy.name(), proxy.consoleAddress()));
+        proxies.stream().filter(ProxyProcess::isAlive).forEach(proxy ->
+            result.put(proxy.name(), proxy.consoleAddress()));
         return result;
     }
 
+    /** Starts all proxies and the periodic checks. */
     public void start() throws IOException {
         SystemCalls.load();
         starvationMonitor.start();
         for (ProxyProcess proxy : proxies) {
             start(proxy, false);
         }
-        emulator.onBackendDetach((backend, detach) -> operatorExecutor.execute(() -> setDetached(backend, detach)));
+        emulator.onBackendDetach((backend, detach) -> operatorExecutor.execute(() ->
+            setDetached(backend, detach)));
         emulator.onDiscoveryMove(() -> operatorExecutor.execute(this::moveDiscovery));
-        scheduler.scheduleWithFixedDelay(this::sampleProcesses, SAMPLE_PERIOD_MILLIS, SAMPLE_PERIOD_MILLIS, TimeUnit.MILLISECONDS);
+        scheduler.scheduleWithFixedDelay(this::sampleProcesses, SAMPLE_PERIOD_MILLIS, SAMPLE_PERIOD_MILLIS,
+            TimeUnit.MILLISECONDS);
     }
 
     private void start(ProxyProcess proxy, boolean keepTmpFolder) throws IOException {
@@ -121,23 +132,23 @@
         proxy.setConsoleAddress(LoopbackAddresses.freeConsoleAddress(index));
         proxy.start(configurationJson(proxy, true),
             Map.of("PROXY_LISTEN", LoopbackAddresses.hostAndPort(proxy.listenAddress()), "PROXY_CONSOLE",
-            LoopbackAddresses.hostAndPort(proxy.consoleAddress()), "PROXY_DISCOVERY", emulator.discoveryAddress(index)), keepTmpFolder);
+            LoopbackAddresses.hostAndPort(proxy.consoleAddress()), "PROXY_DISCOVERY",
+            emulator.discoveryAddress(index)), keepTmpFolder);
         crashReported[index] = false;
     }
 
-    /**
-     * Takes a node out at every proxy, or puts it back: an operator with as many hands as there are proxies.
-     */
+    /** Detaches a backend at every proxy, or attaches it again, at all consoles in parallel. */
     private void setDetached(String backend, boolean detach) {
         proxies.parallelStream().forEach(proxy -> {
             long calledAtMicros = clock.nowMicros();
             if (ConsoleClient.succeeds(proxy.consoleAddress(), (detach ? "DETACH " : "ATTACH ") + backend)) {
-                referee.operatorMarked(proxy.index(), backend, detach, detach ? clock.nowMicros() : calledAtMicros);
+                referee.operatorMarked(proxy.index(), backend, detach, detach ? clock.nowMicros()
+                    : calledAtMicros);
             }
         });
     }
 
-    /** Discovery is at other addresses from now on: each proxy's file says so, and SIGHUP has it read. */
+    /** Moves discovery to other addresses; updates each proxy's configuration and has it reread by SIGHUP. */
     private void moveDiscovery() {
         emulator.moveDiscovery();
         for (ProxyProcess proxy : proxies) {
@@ -145,69 +156,80 @@
                 proxy.writeConfiguration(configurationJson(proxy, false));
                 proxy.signal("HUP");
             } catch (IOException e) {
-                referee.processViolation(Rule.CRASH, proxy.index(), clock.nowMicros(), "could not be told of discovery: "
-                    + e);
+                referee.processViolation(Rule.CRASH, proxy.index(), clock.nowMicros(),
+                    "could not be given the new discovery addresses: " + e);
             }
         }
     }
 
     private String configurationJson(ProxyProcess proxy, boolean atStart) {
         int index = proxy.index();
-        return ProxyConfiguration.toJson(plan.experiment(), proxy, LoopbackAddresses.hostAndPort(proxy.listenAddress()),
+        return ProxyConfiguration.toJson(plan.experiment(), proxy,
+            LoopbackAddresses.hostAndPort(proxy.listenAddress()),
             LoopbackAddresses.hostAndPort(proxy.consoleAddress()), emulator.discoveryAddress(index),
-            RandomStreams.deriveSeed(plan.seed(), proxy.name() + " start " + proxy.starts()), emulator.backendListFor(index, atStart),
-            peerNetwork == null ? null : peerNetwork.listenAddress(index), peerNetwork == null ? null : peerNetwork.addressesSeenBy(index));
+            RandomStreams.deriveSeed(plan.seed(), proxy.name() + " start " + proxy.starts()),
+            emulator.backendListFor(index, atStart),
+            peerNetwork == null ? null : peerNetwork.listenAddress(index),
+            peerNetwork == null ? null : peerNetwork.addressesSeenBy(index));
     }
 
-    /** Starts the next process beside the one there is; at its yes the old one is told to end. */
+    /** Starts a successor beside the current process; once it is ready, the previous one gets SIGTERM. */
     private void upgrade(ProxyProcess proxy) throws IOException {
         start(proxy, true);
         awaitSuccessorReady(proxy, clock.nowMicros());
     }
 
+    /** Polls the successor of an upgrade until it is ready or the limit is exceeded. */
     private void awaitSuccessorReady(ProxyProcess proxy, long startedAtMicros) {
-        long elapsedMicros = clock.nowMicros() - startedAtMicros; // when it is asked: the answer may be late by itself
+        // before the call, which may itself take long
+        long elapsedMicros = clock.nowMicros() - startedAtMicros;
         boolean ready = ConsoleClient.succeeds(proxy.consoleAddress(), "PING");
         long waitedMicros = starvationMonitor.waitedMicros(proxy.pidOrZero());
         Verdict verdict = UPGRADE_READY_LIMIT.verdict(elapsedMicros, waitedMicros);
         if (verdict == Verdict.PASSED) {
             referee.processViolation(Rule.CRASH, proxy.index(), clock.nowMicros(), String.format(Locale.ROOT,
-                "the next process did not say yes within %.1f s; it waited %.1f s for a core",
+                "the successor process was not ready within %.1f s; it waited %.1f s for a core",
                 UPGRADE_READY_LIMIT.limitMicros() / 1e6, waitedMicros / 1e6));
-        } else if (verdict == Verdict.STARVED && (ready || UPGRADE_READY_LIMIT.isPastMaxWait(elapsedMicros))) {
-            starvationDetector.limitExceededByWaiting("the start of the next process of " + proxy.name(), elapsedMicros, waitedMicros);
+        } else if (verdict == Verdict.STARVED
+            && (ready || UPGRADE_READY_LIMIT.isPastMaxWait(elapsedMicros))) {
+            starvationDetector.limitExceededByWaiting("the start of the successor process of "
+                + proxy.name(), elapsedMicros, waitedMicros);
         }
         if (ready) {
             proxy.markReady(false);
             proxy.signalPrevious("TERM");
-            scheduler.schedule(() -> proxy.signalPrevious("KILL"), maxDeadlineMicros() + KILL_GRACE_MICROS, TimeUnit.MICROSECONDS);
+            scheduler.schedule(() -> proxy.signalPrevious("KILL"), maxDeadlineMicros() + KILL_GRACE_MICROS,
+                TimeUnit.MICROSECONDS);
         } else if (verdict != Verdict.PASSED && !UPGRADE_READY_LIMIT.isPastMaxWait(elapsedMicros)) {
-            scheduler.schedule(() -> awaitSuccessorReady(proxy, startedAtMicros), POLL_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
+            scheduler.schedule(() -> awaitSuccessorReady(proxy, startedAtMicros), POLL_INTERVAL_MILLIS,
+                TimeUnit.MILLISECONDS);
         }
     }
 
-    /** A proxy has said at the clients' address that it can serve. */
+    /** A proxy has answered at the clients' address that it is ready to serve. */
     public void proxyReady(int proxy) {
         proxies.get(proxy).markReady(true);
     }
 
-    /** The longest that one of those that do not serve yet has waited for a core. */
+    /** The longest time that a process which is not ready yet has waited for a core, in micros. */
     public long maxStartCpuWaitMicros() {
-        return proxies.stream().flatMap(proxy -> proxy.monitoredProcesses().stream()).filter(process -> !process.ready())
+        return proxies.stream().flatMap(proxy -> proxy.monitoredProcesses().stream())
+            .filter(process -> !process.ready())
             .mapToLong(process -> starvationMonitor.waitedMicros(process.pid())).max().orElse(0);
     }
 
-    /** How late the lab was, to be told and asked. */
+    /** The monitor that records how late the lab was and how long the proxies waited for cores. */
     public StarvationMonitor starvationMonitor() {
         return starvationMonitor;
     }
 
-    /** Those that are there no more though nobody told them to end. */
+    /** A line for each proxy of which a process exited without being signalled. */
     public List<String> crashes() {
         return proxies.stream().filter(proxy -> proxy.crashDescription() != null)
             .map(proxy -> proxy.name() + ": " + proxy.crashDescription()).toList();
     }
 
+    /** Samples the resources of all processes; reports crashes and exceeded limits to the referee. */
     private void sampleProcesses() {
         Experiment.Proxies limits = plan.experiment().proxies();
         for (ProxyProcess proxy : proxies) {
@@ -221,21 +243,23 @@
                 continue;
             }
             ProxyProcess.Usage usage = proxy.sampleUsage();
-            if (usage.residentKib() * 1024 > limits.maxMemoryBytes() && peakResidentKib[index] * 1024 <= limits.maxMemoryBytes()) {
-                referee.processViolation(Rule.MEMORY, index, clock.nowMicros(), "holds " + usage.residentKib() / 1024
-                    + " MiB of "
+            if (usage.residentKib() * 1024 > limits.maxMemoryBytes()
+                && peakResidentKib[index] * 1024 <= limits.maxMemoryBytes()) {
+                referee.processViolation(Rule.MEMORY, index, clock.nowMicros(), "holds "
+                    + usage.residentKib() / 1024 + " MiB of memory; the limit in MiB is "
                     + (limits.maxMemoryBytes() >> 20));
             }
-            if (usage.descriptors() > limits.maxDescriptors() && peakDescriptors[index] <= limits.maxDescriptors()) {
-                referee.processViolation(Rule.DESCRIPTORS, index, clock.nowMicros(), "holds " + usage.descriptors() + " of "
-                    + limits.maxDescriptors());
+            if (usage.descriptors() > limits.maxDescriptors()
+                && peakDescriptors[index] <= limits.maxDescriptors()) {
+                referee.processViolation(Rule.DESCRIPTORS, index, clock.nowMicros(), "holds "
+                    + usage.descriptors() + " file descriptors; the limit is " + limits.maxDescriptors());
             }
             peakResidentKib[index] = Math.max(peakResidentKib[index], usage.residentKib());
             peakDescriptors[index] = Math.max(peakDescriptors[index], usage.descriptors());
         }
     }
 
-    /** Lets a fault of proxies begin at its time; zero is when clients come. */
+    /** Schedules a fault of proxies; its time is relative to the start of the clients. */
     public void scheduleFault(Break fault, long clientsStartMicros) {
         scheduler.schedule(() -> fault.victims().forEach(victim -> injectFault(fault, proxies.get(victim))),
             Math.max(0, clientsStartMicros + fault.at() - clock.nowMicros()), TimeUnit.MICROSECONDS);
@@ -256,7 +280,8 @@
                         proxy.signal("KILL");
                     }
                 }, maxDeadlineMicros() + KILL_GRACE_MICROS, TimeUnit.MICROSECONDS);
-                scheduleRestart(proxy, fault, Math.max(fault.lasts(), maxDeadlineMicros() + KILL_GRACE_MICROS + SAMPLE_PERIOD_MILLIS * 1000));
+                scheduleRestart(proxy, fault, Math.max(fault.lasts(),
+                    maxDeadlineMicros() + KILL_GRACE_MICROS + SAMPLE_PERIOD_MILLIS * 1000));
             }
             case PAUSE -> {
                 referee.excuseProxy(proxy.index(), nowMicros, untilMicros);
@@ -268,39 +293,43 @@
                 try {
                     upgrade(proxy);
                 } catch (IOException e) {
-                    referee.processViolation(Rule.CRASH, proxy.index(), nowMicros, "the next process could not be started: "
-                        + e);
+                    referee.processViolation(Rule.CRASH, proxy.index(), nowMicros,
+                        "the successor process could not be started: " + e);
                 }
             }
-            default -> throw new IllegalArgumentException(fault.kind() + " has no proxy as victim");
+            default -> throw new IllegalArgumentException(fault.kind() + " is not a fault of proxies");
         }
     }
 
+    /** The longest deadline of a service class, capped. */
     private long maxDeadlineMicros() {
         return Math.min(MAX_DEADLINE_MICROS, plan.experiment().classes().stream()
             .mapToLong(Experiment.ServiceClass::deadline).max().orElse(0));
     }
 
+    /** Restarts a proxy after a delay, with the disk fault that belongs to the fault applied before. */
     private void scheduleRestart(ProxyProcess proxy, Break fault, long delayMicros) {
         scheduler.schedule(() -> {
             try {
-                String damage = DiskFaults.apply(proxy.tmpFolder(), fault.disk(), RandomStreams.stream(plan.seed(),
-                    proxy.name() + " disk " + proxy.starts()));
+                String damage = DiskFaults.apply(proxy.tmpFolder(), fault.disk(),
+                    RandomStreams.stream(plan.seed(), proxy.name() + " disk " + proxy.starts()));
                 if (!damage.isEmpty()) {
                     System.err.println(proxy.name() + ": " + damage);
                 }
                 start(proxy, fault.folder() == FolderOnRestart.KEPT);
             } catch (IOException e) {
-                referee.processViolation(Rule.CRASH, proxy.index(), clock.nowMicros(), "could not be started again: " + e);
+                referee.processViolation(Rule.CRASH, proxy.index(), clock.nowMicros(),
+                    "could not be restarted: " + e);
             }
         }, delayMicros, TimeUnit.MICROSECONDS);
     }
 
-    /** Tells all to end, and kills what does not in time. */
+    /** Sends SIGTERM to all proxies, and SIGKILL to those that do not exit in time. */
     public void stop() throws IOException {
         scheduler.shutdownNow();
         sampleProcesses();
-        List<Long> waitedMicros = proxies.stream().map(proxy -> starvationMonitor.waitedMicros(proxy.pidOrZero())).toList();
+        List<Long> waitedMicros = proxies.stream()
+            .map(proxy -> starvationMonitor.waitedMicros(proxy.pidOrZero())).toList();
         for (ProxyProcess proxy : proxies) {
             proxy.signalPrevious("KILL");
             proxy.signal("CONT");
@@ -314,19 +343,23 @@
         childProcesses.deleteOwnList();
     }
 
+    /** Waits for a signalled proxy to exit, and kills it when the limit is exceeded. */
     private void awaitExit(ProxyProcess proxy, long signalledAtMicros, long waitedBeforeMicros) {
         TimeLimit limit = new TimeLimit(maxDeadlineMicros() + KILL_GRACE_MICROS);
         Verdict verdict = Verdict.WITHIN;
         while (!proxy.awaitExit(POLL_INTERVAL_MILLIS)) {
-            long elapsedMicros = clock.nowMicros() - signalledAtMicros, waitedMicros = starvationMonitor.waitedMicros(proxy.pidOrZero()) - waitedBeforeMicros;
+            long elapsedMicros = clock.nowMicros() - signalledAtMicros,
+                waitedMicros = starvationMonitor.waitedMicros(proxy.pidOrZero()) - waitedBeforeMicros;
             Verdict newVerdict = limit.verdict(elapsedMicros, waitedMicros);
             if (newVerdict == Verdict.STARVED && verdict != newVerdict) {
-                starvationDetector.limitExceededByWaiting("the end of " + proxy.name(), elapsedMicros, waitedMicros);
+                starvationDetector.limitExceededByWaiting("the exit of " + proxy.name(), elapsedMicros,
+                    waitedMicros);
             }
             verdict = newVerdict;
             if (verdict == Verdict.PASSED || limit.isPastMaxWait(elapsedMicros)) {
                 if (verdict == Verdict.PASSED) {
-                    referee.processViolation(Rule.CRASH, proxy.index(), clock.nowMicros(), "did not end after SIGTERM");
+                    referee.processViolation(Rule.CRASH, proxy.index(), clock.nowMicros(),
+                        "did not exit in time after SIGTERM");
                 }
                 proxy.signal("KILL");
                 proxy.awaitExit(5_000);
@@ -335,22 +368,23 @@
         }
     }
 
-    /** Datagrams and bytes between the proxies; none where the settings allow no peers. */
+    /** The numbers of datagrams and bytes between the proxies; 0 if the settings allow no peers. */
     public long[] peerTraffic() {
         return peerNetwork == null ? new long[2] : new long[] {peerNetwork.datagrams(), peerNetwork.bytes()};
     }
 
+    /** The resources that each proxy used, in order of index. */
     public List<ResourceUsage> resourceUsages() {
         List<ResourceUsage> usages = new ArrayList<>();
         for (ProxyProcess proxy : proxies) {
             int index = proxy.index();
-            usages.add(new ResourceUsage(proxy.name(), proxy.starts(), peakResidentKib[index], peakDescriptors[index],
-                proxy.cpuSeconds()));
+            usages.add(new ResourceUsage(proxy.name(), proxy.starts(), peakResidentKib[index],
+                peakDescriptors[index], proxy.cpuSeconds()));
         }
         return usages;
     }
 
-    /** Leaves no process behind, whatever happened. */
+    /** Kills every process that is still there, also after a failure. */
     @Override
     public void close() {
         scheduler.shutdownNow();
--- a/lab/src/main/java/dockrelay/lab/process/ProxyProcess.java
+++ b/lab/src/main/java/dockrelay/lab/process/ProxyProcess.java
@@ -16,13 +16,16 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 
-/** One proxy under test, by its name: the process there is now, beside it the one before in an upgrade. */
+/**
+ * One proxy under test, across restarts: its current process, and during an upgrade also the previous one.
+ * Methods may be called from any thread.
+ */
 public final class ProxyProcess {
     private static final String RESIDENT_PREFIX = "VmRSS:";
     private static final int NO_DESCRIPTOR = -1;
     private static final double TICKS_PER_SECOND = 100;
 
-    /** What the system says of its processes together; 0 where it says nothing any more. */
+    /** Resources in use by the running processes together; 0 once they have exited. */
     public record Usage(long residentKib, int descriptors) {
         Usage plus(Usage other) {
             return new Usage(residentKib + other.residentKib, descriptors + other.descriptors);
@@ -30,8 +33,8 @@
     }
 
     /**
-     * One process: the next one of an upgrade, or not; told once it has been sent a signal to end; it serves
-     * once it has said that it can.
+     * One process of the proxy, with whether it was started as the successor in an upgrade, whether it was
+     * sent SIGTERM or SIGKILL, and whether it has reported that it is ready to serve.
      */
     private static final class Instance {
         final Process process;
@@ -62,11 +65,13 @@
     private int starts;
 
     /**
-     * With a shared socket the lab listens for clients, and each process inherits that. A processor below 0
-     * leaves it to the system where it runs.
+     * With a shared socket, the lab opens the socket that listens for clients, and each process inherits it.
+     * With a processor below 0 the processes are not pinned to a processor. A {@code maxFileBytes} of
+     * 0 sets no limit on the size of their files.
      */
-    public ProxyProcess(int index, Build build, Path folder, InetSocketAddress listenAddress, boolean sharedSocket,
-                        long maxFileBytes, int processor, ChildProcessRegistry childProcesses) throws IOException {
+    public ProxyProcess(int index, Build build, Path folder, InetSocketAddress listenAddress,
+                        boolean sharedSocket, long maxFileBytes, int processor,
+                        ChildProcessRegistry childProcesses) throws IOException {
         this.index = index;
         this.build = build;
         this.folder = folder;
@@ -74,7 +79,8 @@
         this.childProcesses = childProcesses;
         this.maxFileBytes = maxFileBytes;
         this.processor = processor;
-        this.sharedSocketDescriptor = sharedSocket ? SystemCalls.openListeningSocket(listenAddress) : NO_DESCRIPTOR;
+        this.sharedSocketDescriptor = sharedSocket ? SystemCalls.openListeningSocket(listenAddress)
+            : NO_DESCRIPTOR;
     }
 
     public int index() {
@@ -93,18 +99,22 @@
         return consoleAddress;
     }
 
-    /** The console's address of the process to be started next. */
+    /** Sets the address of the console for the process that is started next. */
     public synchronized void setConsoleAddress(InetSocketAddress address) {
         consoleAddress = address;
     }
 
-    /** What outlives a process, where it is kept. */
+    /** The processes' TMPDIR, whose contents outlive a process where the folder is kept. */
     public synchronized Path tmpFolder() {
         return tmpFolder;
     }
 
-    /** Starts it as the platform does, with this configuration; one that still runs goes on beside it. */
-    public synchronized void start(String configuration, Map<String, String> environment, boolean keepTmpFolder)
+    /**
+     * Starts a process with this configuration, as the platform does. A process that still runs keeps
+     * running beside it.
+     */
+    public synchronized void start(String configuration, Map<String, String> environment,
+        boolean keepTmpFolder)
         throws IOException {
         starts++;
         previous = current != null && current.isAlive() ? current : null;
@@ -125,7 +135,8 @@
             current = new Instance(builder.redirectInput(new File("/dev/null")).start(), previous != null);
         } else {
             builder.environment().put("PROXY_SOCKET_FD", "0");
-            current = new Instance(SystemCalls.startWithInput(builder, sharedSocketDescriptor), previous != null);
+            current = new Instance(SystemCalls.startWithInput(builder, sharedSocketDescriptor),
+                previous != null);
         }
         childProcesses.register(current.process.toHandle());
         if (processor >= 0) {
@@ -136,16 +147,17 @@
         }
     }
 
-    /** Writes its configuration anew; it reads it at a start and at SIGHUP. */
+    /** Replaces the configuration file, which a process reads at its start and at SIGHUP. */
     public synchronized void writeConfiguration(String configuration) throws IOException {
         Files.writeString(configFile, configuration);
     }
 
+    /** How often a process was started. */
     public synchronized int starts() {
         return starts;
     }
 
-    /** The id of the process there is now. */
+    /** The id of the current process. */
     public synchronized long pid() {
         return current.process.pid();
     }
@@ -154,19 +166,25 @@
         return current != null && current.isAlive();
     }
 
-    /** The process there is now; 0 where none was started. */
+    /** The id of the current process; 0 if none was started. */
     public synchronized long pidOrZero() {
         return current == null ? 0 : current.process.pid();
     }
 
-    /** It has said that it can serve. At the clients' address it may be the one before that says so. */
+    /**
+     * Marks the current process as ready, after it has reported so. If it did so at the clients' address
+     * during an upgrade, the answer may come from the previous process and doesn't count.
+     */
     public synchronized void markReady(boolean atClientsAddress) {
         if (current != null && current.isAlive() && !(atClientsAddress && current.startedByUpgrade)) {
             current.ready = true;
         }
     }
 
-    /** What runs of it, to be watched; what has been told to end serves on to its end. */
+    /**
+     * The running processes, for the starvation check. A process that was signalled to exit is included: it
+     * serves requests until it has exited.
+     */
     public synchronized List<MonitoredProcess> monitoredProcesses() {
         List<MonitoredProcess> monitored = new ArrayList<>();
         for (Instance instance : new Instance[] {current, previous}) {
@@ -178,22 +196,23 @@
         return monitored;
     }
 
-    /** What has ended though nobody told it to, and how; null where nothing has. */
+    /** The exit of a process that was not signalled to exit, in words; null if there is none. */
     public synchronized String crashDescription() {
         for (Instance instance : new Instance[] {current, previous}) {
             if (instance != null && !instance.isAlive() && !instance.exitRequested) {
-                return "process " + instance.process.pid() + " ended by itself with " + instance.process.exitValue();
+                return "process " + instance.process.pid() + " exited unexpectedly with status "
+                    + instance.process.exitValue();
             }
         }
         return null;
     }
 
-    /** Sends a signal by its name to the process there is now; TERM and KILL count as being told to end. */
+    /** Sends a signal by name to the current process; after TERM or KILL its exit is no crash. */
     public synchronized void signal(String signalName) {
         signal(current, signalName);
     }
 
-    /** The same to the one before it, in an upgrade. */
+    /** Sends a signal by name to the previous process of an upgrade. */
     public synchronized void signalPrevious(String signalName) {
         signal(previous, signalName);
     }
@@ -202,7 +221,8 @@
         if (instance == null || !instance.isAlive()) {
             return;
         }
-        instance.exitRequested = instance.exitRequested || signalName.equals("TERM") || signalName.equals("KILL");
+        instance.exitRequested = instance.exitRequested || signalName.equals("TERM")
+            || signalName.equals("KILL");
         if (signalName.equals("KILL")) {
             instance.process.destroyForcibly();
         } else if (signalName.equals("TERM")) {
@@ -212,7 +232,7 @@
         }
     }
 
-    /** Returns whether it has ended within this time. */
+    /** Waits for the current process; returns whether it exited within this time. */
     public boolean awaitExit(long timeoutMillis) {
         Instance instance;
         synchronized (this) {
@@ -226,12 +246,14 @@
         }
     }
 
+    /** Reads the resources in use from /proc. */
     public synchronized Usage sampleUsage() {
         Usage usage = current == null ? new Usage(0, 0) : sampleUsage(current.process.pid());
-        return previous == null || !previous.isAlive() ? usage : usage.plus(sampleUsage(previous.process.pid()));
+        return previous == null || !previous.isAlive() ? usage
+            : usage.plus(sampleUsage(previous.process.pid()));
     }
 
-    /** CPU time of all its processes, as far as it has been looked at. */
+    /** CPU time of all processes so far, as of the last sample of each. */
     public synchronized double cpuSeconds() {
         return cpuTicksByPid.values().stream().mapToLong(Long::longValue).sum() / TICKS_PER_SECOND;
     }
@@ -242,7 +264,8 @@
             long residentKib = 0;
             for (String line : Files.readAllLines(procFolder.resolve("status"))) {
                 if (line.startsWith(RESIDENT_PREFIX)) {
-                    residentKib = Long.parseLong(line.substring(RESIDENT_PREFIX.length()).trim().split(" ")[0]);
+                    residentKib = Long.parseLong(line.substring(RESIDENT_PREFIX.length()).trim()
+                        .split(" ")[0]);
                 }
             }
             int descriptors = 0;
@@ -256,10 +279,11 @@
             cpuTicksByPid.put(pid, Long.parseLong(fields[11]) + Long.parseLong(fields[12]));
             return new Usage(residentKib, descriptors);
         } catch (IOException | UncheckedIOException | DirectoryIteratorException e) {
-            return new Usage(0, 0); // it has just ended
+            return new Usage(0, 0); // it has just exited
         }
     }
 
+    /** Kills the processes and closes the shared socket. */
     void close() {
         signal("KILL");
         signalPrevious("KILL");
--- a/lab/src/test/java/dockrelay/lab/process/ChildProcessRegistryTest.java
+++ b/lab/src/test/java/dockrelay/lab/process/ChildProcessRegistryTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What a lab that was killed has left is ended by the next one, and only once. */
+/** Verifies that the next lab kills the orphaned processes of a killed lab, exactly once. */
 class ChildProcessRegistryTest {
     private static final String DEAD_LAB_PREFIX = "lab-1-1-";
 
@@ -56,13 +56,14 @@
         }
     }
 
-    /** Two labs start at a time: both have seen the list, and the other one was first. */
+    /** Two labs start concurrently: both find the list of orphans, and one kills the orphans first. */
     @Test
     void toleratesListDeletedByAnotherLab() throws Exception {
         Process process = startSleepProcess();
         try {
             writeListOfDeadLab("a", process);
-            ChildProcessRegistry first = new ChildProcessRegistry(folder), second = new ChildProcessRegistry(folder);
+            ChildProcessRegistry first = new ChildProcessRegistry(folder),
+                second = new ChildProcessRegistry(folder);
             List<Path> listsSeenByFirst = first.listsOfDeadLabs();
             assertEquals(1, listsSeenByFirst.size());
             assertEquals(List.of(process.pid()), second.killOrphans());
--- a/lab/src/test/java/dockrelay/lab/process/SchedulerStatsOfProcessesTest.java
+++ b/lab/src/test/java/dockrelay/lab/process/SchedulerStatsOfProcessesTest.java
@@ -15,8 +15,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Real processes on one core: one that has to wait for the other one is told from one that is stopped. The
- * core is shared by these two at the least, so that no other load can make the one that waits not wait.
+ * Verifies with real processes on one core that a process waiting for the core is told from a stopped one. At
+ * least these two share the core, so other load can only make the waiting process wait longer.
  */
 class SchedulerStatsOfProcessesTest {
     private static final int CORE = 0;
@@ -38,8 +38,9 @@
         }
     }
 
-    /** Adds up what it counts until that is so. */
-    private static ProcessorTime accumulateUntil(SchedulerStats stats, Predicate<ProcessorTime> condition) throws Exception {
+    /** Sums up the times of a process until the condition holds. */
+    private static ProcessorTime accumulateUntil(SchedulerStats stats, Predicate<ProcessorTime> condition)
+        throws Exception {
         ProcessorTime sum = ProcessorTime.ZERO;
         while (!condition.test(sum)) {
             TimeUnit.MILLISECONDS.sleep(5);
@@ -56,10 +57,12 @@
     @Test
     void countsWaitsOfRunnableButNotOfStoppedProcesses() throws Exception {
         Process stoppedProcess = startSpinningProcess(), runningProcess = startSpinningProcess();
-        SchedulerStats stoppedStats = new SchedulerStats(stoppedProcess.pid()), runningStats = new SchedulerStats(runningProcess.pid());
+        SchedulerStats stoppedStats = new SchedulerStats(stoppedProcess.pid()),
+            runningStats = new SchedulerStats(runningProcess.pid());
         stoppedStats.takeInterval();
         runningStats.takeInterval();
-        ProcessorTime timesBeforeStop = accumulateUntil(stoppedStats, sum -> sum.waitedMicros() >= MIN_TIME_MICROS);
+        ProcessorTime timesBeforeStop = accumulateUntil(stoppedStats,
+            sum -> sum.waitedMicros() >= MIN_TIME_MICROS);
         assertTrue(timesBeforeStop.ranMicros() > 0, timesBeforeStop.toString());
 
         SystemCalls.signal(stoppedProcess.pid(), "STOP");
@@ -68,7 +71,8 @@
         }
         stoppedStats.takeInterval();
         runningStats.takeInterval();
-        accumulateUntil(runningStats, sum -> sum.ranMicros() >= MIN_TIME_MICROS); // the core is in use all that time
+        // the core is busy in the meantime
+        accumulateUntil(runningStats, sum -> sum.ranMicros() >= MIN_TIME_MICROS);
         assertEquals(ProcessorTime.ZERO, stoppedStats.takeInterval());
 
         SystemCalls.signal(stoppedProcess.pid(), "CONT");
