--- a/lab/src/main/java/dockrelay/lab/starvation/CoreStats.java
+++ b/lab/src/main/java/dockrelay/lab/starvation/CoreStats.java
@@ -9,9 +9,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads what the system counts of the cores that the lab may use. */
+/** Reads from /proc/stat how busy the cores are that the lab may use. Not thread-safe. */
 public final class CoreStats {
-    /** Any of them. */
+    /** Stands for all allowed cores together. */
     public static final int ALL_CORES = -1;
     private static final long TICK_MICROS = 10_000;
     private static final String CORE_PREFIX = "cpu", ALLOWED_CORES_PREFIX = "Cpus_allowed_list:";
@@ -31,17 +31,18 @@
         intervalTimes = Map.of();
     }
 
-    /** Looks anew: what is told from now on is from the look before to this one. */
+    /** Takes a new sample: the times reported from now on are those between the last sample and this one. */
     public void sample() {
         Map<Integer, CoreTime> totals = new HashMap<>(), interval = new HashMap<>();
         try {
             for (String line : Files.readAllLines(statFile, StandardCharsets.US_ASCII)) {
                 String[] columns = line.split(" +");
-                if (!columns[0].startsWith(CORE_PREFIX) || columns[0].equals(CORE_PREFIX) || columns.length < 9) {
+                if (!columns[0].startsWith(CORE_PREFIX) || columns[0].equals(CORE_PREFIX)
+                    || columns.length < 9) {
                     continue;
                 }
                 int core = Integer.parseInt(columns[0].substring(CORE_PREFIX.length()));
-                // user, nice, system, idle, waiting for a disk, interrupts of two kinds, stolen
+                // columns: user, nice, system, idle, iowait, irq, softirq, steal
                 CoreTime total = new CoreTime(TICK_MICROS * (parseNumber(columns[1]) + parseNumber(columns[2])
                     + parseNumber(columns[3]) + parseNumber(columns[6]) + parseNumber(columns[7])),
                     TICK_MICROS * parseNumber(columns[8]));
@@ -49,23 +50,24 @@
                 interval.put(core, total.minus(lastTotals.getOrDefault(core, total)));
             }
         } catch (IOException e) {
-            interval.clear(); // without the counts nobody is told to have had the cores
+            interval.clear(); // without counts no use of the cores is attributed to anybody
         }
         lastTotals = totals;
         intervalTimes = interval;
     }
 
-    /** What one core did, or all of them together. */
+    /** The times of one core, or of all allowed cores together, between the last two samples. */
     public CoreTime timeOf(int core) {
-        return intervalTimes.entrySet().stream().filter(entry -> core == ALL_CORES ? allowedCores.get(entry.getKey())
-            : entry.getKey() == core).map(Map.Entry::getValue).reduce(CoreTime.ZERO, CoreTime::plus);
+        return intervalTimes.entrySet().stream()
+            .filter(entry -> core == ALL_CORES ? allowedCores.get(entry.getKey()) : entry.getKey() == core)
+            .map(Map.Entry::getValue).reduce(CoreTime.ZERO, CoreTime::plus);
     }
 
     private static long parseNumber(String text) {
         return Long.parseLong(text);
     }
 
-    /** A list such as 0-3,6; all where the system does not say. */
+    /** Parses the list of allowed cores, such as 0-3,6; every core if the system gives none. */
     static BitSet parseAllowedCores(Path statusFile) {
         BitSet cores = new BitSet();
         try {
@@ -74,7 +76,8 @@
                 if (line.startsWith(ALLOWED_CORES_PREFIX)) {
                     for (String range : line.substring(ALLOWED_CORES_PREFIX.length()).trim().split(",")) {
                         String[] bounds = range.split("-");
-                        cores.set(Integer.parseInt(bounds[0]), Integer.parseInt(bounds[bounds.length - 1]) + 1);
+                        cores.set(Integer.parseInt(bounds[0]), Integer.parseInt(bounds[bounds.length - 1])
+                            + 1);
                     }
                 }
             }
--- a/lab/src/main/java/dockrelay/lab/starvation/CoreTime.java
+++ b/lab/src/main/java/dockrelay/lab/starvation/CoreTime.java
@@ -1,8 +1,8 @@
 package dockrelay.lab.starvation;
 
 /**
- * What cores did over a time, in microseconds: how long they were busy with anybody's threads, and how long
- * they were not there at all, as the host had given them to others (steal).
+ * How cores spent an interval, in microseconds: busy with threads of any process, or stolen, when the
+ * hypervisor ran other virtual machines on them (steal time).
  */
 public record CoreTime(long busyMicros, long stolenMicros) {
     public static final CoreTime ZERO = new CoreTime(0, 0);
--- a/lab/src/main/java/dockrelay/lab/starvation/LoadSample.java
+++ b/lab/src/main/java/dockrelay/lab/starvation/LoadSample.java
@@ -4,21 +4,24 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * What was counted since the look before, in microseconds: how late the lab's own acts were, what the cores
- * did that the lab may use, and what each process under test had.
+ * One sample of the machine's load, in microseconds since the previous sample: how late the lab's own actions
+ * were, the times of the cores that the lab may use, and the CPU time of each process under test.
  */
-public record LoadSample(long atMicros, long lengthMicros, Histogram generatorLateness, Histogram emulatorLateness, Histogram clientsLateness,
-                   CoreTime cores, List<ProcessSample> processes) {
+public record LoadSample(long atMicros, long lengthMicros, Histogram generatorLateness,
+                         Histogram emulatorLateness, Histogram clientsLateness, CoreTime cores,
+                         List<ProcessSample> processes) {
 
     /**
-     * One process. It serves once it has said that it can; the cores are those that it may run on.
+     * The sample of one process: whether it has reported ready to serve, its CPU time, and the times of the
+     * cores that it may run on.
      */
-    public record ProcessSample(String proxy, long pid, boolean ready, ProcessorTime processorTime, CoreTime cores) {
+    public record ProcessSample(String proxy, long pid, boolean ready, ProcessorTime processorTime,
+        CoreTime cores) {
     }
 
     /**
-     * The worst lateness of the lab's loops, on which all else that it does waits. The generator's is not
-     * among them: a client's time counts from when its request left.
+     * The maximum lateness of the lab's event loops, which delays everything else that the lab does. Lateness
+     * of the load generator is excluded: a client's timeout starts when its request is actually sent.
      */
     long maxLoopLatenessMicros() {
         return Math.max(emulatorLateness.getMaxValue(), clientsLateness.getMaxValue());
--- a/lab/src/main/java/dockrelay/lab/starvation/ProcessorTime.java
+++ b/lab/src/main/java/dockrelay/lab/starvation/ProcessorTime.java
@@ -1,22 +1,24 @@
 package dockrelay.lab.starvation;
 
 /**
- * What the system's scheduler counts of a process over a time, all threads together, in microseconds: how
- * long it ran, and how long it could have run and waited for a core; and the longest that one thread waited.
- * While it sleeps or is stopped it does neither.
+ * The scheduler's times of a process over an interval, summed over its threads, in microseconds: running,
+ * and runnable but waiting for a core; and the longest wait of a single thread. A thread that sleeps or is
+ * stopped counts as neither.
  */
 public record ProcessorTime(long ranMicros, long waitedMicros, long longestWaitMicros) {
     public static final ProcessorTime ZERO = new ProcessorTime(0, 0, 0);
 
     /**
-     * The most that one thing which it had to do can have waited: one thread after another at the worst, but
-     * no longer than it all lasted, or than the one wait that had begun before.
+     * Upper bound of the delay of a single piece of work due to waits for a core: the sum of all threads'
+     * waits if the work passed from thread to thread, but no more than the interval, or than the longest
+     * wait, which may have begun before the interval.
      */
     long maxSequentialWaitMicros(long intervalMicros) {
         return Math.min(waitedMicros, Math.max(intervalMicros, longestWaitMicros));
     }
 
     public ProcessorTime plus(ProcessorTime other) {
-        return new ProcessorTime(ranMicros + other.ranMicros, waitedMicros + other.waitedMicros, Math.max(longestWaitMicros, other.longestWaitMicros));
+        return new ProcessorTime(ranMicros + other.ranMicros, waitedMicros + other.waitedMicros,
+            Math.max(longestWaitMicros, other.longestWaitMicros));
     }
 }
--- a/lab/src/main/java/dockrelay/lab/starvation/SchedulerStats.java
+++ b/lab/src/main/java/dockrelay/lab/starvation/SchedulerStats.java
@@ -10,8 +10,8 @@
 import java.util.Map;
 
 /**
- * Reads what the scheduler counts of a process, thread by thread: /proc/PID/schedstat alone would be its
- * first thread's. Not for several threads of the lab at a time.
+ * Reads the scheduler statistics of a process, thread by thread, since /proc/PID/schedstat covers the main
+ * thread only. Not thread-safe.
  */
 public final class SchedulerStats {
     private static final long NANOS_PER_MICRO = 1000;
@@ -27,14 +27,14 @@
         this.taskFolder = taskFolder;
     }
 
-    /** Whether this system counts at all. */
+    /** Whether this system provides scheduler statistics. */
     public static boolean isAvailable() {
         return Files.isReadable(Path.of("/proc/self/schedstat"));
     }
 
     /**
-     * Since the question before, or the process's start. What a thread did after that and before its end is
-     * lost, and so is a wait that goes on: it is counted when the thread gets its core.
+     * The times since the last call, or since the process's start. A thread's times between the last call and
+     * its exit are lost. A wait is counted only once it has ended, when the thread gets a core.
      */
     public ProcessorTime takeInterval() {
         Map<String, ProcessorTime> timesByThread = new HashMap<>();
@@ -47,22 +47,24 @@
                     ProcessorTime previous = lastTimesByThread.getOrDefault(threadId, ProcessorTime.ZERO);
                     timesByThread.put(threadId, total);
                     long waitedMicros = total.waitedMicros() - previous.waitedMicros();
-                    interval = interval.plus(new ProcessorTime(total.ranMicros() - previous.ranMicros(), waitedMicros, waitedMicros));
+                    interval = interval.plus(new ProcessorTime(total.ranMicros() - previous.ranMicros(),
+                        waitedMicros, waitedMicros));
                 }
             }
         } catch (IOException | DirectoryIteratorException e) {
-            return interval; // it has just ended
+            return interval; // the process has just exited
         }
         lastTimesByThread = timesByThread;
         return interval;
     }
 
-    /** Null where the thread has just ended. */
+    /** The times of one thread since its start; null if it has just exited. */
     private static ProcessorTime readThread(Path schedstatFile) {
         try {
             String[] columns = Files.readString(schedstatFile, StandardCharsets.US_ASCII).trim().split(" ");
             return columns.length < 2 ? null
-                : new ProcessorTime(Long.parseLong(columns[0]) / NANOS_PER_MICRO, Long.parseLong(columns[1]) / NANOS_PER_MICRO, 0);
+                : new ProcessorTime(Long.parseLong(columns[0]) / NANOS_PER_MICRO,
+                Long.parseLong(columns[1]) / NANOS_PER_MICRO, 0);
         } catch (IOException e) {
             return null;
         }
--- a/lab/src/test/java/dockrelay/lab/starvation/ProcFileParsingTest.java
+++ b/lab/src/test/java/dockrelay/lab/starvation/ProcFileParsingTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What the system writes, read. */
+/** Verifies parsing of the CPU statistics in /proc. */
 class ProcFileParsingTest {
     @TempDir
     Path folder;
@@ -63,7 +63,8 @@
 
     @Test
     void parsesListOfAllowedCores() throws Exception {
-        Path statusFile = Files.writeString(folder.resolve("status"), "Name:\tx\nCpus_allowed_list:\t0-2,5\n");
+        Path statusFile = Files.writeString(folder.resolve("status"),
+            "Name:\tx\nCpus_allowed_list:\t0-2,5\n");
         assertEquals("{0, 1, 2, 5}", CoreStats.parseAllowedCores(statusFile).toString());
     }
 }
