--- a/lab/src/main/java/dockrelay/lab/process/ConsoleClient.java
+++ b/lab/src/main/java/dockrelay/lab/process/ConsoleClient.java
@@ -9,25 +9,25 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 
-/** A call at a proxy's console: one line in, one or more lines out. */
+/** Client of a proxy's console: sends one line and reads a response of one or more lines. Blocks. */
 public final class ConsoleClient {
-    private static final int PATIENCE_MILLIS = 1_000;
+    private static final int TIMEOUT_MILLIS = 1_000;
 
     private ConsoleClient() {
     }
 
-    /** Whether the answer was a yes within the time that callers wait. */
-    public static boolean yes(InetSocketAddress console, String line) {
-        List<String> answer = call(console, line);
-        return !answer.isEmpty() && answer.get(0).startsWith("200");
+    /** Sends a command; returns whether it succeeded (status 200) before the timeout. */
+    public static boolean succeeds(InetSocketAddress console, String command) {
+        List<String> response = call(console, command);
+        return !response.isEmpty() && response.get(0).startsWith("200");
     }
 
-    /** The lines of the answer; none where nobody is there, or too late. */
-    public static List<String> call(InetSocketAddress console, String line) {
+    /** Sends a command and returns the lines of the response; none if it failed or timed out. */
+    public static List<String> call(InetSocketAddress console, String command) {
         try (Socket socket = new Socket()) {
-            socket.connect(console, PATIENCE_MILLIS);
-            socket.setSoTimeout(PATIENCE_MILLIS);
-            socket.getOutputStream().write((line + "\n").getBytes(StandardCharsets.UTF_8));
+            socket.connect(console, TIMEOUT_MILLIS);
+            socket.setSoTimeout(TIMEOUT_MILLIS);
+            socket.getOutputStream().write((command + "\n").getBytes(StandardCharsets.UTF_8));
             return new BufferedReader(new InputStreamReader(socket.getInputStream(),
                 StandardCharsets.UTF_8)).lines().toList();
         } catch (IOException | UncheckedIOException e) {
--- a/lab/src/main/java/dockrelay/lab/referee/Attempt.java
+++ b/lab/src/main/java/dockrelay/lab/referee/Attempt.java
@@ -1,36 +1,37 @@
 package dockrelay.lab.referee;
 
-/** One arrival of a request at a node. */
+/** One attempt of a proxy: a request that has arrived at a backend of the emulator. */
 public final class Attempt {
-    /** How it stands or ended, as the node knows it. */
+    /** How the attempt stands or ended, as the backend knows it. */
     public enum State {
-        HELD, REJECTED, SERVED, ERROR, CANCELLED;
+        IN_FLIGHT, REJECTED, SERVED, ERROR, CANCELLED;
 
+        /** Whether the backend may have executed the request, so that repeating it may have an effect. */
         boolean mayHaveRun() {
             return this != REJECTED;
         }
     }
 
     public final ClientRequest request;
-    public final int node, number;
+    public final int backend, number;
     public final long arrivedAtMicros;
-    /** Its own draw around the request's work. */
+    /** CPU time on a standard core that this attempt takes: the request's work with noise applied. */
     public final double workMicros;
-    double spent;
-    State state = State.HELD;
-    boolean won;
+    double spentMicros;
+    State state = State.IN_FLIGHT;
+    boolean responseDelivered;
 
-    Attempt(ClientRequest of, int node, int number, long at, double work) {
-        this.request = of;
-        this.node = node;
+    Attempt(ClientRequest request, int backend, int number, long arrivedAtMicros, double workMicros) {
+        this.request = request;
+        this.backend = backend;
         this.number = number;
-        this.arrivedAtMicros = at;
-        this.workMicros = work;
+        this.arrivedAtMicros = arrivedAtMicros;
+        this.workMicros = workMicros;
     }
 
-    /** What this node answers it with: nobody else makes the same bytes. */
+    /** The response body of this attempt, unique among all attempts, so that its origin can be verified. */
     public String expectedBody() {
-        return "node " + node + " served " + request.id + " as number " + number + ", "
+        return "node " + backend + " served " + request.id + " as number " + number + ", "
             + Long.toHexString(Double.doubleToLongBits(workMicros)) + "\n";
     }
 }
