--- a/lab/src/main/java/dockrelay/lab/scale/members/BudgetMember.java
+++ b/lab/src/main/java/dockrelay/lab/scale/members/BudgetMember.java
@@ -14,78 +14,81 @@
 import java.util.Random;
 
 /** The machine of the fleet's budgets, with one who spends all that he is given and wants more. */
-final class BudgetMember implements HollowMachine, BudgetNode.Callbacks {
+final class BudgetMember implements HollowStateMachine, BudgetNode.Callbacks {
     /** What one budget's bucket is: filled by its part, emptied at each look. */
     private static final class Bucket {
-        long rate, burst, tokens, spent;
+        long rate, burst, tokens, spentTokens;
     }
 
-    private final BudgetNode machine;
-    private final Actions actions;
+    private final BudgetNode node;
+    private final Callbacks callbacks;
     private final Collection<Budget> budgets;
     private final Map<String, Bucket> buckets = new HashMap<>();
-    private long told, until, usedAt;
+    private long updateNumber, leaseEndsAt, consumedAt;
 
-    BudgetMember(String self, Layout layout, Collection<Budget> budgets, Random random, Actions actions,
+    BudgetMember(String self, Layout layout, Collection<Budget> budgets, Random random, Callbacks callbacks,
                  long now) {
-        this.actions = actions;
+        this.callbacks = callbacks;
         this.budgets = budgets;
         budgets.forEach(budget -> buckets.put(budget.name(), new Bucket()));
-        usedAt = now;
-        machine = new BudgetNode(self, layout.names(), budgets, random.nextInt() | 1, BudgetTiming.DEFAULT, random,
+        consumedAt = now;
+        node = new BudgetNode(self, layout.names(), budgets, random.nextInt() | 1, BudgetTiming.DEFAULT,
+            random,
             this, now);
     }
 
     @Override
-    public void applyShares(long telling, List<LeasedShare> parts, long end) {
-        until = end;
-        for (LeasedShare part : telling > told ? parts : List.<LeasedShare>of()) {
-            Bucket bucket = buckets.get(part.budget());
-            bucket.rate = part.rate();
-            bucket.burst = part.burst();
-            bucket.tokens = Math.min(bucket.burst, bucket.tokens + part.addedTokens());
+    public void applyShares(long newUpdateNumber, List<LeasedShare> shares, long leaseEnd) {
+        leaseEndsAt = leaseEnd;
+        for (LeasedShare share : newUpdateNumber > updateNumber ? shares : List.<LeasedShare>of()) {
+            Bucket bucket = buckets.get(share.budget());
+            bucket.rate = share.rate();
+            bucket.burst = share.burst();
+            bucket.tokens = Math.min(bucket.burst, bucket.tokens + share.addedTokens());
         }
-        told = Math.max(told, telling);
+        updateNumber = Math.max(updateNumber, newUpdateNumber);
     }
 
     /** Spends what there is, and says so. */
-    void use(long now, double wanted) {
-        long went = Math.max(0, Math.min(now, until) - usedAt);
-        usedAt = now;
-        List<ShareUsage> uses = new ArrayList<>();
+    void consume(long now, double demandRatio) {
+        long elapsedMicros = Math.max(0, Math.min(now, leaseEndsAt) - consumedAt);
+        consumedAt = now;
+        List<ShareUsage> usages = new ArrayList<>();
         for (Budget budget : budgets) {
             Bucket bucket = buckets.get(budget.name());
-            bucket.tokens = Math.min(bucket.burst, bucket.tokens + bucket.rate * went / VirtualFleet.SECOND);
-            long whole = now < until ? bucket.tokens / Budget.MICROTOKENS_PER_TOKEN : 0;
-            bucket.tokens -= whole * Budget.MICROTOKENS_PER_TOKEN;
-            bucket.spent += whole;
-            uses.add(new ShareUsage(budget.name(), wanted * budget.rate(), 0, bucket.tokens, bucket.spent));
+            bucket.tokens = Math.min(bucket.burst, bucket.tokens
+                + bucket.rate * elapsedMicros / VirtualFleet.MICROS_PER_SECOND);
+            long wholeTokens = now < leaseEndsAt ? bucket.tokens / Budget.MICROTOKENS_PER_TOKEN : 0;
+            bucket.tokens -= wholeTokens * Budget.MICROTOKENS_PER_TOKEN;
+            bucket.spentTokens += wholeTokens;
+            usages.add(new ShareUsage(budget.name(), demandRatio * budget.rate(), 0, bucket.tokens,
+                bucket.spentTokens));
         }
-        machine.reportUsage(told, uses);
+        node.reportUsage(updateNumber, usages);
     }
 
-    void presence(List<String> here, List<String> away) {
-        machine.updatePresence(here, away);
+    void updatePresence(List<String> present, List<String> absent) {
+        node.updatePresence(present, absent);
     }
 
-    boolean keeps(long now) {
-        return machine.isCoordinator(now);
+    boolean isCoordinator(long now) {
+        return node.isCoordinator(now);
     }
 
     /** Whether it may spend of every budget now. */
-    boolean hasParts(long now) {
-        return now < until && buckets.values().stream().allMatch(bucket -> bucket.rate > 0);
+    boolean holdsAllShares(long now) {
+        return now < leaseEndsAt && buckets.values().stream().allMatch(bucket -> bucket.rate > 0);
     }
 
     /** Its part of the first budget's rate now. */
-    double share(long now) {
-        Budget first = budgets.iterator().next();
-        return now < until ? (double) buckets.get(first.name()).rate / first.rate() : 0;
+    double rateShare(long now) {
+        Budget firstBudget = budgets.iterator().next();
+        return now < leaseEndsAt ? (double) buckets.get(firstBudget.name()).rate / firstBudget.rate() : 0;
     }
 
     @Override
-    public void send(String to, ByteBuffer datagram) {
-        actions.send(to, datagram);
+    public void send(String receiver, ByteBuffer datagram) {
+        callbacks.send(receiver, datagram);
     }
 
     @Override
@@ -94,27 +97,27 @@
     }
 
     @Override
-    public long nextAt() {
-        return machine.nextTickAt();
+    public long nextTickAt() {
+        return node.nextTickAt();
     }
 
     @Override
     public void tick(long now) {
-        machine.tick(now);
+        node.tick(now);
     }
 
     @Override
-    public void receive(long now, String from, ByteBuffer datagram) {
-        machine.receive(now, from, datagram);
+    public void receive(long now, String sender, ByteBuffer datagram) {
+        node.receive(now, sender, datagram);
     }
 
     @Override
     public void leave(long now) {
-        machine.leave(now);
+        node.leave(now);
     }
 
     @Override
     public void configure(long now, Layout layout) {
-        machine.configure(now, layout.names(), budgets);
+        node.configure(now, layout.names(), budgets);
     }
 }
--- a/lab/src/main/java/dockrelay/lab/scale/members/BudgetsRole.java
+++ b/lab/src/main/java/dockrelay/lab/scale/members/BudgetsRole.java
@@ -15,145 +15,154 @@
  * takes in and sends, and how long a newcomer waits for his part.
  */
 public final class BudgetsRole implements Role {
-    private static final long SECOND = VirtualFleet.SECOND, USE = SECOND / 10, PRESENCE = SECOND / 4;
-    private static final long WARM = 30 * SECOND, QUIET = 30 * SECOND, GAP = 12 * SECOND;
-    private static final double RATE = 10_000, WANTED = 1.5;
-    private static final int MOST_BUDGETS = 10_000, NEWCOMERS = 5;
-    private static final long BYTES_OF_ONE = 100_000, BYTES_EACH = 400;
+    private static final long MICROS_PER_SECOND = VirtualFleet.MICROS_PER_SECOND, CONSUME_INTERVAL_MICROS =
+        MICROS_PER_SECOND / 10, PRESENCE_INTERVAL_MICROS = MICROS_PER_SECOND / 4;
+    private static final long WARM_UP_MICROS = 30 * MICROS_PER_SECOND,
+        MEASURE_MICROS = 30 * MICROS_PER_SECOND, SETTLE_MICROS = 12 * MICROS_PER_SECOND;
+    private static final double TOKENS_PER_SECOND = 10_000, DEMAND_RATIO = 1.5;
+    private static final int MAX_BUDGETS = 10_000, MAX_RESTARTED_MEMBERS = 5;
+    private static final long BYTES_PER_MEMBER = 100_000, BYTES_PER_PEER = 400;
 
     @Override
     public String name() {
         return "budgets";
     }
 
-    private static List<Integer> counts(ScaleSpec spec) {
-        return spec.roleSection().readAscendingCounts("budgets", List.of(1, 32), 1, MOST_BUDGETS);
+    private static List<Integer> budgetCounts(ScaleSpec spec) {
+        return spec.roleSection().readAscendingCounts("budgets", List.of(1, 32), 1, MAX_BUDGETS);
     }
 
     @Override
     public ResourceEstimate estimate(ScaleSpec spec, int size) {
-        counts(spec);
-        return new ResourceEstimate(size * (BYTES_OF_ONE + BYTES_EACH * size), 1);
+        budgetCounts(spec);
+        return new ResourceEstimate(size * (BYTES_PER_MEMBER + BYTES_PER_PEER * size), 1);
     }
 
     @Override
-    public List<Figure> play(ScaleSpec spec, int size, int play, ProgressLog progress) throws SizeRefusedException {
-        String refused = FlatMember.KIND.refuses(Layout.of(size));
-        if (refused != null) {
-            throw new SizeRefusedException(refused);
+    public List<Figure> play(ScaleSpec spec, int size, int play, ProgressLog progress)
+        throws SizeRefusedException {
+        String refusal = FlatMember.VARIANT.refusalReason(Layout.of(size));
+        if (refusal != null) {
+            throw new SizeRefusedException(refusal);
         }
         Figures figures = new Figures(name(), size, "virtual", play);
-        for (int count : counts(spec)) {
+        for (int budgetCount : budgetCounts(spec)) {
             try {
-                one(spec, size, count, play, figures);
+                playBudgets(spec, size, budgetCount, play, figures);
             } catch (IllegalArgumentException e) { // a BudgetException is one
-                throw new SizeRefusedException(count + " budgets: " + e.getMessage());
+                throw new SizeRefusedException(budgetCount + " budgets: " + e.getMessage());
             }
-            progress.log("budgets " + size + ": " + count + " budgets played");
+            progress.log("budgets " + size + ": " + budgetCount + " budgets played");
         }
-        return figures.all();
+        return figures.asList();
     }
 
-    private static void one(ScaleSpec spec, int size, int count, int play, Figures figures)
+    private static void playBudgets(ScaleSpec spec, int size, int budgetCount, int play, Figures figures)
         throws SizeRefusedException {
         List<Budget> budgets = new ArrayList<>();
-        for (int i = 0; i < count; i++) {
-            budgets.add(Budget.perSecond("b" + i, RATE));
+        for (int i = 0; i < budgetCount; i++) {
+            budgets.add(Budget.perSecond("b" + i, TOKENS_PER_SECOND));
         }
         Layout layout = Layout.of(size);
-        VirtualFleet fleet = new VirtualFleet((self, list, incarnation, random, actions, now)
-            -> new BudgetMember(self, list, budgets, random, actions, now), layout, 0,
+        VirtualFleet fleet = new VirtualFleet((name, members, incarnation, random, callbacks, now)
+            -> new BudgetMember(name, members, budgets, random, callbacks, now), layout, 0,
             spec.seed() * 100 + play);
         fleet.startAll(layout);
-        use(fleet);
-        presence(fleet, layout);
-        fleet.runUntil(WARM);
-        if (keeper(fleet) < 0) {
-            fleet.runUntil(2 * WARM);
+        consumePeriodically(fleet);
+        updatePresencePeriodically(fleet, layout);
+        fleet.runUntil(WARM_UP_MICROS);
+        if (coordinator(fleet) < 0) {
+            fleet.runUntil(2 * WARM_UP_MICROS);
         }
-        if (keeper(fleet) < 0) {
-            throw new SizeRefusedException("no keeper of " + count + " budgets was agreed on within "
-                + 2 * WARM / SECOND + " s: nothing is lent");
+        if (coordinator(fleet) < 0) {
+            throw new SizeRefusedException("no keeper of " + budgetCount + " budgets was agreed on within "
+                + 2 * WARM_UP_MICROS / MICROS_PER_SECOND + " s: nothing is lent");
         }
-        fleet.out.clear();
-        fleet.in.clear();
-        fleet.runUntil(fleet.now() + QUIET);
-        double seconds = (double) QUIET / SECOND;
-        String of = ", " + count + (count == 1 ? " budget" : " budgets");
-        figures.add("bytes sent, mean of all" + of, "B/s", fleet.out.bytes() / seconds / size);
-        figures.add("bytes sent by the keeper" + of, "B/s", fleet.out.mostOfOne() / seconds);
-        figures.add("bytes received by the keeper" + of, "B/s", fleet.in.mostOfOne() / seconds);
-        figures.add("datagrams sent by a member" + of, "1/s", fleet.out.datagrams() / seconds / size);
-        figures.add("longest datagram" + of, "B", fleet.longest());
-        double shares = 0;
+        fleet.sentTraffic.reset();
+        fleet.receivedTraffic.reset();
+        fleet.runUntil(fleet.now() + MEASURE_MICROS);
+        double seconds = (double) MEASURE_MICROS / MICROS_PER_SECOND;
+        String suffix = ", " + budgetCount + (budgetCount == 1 ? " budget" : " budgets");
+        figures.add("bytes sent, mean of all" + suffix, "B/s",
+            fleet.sentTraffic.totalBytes() / seconds / size);
+        figures.add("bytes sent by the keeper" + suffix, "B/s", fleet.sentTraffic.maxMemberBytes() / seconds);
+        figures.add("bytes received by the keeper" + suffix, "B/s",
+            fleet.receivedTraffic.maxMemberBytes() / seconds);
+        figures.add("datagrams sent by a member" + suffix, "1/s",
+            fleet.sentTraffic.totalDatagrams() / seconds / size);
+        figures.add("longest datagram" + suffix, "B", fleet.longestDatagramBytes());
+        double totalShare = 0;
         for (int i = 0; i < size; i++) {
-            shares += ((BudgetMember) fleet.machine(i)).share(fleet.local(i));
+            totalShare += ((BudgetMember) fleet.stateMachine(i)).rateShare(fleet.localTime(i));
         }
-        figures.add("rate lent, all wanting more" + of, "share", shares);
-        newcomers(fleet, layout, figures, of);
+        figures.add("rate lent, all wanting more" + suffix, "share", totalShare);
+        measureRestarts(fleet, layout, figures, suffix);
     }
 
-    private static void newcomers(VirtualFleet fleet, Layout layout, Figures figures, String of) {
-        List<Double> times = new ArrayList<>();
-        int never = 0;
-        for (int i = 0; i < Math.min(NEWCOMERS, fleet.count() - 1); i++) {
-            int one = (i * 7 + 1) % fleet.count();
-            if (one == keeper(fleet)) {
-                one = (one + 1) % fleet.count();
+    private static void measureRestarts(VirtualFleet fleet, Layout layout, Figures figures, String suffix) {
+        List<Double> convergenceSeconds = new ArrayList<>();
+        int unconverged = 0;
+        for (int i = 0; i < Math.min(MAX_RESTARTED_MEMBERS, fleet.memberCount() - 1); i++) {
+            int candidate = (i * 7 + 1) % fleet.memberCount();
+            if (candidate == coordinator(fleet)) {
+                candidate = (candidate + 1) % fleet.memberCount();
             }
-            int newcomer = one;
-            fleet.kill(newcomer);
-            fleet.runUntil(fleet.now() + GAP);
-            fleet.start(newcomer, layout);
-            Watch watch = new Watch(fleet, GAP, false, other -> other == newcomer,
-                other -> ((BudgetMember) fleet.machine(other)).hasParts(fleet.local(other)));
-            fleet.runUntil(fleet.now() + GAP);
-            times.addAll(watch.times());
-            never += watch.unsettled();
+            int restarted = candidate;
+            fleet.kill(restarted);
+            fleet.runUntil(fleet.now() + SETTLE_MICROS);
+            fleet.start(restarted, layout);
+            ConvergenceSampler sampler = new ConvergenceSampler(fleet, SETTLE_MICROS, false,
+                member -> member == restarted,
+                member -> ((BudgetMember) fleet.stateMachine(member))
+                .holdsAllShares(fleet.localTime(member)));
+            fleet.runUntil(fleet.now() + SETTLE_MICROS);
+            convergenceSeconds.addAll(sampler.convergenceSeconds());
+            unconverged += sampler.unconvergedCount();
         }
-        figures.times("a newcomer has a part" + of, times, never);
-        fleet.kill(keeper(fleet));
-        Watch watch = new Watch(fleet, 3 * GAP, false, other -> true,
-            other -> ((BudgetMember) fleet.machine(other)).hasParts(fleet.local(other)));
-        fleet.runUntil(fleet.now() + 3 * GAP);
-        figures.add("members without a part after the keeper's death, mean of 36 s" + of, "share",
-            watch.wrong());
+        figures.addTimes("a newcomer has a part" + suffix, convergenceSeconds, unconverged);
+        fleet.kill(coordinator(fleet));
+        ConvergenceSampler sampler = new ConvergenceSampler(fleet, 3 * SETTLE_MICROS, false, member -> true,
+            member -> ((BudgetMember) fleet.stateMachine(member)).holdsAllShares(fleet.localTime(member)));
+        fleet.runUntil(fleet.now() + 3 * SETTLE_MICROS);
+        figures.add("members without a part after the keeper's death, mean of 36 s" + suffix, "share",
+            sampler.divergedShare());
     }
 
     /** Who keeps the budgets; below 0 where nobody does. */
-    private static int keeper(VirtualFleet fleet) {
-        for (int i = 0; i < fleet.count(); i++) {
-            if (fleet.lives(i) && ((BudgetMember) fleet.machine(i)).keeps(fleet.local(i))) {
+    private static int coordinator(VirtualFleet fleet) {
+        for (int i = 0; i < fleet.memberCount(); i++) {
+            if (fleet.isRunning(i) && ((BudgetMember) fleet.stateMachine(i))
+                .isCoordinator(fleet.localTime(i))) {
                 return i;
             }
         }
         return -1;
     }
 
-    private static void use(VirtualFleet fleet) {
-        for (int i = 0; i < fleet.count(); i++) {
-            BudgetMember member = (BudgetMember) fleet.machine(i);
+    private static void consumePeriodically(VirtualFleet fleet) {
+        for (int i = 0; i < fleet.memberCount(); i++) {
+            BudgetMember member = (BudgetMember) fleet.stateMachine(i);
             if (member != null) {
-                member.use(fleet.local(i), WANTED / fleet.count());
+                member.consume(fleet.localTime(i), DEMAND_RATIO / fleet.memberCount());
             }
         }
-        fleet.later(USE, () -> use(fleet));
+        fleet.runAfter(CONSUME_INTERVAL_MICROS, () -> consumePeriodically(fleet));
     }
 
     /** Who is there, as membership would say some time later; a hint only. */
-    private static void presence(VirtualFleet fleet, Layout layout) {
-        List<String> here = new ArrayList<>();
-        for (int i = 0; i < fleet.count(); i++) {
-            if (fleet.lives(i)) {
-                here.add(fleet.name(i));
+    private static void updatePresencePeriodically(VirtualFleet fleet, Layout layout) {
+        List<String> present = new ArrayList<>();
+        for (int i = 0; i < fleet.memberCount(); i++) {
+            if (fleet.isRunning(i)) {
+                present.add(fleet.nameOf(i));
             }
         }
-        for (int i = 0; i < fleet.count(); i++) {
-            BudgetMember member = (BudgetMember) fleet.machine(i);
+        for (int i = 0; i < fleet.memberCount(); i++) {
+            BudgetMember member = (BudgetMember) fleet.stateMachine(i);
             if (member != null) {
-                member.presence(here, List.of());
+                member.updatePresence(present, List.of());
             }
         }
-        fleet.later(PRESENCE, () -> presence(fleet, layout));
+        fleet.runAfter(PRESENCE_INTERVAL_MICROS, () -> updatePresencePeriodically(fleet, layout));
     }
 }
--- a/lab/src/main/java/dockrelay/lab/scale/members/BusyDay.java
+++ b/lab/src/main/java/dockrelay/lab/scale/members/BusyDay.java
@@ -11,127 +11,138 @@
  */
 final class BusyDay {
     /** Names that go and names that come with the change. */
-    static final int CHANGED = 8;
-    private static final int RACK = 40;
-    private static final long SECOND = VirtualFleet.SECOND;
+    static final int CHANGED_NAMES = 8;
+    private static final int MAX_RACK_SIZE = 40;
+    private static final long MICROS_PER_SECOND = VirtualFleet.MICROS_PER_SECOND;
     /** One restart in 7.6 s among 5,700; among few as often as one in 15 s, so that there are some. */
-    private static final double RESTARTS = 7.6 * 5_700, SELDOM = 15;
-    private static final long GOODBYE = SECOND, DOWN = 2 * SECOND;
-    private static final long RACK_AT = 20 * SECOND, LIST_AT = 30 * SECOND, TOLD_WITHIN = 6 * SECOND,
-        QUIET_AT = 60 * SECOND, END = 90 * SECOND;
+    private static final double MEMBER_SECONDS_PER_RESTART = 7.6 * 5_700, MAX_RESTART_INTERVAL_SECONDS = 15;
+    private static final long LEAVE_MICROS = MICROS_PER_SECOND, DOWNTIME_MICROS = 2 * MICROS_PER_SECOND;
+    private static final long RACK_LOSS_AT_MICROS = 20 * MICROS_PER_SECOND, LIST_CHANGE_AT_MICROS =
+        30 * MICROS_PER_SECOND, ROLLOUT_MICROS = 6 * MICROS_PER_SECOND,
+        RACK_RETURN_AT_MICROS = 60 * MICROS_PER_SECOND, END_MICROS = 90 * MICROS_PER_SECOND;
     /** A restart or two may be under way. */
-    private static final int UNDER_WAY = 2;
+    private static final int COUNT_TOLERANCE = 2;
 
     private final VirtualFleet fleet;
     private final Figures figures;
-    private final Set<Integer> rack = new HashSet<>(), off = new HashSet<>(), down = new HashSet<>();
-    private final Layout[] lists;
-    private final long zero, every;
+    private final Set<Integer> lostRack = new HashSet<>(), removedMembers = new HashSet<>(),
+        restartingMembers = new HashSet<>();
+    private final Layout[] layoutByMember;
+    private final long startedAt, restartIntervalMicros;
     private Layout layout;
-    private int restarts, counted;
-    private long countedAt = -1;
+    private int restartCount, runningCount;
+    private long runningCountAt = -1;
 
-    BusyDay(Play play, VirtualFleet fleet, Figures figures) {
+    BusyDay(ScenarioPlay play, VirtualFleet fleet, Figures figures) {
         this.fleet = fleet;
         this.figures = figures;
         this.layout = play.layout();
-        this.zero = fleet.now();
-        this.lists = new Layout[fleet.count() + CHANGED];
-        java.util.Arrays.fill(lists, layout);
-        this.every = (long) (Math.min(SELDOM, RESTARTS / layout.size()) * SECOND);
+        this.startedAt = fleet.now();
+        this.layoutByMember = new Layout[fleet.memberCount() + CHANGED_NAMES];
+        java.util.Arrays.fill(layoutByMember, layout);
+        this.restartIntervalMicros = (long) (Math.min(MAX_RESTART_INTERVAL_SECONDS,
+            MEMBER_SECONDS_PER_RESTART / layout.size()) * MICROS_PER_SECOND);
     }
 
     void run() {
-        fleet.later(every, this::restart);
-        fleet.runUntil(zero + RACK_AT);
-        List<Integer> drawn = Scenario.drawn(fleet);
-        drawn.removeAll(down);
-        rack.addAll(drawn.subList(0, Math.min(RACK, layout.size() / 4)));
-        rack.forEach(fleet::kill);
-        Watch rackGone = new Watch(fleet, LIST_AT - RACK_AT - SECOND, false,
-            i -> !down.contains(i), this::nearly);
-        fleet.runUntil(zero + LIST_AT - SECOND / 2);
-        figures.times("a rack lost among restarts, counted by all", rackGone.times(), rackGone.unsettled());
-        change(drawn.subList(rack.size(), rack.size() + CHANGED));
-        fleet.runUntil(fleet.now() + TOLD_WITHIN);
-        Watch told = new Watch(fleet, zero + QUIET_AT - 2 * SECOND - fleet.now(), false,
-            i -> !down.contains(i), this::nearly);
-        fleet.runUntil(zero + QUIET_AT);
-        figures.times("a list told among restarts, counted by all after the last was told", told.times(),
-            told.unsettled());
+        fleet.runAfter(restartIntervalMicros, this::restart);
+        fleet.runUntil(startedAt + RACK_LOSS_AT_MICROS);
+        List<Integer> shuffled = Scenario.shuffledRunning(fleet);
+        shuffled.removeAll(restartingMembers);
+        lostRack.addAll(shuffled.subList(0, Math.min(MAX_RACK_SIZE, layout.size() / 4)));
+        lostRack.forEach(fleet::kill);
+        ConvergenceSampler rackLossSampler = new ConvergenceSampler(fleet,
+            LIST_CHANGE_AT_MICROS - RACK_LOSS_AT_MICROS - MICROS_PER_SECOND, false,
+            i -> !restartingMembers.contains(i), this::countsNearlyAll);
+        fleet.runUntil(startedAt + LIST_CHANGE_AT_MICROS - MICROS_PER_SECOND / 2);
+        figures.addTimes("a rack lost among restarts, counted by all", rackLossSampler.convergenceSeconds(),
+            rackLossSampler.unconvergedCount());
+        changeList(shuffled.subList(lostRack.size(), lostRack.size() + CHANGED_NAMES));
+        fleet.runUntil(fleet.now() + ROLLOUT_MICROS);
+        ConvergenceSampler rolloutSampler = new ConvergenceSampler(fleet,
+            startedAt + RACK_RETURN_AT_MICROS - 2 * MICROS_PER_SECOND - fleet.now(), false,
+            i -> !restartingMembers.contains(i), this::countsNearlyAll);
+        fleet.runUntil(startedAt + RACK_RETURN_AT_MICROS);
+        figures.addTimes("a list told among restarts, counted by all after the last was told",
+            rolloutSampler.convergenceSeconds(),
+            rolloutSampler.unconvergedCount());
         figures.add("members that count wrongly after a list was told, among restarts", "share of looks",
-            told.wrong());
-        rack.forEach(i -> fleet.start(i, lists[i]));
-        rack.clear();
-        int all = Scenario.living(fleet);
-        Watch back = new Watch(fleet, END - QUIET_AT, true, i -> !off.contains(i),
-            i -> Scenario.settled(fleet, i, all));
-        fleet.runUntil(zero + END);
-        figures.times("a rack back, all agree", back.times(), back.unsettled());
-        figures.add("restarts on the busy day", "restarts", restarts);
+            rolloutSampler.divergedShare());
+        lostRack.forEach(i -> fleet.start(i, layoutByMember[i]));
+        lostRack.clear();
+        int expectedCount = Scenario.runningCount(fleet);
+        ConvergenceSampler returnSampler = new ConvergenceSampler(fleet, END_MICROS - RACK_RETURN_AT_MICROS,
+            true, i -> !removedMembers.contains(i),
+            i -> Scenario.agreesOnCount(fleet, i, expectedCount));
+        fleet.runUntil(startedAt + END_MICROS);
+        figures.addTimes("a rack back, all agree", returnSampler.convergenceSeconds(),
+            returnSampler.unconvergedCount());
+        figures.add("restarts on the busy day", "restarts", restartCount);
         figures.add("false deaths on the busy day", "deaths", fleet.falseDeaths());
-        Scenario.most(fleet, figures, "busy day");
+        Scenario.addPeakTraffic(fleet, figures, "busy day");
     }
 
-    private boolean nearly(int member) {
-        if (countedAt != fleet.now()) {
-            countedAt = fleet.now();
-            counted = Scenario.living(fleet);
+    private boolean countsNearlyAll(int member) {
+        if (runningCountAt != fleet.now()) {
+            runningCountAt = fleet.now();
+            runningCount = Scenario.runningCount(fleet);
         }
-        return Math.abs(fleet.standing(member).countedMembers() - counted) <= UNDER_WAY;
+        return Math.abs(fleet.snapshot(member).countedMembers() - runningCount) <= COUNT_TOLERANCE;
     }
 
     private void restart() {
-        if (fleet.now() > zero + QUIET_AT - GOODBYE - DOWN - 2 * SECOND) {
+        if (fleet.now() > startedAt + RACK_RETURN_AT_MICROS - LEAVE_MICROS - DOWNTIME_MICROS
+            - 2 * MICROS_PER_SECOND) {
             return;
         }
-        fleet.later(every, this::restart);
-        List<Integer> able = Scenario.drawn(fleet);
-        able.removeAll(down);
-        able.removeAll(off);
-        int one = able.get(0);
-        down.add(one);
-        restarts++;
-        fleet.leave(one);
-        fleet.later(GOODBYE, () -> {
-            fleet.kill(one);
-            fleet.later(DOWN, () -> {
-                down.remove(one);
-                if (!rack.contains(one)) {
-                    fleet.start(one, lists[one]);
+        fleet.runAfter(restartIntervalMicros, this::restart);
+        List<Integer> candidates = Scenario.shuffledRunning(fleet);
+        candidates.removeAll(restartingMembers);
+        candidates.removeAll(removedMembers);
+        int member = candidates.get(0);
+        restartingMembers.add(member);
+        restartCount++;
+        fleet.leave(member);
+        fleet.runAfter(LEAVE_MICROS, () -> {
+            fleet.kill(member);
+            fleet.runAfter(DOWNTIME_MICROS, () -> {
+                restartingMembers.remove(member);
+                if (!lostRack.contains(member)) {
+                    fleet.start(member, layoutByMember[member]);
                 }
             });
         });
     }
 
     /** Some names go, who have ended before; some come; the rest is told within some seconds. */
-    private void change(List<Integer> going) {
-        List<String> names = new ArrayList<>();
-        for (int i : going) {
-            if (!down.contains(i) && fleet.lives(i)) {
-                names.add(fleet.name(i));
-                off.add(i);
+    private void changeList(List<Integer> leaving) {
+        List<String> removedNames = new ArrayList<>();
+        for (int i : leaving) {
+            if (!restartingMembers.contains(i) && fleet.isRunning(i)) {
+                removedNames.add(fleet.nameOf(i));
+                removedMembers.add(i);
                 fleet.leave(i);
-                fleet.later(GOODBYE, () -> fleet.kill(i));
+                fleet.runAfter(LEAVE_MICROS, () -> fleet.kill(i));
             }
         }
-        layout = layout.changed(names, CHANGED);
-        for (int i = 0; i < fleet.count(); i++) {
+        layout = layout.withChanges(removedNames, CHANGED_NAMES);
+        for (int i = 0; i < fleet.memberCount(); i++) {
             int member = i;
-            if (!off.contains(i)) {
-                fleet.later((long) (fleet.random.nextDouble() * TOLD_WITHIN), () -> {
-                    lists[member] = layout;
-                    if (fleet.lives(member)) {
+            if (!removedMembers.contains(i)) {
+                fleet.runAfter((long) (fleet.random.nextDouble() * ROLLOUT_MICROS), () -> {
+                    layoutByMember[member] = layout;
+                    if (fleet.isRunning(member)) {
                         fleet.configure(member, layout);
                     }
                 });
             }
         }
-        List<String> all = layout.names();
-        for (String name : all.stream().filter(one -> one.contains("-new")).toList()) {
-            int index = fleet.add(name);
-            lists[index] = layout;
-            fleet.later((long) (fleet.random.nextDouble() * TOLD_WITHIN), () -> fleet.start(index, layout));
+        List<String> allNames = layout.names();
+        for (String name : allNames.stream().filter(candidate -> candidate.contains("-new")).toList()) {
+            int index = fleet.addName(name);
+            layoutByMember[index] = layout;
+            fleet.runAfter((long) (fleet.random.nextDouble() * ROLLOUT_MICROS),
+                () -> fleet.start(index, layout));
         }
     }
 }
--- a/lab/src/main/java/dockrelay/lab/scale/members/Figures.java
+++ b/lab/src/main/java/dockrelay/lab/scale/members/Figures.java
@@ -6,41 +6,41 @@
 
 /** The figures of one play, as they come. */
 final class Figures {
-    private final String role, how;
+    private final String role, environment;
     private final int size, play;
-    private final List<Figure> all = new ArrayList<>();
+    private final List<Figure> figures = new ArrayList<>();
 
-    Figures(String role, int size, String how, int play) {
+    Figures(String role, int size, String environment, int play) {
         this.role = role;
         this.size = size;
-        this.how = how;
+        this.environment = environment;
         this.play = play;
     }
 
     void add(String name, String unit, double value) {
-        all.add(new Figure(role, name, size, unit, value, how, play));
+        figures.add(new Figure(role, name, size, unit, value, environment, play));
     }
 
     /** Half and 99 in 100 of these times, and which part of those asked never came to it. */
-    void times(String name, List<Double> seconds, int never) {
+    void addTimes(String name, List<Double> seconds, int unconverged) {
         List<Double> sorted = new ArrayList<>(seconds);
         sorted.sort(null);
-        int count = sorted.size() + never;
-        for (int each : new int[] {50, 99}) {
-            int at = Math.max(0, (int) Math.ceil(count * each / 100.0) - 1);
-            if (at < sorted.size()) { // else it was not reached: no time is told
-                add(name + ", p" + each, "s", sorted.get(at));
+        int total = sorted.size() + unconverged;
+        for (int percentile : new int[] {50, 99}) {
+            int position = Math.max(0, (int) Math.ceil(total * percentile / 100.0) - 1);
+            if (position < sorted.size()) { // else it was not reached: no time is told
+                add(name + ", p" + percentile, "s", sorted.get(position));
             }
         }
-        add(name + ", not within the time looked at", "share", count == 0 ? 0 : (double) never / count);
+        add(name + ", not within the time looked at", "share", total == 0 ? 0 : (double) unconverged / total);
     }
 
     /** Another part's figures after these. */
-    void addAll(List<Figure> others) {
-        all.addAll(others);
+    void addAll(List<Figure> additional) {
+        figures.addAll(additional);
     }
 
-    List<Figure> all() {
-        return all;
+    List<Figure> asList() {
+        return figures;
     }
 }
--- a/lab/src/main/java/dockrelay/lab/scale/members/FlatMember.java
+++ b/lab/src/main/java/dockrelay/lab/scale/members/FlatMember.java
@@ -11,30 +11,31 @@
 
 /** All names in one membership, each known singly to each. */
 final class FlatMember implements HollowMember {
-    static final Kind KIND = new Kind() {
+    static final Variant VARIANT = new Variant() {
         @Override
         public String name() {
             return "flat";
         }
 
         @Override
-        public HollowMember make(String self, Layout layout, long incarnation, Random random, Actions actions,
+        public HollowMember create(String self, Layout layout, long incarnation, Random random,
+            Callbacks callbacks,
                                  long now) {
-            return new FlatMember(self, layout, incarnation, random, actions, now);
+            return new FlatMember(self, layout, incarnation, random, callbacks, now);
         }
 
         @Override
-        public int group(Layout layout, String name) {
+        public int groupOf(Layout layout, String name) {
             return 0;
         }
 
         @Override
-        public void configure(ObjectNode configuration, Layout layout) {
+        public void addSettings(ObjectNode settings, Layout layout) {
             // names and addresses are all
         }
 
         @Override
-        public String refuses(Layout layout) {
+        public String refusalReason(Layout layout) {
             try {
                 new MemberList(layout.names());
                 return null;
@@ -44,71 +45,72 @@
         }
     };
 
-    private final Membership machine;
+    private final Membership membership;
 
-    private FlatMember(String self, Layout layout, long incarnation, Random random, Actions actions,
+    private FlatMember(String self, Layout layout, long incarnation, Random random, Callbacks callbacks,
                        long now) {
-        machine = new Membership(self, layout.names(), incarnation, random.nextInt() | 1, ProtocolTiming.DEFAULT, random,
+        membership = new Membership(self, layout.names(), incarnation, random.nextInt() | 1,
+            ProtocolTiming.DEFAULT, random,
             new Membership.Callbacks() {
                 @Override
-                public void send(String to, ByteBuffer datagram) {
-                    actions.send(to, datagram);
+                public void send(String receiver, ByteBuffer datagram) {
+                    callbacks.send(receiver, datagram);
                 }
 
                 @Override
                 public void memberChanged(MemberStateChange change) {
-                    actions.changed(change);
+                    callbacks.memberChanged(change);
                 }
 
                 @Override
-                public void incarnationChanged(long own) {
+                public void incarnationChanged(long newIncarnation) {
                     // a hollow process starts anew well above what it had
                 }
 
                 @Override
-                public void nameConflict(String name, String why) {
-                    throw new IllegalStateException("two processes go by " + name + ": " + why);
+                public void nameConflict(String name, String reason) {
+                    throw new IllegalStateException("two processes go by " + name + ": " + reason);
                 }
             }, now);
     }
 
     @Override
-    public long nextAt() {
-        return machine.nextTickAt();
+    public long nextTickAt() {
+        return membership.nextTickAt();
     }
 
     @Override
     public void tick(long now) {
-        machine.tick(now);
+        membership.tick(now);
     }
 
     @Override
-    public void receive(long now, String from, ByteBuffer datagram) {
-        machine.receive(now, from, datagram);
+    public void receive(long now, String sender, ByteBuffer datagram) {
+        membership.receive(now, sender, datagram);
     }
 
     @Override
-    public MembershipSnapshot standing(long now) {
-        return machine.snapshot(now);
+    public MembershipSnapshot snapshot(long now) {
+        return membership.snapshot(now);
     }
 
     @Override
     public String digest() {
-        return machine.digest();
+        return membership.digest();
     }
 
     @Override
-    public int known(long now) {
-        return machine.memberStatuses(now).size();
+    public int trackedMemberCount(long now) {
+        return membership.memberStatuses(now).size();
     }
 
     @Override
     public void leave(long now) {
-        machine.leave(now);
+        membership.leave(now);
     }
 
     @Override
     public void configure(long now, Layout layout) {
-        machine.configure(now, layout.names());
+        membership.configure(now, layout.names());
     }
 }
--- a/lab/src/main/java/dockrelay/lab/scale/members/GroupMember.java
+++ b/lab/src/main/java/dockrelay/lab/scale/members/GroupMember.java
@@ -15,34 +15,35 @@
 
 /** Groups within zones: each known singly in its own group, the others by what they say of themselves. */
 final class GroupMember implements HollowMember {
-    static final Kind KIND = new Kind() {
+    static final Variant VARIANT = new Variant() {
         @Override
         public String name() {
             return "groups";
         }
 
         @Override
-        public HollowMember make(String self, Layout layout, long incarnation, Random random, Actions actions,
+        public HollowMember create(String self, Layout layout, long incarnation, Random random,
+            Callbacks callbacks,
                                  long now) {
-            return new GroupMember(self, layout, incarnation, random, actions, now);
+            return new GroupMember(self, layout, incarnation, random, callbacks, now);
         }
 
         @Override
-        public int group(Layout layout, String name) {
-            return grouping(layout).groupOf(name);
+        public int groupOf(Layout layout, String name) {
+            return assignment(layout).groupOf(name);
         }
 
         @Override
-        public void configure(ObjectNode configuration, Layout layout) {
-            ObjectNode groups = configuration.putObject("peer_groups"), zones = groups.putObject("zones");
+        public void addSettings(ObjectNode settings, Layout layout) {
+            ObjectNode groups = settings.putObject("peer_groups"), zones = groups.putObject("zones");
             groups.put("size", GroupAssignment.DEFAULT_GROUP_SIZE);
             layout.zones().forEach((zone, names) -> names.forEach(zones.putArray(zone)::add));
         }
 
         @Override
-        public String refuses(Layout layout) {
+        public String refusalReason(Layout layout) {
             try {
-                grouping(layout);
+                assignment(layout);
                 return null;
             } catch (GroupException e) {
                 return e.getMessage();
@@ -51,82 +52,84 @@
     };
 
     /** The same for all who were given the same list: one object for all of them in this process. */
-    private static final Map<Layout, GroupAssignment> GROUPINGS = new WeakHashMap<>();
+    private static final Map<Layout, GroupAssignment> ASSIGNMENTS = new WeakHashMap<>();
 
-    private final GroupedMembership machine;
+    private final GroupedMembership membership;
 
-    private GroupMember(String self, Layout layout, long incarnation, Random random, Actions actions,
+    private GroupMember(String self, Layout layout, long incarnation, Random random, Callbacks callbacks,
                         long now) {
-        machine = new GroupedMembership(self, grouping(layout), incarnation, random.nextInt() | 1, ProtocolTiming.DEFAULT, random,
+        membership = new GroupedMembership(self, assignment(layout), incarnation, random.nextInt() | 1,
+            ProtocolTiming.DEFAULT, random,
             new GroupedMembership.Callbacks() {
                 @Override
-                public void send(String to, ByteBuffer datagram) {
-                    actions.send(to, datagram);
+                public void send(String receiver, ByteBuffer datagram) {
+                    callbacks.send(receiver, datagram);
                 }
 
                 @Override
                 public void memberChanged(MemberStateChange change) {
-                    actions.changed(change);
+                    callbacks.memberChanged(change);
                 }
 
                 @Override
-                public void incarnationChanged(long own) {
+                public void incarnationChanged(long newIncarnation) {
                     // a hollow process starts anew well above what it had
                 }
 
                 @Override
-                public void nameConflict(String name, String why) {
-                    throw new IllegalStateException("two processes go by " + name + ": " + why);
+                public void nameConflict(String name, String reason) {
+                    throw new IllegalStateException("two processes go by " + name + ": " + reason);
                 }
 
                 @Override
-                public void memberLookupCompleted(String name, MemberStatus row) {
+                public void memberLookupCompleted(String name, MemberStatus status) {
                     // nobody asks
                 }
             }, now);
     }
 
-    static synchronized GroupAssignment grouping(Layout layout) {
-        return GROUPINGS.computeIfAbsent(layout, of -> GroupAssignment.of(of.zones(), GroupAssignment.DEFAULT_GROUP_SIZE));
+    static synchronized GroupAssignment assignment(Layout layout) {
+        return ASSIGNMENTS.computeIfAbsent(layout, key -> GroupAssignment.of(key.zones(),
+            GroupAssignment.DEFAULT_GROUP_SIZE));
     }
 
     @Override
-    public long nextAt() {
-        return machine.nextTickAt();
+    public long nextTickAt() {
+        return membership.nextTickAt();
     }
 
     @Override
     public void tick(long now) {
-        machine.tick(now);
+        membership.tick(now);
     }
 
     @Override
-    public void receive(long now, String from, ByteBuffer datagram) {
-        machine.receive(now, from, datagram);
+    public void receive(long now, String sender, ByteBuffer datagram) {
+        membership.receive(now, sender, datagram);
     }
 
     @Override
-    public MembershipSnapshot standing(long now) {
-        return machine.snapshot(now);
+    public MembershipSnapshot snapshot(long now) {
+        return membership.snapshot(now);
     }
 
     @Override
     public String digest() {
-        return machine.digest();
+        return membership.digest();
     }
 
     @Override
-    public int known(long now) {
-        return machine.memberStatuses(now).size();
+    public int trackedMemberCount(long now) {
+        return membership.memberStatuses(now).size();
     }
 
     @Override
     public void leave(long now) {
-        machine.leave(now);
+        membership.leave(now);
     }
 
     @Override
     public void configure(long now, Layout layout) {
-        machine.configure(now, grouping(layout));
+        membership.configure(now, assignment(layout));
     }
 }
--- a/lab/src/main/java/dockrelay/lab/scale/members/HollowMachine.java
+++ b/lab/src/main/java/dockrelay/lab/scale/members/HollowStateMachine.java
@@ -5,25 +5,26 @@
 import java.util.Random;
 
 /** A machine of the fleet that a hollow process plays. Times are in microseconds. */
-interface HollowMachine {
+interface HollowStateMachine {
     /** What it does. */
-    interface Actions {
-        void send(String to, ByteBuffer datagram);
+    interface Callbacks {
+        void send(String receiver, ByteBuffer datagram);
 
-        void changed(MemberStateChange change);
+        void memberChanged(MemberStateChange change);
     }
 
     /** Makes one for each process. */
-    interface Maker {
-        HollowMachine make(String self, Layout layout, long incarnation, Random random, Actions actions,
+    interface Factory {
+        HollowStateMachine create(String self, Layout layout, long incarnation, Random random,
+            Callbacks callbacks,
                            long now);
     }
 
-    long nextAt();
+    long nextTickAt();
 
     void tick(long now);
 
-    void receive(long now, String from, ByteBuffer datagram);
+    void receive(long now, String sender, ByteBuffer datagram);
 
     void leave(long now);
 
--- a/lab/src/main/java/dockrelay/lab/scale/members/Layout.java
+++ b/lab/src/main/java/dockrelay/lab/scale/members/Layout.java
@@ -12,9 +12,9 @@
 public final class Layout {
     private static final List<String> ZONES = List.of("a1", "b1", "c1", "a2", "b2", "c2", "a3");
     /** Shares of the names, in hundredths; a2 has a seventh, b1 and b2 are the region that is cut off. */
-    private static final int[] SHARES = {22, 18, 16, 14, 12, 10, 8};
-    private static final int WHOLE = 100;
-    static final String SEVENTH = "a2", REGION = "b";
+    private static final int[] ZONE_PERCENTAGES = {22, 18, 16, 14, 12, 10, 8};
+    private static final int HUNDRED_PERCENT = 100;
+    static final String SEVENTH_ZONE = "a2", CUT_OFF_REGION = "b";
 
     private final Map<String, List<String>> zones;
     private final List<String> names = new ArrayList<>();
@@ -26,15 +26,16 @@
 
     static Layout of(int size) {
         Map<String, List<String>> zones = new LinkedHashMap<>();
-        int given = 0, shares = 0;
+        int assigned = 0, cumulativePercentage = 0;
         for (int i = 0; i < ZONES.size(); i++) {
-            shares += SHARES[i];
-            int upTo = (int) Math.round((double) size * shares / WHOLE);
+            cumulativePercentage += ZONE_PERCENTAGES[i];
+            int assignedThroughZone = (int) Math.round((double) size * cumulativePercentage
+                / HUNDRED_PERCENT);
             List<String> names = new ArrayList<>();
-            for (int k = 0; k < upTo - given; k++) {
-                names.add(ZONES.get(i) + "-" + k);
+            for (int number = 0; number < assignedThroughZone - assigned; number++) {
+                names.add(ZONES.get(i) + "-" + number);
             }
-            given = upTo;
+            assigned = assignedThroughZone;
             if (!names.isEmpty()) {
                 zones.put(ZONES.get(i), names);
             }
@@ -48,27 +49,27 @@
     }
 
     /** The same without these names, and with so many new ones in turns over the zones. */
-    Layout changed(List<String> less, int more) {
-        Map<String, List<String>> next = new LinkedHashMap<>();
-        zones.forEach((zone, all) -> {
-            List<String> kept = new ArrayList<>(all);
-            kept.removeAll(less);
-            next.put(zone, kept);
+    Layout withChanges(List<String> removed, int addedCount) {
+        Map<String, List<String>> newZones = new LinkedHashMap<>();
+        zones.forEach((zone, zoneNames) -> {
+            List<String> remaining = new ArrayList<>(zoneNames);
+            remaining.removeAll(removed);
+            newZones.put(zone, remaining);
         });
-        List<String> in = new ArrayList<>(next.keySet());
-        for (int i = 0; i < more; i++) {
-            String zone = in.get(i % in.size());
-            next.get(zone).add(zone + "-new" + i);
+        List<String> zoneOrder = new ArrayList<>(newZones.keySet());
+        for (int i = 0; i < addedCount; i++) {
+            String zone = zoneOrder.get(i % zoneOrder.size());
+            newZones.get(zone).add(zone + "-new" + i);
         }
-        return new Layout(next);
+        return new Layout(newZones);
     }
 
     /** With names that stand in a zone already, such as those of real processes. */
-    Layout with(Map<String, String> zoneByName) {
-        Map<String, List<String>> next = new LinkedHashMap<>();
-        zones.forEach((zone, all) -> next.put(zone, new ArrayList<>(all)));
-        zoneByName.forEach((name, zone) -> next.get(zone).add(name));
-        return new Layout(next);
+    Layout withNames(Map<String, String> zoneByName) {
+        Map<String, List<String>> newZones = new LinkedHashMap<>();
+        zones.forEach((zone, zoneNames) -> newZones.put(zone, new ArrayList<>(zoneNames)));
+        zoneByName.forEach((name, zone) -> newZones.get(zone).add(name));
+        return new Layout(newZones);
     }
 
     public Map<String, List<String>> zones() {
@@ -83,11 +84,11 @@
         return names.size();
     }
 
-    static String zone(String name) {
+    static String zoneOf(String name) {
         return name.substring(0, name.indexOf('-'));
     }
 
-    static String region(String name) {
+    static String regionOf(String name) {
         return name.substring(0, 1);
     }
 }
--- a/lab/src/main/java/dockrelay/lab/scale/members/LoopbackFleet.java
+++ b/lab/src/main/java/dockrelay/lab/scale/members/LoopbackFleet.java
@@ -26,28 +26,29 @@
 
 /** Hollow members with a real socket each, on loopback, spread over some threads of this process. */
 final class LoopbackFleet implements AutoCloseable {
-    private static final int LONGEST = 2048, MOST_AT_ONCE = 64;
-    private static final long SECOND = 1_000_000, LOOK = 100_000;
+    private static final int MAX_DATAGRAM_BYTES = 2048, MAX_DATAGRAMS_PER_READ = 64;
+    private static final long MICROS_PER_SECOND = 1_000_000, SAMPLE_INTERVAL_MICROS = 100_000;
 
     /** What a member went by when it was last looked at; which of its looks that was. */
-    record Seen(MembershipSnapshot standing, String digest, long at) {
+    record Sample(MembershipSnapshot snapshot, String digest, long sampledAtMicros) {
     }
 
     /** Wakes in the order of their times; one that is no longer true is passed over. */
-    private record Wake(long at, One one) {
+    private record WakeUp(long timeMicros, Member member) {
     }
 
     /** One thread with its members. */
     private final class Worker extends Thread {
         private final Selector selector = Selector.open();
-        private final PriorityQueue<Wake> wakes = new PriorityQueue<>(Comparator.comparingLong(Wake::at));
+        private final PriorityQueue<WakeUp> wakeUps =
+            new PriorityQueue<>(Comparator.comparingLong(WakeUp::timeMicros));
         private final Queue<Runnable> tasks = new ConcurrentLinkedQueue<>();
-        private final List<One> members = new ArrayList<>();
-        private final ByteBuffer buffer = ByteBuffer.allocateDirect(LONGEST);
-        private final ConcurrentHistogram late = new ConcurrentHistogram(2);
-        private long lookAt;
-        private volatile boolean ended;
-        private volatile String failed;
+        private final List<Member> members = new ArrayList<>();
+        private final ByteBuffer buffer = ByteBuffer.allocateDirect(MAX_DATAGRAM_BYTES);
+        private final ConcurrentHistogram wakeUpDelays = new ConcurrentHistogram(2);
+        private long nextSampleAt;
+        private volatile boolean stopped;
+        private volatile String failure;
 
         Worker(int number) throws IOException {
             super("hollow-" + number);
@@ -62,180 +63,186 @@
         @Override
         public void run() {
             try {
-                while (!ended) {
-                    turn();
+                while (!stopped) {
+                    runOnce();
                 }
             } catch (IOException | RuntimeException e) {
-                failed = e.toString();
+                failure = e.toString();
             }
         }
 
-        private void turn() throws IOException {
-            Wake first = wakes.peek();
-            long now = now(), until = Math.min(lookAt, first == null ? Long.MAX_VALUE : first.at);
-            if (until - now >= 1000) {
-                selector.select((until - now) / 1000);
+        private void runOnce() throws IOException {
+            WakeUp firstWakeUp = wakeUps.peek();
+            long now = now(), waitUntil = Math.min(nextSampleAt, firstWakeUp == null ? Long.MAX_VALUE
+                : firstWakeUp.timeMicros);
+            if (waitUntil - now >= 1000) {
+                selector.select((waitUntil - now) / 1000);
             } else {
                 selector.selectNow();
             }
             for (SelectionKey key : selector.selectedKeys()) {
                 if (key.isValid()) {
-                    ((One) key.attachment()).read(buffer);
+                    ((Member) key.attachment()).readDatagrams(buffer);
                 }
             }
             selector.selectedKeys().clear();
             for (Runnable task = tasks.poll(); task != null; task = tasks.poll()) {
                 task.run();
             }
-            for (Wake wake = wakes.peek(); wake != null && wake.at <= now(); wake = wakes.peek()) {
-                wakes.poll();
-                if (wake.one.due(wake.at)) {
-                    late.recordValue(Math.max(0, now() - wake.at));
-                    wake.one.wake();
+            for (WakeUp wakeUp = wakeUps.peek(); wakeUp != null
+                && wakeUp.timeMicros <= now(); wakeUp = wakeUps.peek()) {
+                wakeUps.poll();
+                if (wakeUp.member.isScheduledAt(wakeUp.timeMicros)) {
+                    wakeUpDelays.recordValue(Math.max(0, now() - wakeUp.timeMicros));
+                    wakeUp.member.tick();
                 }
             }
-            if (now() >= lookAt) {
-                lookAt = now() + LOOK;
-                members.forEach(One::look);
+            if (now() >= nextSampleAt) {
+                nextSampleAt = now() + SAMPLE_INTERVAL_MICROS;
+                members.forEach(Member::publishSample);
             }
         }
     }
 
     /** One member with its socket. */
-    private final class One implements HollowMember.Actions {
+    private final class Member implements HollowMember.Callbacks {
         final String name;
         final int index;
         final Worker worker;
         final DatagramChannel channel;
-        HollowMember machine;
-        long wakeAt = Long.MAX_VALUE;
+        HollowMember stateMachine;
+        long wakeUpAt = Long.MAX_VALUE;
 
-        One(String name, int index, Worker worker, DatagramChannel channel) {
+        Member(String name, int index, Worker worker, DatagramChannel channel) {
             this.name = name;
             this.index = index;
             this.worker = worker;
             this.channel = channel;
         }
 
-        void begin(Layout layout, Random random) throws IOException {
+        void start(Layout layout, Random random) throws IOException {
             channel.configureBlocking(false);
             channel.register(worker.selector, SelectionKey.OP_READ, this);
-            machine = kind.make(name, layout, System.currentTimeMillis() / 1000, random, this, now());
+            stateMachine = variant.create(name, layout, System.currentTimeMillis() / 1000, random, this,
+                now());
             worker.members.add(this);
-            schedule();
+            scheduleWakeUp();
         }
 
-        void schedule() {
-            if (machine.nextAt() < wakeAt) {
-                wakeAt = machine.nextAt();
-                worker.wakes.add(new Wake(wakeAt, this));
+        void scheduleWakeUp() {
+            if (stateMachine.nextTickAt() < wakeUpAt) {
+                wakeUpAt = stateMachine.nextTickAt();
+                worker.wakeUps.add(new WakeUp(wakeUpAt, this));
             }
         }
 
-        boolean due(long at) {
-            return at == wakeAt && machine != null;
+        boolean isScheduledAt(long timeMicros) {
+            return timeMicros == wakeUpAt && stateMachine != null;
         }
 
-        void wake() {
-            wakeAt = Long.MAX_VALUE;
-            machine.tick(now());
-            schedule();
+        void tick() {
+            wakeUpAt = Long.MAX_VALUE;
+            stateMachine.tick(now());
+            scheduleWakeUp();
         }
 
-        void read(ByteBuffer buffer) throws IOException {
-            for (int i = 0; i < MOST_AT_ONCE && machine != null; i++) {
+        void readDatagrams(ByteBuffer buffer) throws IOException {
+            for (int i = 0; i < MAX_DATAGRAMS_PER_READ && stateMachine != null; i++) {
                 buffer.clear();
-                InetSocketAddress from = (InetSocketAddress) channel.receive(buffer);
-                if (from == null) {
+                InetSocketAddress sender = (InetSocketAddress) channel.receive(buffer);
+                if (sender == null) {
                     return;
                 }
                 buffer.flip();
-                in.add(index, buffer.remaining());
-                machine.receive(now(), nameAt.get(from), buffer);
-                schedule();
+                receivedTraffic.record(index, buffer.remaining());
+                stateMachine.receive(now(), nameByAddress.get(sender), buffer);
+                scheduleWakeUp();
             }
         }
 
-        void look() {
-            if (machine != null) {
-                long at = now();
-                seen.put(name, new Seen(machine.standing(at), machine.digest(), at));
+        void publishSample() {
+            if (stateMachine != null) {
+                long sampledAt = now();
+                latestSamples.put(name, new Sample(stateMachine.snapshot(sampledAt), stateMachine.digest(),
+                    sampledAt));
             }
         }
 
-        void end() {
-            machine = null;
+        void stop() {
+            stateMachine = null;
             worker.members.remove(this);
-            seen.remove(name);
+            latestSamples.remove(name);
             try {
                 channel.close();
             } catch (IOException e) {
-                worker.failed = e.toString();
+                worker.failure = e.toString();
             }
         }
 
         @Override
-        public void send(String to, ByteBuffer datagram) {
-            int length = datagram.remaining();
-            out.add(index, length);
+        public void send(String receiver, ByteBuffer datagram) {
+            int lengthBytes = datagram.remaining();
+            sentTraffic.record(index, lengthBytes);
             try {
-                channel.send(datagram, addresses.get(to));
+                channel.send(datagram, addresses.get(receiver));
             } catch (IOException e) {
-                unsent.incrementAndGet(); // as lost: its socket's buffer was full
+                unsentDatagrams.incrementAndGet(); // as lost: its socket's buffer was full
             }
         }
 
         @Override
-        public void changed(MemberStateChange change) {
+        public void memberChanged(MemberStateChange change) {
             // what it comes to is looked at
         }
     }
 
-    private final HollowMember.Kind kind;
+    private final HollowMember.Variant variant;
     private final Map<String, InetSocketAddress> addresses = new ConcurrentHashMap<>();
-    private final Map<InetSocketAddress, String> nameAt = new ConcurrentHashMap<>();
-    private final Map<String, One> all = new HashMap<>();
-    private final Map<String, Seen> seen = new ConcurrentHashMap<>();
+    private final Map<InetSocketAddress, String> nameByAddress = new ConcurrentHashMap<>();
+    private final Map<String, Member> membersByName = new HashMap<>();
+    private final Map<String, Sample> latestSamples = new ConcurrentHashMap<>();
     private final List<Worker> workers = new ArrayList<>();
-    private final AtomicInteger unsent = new AtomicInteger();
-    final Traffic out, in;
+    private final AtomicInteger unsentDatagrams = new AtomicInteger();
+    final Traffic sentTraffic, receivedTraffic;
 
     /** Opens a socket for each of these names; those of others are told by their addresses. */
-    LoopbackFleet(HollowMember.Kind kind, Collection<String> names, Map<String, InetSocketAddress> others,
-                  int threads) throws IOException {
-        this.kind = kind;
-        this.out = new Traffic(names.size());
-        this.in = new Traffic(names.size());
-        for (int i = 0; i < threads; i++) {
+    LoopbackFleet(HollowMember.Variant variant, Collection<String> names,
+        Map<String, InetSocketAddress> remoteAddresses,
+                  int threadCount) throws IOException {
+        this.variant = variant;
+        this.sentTraffic = new Traffic(names.size());
+        this.receivedTraffic = new Traffic(names.size());
+        for (int i = 0; i < threadCount; i++) {
             workers.add(new Worker(i));
         }
         for (String name : names) {
             DatagramChannel channel = DatagramChannel.open();
             channel.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-            all.put(name, new One(name, all.size(), workers.get(all.size() % threads), channel));
+            membersByName.put(name, new Member(name, membersByName.size(),
+                workers.get(membersByName.size() % threadCount), channel));
             addresses.put(name, (InetSocketAddress) channel.getLocalAddress());
         }
-        addresses.putAll(others);
-        addresses.forEach((name, address) -> nameAt.put(address, name));
+        addresses.putAll(remoteAddresses);
+        addresses.forEach((name, address) -> nameByAddress.put(address, name));
     }
 
     private static long now() {
         return System.nanoTime() / 1000;
     }
 
-    InetSocketAddress address(String name) {
+    InetSocketAddress addressOf(String name) {
         return addresses.get(name);
     }
 
     void start(Layout layout, long seed) {
         Random random = new Random(seed);
-        for (One one : all.values()) {
-            Random own = new Random(random.nextLong());
-            one.worker.submit(() -> {
+        for (Member member : membersByName.values()) {
+            Random memberRandom = new Random(random.nextLong());
+            member.worker.submit(() -> {
                 try {
-                    one.begin(layout, own);
+                    member.start(layout, memberRandom);
                 } catch (IOException e) {
-                    one.worker.failed = e.toString();
+                    member.worker.failure = e.toString();
                 }
             });
         }
@@ -244,43 +251,44 @@
 
     /** Ends it without a word, as a machine that fails. */
     void kill(String name) {
-        One one = all.get(name);
-        one.worker.submit(one::end);
+        Member member = membersByName.get(name);
+        member.worker.submit(member::stop);
     }
 
     /** What each that lives went by when it was last looked at, ten times a second. */
-    Map<String, Seen> seen() {
-        return seen;
+    Map<String, Sample> latestSamples() {
+        return latestSamples;
     }
 
-    int unsent() {
-        return unsent.get();
+    int unsentDatagrams() {
+        return unsentDatagrams.get();
     }
 
     /** How late the worst thread's wakes were, in microseconds, 99 in 100 of them: its own want of time. */
-    long lateness() {
-        return workers.stream().mapToLong(worker -> worker.late.getValueAtPercentile(99)).max().orElse(0);
+    long wakeUpDelayP99Micros() {
+        return workers.stream().mapToLong(worker -> worker.wakeUpDelays.getValueAtPercentile(99)).max()
+            .orElse(0);
     }
 
     /** Null, or what ended a thread. */
-    String failed() {
-        return workers.stream().map(worker -> worker.failed).filter(one -> one != null).findFirst()
+    String failure() {
+        return workers.stream().map(worker -> worker.failure).filter(failure -> failure != null).findFirst()
             .orElse(null);
     }
 
     /** Seconds of processor time of all members together. */
     double cpuSeconds() {
-        long nanos = 0;
+        long cpuNanos = 0;
         for (Worker worker : workers) {
-            nanos += ManagementFactory.getThreadMXBean().getThreadCpuTime(worker.getId());
+            cpuNanos += ManagementFactory.getThreadMXBean().getThreadCpuTime(worker.getId());
         }
-        return nanos / 1e3 / SECOND;
+        return cpuNanos / 1e3 / MICROS_PER_SECOND;
     }
 
     @Override
     public void close() {
         for (Worker worker : workers) {
-            worker.ended = true;
+            worker.stopped = true;
             worker.selector.wakeup();
         }
         for (Worker worker : workers) {
@@ -290,14 +298,14 @@
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             } catch (IOException e) {
-                worker.failed = e.toString();
+                worker.failure = e.toString();
             }
         }
-        for (One one : all.values()) {
+        for (Member member : membersByName.values()) {
             try {
-                one.channel.close();
+                member.channel.close();
             } catch (IOException e) {
-                one.worker.failed = e.toString();
+                member.worker.failure = e.toString();
             }
         }
     }
--- a/lab/src/main/java/dockrelay/lab/scale/members/RealProxies.java
+++ b/lab/src/main/java/dockrelay/lab/scale/members/RealProxies.java
@@ -28,118 +28,126 @@
 /** Real proxies, as processes with the program's own start, among hollow ones: each told all names. */
 final class RealProxies implements AutoCloseable {
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final Pattern WORD = Pattern.compile("(\\w+)=(\\S+)");
+    private static final Pattern KEY_VALUE = Pattern.compile("(\\w+)=(\\S+)");
 
     /** What the console of one says: the words of its first line; empty where it gave none. */
-    record Said(String name, Map<String, String> words) {
-        int count(String word) {
-            return Integer.parseInt(words.getOrDefault(word, "-1"));
+    record MembersReply(String name, Map<String, String> values) {
+        int count(String key) {
+            return Integer.parseInt(values.getOrDefault(key, "-1"));
         }
 
         boolean allAgree() {
-            return "all".equals(words.get("agreement"));
+            return "all".equals(values.get("agreement"));
         }
 
         String digest() {
-            return words.getOrDefault("digest", "");
+            return values.getOrDefault("digest", "");
         }
     }
 
     private final Plan plan;
-    private final Emulator world;
-    private final EmulatorNetwork net;
-    private final ChildProcessRegistry leftovers;
-    private final List<ProxyProcess> all = new ArrayList<>();
-    private final Map<String, InetSocketAddress> peers = new LinkedHashMap<>();
+    private final Emulator emulator;
+    private final EmulatorNetwork network;
+    private final ChildProcessRegistry childProcesses;
+    private final List<ProxyProcess> proxies = new ArrayList<>();
+    private final Map<String, InetSocketAddress> peerAddresses = new LinkedHashMap<>();
 
     RealProxies(int count, Path root, Path folder, long seed) throws IOException {
         Files.createDirectories(folder);
-        Path file = Files.writeString(folder.resolve("world.toml"), "shows = \"members\"\n[proxies]\ncount = "
+        Path experimentFile = Files.writeString(folder.resolve("world.toml"),
+            "shows = \"members\"\n[proxies]\ncount = "
             + count + "\n[nodes]\ncount = 4\n[permissions]\npeers = true\n");
-        plan = Plan.generate(ExperimentReader.read(file), seed);
+        plan = Plan.generate(ExperimentReader.read(experimentFile), seed);
         Build build = Build.load(root);
-        leftovers = new ChildProcessRegistry(ChildProcessRegistry.defaultFolder());
-        leftovers.killOrphans();
-        net = new EmulatorNetwork(seed);
-        world = new Emulator(plan, net, new Clock(), new Referee(plan));
+        childProcesses = new ChildProcessRegistry(ChildProcessRegistry.defaultFolder());
+        childProcesses.killOrphans();
+        network = new EmulatorNetwork(seed);
+        emulator = new Emulator(plan, network, new Clock(), new Referee(plan));
         for (int i = 0; i < count; i++) {
-            all.add(new ProxyProcess(i, build, folder, LoopbackAddresses.freeProxyAddress(i), false, 0, -1, leftovers));
-            peers.put(all.get(i).name(), LoopbackAddresses.freePeerAddress(i));
+            proxies.add(new ProxyProcess(i, build, folder, LoopbackAddresses.freeProxyAddress(i), false, 0,
+                -1, childProcesses));
+            peerAddresses.put(proxies.get(i).name(), LoopbackAddresses.freePeerAddress(i));
         }
     }
 
     /** Their names, and where each hears the others. */
-    Map<String, InetSocketAddress> peers() {
-        return peers;
+    Map<String, InetSocketAddress> peerAddresses() {
+        return peerAddresses;
     }
 
     /** Starts them with this list: names with their addresses, the own ones among them. */
-    void start(Map<String, InetSocketAddress> names, HollowMember.Kind kind, Layout layout)
+    void start(Map<String, InetSocketAddress> memberAddresses, HollowMember.Variant variant, Layout layout)
         throws IOException {
-        Map<String, String> addresses = new LinkedHashMap<>();
-        names.forEach((name, address) -> addresses.put(name, LoopbackAddresses.hostAndPort(address)));
-        for (ProxyProcess proxy : all) {
-            int i = proxy.index();
-            proxy.setConsoleAddress(LoopbackAddresses.freeConsoleAddress(i));
-            ObjectNode top = (ObjectNode) JSON.readTree(ProxyConfiguration.toJson(plan.experiment(), proxy,
-                LoopbackAddresses.hostAndPort(proxy.listenAddress()), LoopbackAddresses.hostAndPort(proxy.consoleAddress()), world.discoveryAddress(i),
-                plan.seed() + i, world.backendListFor(i, true), null, null));
-            top.put("peer_listen", LoopbackAddresses.hostAndPort(peers.get(proxy.name())));
-            top.set("peers", JSON.valueToTree(addresses));
-            kind.configure(top, layout);
-            proxy.start(top.toString(), Map.of("PROXY_LISTEN", LoopbackAddresses.hostAndPort(proxy.listenAddress()),
-                "PROXY_CONSOLE", LoopbackAddresses.hostAndPort(proxy.consoleAddress()), "PROXY_DISCOVERY", world.discoveryAddress(i)),
+        Map<String, String> addressTexts = new LinkedHashMap<>();
+        memberAddresses.forEach((name, address) -> addressTexts.put(name,
+            LoopbackAddresses.hostAndPort(address)));
+        for (ProxyProcess proxy : proxies) {
+            int index = proxy.index();
+            proxy.setConsoleAddress(LoopbackAddresses.freeConsoleAddress(index));
+            ObjectNode settings = (ObjectNode) JSON.readTree(ProxyConfiguration.toJson(plan.experiment(),
+                proxy,
+                LoopbackAddresses.hostAndPort(proxy.listenAddress()),
+                LoopbackAddresses.hostAndPort(proxy.consoleAddress()), emulator.discoveryAddress(index),
+                plan.seed() + index, emulator.backendListFor(index, true), null, null));
+            settings.put("peer_listen", LoopbackAddresses.hostAndPort(peerAddresses.get(proxy.name())));
+            settings.set("peers", JSON.valueToTree(addressTexts));
+            variant.addSettings(settings, layout);
+            proxy.start(settings.toString(), Map.of("PROXY_LISTEN",
+                LoopbackAddresses.hostAndPort(proxy.listenAddress()),
+                "PROXY_CONSOLE", LoopbackAddresses.hostAndPort(proxy.consoleAddress()), "PROXY_DISCOVERY",
+                emulator.discoveryAddress(index)),
                 false);
         }
     }
 
-    List<Said> said() {
-        List<Said> result = new ArrayList<>();
-        for (ProxyProcess proxy : all) {
-            Map<String, String> words = new LinkedHashMap<>();
+    List<MembersReply> queryMembers() {
+        List<MembersReply> replies = new ArrayList<>();
+        for (ProxyProcess proxy : proxies) {
+            Map<String, String> values = new LinkedHashMap<>();
             List<String> lines = ConsoleClient.call(proxy.consoleAddress(), "MEMBERS");
-            Matcher matcher = WORD.matcher(lines.isEmpty() || !lines.get(0).startsWith("200") ? ""
+            Matcher matcher = KEY_VALUE.matcher(lines.isEmpty() || !lines.get(0).startsWith("200") ? ""
                 : lines.get(0));
             while (matcher.find()) {
-                words.put(matcher.group(1), matcher.group(2));
+                values.put(matcher.group(1), matcher.group(2));
             }
-            result.add(new Said(proxy.name(), words));
+            replies.add(new MembersReply(proxy.name(), values));
         }
-        return result;
+        return replies;
     }
 
     /** Null, or which has ended though nobody told it to. */
-    String crashed() {
-        return all.stream().filter(one -> one.crashDescription() != null).map(one -> one.name() + ": " + one.crashDescription())
+    String crashReport() {
+        return proxies.stream().filter(proxy -> proxy.crashDescription() != null)
+            .map(proxy -> proxy.name() + ": " + proxy.crashDescription())
             .findFirst().orElse(null);
     }
 
     /** KiB that each holds, the most of all. */
-    long residentKib() {
-        return all.stream().mapToLong(one -> one.sampleUsage().residentKib()).max().orElse(0);
+    long maxResidentKib() {
+        return proxies.stream().mapToLong(proxy -> proxy.sampleUsage().residentKib()).max().orElse(0);
     }
 
     /** Seconds of processor time of all together, since their starts. */
     double cpuSeconds() {
-        return all.stream().mapToDouble(one -> {
-            one.sampleUsage();
-            return one.cpuSeconds();
+        return proxies.stream().mapToDouble(proxy -> {
+            proxy.sampleUsage();
+            return proxy.cpuSeconds();
         }).sum();
     }
 
     int count() {
-        return all.size();
+        return proxies.size();
     }
 
     @Override
     public void close() throws IOException {
-        for (ProxyProcess proxy : all) {
+        for (ProxyProcess proxy : proxies) {
             proxy.signal("KILL");
         }
-        for (ProxyProcess proxy : all) {
+        for (ProxyProcess proxy : proxies) {
             proxy.awaitExit(5_000);
         }
-        net.close();
-        leftovers.deleteOwnList();
+        network.close();
+        childProcesses.deleteOwnList();
     }
 }
--- a/lab/src/main/java/dockrelay/lab/scale/members/Scenario.java
+++ b/lab/src/main/java/dockrelay/lab/scale/members/Scenario.java
@@ -17,205 +17,221 @@
     /** What the members hold; nothing else may run in this JVM meanwhile. */
     HEAP {
         @Override
-        void play(Play play, Figures figures) {
-            VirtualFleet[] fleet = {play.started(play.time("warm") / 2)};
-            int members = fleet[0].count();
-            long with = heap();
+        void play(ScenarioPlay play, Figures figures) {
+            VirtualFleet[] fleet = {play.startedFleet(play.durationMicros("warm") / 2)};
+            int memberCount = fleet[0].memberCount();
+            long heapWithFleet = usedHeapBytes();
             fleet[0] = null; // what is loaded and kept once is in both
-            figures.add("heap of a member", "kB", (with - heap()) / 1e3 / members);
+            figures.add("heap of a member", "kB", (heapWithFleet - usedHeapBytes()) / 1e3 / memberCount);
         }
     },
     /** Nothing at all: what it costs, and what of a budget is given out. */
     QUIET {
         @Override
-        void play(Play play, Figures figures) {
-            VirtualFleet fleet = play.warm(0);
-            int n = fleet.count();
+        void play(ScenarioPlay play, Figures figures) {
+            VirtualFleet fleet = play.warmedUpFleet(0);
+            int memberCount = fleet.memberCount();
             ThreadMXBean threads = ManagementFactory.getThreadMXBean();
-            long cpu = threads.getCurrentThreadCpuTime(), span = play.time("quiet");
-            fleet.runUntil(fleet.now() + span);
-            double seconds = (double) span / VirtualFleet.SECOND;
+            long cpuNanosBefore = threads.getCurrentThreadCpuTime(),
+                durationMicros = play.durationMicros("quiet");
+            fleet.runUntil(fleet.now() + durationMicros);
+            double seconds = (double) durationMicros / VirtualFleet.MICROS_PER_SECOND;
             figures.add("processor of a member, with the virtual network's", "% of a core",
-                (threads.getCurrentThreadCpuTime() - cpu) / 1e9 / seconds / n * 100);
-            for (boolean sent : new boolean[] {true, false}) {
-                Traffic way = sent ? fleet.out : fleet.in;
-                String what = sent ? "bytes sent" : "bytes received";
-                figures.add(what + ", mean of all members", "B/s", way.bytes() / seconds / n);
-                figures.add(what + ", busiest member", "B/s", way.mostOfOne() / seconds);
-                figures.add(what + ", most in any 10 s", "B/s", way.mostInTenSeconds());
+                (threads.getCurrentThreadCpuTime() - cpuNanosBefore) / 1e9 / seconds / memberCount * 100);
+            for (boolean outbound : new boolean[] {true, false}) {
+                Traffic traffic = outbound ? fleet.sentTraffic : fleet.receivedTraffic;
+                String label = outbound ? "bytes sent" : "bytes received";
+                figures.add(label + ", mean of all members", "B/s",
+                    traffic.totalBytes() / seconds / memberCount);
+                figures.add(label + ", busiest member", "B/s", traffic.maxMemberBytes() / seconds);
+                figures.add(label + ", most in any 10 s", "B/s", traffic.peakBytesPerSecond());
             }
-            figures.add("datagrams sent by a member", "1/s", fleet.out.datagrams() / seconds / n);
-            figures.add("longest datagram", "B", fleet.longest());
-            double least = Double.MAX_VALUE, sum = 0;
-            for (int look = 0; look < LOOKS; look++) {
-                fleet.runUntil(fleet.now() + VirtualFleet.SECOND / 2);
-                double shares = 0;
-                for (int i = 0; i < n; i++) {
-                    shares += fleet.standing(i).budgetShare();
+            figures.add("datagrams sent by a member", "1/s",
+                fleet.sentTraffic.totalDatagrams() / seconds / memberCount);
+            figures.add("longest datagram", "B", fleet.longestDatagramBytes());
+            double minTotalShare = Double.MAX_VALUE, shareSum = 0;
+            for (int sample = 0; sample < SAMPLES; sample++) {
+                fleet.runUntil(fleet.now() + VirtualFleet.MICROS_PER_SECOND / 2);
+                double totalShare = 0;
+                for (int i = 0; i < memberCount; i++) {
+                    totalShare += fleet.snapshot(i).budgetShare();
                 }
-                least = Math.min(least, shares);
-                sum += shares;
+                minTotalShare = Math.min(minTotalShare, totalShare);
+                shareSum += totalShare;
             }
-            figures.add("share of a budget given out on a quiet day, mean", "share", sum / LOOKS);
-            figures.add("share of a budget given out on a quiet day, least", "share", least);
-            Watch watch = new Watch(fleet, 2 * VirtualFleet.SECOND, true, i -> true,
-                i -> settled(fleet, i, n));
-            fleet.runUntil(fleet.now() + 3 * VirtualFleet.SECOND);
-            figures.add("members that know that all agree on a quiet day", "share", 1 - (double) watch
-                .unsettled() / n);
+            figures.add("share of a budget given out on a quiet day, mean", "share", shareSum / SAMPLES);
+            figures.add("share of a budget given out on a quiet day, least", "share", minTotalShare);
+            ConvergenceSampler sampler = new ConvergenceSampler(fleet, 2 * VirtualFleet.MICROS_PER_SECOND,
+                true, i -> true,
+                i -> agreesOnCount(fleet, i, memberCount));
+            fleet.runUntil(fleet.now() + 3 * VirtualFleet.MICROS_PER_SECOND);
+            figures.add("members that know that all agree on a quiet day", "share", 1 - (double) sampler
+                .unconvergedCount() / memberCount);
             figures.add("false deaths on a quiet day", "deaths", fleet.falseDeaths());
         }
     },
     /** Single ones die, one after the other. */
     DEATHS {
         @Override
-        void play(Play play, Figures figures) {
-            VirtualFleet fleet = play.warm(0);
-            List<Double> inGroup = new ArrayList<>(), byAll = new ArrayList<>();
-            int missed = 0, never = 0, count = play.count("deaths");
-            for (int death = 0; death < count; death++) {
-                int victim = any(fleet);
-                long at = fleet.now();
-                int group = play.group(victim, fleet);
-                Set<Integer> hearing = new HashSet<>();
-                for (int i = 0; i < fleet.count(); i++) {
-                    if (i != victim && fleet.lives(i) && play.group(i, fleet) == group) {
-                        hearing.add(i);
+        void play(ScenarioPlay play, Figures figures) {
+            VirtualFleet fleet = play.warmedUpFleet(0);
+            List<Double> groupDetectionSeconds = new ArrayList<>(), fleetDetectionSeconds = new ArrayList<>();
+            int undetected = 0, unconverged = 0, deathCount = play.count("deaths");
+            for (int death = 0; death < deathCount; death++) {
+                int victim = randomMember(fleet);
+                long killedAt = fleet.now();
+                int group = play.groupOf(victim, fleet);
+                Set<Integer> unaware = new HashSet<>();
+                for (int i = 0; i < fleet.memberCount(); i++) {
+                    if (i != victim && fleet.isRunning(i) && play.groupOf(i, fleet) == group) {
+                        unaware.add(i);
                     }
                 }
-                fleet.tellDeaths((observer, member, now) -> {
-                    if (member == victim && hearing.remove(observer)) {
-                        inGroup.add((double) (now - at) / VirtualFleet.SECOND);
+                fleet.setDeathListener((observer, member, now) -> {
+                    if (member == victim && unaware.remove(observer)) {
+                        groupDetectionSeconds.add((double) (now - killedAt) / VirtualFleet.MICROS_PER_SECOND);
                     }
                 });
                 fleet.kill(victim);
-                int live = living(fleet);
-                Watch watch = new Watch(fleet, play.time("gap"), true, i -> true,
-                    i -> fleet.standing(i).countedMembers() == live);
-                fleet.runUntil(at + play.time("gap"));
-                missed += hearing.size();
-                byAll.addAll(watch.times());
-                never += watch.unsettled();
+                int expectedCount = runningCount(fleet);
+                ConvergenceSampler sampler = new ConvergenceSampler(fleet, play.durationMicros("gap"), true,
+                    i -> true,
+                    i -> fleet.snapshot(i).countedMembers() == expectedCount);
+                fleet.runUntil(killedAt + play.durationMicros("gap"));
+                undetected += unaware.size();
+                fleetDetectionSeconds.addAll(sampler.convergenceSeconds());
+                unconverged += sampler.unconvergedCount();
             }
-            figures.times("a death, held gone in its group", inGroup, missed);
-            figures.times("a death, counted by all", byAll, never);
+            figures.addTimes("a death, held gone in its group", groupDetectionSeconds, undetected);
+            figures.addTimes("a death, counted by all", fleetDetectionSeconds, unconverged);
         }
     },
     /** A seventh of all, drawn evenly. */
     SEVENTH {
         @Override
-        void play(Play play, Figures figures) {
-            VirtualFleet fleet = play.warm(0);
-            List<Integer> all = drawn(fleet);
-            lose(play, fleet, figures, new HashSet<>(all.subList(0, all.size() / 7)), "a seventh lost");
+        void play(ScenarioPlay play, Figures figures) {
+            VirtualFleet fleet = play.warmedUpFleet(0);
+            List<Integer> shuffled = shuffledRunning(fleet);
+            killAndMeasure(play, fleet, figures, new HashSet<>(shuffled.subList(0, shuffled.size() / 7)),
+                "a seventh lost");
         }
     },
     /** The zone that has a seventh of all. */
     ZONE {
         @Override
-        void play(Play play, Figures figures) {
-            VirtualFleet fleet = play.warm(0);
+        void play(ScenarioPlay play, Figures figures) {
+            VirtualFleet fleet = play.warmedUpFleet(0);
             Set<Integer> victims = new HashSet<>();
-            for (int i = 0; i < fleet.count(); i++) {
-                if (Layout.zone(fleet.name(i)).equals(Layout.SEVENTH)) {
+            for (int i = 0; i < fleet.memberCount(); i++) {
+                if (Layout.zoneOf(fleet.nameOf(i)).equals(Layout.SEVENTH_ZONE)) {
                     victims.add(i);
                 }
             }
-            lose(play, fleet, figures, victims, "a zone lost");
+            killAndMeasure(play, fleet, figures, victims, "a zone lost");
         }
     },
     /** A region is cut off from the others, and comes back. */
     REGION {
         @Override
-        void play(Play play, Figures figures) {
-            VirtualFleet fleet = play.warm(0);
-            int n = fleet.count();
-            Set<Integer> off = new HashSet<>();
-            for (int i = 0; i < n; i++) {
-                if (Layout.region(fleet.name(i)).equals(Layout.REGION)) {
-                    fleet.side(i, 1);
-                    off.add(i);
+        void play(ScenarioPlay play, Figures figures) {
+            VirtualFleet fleet = play.warmedUpFleet(0);
+            int memberCount = fleet.memberCount();
+            Set<Integer> isolated = new HashSet<>();
+            for (int i = 0; i < memberCount; i++) {
+                if (Layout.regionOf(fleet.nameOf(i)).equals(Layout.CUT_OFF_REGION)) {
+                    fleet.setPartition(i, 1);
+                    isolated.add(i);
                 }
             }
-            long cut = play.time("cut_for");
-            Watch away = new Watch(fleet, Math.min(cut, play.time("look")), true, i -> !off.contains(i),
-                i -> fleet.standing(i).countedMembers() == n - off.size());
-            fleet.runUntil(fleet.now() + cut);
-            figures.times("a region cut off, counted by all others", away.times(), away.unsettled());
-            off.forEach(i -> fleet.side(i, 0));
-            Watch back = new Watch(fleet, play.time("look"), true, i -> true, i -> settled(fleet, i, n));
-            fleet.runUntil(fleet.now() + play.time("look"));
-            figures.times("a region back, all agree", back.times(), back.unsettled());
-            most(fleet, figures, "a region cut off and back");
+            long partitionMicros = play.durationMicros("cut_for");
+            ConvergenceSampler partitionSampler = new ConvergenceSampler(fleet,
+                Math.min(partitionMicros, play.durationMicros("look")), true, i -> !isolated.contains(i),
+                i -> fleet.snapshot(i).countedMembers() == memberCount - isolated.size());
+            fleet.runUntil(fleet.now() + partitionMicros);
+            figures.addTimes("a region cut off, counted by all others", partitionSampler.convergenceSeconds(),
+                partitionSampler.unconvergedCount());
+            isolated.forEach(i -> fleet.setPartition(i, 0));
+            ConvergenceSampler returnSampler = new ConvergenceSampler(fleet, play.durationMicros("look"),
+                true, i -> true, i -> agreesOnCount(fleet, i, memberCount));
+            fleet.runUntil(fleet.now() + play.durationMicros("look"));
+            figures.addTimes("a region back, all agree", returnSampler.convergenceSeconds(),
+                returnSampler.unconvergedCount());
+            addPeakTraffic(fleet, figures, "a region cut off and back");
         }
     },
     /** One datagram in a hundred is lost, and nobody dies. */
     LOSS {
         @Override
-        void play(Play play, Figures figures) {
-            VirtualFleet fleet = play.warm(0);
-            fleet.lose(LOSS_SHARE);
-            long lasts = Math.min(play.time("loss_for"), play.time("loss_member_minutes") * 60
-                * VirtualFleet.SECOND / fleet.count());
-            long before = fleet.falseDeaths();
-            fleet.runUntil(fleet.now() + lasts);
-            figures.add("false deaths at 1% loss", "deaths", fleet.falseDeaths() - before);
-            figures.add("member-minutes at 1% loss", "min", (double) lasts / VirtualFleet.SECOND / 60
-                * fleet.count());
-            most(fleet, figures, "1% loss");
+        void play(ScenarioPlay play, Figures figures) {
+            VirtualFleet fleet = play.warmedUpFleet(0);
+            fleet.setLossProbability(LOSS_PROBABILITY);
+            long durationMicros = Math.min(play.durationMicros("loss_for"),
+                play.durationMicros("loss_member_minutes") * 60
+                * VirtualFleet.MICROS_PER_SECOND / fleet.memberCount());
+            long deathsBefore = fleet.falseDeaths();
+            fleet.runUntil(fleet.now() + durationMicros);
+            figures.add("false deaths at 1% loss", "deaths", fleet.falseDeaths() - deathsBefore);
+            figures.add("member-minutes at 1% loss", "min",
+                (double) durationMicros / VirtualFleet.MICROS_PER_SECOND / 60
+                * fleet.memberCount());
+            addPeakTraffic(fleet, figures, "1% loss");
         }
     },
     /** Restarts as on any day, a rack dies, the list changes, and the rack comes back. */
     BUSY {
         @Override
-        void play(Play play, Figures figures) {
-            new BusyDay(play, play.warm(BusyDay.CHANGED), figures).run();
+        void play(ScenarioPlay play, Figures figures) {
+            new BusyDay(play, play.warmedUpFleet(BusyDay.CHANGED_NAMES), figures).run();
         }
     };
 
-    private static final int LOOKS = 10;
-    private static final double LOSS_SHARE = 0.01;
+    private static final int SAMPLES = 10;
+    private static final double LOSS_PROBABILITY = 0.01;
 
-    abstract void play(Play play, Figures figures);
+    abstract void play(ScenarioPlay play, Figures figures);
 
-    String word() {
+    String key() {
         return name().toLowerCase(Locale.ROOT);
     }
 
-    private static void lose(Play play, VirtualFleet fleet, Figures figures, Set<Integer> victims,
-                             String what) {
+    private static void killAndMeasure(ScenarioPlay play, VirtualFleet fleet, Figures figures,
+        Set<Integer> victims,
+                             String label) {
         victims.forEach(fleet::kill);
-        int live = living(fleet);
-        Watch watch = new Watch(fleet, play.time("look"), true, i -> true,
-            i -> fleet.standing(i).countedMembers() == live);
-        fleet.runUntil(fleet.now() + play.time("look"));
-        figures.times(what + ", counted by all", watch.times(), watch.unsettled());
-        most(fleet, figures, what);
+        int expectedCount = runningCount(fleet);
+        ConvergenceSampler sampler = new ConvergenceSampler(fleet, play.durationMicros("look"), true,
+            i -> true,
+            i -> fleet.snapshot(i).countedMembers() == expectedCount);
+        fleet.runUntil(fleet.now() + play.durationMicros("look"));
+        figures.addTimes(label + ", counted by all", sampler.convergenceSeconds(),
+            sampler.unconvergedCount());
+        addPeakTraffic(fleet, figures, label);
     }
 
-    static void most(VirtualFleet fleet, Figures figures, String what) {
-        figures.add("bytes sent, most in any 10 s, " + what, "B/s", fleet.out.mostInTenSeconds());
-        figures.add("bytes received, most in any 10 s, " + what, "B/s", fleet.in.mostInTenSeconds());
+    static void addPeakTraffic(VirtualFleet fleet, Figures figures, String label) {
+        figures.add("bytes sent, most in any 10 s, " + label, "B/s", fleet.sentTraffic.peakBytesPerSecond());
+        figures.add("bytes received, most in any 10 s, " + label, "B/s",
+            fleet.receivedTraffic.peakBytesPerSecond());
     }
 
-    static boolean settled(VirtualFleet fleet, int member, int count) {
-        MembershipSnapshot standing = fleet.standing(member);
-        return standing.agreement() == Agreement.ALL && standing.countedMembers() == count;
+    static boolean agreesOnCount(VirtualFleet fleet, int member, int count) {
+        MembershipSnapshot snapshot = fleet.snapshot(member);
+        return snapshot.agreement() == Agreement.ALL && snapshot.countedMembers() == count;
     }
 
-    static int living(VirtualFleet fleet) {
+    static int runningCount(VirtualFleet fleet) {
         int result = 0;
-        for (int i = 0; i < fleet.count(); i++) {
-            result += fleet.lives(i) ? 1 : 0;
+        for (int i = 0; i < fleet.memberCount(); i++) {
+            result += fleet.isRunning(i) ? 1 : 0;
         }
         return result;
     }
 
     /** Those that live, in an order that the seed draws. */
-    static List<Integer> drawn(VirtualFleet fleet) {
+    static List<Integer> shuffledRunning(VirtualFleet fleet) {
         List<Integer> result = new ArrayList<>();
-        for (int i = 0; i < fleet.count(); i++) {
-            if (fleet.lives(i)) {
+        for (int i = 0; i < fleet.memberCount(); i++) {
+            if (fleet.isRunning(i)) {
                 result.add(i);
             }
         }
@@ -224,12 +240,12 @@
         return result;
     }
 
-    private static int any(VirtualFleet fleet) {
-        return drawn(fleet).get(0);
+    private static int randomMember(VirtualFleet fleet) {
+        return shuffledRunning(fleet).get(0);
     }
 
     /** What is held after all that nobody needs is gone. */
-    private static long heap() {
+    private static long usedHeapBytes() {
         for (int i = 0; i < 3; i++) {
             System.gc();
         }
--- a/lab/src/main/java/dockrelay/lab/scale/members/Traffic.java
+++ b/lab/src/main/java/dockrelay/lab/scale/members/Traffic.java
@@ -5,81 +5,81 @@
  * member is added to by one thread; another one may end the seconds, and what falls just between is lost.
  */
 final class Traffic {
-    private static final int SECONDS = 10;
+    private static final int WINDOW_SECONDS = 10;
 
-    private final long[][] lastSeconds;
-    private final long[] bytes, most, datagrams;
-    private volatile int second;
+    private final long[][] bytesBySecond;
+    private final long[] totalBytes, peakWindowBytes, datagramCounts;
+    private volatile int currentSecond;
 
-    Traffic(int members) {
-        lastSeconds = new long[members][SECONDS];
-        bytes = new long[members];
-        most = new long[members];
-        datagrams = new long[members];
+    Traffic(int memberCount) {
+        bytesBySecond = new long[memberCount][WINDOW_SECONDS];
+        totalBytes = new long[memberCount];
+        peakWindowBytes = new long[memberCount];
+        datagramCounts = new long[memberCount];
     }
 
-    void add(int member, int length) {
-        bytes[member] += length;
-        lastSeconds[member][second % SECONDS] += length;
-        datagrams[member]++;
+    void record(int member, int lengthBytes) {
+        totalBytes[member] += lengthBytes;
+        bytesBySecond[member][currentSecond % WINDOW_SECONDS] += lengthBytes;
+        datagramCounts[member]++;
     }
 
     /** A second is over. */
-    void roll() {
-        second = second + 1; // by one thread only
-        for (int i = 0; i < bytes.length; i++) {
-            if (second >= SECONDS) {
-                long sum = 0;
-                for (long one : lastSeconds[i]) {
-                    sum += one;
+    void endSecond() {
+        currentSecond = currentSecond + 1; // by one thread only
+        for (int i = 0; i < totalBytes.length; i++) {
+            if (currentSecond >= WINDOW_SECONDS) {
+                long windowBytes = 0;
+                for (long bytes : bytesBySecond[i]) {
+                    windowBytes += bytes;
                 }
-                most[i] = Math.max(most[i], sum);
+                peakWindowBytes[i] = Math.max(peakWindowBytes[i], windowBytes);
             }
-            lastSeconds[i][second % SECONDS] = 0;
+            bytesBySecond[i][currentSecond % WINDOW_SECONDS] = 0;
         }
     }
 
     /** Counts from here on anew. */
-    void clear() {
-        second = 0;
-        for (int i = 0; i < bytes.length; i++) {
-            bytes[i] = 0;
-            datagrams[i] = 0;
-            most[i] = 0;
-            java.util.Arrays.fill(lastSeconds[i], 0);
+    void reset() {
+        currentSecond = 0;
+        for (int i = 0; i < totalBytes.length; i++) {
+            totalBytes[i] = 0;
+            datagramCounts[i] = 0;
+            peakWindowBytes[i] = 0;
+            java.util.Arrays.fill(bytesBySecond[i], 0);
         }
     }
 
-    long datagrams() {
-        return sum(datagrams);
+    long totalDatagrams() {
+        return sum(datagramCounts);
     }
 
-    long bytes() {
-        return sum(bytes);
+    long totalBytes() {
+        return sum(totalBytes);
     }
 
-    private static long sum(long[] each) {
+    private static long sum(long[] values) {
         long sum = 0;
-        for (long one : each) {
-            sum += one;
+        for (long value : values) {
+            sum += value;
         }
         return sum;
     }
 
-    long mostOfOne() {
+    long maxMemberBytes() {
         long result = 0;
-        for (long one : bytes) {
-            result = Math.max(result, one);
+        for (long bytes : totalBytes) {
+            result = Math.max(result, bytes);
         }
         return result;
     }
 
     /** Bytes a second of the member that had the most in any ten seconds. */
-    double mostInTenSeconds() {
+    double peakBytesPerSecond() {
         long result = 0;
-        for (long one : most) {
-            result = Math.max(result, one);
+        for (long windowBytes : peakWindowBytes) {
+            result = Math.max(result, windowBytes);
         }
-        return (double) result / SECONDS;
+        return (double) result / WINDOW_SECONDS;
     }
 }
--- a/lab/src/main/java/dockrelay/lab/scale/members/VirtualFleet.java
+++ b/lab/src/main/java/dockrelay/lab/scale/members/VirtualFleet.java
@@ -16,166 +16,173 @@
  * takes longer the more members there are, so what a run takes is what the machines take.
  */
 final class VirtualFleet {
-    static final long MILLI = 1_000, SECOND = 1_000_000;
+    static final long MICROS_PER_MILLI = 1_000, MICROS_PER_SECOND = 1_000_000;
     /** One way within a zone, to another zone of the region, to another region; and what is drawn on top. */
-    private static final long BESIDE = 300, ZONE = 800, REGION = 12 * MILLI, JITTER = 2 * MILLI;
+    private static final long SAME_ZONE_LATENCY_MICROS = 300, SAME_REGION_LATENCY_MICROS = 800,
+        CROSS_REGION_LATENCY_MICROS = 12 * MICROS_PER_MILLI, MAX_JITTER_MICROS = 2 * MICROS_PER_MILLI;
     /** Who has just started is not told dead by others falsely: they may speak of the process before. */
-    private static final long NEW = 3 * SECOND;
-    private static final double RATES = 0.02;
-    private static final long OFFSETS = 1_000_000_000L;
-    private static final long STEP_OF_INCARNATION = 1_000;
+    private static final long RESTART_GRACE_MICROS = 3 * MICROS_PER_SECOND;
+    private static final double CLOCK_RATE_SPREAD = 0.02;
+    private static final long MAX_CLOCK_OFFSET_MICROS = 1_000_000_000L;
+    private static final long INCARNATION_STEP = 1_000;
 
     /** Told of a member that another one holds gone. */
-    interface Deaths {
-        void gone(int observer, int member, long now);
+    interface DeathListener {
+        void memberGone(int observer, int member, long now);
     }
 
-    private enum Sort { WAKE, DATAGRAM, ACTION }
+    private enum EventType { WAKE_UP, DATAGRAM, ACTION }
 
     private static final class Event {
-        final long at, order;
-        final Sort sort;
+        final long timeMicros, sequence;
+        final EventType type;
         final Process process;
-        final int from;
-        final byte[] bytes;
+        final int sender;
+        final byte[] payload;
         final Runnable action;
 
-        Event(long at, long order, Sort sort, Process process, int from, byte[] bytes, Runnable action) {
-            this.at = at;
-            this.order = order;
-            this.sort = sort;
+        Event(long timeMicros, long sequence, EventType type, Process process, int sender, byte[] payload,
+            Runnable action) {
+            this.timeMicros = timeMicros;
+            this.sequence = sequence;
+            this.type = type;
             this.process = process;
-            this.from = from;
-            this.bytes = bytes;
+            this.sender = sender;
+            this.payload = payload;
             this.action = action;
         }
     }
 
     /** One process of a name, with a clock of its own. */
-    private final class Process implements HollowMachine.Actions {
+    private final class Process implements HollowStateMachine.Callbacks {
         final int index;
-        final double rate = 1 + (random.nextDouble() - 0.5) * RATES;
-        final long offset = (long) (random.nextDouble() * OFFSETS), startedAt = now, first;
-        final HollowMachine machine;
-        long wakeAt = Long.MAX_VALUE;
+        final double clockRate = 1 + (random.nextDouble() - 0.5) * CLOCK_RATE_SPREAD;
+        final long clockOffsetMicros = (long) (random.nextDouble() * MAX_CLOCK_OFFSET_MICROS),
+            startedAt = now, firstIncarnation;
+        final HollowStateMachine stateMachine;
+        long wakeUpAt = Long.MAX_VALUE;
 
         Process(int index, Layout layout) {
             this.index = index;
-            this.first = incarnations[index] += STEP_OF_INCARNATION;
-            this.machine = maker.make(name(index), layout, first, new Random(random.nextLong()), this,
-                local());
+            this.firstIncarnation = firstIncarnations[index] += INCARNATION_STEP;
+            this.stateMachine = factory.create(nameOf(index), layout, firstIncarnation,
+                new Random(random.nextLong()), this,
+                localTime());
         }
 
-        long local() {
-            return offset + (long) (now * rate);
+        long localTime() {
+            return clockOffsetMicros + (long) (now * clockRate);
         }
 
         /** Sees to it that it wakes when it wants to; an earlier wake that is due already does for it. */
-        void schedule() {
+        void scheduleWakeUp() {
             // One on: rounded down, its own clock must not stand just before the time that it waits for.
-            long at = Math.max(now, (long) Math.ceil((machine.nextAt() - offset) / rate) + 1);
-            if (at < wakeAt) {
-                wakeAt = at;
-                events.add(new Event(at, order++, Sort.WAKE, this, 0, null, null));
+            long scheduledAt = Math.max(now,
+                (long) Math.ceil((stateMachine.nextTickAt() - clockOffsetMicros) / clockRate) + 1);
+            if (scheduledAt < wakeUpAt) {
+                wakeUpAt = scheduledAt;
+                events.add(new Event(scheduledAt, nextSequence++, EventType.WAKE_UP, this, 0, null, null));
             }
         }
 
-        void wake(long at) {
-            if (at != wakeAt) {
+        void wakeUp(long scheduledAt) {
+            if (scheduledAt != wakeUpAt) {
                 return;
             }
-            wakeAt = Long.MAX_VALUE;
-            if (machine.nextAt() <= local()) { // else a datagram has moved it meanwhile
-                machine.tick(local());
+            wakeUpAt = Long.MAX_VALUE;
+            if (stateMachine.nextTickAt() <= localTime()) { // else a datagram has moved it meanwhile
+                stateMachine.tick(localTime());
             }
-            schedule();
+            scheduleWakeUp();
         }
 
         @Override
-        public void send(String to, ByteBuffer datagram) {
-            byte[] bytes = new byte[datagram.remaining()];
-            datagram.get(bytes);
-            out.add(index, bytes.length);
-            longest = Math.max(longest, bytes.length);
-            Integer target = indexes.get(to);
-            if (target != null) {
-                pass(index, target, bytes);
+        public void send(String receiver, ByteBuffer datagram) {
+            byte[] payload = new byte[datagram.remaining()];
+            datagram.get(payload);
+            sentTraffic.record(index, payload.length);
+            longestDatagramBytes = Math.max(longestDatagramBytes, payload.length);
+            Integer receiverIndex = indexByName.get(receiver);
+            if (receiverIndex != null) {
+                deliver(index, receiverIndex, payload);
             }
         }
 
         @Override
-        public void changed(MemberStateChange change) {
-            Integer of = change.newState() == MemberState.GONE ? indexes.get(change.member()) : null;
-            if (of == null) {
+        public void memberChanged(MemberStateChange change) {
+            Integer goneIndex = change.newState() == MemberState.GONE ? indexByName.get(change.member())
+                : null;
+            if (goneIndex == null) {
                 return;
             }
-            Process process = processes[of];
-            if (process != null && change.incarnation() >= process.first && now - process.startedAt > NEW
-                && side[of] == side[index]) {
+            Process process = processes[goneIndex];
+            if (process != null && change.incarnation() >= process.firstIncarnation
+                && now - process.startedAt > RESTART_GRACE_MICROS
+                && partitionIds[goneIndex] == partitionIds[index]) {
                 falseDeaths++;
             }
-            if (deaths != null) {
-                deaths.gone(index, of, now);
+            if (deathListener != null) {
+                deathListener.memberGone(index, goneIndex, now);
             }
         }
     }
 
     final Random random;
-    private final HollowMachine.Maker maker;
-    private final Map<String, Integer> indexes = new HashMap<>();
+    private final HollowStateMachine.Factory factory;
+    private final Map<String, Integer> indexByName = new HashMap<>();
     private final List<String> names = new ArrayList<>();
-    private final PriorityQueue<Event> events = new PriorityQueue<>((a, b) -> a.at != b.at
-        ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
+    private final PriorityQueue<Event> events = new PriorityQueue<>((a, b) -> a.timeMicros != b.timeMicros
+        ? Long.compare(a.timeMicros, b.timeMicros) : Long.compare(a.sequence, b.sequence));
     private final Process[] processes;
-    private final long[] incarnations;
-    private final int[] side, zone, region;
-    final Traffic out, in;
-    private Deaths deaths;
-    private double loss;
-    private long now, order, falseDeaths, steps;
-    private int longest;
+    private final long[] firstIncarnations;
+    private final int[] partitionIds, zoneIds, regionIds;
+    final Traffic sentTraffic, receivedTraffic;
+    private DeathListener deathListener;
+    private double lossProbability;
+    private long now, nextSequence, falseDeaths, handledEvents;
+    private int longestDatagramBytes;
 
     /** Room is left for names that come later. */
-    VirtualFleet(HollowMachine.Maker maker, Layout layout, int room, long seed) {
-        this.maker = maker;
+    VirtualFleet(HollowStateMachine.Factory factory, Layout layout, int spareNames, long seed) {
+        this.factory = factory;
         this.random = new Random(seed);
-        int most = layout.size() + room;
-        processes = new Process[most];
-        incarnations = new long[most];
-        side = new int[most];
-        zone = new int[most];
-        region = new int[most];
-        out = new Traffic(most);
-        in = new Traffic(most);
-        layout.names().forEach(this::add);
-        tellSeconds();
+        int capacity = layout.size() + spareNames;
+        processes = new Process[capacity];
+        firstIncarnations = new long[capacity];
+        partitionIds = new int[capacity];
+        zoneIds = new int[capacity];
+        regionIds = new int[capacity];
+        sentTraffic = new Traffic(capacity);
+        receivedTraffic = new Traffic(capacity);
+        layout.names().forEach(this::addName);
+        endTrafficSeconds();
     }
 
-    private void tellSeconds() {
-        out.roll();
-        in.roll();
-        later(SECOND, this::tellSeconds);
+    private void endTrafficSeconds() {
+        sentTraffic.endSecond();
+        receivedTraffic.endSecond();
+        runAfter(MICROS_PER_SECOND, this::endTrafficSeconds);
     }
 
     /** A name has an address from here on. */
-    int add(String name) {
+    int addName(String name) {
         int index = names.size();
         names.add(name);
-        indexes.put(name, index);
-        zone[index] = Layout.zone(name).hashCode();
-        region[index] = Layout.region(name).hashCode();
+        indexByName.put(name, index);
+        zoneIds[index] = Layout.zoneOf(name).hashCode();
+        regionIds[index] = Layout.regionOf(name).hashCode();
         return index;
     }
 
-    int index(String name) {
-        return indexes.get(name);
+    int indexOf(String name) {
+        return indexByName.get(name);
     }
 
-    String name(int index) {
+    String nameOf(int index) {
         return names.get(index);
     }
 
-    int count() {
+    int memberCount() {
         return names.size();
     }
 
@@ -187,31 +194,31 @@
         return falseDeaths;
     }
 
-    int longest() {
-        return longest;
+    int longestDatagramBytes() {
+        return longestDatagramBytes;
     }
 
     /** Ticks and datagrams that were handled. */
-    long steps() {
-        return steps;
+    long handledEvents() {
+        return handledEvents;
     }
 
-    void lose(double share) {
-        loss = share;
+    void setLossProbability(double probability) {
+        lossProbability = probability;
     }
 
-    void tellDeaths(Deaths to) {
-        deaths = to;
+    void setDeathListener(DeathListener listener) {
+        deathListener = listener;
     }
 
-    void later(long delay, Runnable action) {
-        events.add(new Event(now + delay, order++, Sort.ACTION, null, 0, null, action));
+    void runAfter(long delayMicros, Runnable action) {
+        events.add(new Event(now + delayMicros, nextSequence++, EventType.ACTION, null, 0, null, action));
     }
 
     /** Starts a process, or the next one, of this name. */
     void start(int index, Layout layout) {
         processes[index] = new Process(index, layout);
-        processes[index].schedule();
+        processes[index].scheduleWakeUp();
     }
 
     void startAll(Layout layout) {
@@ -224,69 +231,73 @@
         processes[index] = null;
     }
 
-    boolean lives(int index) {
+    boolean isRunning(int index) {
         return processes[index] != null;
     }
 
     void leave(int index) {
         Process process = processes[index];
-        process.machine.leave(process.local());
-        process.schedule();
+        process.stateMachine.leave(process.localTime());
+        process.scheduleWakeUp();
     }
 
     void configure(int index, Layout layout) {
         Process process = processes[index];
-        process.machine.configure(process.local(), layout);
-        process.schedule();
+        process.stateMachine.configure(process.localTime(), layout);
+        process.scheduleWakeUp();
     }
 
-    MembershipSnapshot standing(int index) {
+    MembershipSnapshot snapshot(int index) {
         Process process = processes[index];
-        return ((HollowMember) process.machine).standing(process.local());
+        return ((HollowMember) process.stateMachine).snapshot(process.localTime());
     }
 
     /** What a process of this name plays; null where none lives. */
-    HollowMachine machine(int index) {
-        return processes[index] == null ? null : processes[index].machine;
+    HollowStateMachine stateMachine(int index) {
+        return processes[index] == null ? null : processes[index].stateMachine;
     }
 
     /** What this process's own clock says. */
-    long local(int index) {
-        return processes[index].local();
+    long localTime(int index) {
+        return processes[index].localTime();
     }
 
     /** Datagrams pass between members of the same side only. */
-    void side(int index, int number) {
-        side[index] = number;
+    void setPartition(int index, int partitionId) {
+        partitionIds[index] = partitionId;
     }
 
-    private void pass(int from, int to, byte[] bytes) {
-        if (side[from] != side[to] || loss > 0 && random.nextDouble() < loss) {
+    private void deliver(int sender, int receiver, byte[] payload) {
+        if (partitionIds[sender] != partitionIds[receiver] || lossProbability > 0
+            && random.nextDouble() < lossProbability) {
             return;
         }
-        long delay = (zone[from] == zone[to] ? BESIDE : region[from] == region[to] ? ZONE : REGION)
-            + (long) (random.nextDouble() * JITTER);
-        events.add(new Event(now + delay, order++, Sort.DATAGRAM, processes[to], from, bytes, null));
+        long delayMicros = (zoneIds[sender] == zoneIds[receiver] ? SAME_ZONE_LATENCY_MICROS
+            : regionIds[sender] == regionIds[receiver] ? SAME_REGION_LATENCY_MICROS
+            : CROSS_REGION_LATENCY_MICROS)
+            + (long) (random.nextDouble() * MAX_JITTER_MICROS);
+        events.add(new Event(now + delayMicros, nextSequence++, EventType.DATAGRAM, processes[receiver],
+            sender, payload, null));
     }
 
-    void runUntil(long end) {
-        while (!events.isEmpty() && events.peek().at <= end) {
+    void runUntil(long endMicros) {
+        while (!events.isEmpty() && events.peek().timeMicros <= endMicros) {
             Event event = events.poll();
-            now = event.at;
-            if (event.sort == Sort.ACTION) {
+            now = event.timeMicros;
+            if (event.type == EventType.ACTION) {
                 event.action.run();
             } else if (event.process != null && processes[event.process.index] == event.process) {
-                steps++;
-                if (event.sort == Sort.WAKE) {
-                    event.process.wake(event.at);
+                handledEvents++;
+                if (event.type == EventType.WAKE_UP) {
+                    event.process.wakeUp(event.timeMicros);
                 } else {
-                    in.add(event.process.index, event.bytes.length);
-                    event.process.machine.receive(event.process.local(), names.get(event.from),
-                        ByteBuffer.wrap(event.bytes));
-                    event.process.schedule();
+                    receivedTraffic.record(event.process.index, event.payload.length);
+                    event.process.stateMachine.receive(event.process.localTime(), names.get(event.sender),
+                        ByteBuffer.wrap(event.payload));
+                    event.process.scheduleWakeUp();
                 }
             }
         }
-        now = end;
+        now = endMicros;
     }
 }
--- a/lab/src/main/java/dockrelay/lab/scale/tenants/Demand.java
+++ b/lab/src/main/java/dockrelay/lab/scale/tenants/Demand.java
@@ -18,37 +18,39 @@
  * a service is a kind, and its backends are those of that kind; a tenant is a tenant, who uses a few routes.
  */
 final class Demand implements OpenLoopGenerator.Workload {
-    static final int TENANTS = 190_000, SERVICES = 2_300, ROUTES = 34_000, PROXIES = 5_700, RATE = 530_000;
+    static final int TENANTS = 190_000, SERVICES = 2_300, ROUTES = 34_000, PROXIES = 5_700,
+        REQUESTS_PER_SECOND = 530_000;
     /** Backends of a service, and routes that a tenant uses. */
-    static final int BACKENDS_EACH = 2, ROUTES_EACH = 3;
+    static final int BACKENDS_PER_SERVICE = 2, ROUTES_PER_TENANT = 3;
     /** A quota is so many times what its tenant asks for on the mean. */
-    private static final double QUOTA = 2;
-    private static final int STEP = 7_919;
+    private static final double QUOTA_RATIO = 2;
+    private static final int ROUTE_STRIDE = 7_919;
 
-    private final int tenants;
+    private final int tenantCount;
     private final List<String> zones;
-    private final Zipf zipf;
-    private final InetSocketAddress proxy;
+    private final Zipf tenantDistribution;
+    private final InetSocketAddress proxyAddress;
     private final double timeoutSeconds;
-    private final Set<Integer> seen = new HashSet<>();
+    private final Set<Integer> activeTenants = new HashSet<>();
 
-    Demand(int tenants, List<String> zones, double skew, InetSocketAddress proxy, double timeoutSeconds) {
-        this.tenants = tenants;
+    Demand(int tenantCount, List<String> zones, double skew, InetSocketAddress proxyAddress,
+        double timeoutSeconds) {
+        this.tenantCount = tenantCount;
         this.zones = zones;
-        this.zipf = new Zipf(tenants, skew);
-        this.proxy = proxy;
+        this.tenantDistribution = new Zipf(tenantCount, skew);
+        this.proxyAddress = proxyAddress;
         this.timeoutSeconds = timeoutSeconds;
     }
 
     /** As many as there are of these at the full size, at this one. */
-    static int part(int all, int tenants) {
-        return Math.max(1, (int) Math.round((double) all * tenants / TENANTS));
+    static int scaled(int fullSize, int tenantCount) {
+        return Math.max(1, (int) Math.round((double) fullSize * tenantCount / TENANTS));
     }
 
     /** A service's name is the kind of its backends. */
-    static List<String> services(int tenants) {
+    static List<String> services(int tenantCount) {
         List<String> result = new ArrayList<>();
-        for (int i = 0; i < part(SERVICES, tenants); i++) {
+        for (int i = 0; i < scaled(SERVICES, tenantCount); i++) {
             result.add("svc-" + i);
         }
         return result;
@@ -56,50 +58,52 @@
 
     /** As JSON. Each route runs where its service has a backend; each third one in one zone alone. */
     String routes() {
-        int services = part(SERVICES, tenants);
-        StringBuilder text = new StringBuilder("[");
-        for (int i = 0; i < part(ROUTES, tenants); i++) {
-            int service = i % services;
+        int serviceCount = scaled(SERVICES, tenantCount);
+        StringBuilder json = new StringBuilder("[");
+        for (int i = 0; i < scaled(ROUTES, tenantCount); i++) {
+            int service = i % serviceCount;
             List<String> runsIn = new ArrayList<>();
-            for (int j = 0; j < (i % 3 == 0 ? 1 : BACKENDS_EACH); j++) {
-                String zone = zones.get((service + j * services) % zones.size());
+            for (int j = 0; j < (i % 3 == 0 ? 1 : BACKENDS_PER_SERVICE); j++) {
+                String zone = zones.get((service + j * serviceCount) % zones.size());
                 if (!runsIn.contains(zone)) {
                     runsIn.add(zone);
                 }
             }
-            text.append(i == 0 ? "" : ",").append(FleetProxyConfig.serviceJson("route-" + i, runsIn,
+            json.append(i == 0 ? "" : ",").append(FleetProxyConfig.serviceJson("route-" + i, runsIn,
                 List.of("svc-" + service)));
         }
-        return text.append(']').toString();
+        return json.append(']').toString();
     }
 
     /** As JSON, each with a quota over what it asks for; the small ones' are a fraction of a request. */
     String quotas() {
-        double rate = (double) RATE * tenants / TENANTS;
-        StringBuilder text = new StringBuilder("[");
-        for (int i = 0; i < tenants; i++) {
-            text.append(i == 0 ? "" : ",").append("{\"Name\":\"tenant-").append(i).append("\",\"QuotaRps\":")
-                .append(String.format(Locale.ROOT, "%.4f", QUOTA * rate * zipf.share(i)))
-                .append(",\"Share\":").append(zipf.share(i)).append('}');
+        double requestsPerSecond = (double) REQUESTS_PER_SECOND * tenantCount / TENANTS;
+        StringBuilder json = new StringBuilder("[");
+        for (int i = 0; i < tenantCount; i++) {
+            json.append(i == 0 ? "" : ",").append("{\"Name\":\"tenant-").append(i).append("\",\"QuotaRps\":")
+                .append(String.format(Locale.ROOT, "%.4f", QUOTA_RATIO * requestsPerSecond
+                * tenantDistribution.share(i)))
+                .append(",\"Share\":").append(tenantDistribution.share(i)).append('}');
         }
-        return text.append(']').toString();
+        return json.append(']').toString();
     }
 
     /** How many tenants have been heard of. */
-    int seen() {
-        return seen.size();
+    int activeTenants() {
+        return activeTenants.size();
     }
 
     @Override
     public InetSocketAddress nextTarget(RandomGenerator random) {
-        return proxy;
+        return proxyAddress;
     }
 
     @Override
     public FullHttpRequest nextRequest(RandomGenerator random, String id) {
-        int tenant = zipf.draw(random);
-        seen.add(tenant);
-        int route = (int) (((long) tenant * STEP + random.nextInt(ROUTES_EACH)) % part(ROUTES, tenants));
+        int tenant = tenantDistribution.draw(random);
+        activeTenants.add(tenant);
+        int route = (int) (((long) tenant * ROUTE_STRIDE + random.nextInt(ROUTES_PER_TENANT)) % scaled(ROUTES,
+            tenantCount));
         return SingleClassWorkload.buildRequest("route-" + route, id, timeoutSeconds, "tenant-" + tenant);
     }
 }
--- a/lab/src/main/java/dockrelay/lab/scale/tenants/TenantsPlay.java
+++ b/lab/src/main/java/dockrelay/lab/scale/tenants/TenantsPlay.java
@@ -25,127 +25,140 @@
 /** One size of the settings: a start, some time under load, changes of the list. */
 final class TenantsPlay implements AutoCloseable {
     private static final List<String> ZONES = List.of("a", "b", "c", "d", "e", "f", "g");
-    private static final int NODES_EACH = 6, CHANGES = 10;
-    private static final long PATIENCE_MICROS = 2_100_000, SETTLE_MILLIS = 2_000, CHANGE_MILLIS = 30_000;
+    private static final int SERVERS_PER_ZONE = 6, MIN_CHANGES = 10;
+    private static final long CLIENT_TIMEOUT_MICROS = 2_100_000, SETTLE_MILLIS = 2_000,
+        CHANGES_TIMEOUT_MILLIS = 30_000;
     /** The log has room for so many lines of a kind a second. */
-    private static final long APART_MILLIS = 250, MARK_MILLIS = 1_100;
-    private static final double TIMEOUT_SECONDS = 2.0, MILLION = 1e6, MIB = 1 << 20;
+    private static final long CHANGE_INTERVAL_MILLIS = 250, LOG_INTERVAL_MILLIS = 1_100;
+    private static final double REQUEST_TIMEOUT_SECONDS = 2.0, NANOS_PER_MILLI = 1e6, BYTES_PER_MIB = 1 << 20;
 
-    private final TenantsRole.Keys keys;
-    private final boolean quotas;
+    private final TenantsRole.Settings settings;
+    private final boolean withQuotas;
     private final int size;
     private final long seed;
-    private final FigureSink found;
+    private final FigureSink results;
     private final ProgressLog progress;
-    private final EventLoopGroup nodesGroup = group("nodes"), clientsGroup = group("clients"),
-        discoveryGroup = group("discovery");
-    private final EmulatedServers nodes = new EmulatedServers(nodesGroup.next(), ZONES.size(), NODES_EACH);
-    private final SyntheticBackendList list;
+    private final EventLoopGroup serversGroup = eventLoopGroup("nodes"), loadGeneratorGroup =
+        eventLoopGroup("clients"),
+        discoveryGroup = eventLoopGroup("discovery");
+    private final EmulatedServers servers = new EmulatedServers(serversGroup.next(), ZONES.size(),
+        SERVERS_PER_ZONE);
+    private final SyntheticBackendList backendList;
     private final EmulatedDiscovery discovery;
     private final ProxyUnderTest proxy;
-    private final ListVersionTracker force;
-    private OpenLoopGenerator clients;
+    private final ListVersionTracker versionTracker;
+    private OpenLoopGenerator loadGenerator;
 
-    TenantsPlay(TenantsRole.Keys keys, Build build, int size, boolean quotas, long seed, FigureSink found,
+    TenantsPlay(TenantsRole.Settings settings, Build build, int size, boolean withQuotas, long seed,
+        FigureSink results,
                 ProgressLog progress) throws IOException {
-        this.keys = keys;
-        this.quotas = quotas;
+        this.settings = settings;
+        this.withQuotas = withQuotas;
         this.size = size;
         this.seed = seed;
-        this.found = found;
+        this.results = results;
         this.progress = progress;
         List<String> services = Demand.services(size);
-        list = new SyntheticBackendList(services.size() * Demand.BACKENDS_EACH, ZONES, services, nodes::addressText);
-        discovery = new EmulatedDiscovery(discoveryGroup.next(), list);
+        backendList = new SyntheticBackendList(services.size() * Demand.BACKENDS_PER_SERVICE, ZONES, services,
+            servers::addressText);
+        discovery = new EmulatedDiscovery(discoveryGroup.next(), backendList);
         proxy = new ProxyUnderTest(build);
-        force = new ListVersionTracker(proxy);
+        versionTracker = new ListVersionTracker(proxy);
     }
 
-    private static EventLoopGroup group(String name) {
+    private static EventLoopGroup eventLoopGroup(String name) {
         return new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory(name, true),
             NioIoHandler.newFactory());
     }
 
     void run() throws Exception {
-        Demand demand = new Demand(size, ZONES, keys.skew(), proxy.address(), TIMEOUT_SECONDS);
-        String configuration = new FleetProxyConfig(discovery.address(), false, Demand.part(Demand.PROXIES, size), ZONES,
-            Demand.services(size), demand.routes(), quotas ? demand.quotas() : "[]", FleetProxyConfig.EMPTY_LIST)
+        Demand demand = new Demand(size, ZONES, settings.skew(), proxy.address(), REQUEST_TIMEOUT_SECONDS);
+        String configuration = new FleetProxyConfig(discovery.address(), false,
+            Demand.scaled(Demand.PROXIES, size), ZONES,
+            Demand.services(size), demand.routes(), withQuotas ? demand.quotas()
+            : "[]", FleetProxyConfig.EMPTY_LIST)
             .toJson(proxy, seed);
-        found.add("MiB", "configuration", configuration.getBytes(StandardCharsets.UTF_8).length / MIB);
-        proxy.start(configuration, discovery.address(), force::onLogLine);
-        StartOutcome end = proxy.awaitReady(keys.readyWithin() / 1_000);
-        long ready = System.nanoTime();
-        CpuTime spent = proxy.cpuTime();
-        if (end != StartOutcome.READY) {
-            found.addStartFailure("start", end, keys.readyWithin() / 1_000_000);
+        results.add("MiB", "configuration", configuration.getBytes(StandardCharsets.UTF_8)
+            .length / BYTES_PER_MIB);
+        proxy.start(configuration, discovery.address(), versionTracker::onLogLine);
+        StartOutcome startOutcome = proxy.awaitReady(settings.readyTimeoutMicros() / 1_000);
+        long readyAt = System.nanoTime();
+        CpuTime cpu = proxy.cpuTime();
+        if (startOutcome != StartOutcome.READY) {
+            results.addStartFailure("start", startOutcome, settings.readyTimeoutMicros() / 1_000_000);
             proxy.lastLogLines().forEach(line -> progress.log("    log: " + line));
             return;
         }
-        found.add("ms", "start: ready after", (ready - proxy.startedAtNanos()) / MILLION);
-        found.add("ms", "start: processor time", spent.usedNanos() / MILLION);
+        results.add("ms", "start: ready after", (readyAt - proxy.startedAtNanos()) / NANOS_PER_MILLI);
+        results.add("ms", "start: processor time", cpu.usedNanos() / NANOS_PER_MILLI);
         TimeUnit.MILLISECONDS.sleep(SETTLE_MILLIS);
-        found.add("MiB", "start: resident", proxy.residentBytes() / MIB);
-        clients = new OpenLoopGenerator(clientsGroup.next(), keys.rate(), PATIENCE_MICROS, new Random(seed),
+        results.add("MiB", "start: resident", proxy.residentBytes() / BYTES_PER_MIB);
+        loadGenerator = new OpenLoopGenerator(loadGeneratorGroup.next(), settings.requestsPerSecond(),
+            CLIENT_TIMEOUT_MICROS, new Random(seed),
             new Random(seed + 1), demand);
-        clients.start();
+        loadGenerator.start();
         TimeUnit.MILLISECONDS.sleep(SETTLE_MILLIS);
-        clients.swapTally();
-        CpuTime before = proxy.cpuTime();
-        long began = System.nanoTime();
-        TimeUnit.MICROSECONDS.sleep(keys.length());
-        long took = System.nanoTime() - began;
-        spent = proxy.cpuTime().since(before);
-        clients.setPaused(true);
-        TimeUnit.MICROSECONDS.sleep(PATIENCE_MICROS);
-        found.addRequestFigures("load", clients.swapTally());
-        if (!ended("load")) {
-            found.addCpuTime("load", spent, took);
-            found.add("tenants", "load: tenants that asked", demand.seen());
-            changes();
-            ended("changes of the list");
+        loadGenerator.swapTally();
+        CpuTime cpuBefore = proxy.cpuTime();
+        long startedAt = System.nanoTime();
+        TimeUnit.MICROSECONDS.sleep(settings.lengthMicros());
+        long durationNanos = System.nanoTime() - startedAt;
+        cpu = proxy.cpuTime().since(cpuBefore);
+        loadGenerator.setPaused(true);
+        TimeUnit.MICROSECONDS.sleep(CLIENT_TIMEOUT_MICROS);
+        results.addRequestFigures("load", loadGenerator.swapTally());
+        if (!hasExited("load")) {
+            results.addCpuTime("load", cpu, durationNanos);
+            results.add("tenants", "load: tenants that asked", demand.activeTenants());
+            measureChanges();
+            hasExited("changes of the list");
         }
     }
 
     /** What one changed backend takes, with so many routes to whom it may be open; nothing else goes on. */
-    private void changes() throws Exception {
-        CpuTime before = proxy.cpuTime();
-        long by = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(CHANGE_MILLIS);
-        int told = 0;
+    private void measureChanges() throws Exception {
+        CpuTime cpuBefore = proxy.cpuTime();
+        long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(CHANGES_TIMEOUT_MILLIS);
+        int changeCount = 0;
         do { // the first are told in any case; then one at a time until one is seen in the log
-            String state = told % 2 == 0 ? "leaving" : "active";
-            discovery.push(list.applyChange(List.of(told / 2 % Demand.BACKENDS_EACH), state, -1));
-            TimeUnit.MILLISECONDS.sleep(++told < CHANGES ? APART_MILLIS : MARK_MILLIS);
-        } while (told < CHANGES || force.awaitApplied(list.version(), MARK_MILLIS) == 0 && System.nanoTime() < by
+            String state = changeCount % 2 == 0 ? "leaving" : "active";
+            discovery.push(backendList.applyChange(List.of(changeCount / 2 % Demand.BACKENDS_PER_SERVICE),
+                state, -1));
+            TimeUnit.MILLISECONDS.sleep(++changeCount < MIN_CHANGES ? CHANGE_INTERVAL_MILLIS
+                : LOG_INTERVAL_MILLIS);
+        } while (changeCount < MIN_CHANGES
+            || versionTracker.awaitApplied(backendList.version(), LOG_INTERVAL_MILLIS) == 0
+            && System.nanoTime() < deadline
             && proxy.isAlive());
-        if (force.awaitApplied(list.version(), 0) == 0) {
-            found.add(FigureSink.EVENT_UNIT,
-                "changes of the list: not in force within " + CHANGE_MILLIS / 1_000 + " s", 1);
+        if (versionTracker.awaitApplied(backendList.version(), 0) == 0) {
+            results.add(FigureSink.EVENT_UNIT,
+                "changes of the list: not in force within " + CHANGES_TIMEOUT_MILLIS / 1_000 + " s", 1);
             return;
         }
-        found.add("ms", "changes of the list: processor time a change",
-            proxy.cpuTime().since(before).usedNanos() / MILLION / told);
-        found.add("MiB", "resident after all", proxy.residentBytes() / MIB);
+        results.add("ms", "changes of the list: processor time a change",
+            proxy.cpuTime().since(cpuBefore).usedNanos() / NANOS_PER_MILLI / changeCount);
+        results.add("MiB", "resident after all", proxy.residentBytes() / BYTES_PER_MIB);
     }
 
-    private boolean ended(String part) {
+    private boolean hasExited(String phase) {
         if (proxy.isAlive()) {
             return false;
         }
-        found.add(FigureSink.EVENT_UNIT,
-            part + ": " + (proxy.ranOutOfMemory() ? "out of memory" : "ended by itself"), 1);
+        results.add(FigureSink.EVENT_UNIT,
+            phase + ": " + (proxy.ranOutOfMemory() ? "out of memory" : "ended by itself"), 1);
         proxy.lastLogLines().forEach(line -> progress.log("    log: " + line));
         return true;
     }
 
     @Override
     public void close() throws IOException {
-        if (clients != null) {
-            clients.close();
+        if (loadGenerator != null) {
+            loadGenerator.close();
         }
-        force.close();
+        versionTracker.close();
         proxy.close();
-        for (EventLoopGroup one : List.of(nodesGroup, clientsGroup, discoveryGroup)) {
-            one.shutdownGracefully(0, 500, TimeUnit.MILLISECONDS).syncUninterruptibly();
+        for (EventLoopGroup group : List.of(serversGroup, loadGeneratorGroup, discoveryGroup)) {
+            group.shutdownGracefully(0, 500, TimeUnit.MILLISECONDS).syncUninterruptibly();
         }
     }
 }
--- a/lab/src/main/java/dockrelay/lab/scale/tenants/TenantsRole.java
+++ b/lab/src/main/java/dockrelay/lab/scale/tenants/TenantsRole.java
@@ -16,21 +16,26 @@
  * demand.
  */
 public final class TenantsRole implements Role {
-    private static final long PROXY = 192L << 20, OWN = 512L << 20, EACH = 2_000, SECOND = 1_000_000,
-        MINUTE = 60 * SECOND;
-    private static final List<String> QUOTAS = List.of("with", "without");
+    private static final long PROXY_BYTES = 192L << 20, LAB_BYTES = 512L << 20, BYTES_PER_TENANT =
+        2_000, MICROS_PER_SECOND = 1_000_000,
+        MICROS_PER_MINUTE = 60 * MICROS_PER_SECOND;
+    private static final List<String> QUOTA_MODES = List.of("with", "without");
 
     /** The role's own keys; times are in microseconds. */
-    record Keys(List<String> quotas, double rate, double skew, long length, long readyWithin, int heapMiB) {
-        static Keys of(ScaleSpec spec) {
-            TomlSection own = spec.roleSection();
-            List<String> quotas = own.readTexts("quotas");
-            if (!QUOTAS.containsAll(quotas)) {
-                throw own.invalidValue("quotas", "a list of " + String.join(", ", QUOTAS));
+    record Settings(List<String> quotaModes, double requestsPerSecond, double skew, long lengthMicros,
+        long readyTimeoutMicros, int heapMiB) {
+        static Settings of(ScaleSpec spec) {
+            TomlSection section = spec.roleSection();
+            List<String> quotaModes = section.readTexts("quotas");
+            if (!QUOTA_MODES.containsAll(quotaModes)) {
+                throw section.invalidValue("quotas", "a list of " + String.join(", ", QUOTA_MODES));
             }
-            return new Keys(quotas.isEmpty() ? QUOTAS : quotas, own.readNumber("rate", 93, 1, 10_000),
-                own.readNumber("skew", 1, 0, 4), own.readMicros("length", 15 * SECOND, SECOND, 60 * MINUTE),
-                own.readMicros("ready_within", MINUTE, SECOND, 60 * MINUTE), own.readCount("heap_mb", 0, 0, 1_024));
+            return new Settings(quotaModes.isEmpty() ? QUOTA_MODES
+                : quotaModes, section.readNumber("rate", 93, 1, 10_000),
+                section.readNumber("skew", 1, 0, 4), section.readMicros("length", 15 * MICROS_PER_SECOND,
+                MICROS_PER_SECOND, 60 * MICROS_PER_MINUTE),
+                section.readMicros("ready_within", MICROS_PER_MINUTE, MICROS_PER_SECOND,
+                60 * MICROS_PER_MINUTE), section.readCount("heap_mb", 0, 0, 1_024));
         }
     }
 
@@ -41,25 +46,28 @@
 
     @Override
     public ResourceEstimate estimate(ScaleSpec spec, int size) {
-        return new ResourceEstimate(PROXY + ((long) Keys.of(spec).heapMiB << 20) + OWN + EACH * size, 1);
+        return new ResourceEstimate(PROXY_BYTES + ((long) Settings.of(spec).heapMiB << 20) + LAB_BYTES
+            + BYTES_PER_TENANT * size, 1);
     }
 
     @Override
     public List<Figure> play(ScaleSpec spec, int size, int play, ProgressLog progress) throws Exception {
-        Keys keys = Keys.of(spec);
-        Build given = Build.load(Path.of(System.getProperty("stoatreel.root", ".")));
-        Build build = keys.heapMiB == 0 ? given : new Build(given.root(), given.startCommand()
-            .replaceAll("-Xm([sx])\\d+m", "-Xm$1" + keys.heapMiB + "m"));
+        Settings settings = Settings.of(spec);
+        Build installedBuild = Build.load(Path.of(System.getProperty("stoatreel.root", ".")));
+        Build build = settings.heapMiB == 0 ? installedBuild
+            : new Build(installedBuild.root(), installedBuild.startCommand()
+            .replaceAll("-Xm([sx])\\d+m", "-Xm$1" + settings.heapMiB + "m"));
         List<Figure> figures = new ArrayList<>();
-        for (String quotas : keys.quotas) {
-            try (TenantsPlay one = new TenantsPlay(keys, build, size, quotas.equals("with"),
-                spec.seed() + play, (unit, what, value) -> {
-                    figures.add(new Figure(name(), what + " (" + quotas + " quotas)", size, unit, value,
+        for (String quotaMode : settings.quotaModes) {
+            try (TenantsPlay tenantsPlay = new TenantsPlay(settings, build, size, quotaMode.equals("with"),
+                spec.seed() + play, (unit, figureName, value) -> {
+                    figures.add(new Figure(name(), figureName + " (" + quotaMode + " quotas)", size, unit,
+                        value,
                         "real",
                         play));
-                    progress.log("  " + quotas + " quotas: " + what + " " + value + " " + unit);
+                    progress.log("  " + quotaMode + " quotas: " + figureName + " " + value + " " + unit);
                 }, progress)) {
-                one.run();
+                tenantsPlay.run();
             }
         }
         return figures;
--- a/lab/src/test/java/dockrelay/lab/scale/members/LoopbackFleetTest.java
+++ b/lab/src/test/java/dockrelay/lab/scale/members/LoopbackFleetTest.java
@@ -12,33 +12,33 @@
 /** Hollow members on sockets of their own: they find each other, and miss who ends. */
 class LoopbackFleetTest {
     /** Nothing is proved by how long it takes; only that it comes to it. */
-    private static final int PATIENCE_SECONDS = 60;
+    private static final int TIMEOUT_SECONDS = 60;
 
     @Test
-    void membersOnSocketsFindEachOtherAndMissWhoEnds() throws Exception {
-        for (HollowMember.Kind kind : List.of(FlatMember.KIND, GroupMember.KIND)) {
+    void membersDiscoverEachOtherAndDetectAKilledMember() throws Exception {
+        for (HollowMember.Variant variant : List.of(FlatMember.VARIANT, GroupMember.VARIANT)) {
             Layout layout = Layout.of(14);
-            try (LoopbackFleet fleet = new LoopbackFleet(kind, layout.names(), Map.of(), 2)) {
+            try (LoopbackFleet fleet = new LoopbackFleet(variant, layout.names(), Map.of(), 2)) {
                 fleet.start(layout, 1);
                 awaitCount(fleet, 14);
                 fleet.kill("a1-0");
                 awaitCount(fleet, 13);
-                assertNull(fleet.failed());
-                assertTrue(fleet.out.bytes() > 0 && fleet.in.datagrams() > 0);
-                int group = kind.group(layout, "a1-1");
-                assertEquals(1, fleet.seen().entrySet().stream()
-                    .filter(one -> kind.group(layout, one.getKey()) == group)
-                    .map(one -> one.getValue().digest()).distinct().count());
+                assertNull(fleet.failure());
+                assertTrue(fleet.sentTraffic.totalBytes() > 0 && fleet.receivedTraffic.totalDatagrams() > 0);
+                int group = variant.groupOf(layout, "a1-1");
+                assertEquals(1, fleet.latestSamples().entrySet().stream()
+                    .filter(entry -> variant.groupOf(layout, entry.getKey()) == group)
+                    .map(entry -> entry.getValue().digest()).distinct().count());
             }
         }
     }
 
     private static void awaitCount(LoopbackFleet fleet, int count) throws InterruptedException {
-        long by = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_SECONDS);
-        while (fleet.seen().size() != count || fleet.seen().values().stream()
-            .anyMatch(seen -> seen.standing().countedMembers() != count)) {
-            assertTrue(System.nanoTime() < by, "not " + count + " after " + PATIENCE_SECONDS + " s: "
-                + fleet.seen());
+        long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
+        while (fleet.latestSamples().size() != count || fleet.latestSamples().values().stream()
+            .anyMatch(sample -> sample.snapshot().countedMembers() != count)) {
+            assertTrue(System.nanoTime() < deadline, "not " + count + " after " + TIMEOUT_SECONDS + " s: "
+                + fleet.latestSamples());
             TimeUnit.MILLISECONDS.sleep(20);
         }
     }
--- a/lab/src/test/java/dockrelay/lab/scale/members/VirtualFleetTest.java
+++ b/lab/src/test/java/dockrelay/lab/scale/members/VirtualFleetTest.java
@@ -13,95 +13,100 @@
 
 /** The virtual network under the hollow members: the same from a seed, and no more than it was told. */
 class VirtualFleetTest {
-    private static final long SECOND = VirtualFleet.SECOND;
+    private static final long MICROS_PER_SECOND = VirtualFleet.MICROS_PER_SECOND;
 
-    private static VirtualFleet started(int size, long seed) {
+    private static VirtualFleet startedFleet(int size, long seed) {
         Layout layout = Layout.of(size);
-        VirtualFleet fleet = new VirtualFleet(FlatMember.KIND, layout, 0, seed);
+        VirtualFleet fleet = new VirtualFleet(FlatMember.VARIANT, layout, 0, seed);
         fleet.startAll(layout);
         return fleet;
     }
 
     @Test
-    void aSeedFixesAllThatHappens() {
-        VirtualFleet one = started(14, 3), same = started(14, 3), other = started(14, 4);
-        for (VirtualFleet fleet : List.of(one, same, other)) {
-            fleet.lose(0.05);
-            fleet.runUntil(10 * SECOND);
+    void sameSeedGivesTheSameRun() {
+        VirtualFleet first = startedFleet(14, 3), repeated = startedFleet(14, 3),
+            otherSeed = startedFleet(14, 4);
+        for (VirtualFleet fleet : List.of(first, repeated, otherSeed)) {
+            fleet.setLossProbability(0.05);
+            fleet.runUntil(10 * MICROS_PER_SECOND);
             fleet.kill(2);
-            fleet.runUntil(20 * SECOND);
+            fleet.runUntil(20 * MICROS_PER_SECOND);
         }
-        assertEquals(one.steps(), same.steps());
-        assertEquals(one.out.bytes(), same.out.bytes());
-        assertNotEquals(one.out.bytes(), other.out.bytes());
+        assertEquals(first.handledEvents(), repeated.handledEvents());
+        assertEquals(first.sentTraffic.totalBytes(), repeated.sentTraffic.totalBytes());
+        assertNotEquals(first.sentTraffic.totalBytes(), otherSeed.sentTraffic.totalBytes());
     }
 
     @Test
-    void whoIsKilledIsCountedNoMoreAndNobodyElse() {
-        VirtualFleet fleet = started(14, 1);
-        fleet.runUntil(10 * SECOND);
+    void onlyTheKilledMemberIsNoLongerCounted() {
+        VirtualFleet fleet = startedFleet(14, 1);
+        fleet.runUntil(10 * MICROS_PER_SECOND);
         fleet.kill(5);
-        Watch watch = new Watch(fleet, 10 * SECOND, true, i -> true, i -> fleet.standing(i).countedMembers() == 13);
-        fleet.runUntil(21 * SECOND);
-        assertEquals(13, watch.times().size());
-        assertEquals(0, watch.unsettled());
-        double soonest = watch.times().stream().mapToDouble(Double::doubleValue).min().orElse(0);
-        double last = watch.times().stream().mapToDouble(Double::doubleValue).max().orElse(0);
-        assertTrue(soonest > 0.2 && last < 5, watch.times().toString()); // of virtual time
+        ConvergenceSampler sampler = new ConvergenceSampler(fleet, 10 * MICROS_PER_SECOND, true, i -> true,
+            i -> fleet.snapshot(i).countedMembers() == 13);
+        fleet.runUntil(21 * MICROS_PER_SECOND);
+        assertEquals(13, sampler.convergenceSeconds().size());
+        assertEquals(0, sampler.unconvergedCount());
+        double earliest = sampler.convergenceSeconds().stream().mapToDouble(Double::doubleValue).min()
+            .orElse(0);
+        double latest = sampler.convergenceSeconds().stream().mapToDouble(Double::doubleValue).max()
+            .orElse(0);
+        assertTrue(earliest > 0.2 && latest < 5, sampler.convergenceSeconds().toString()); // of virtual time
         assertEquals(0, fleet.falseDeaths());
     }
 
     @Test
-    void sidesDoNotHearEachOtherUntilTheyAreOneAgain() {
-        VirtualFleet fleet = started(14, 1);
-        fleet.runUntil(10 * SECOND);
+    void partitionsAreIsolatedUntilTheyMerge() {
+        VirtualFleet fleet = startedFleet(14, 1);
+        fleet.runUntil(10 * MICROS_PER_SECOND);
         for (int i = 0; i < 4; i++) {
-            fleet.side(i, 1);
+            fleet.setPartition(i, 1);
         }
-        fleet.runUntil(25 * SECOND);
-        assertEquals(10, fleet.standing(9).countedMembers());
-        assertEquals(Agreement.MINORITY, fleet.standing(0).agreement());
+        fleet.runUntil(25 * MICROS_PER_SECOND);
+        assertEquals(10, fleet.snapshot(9).countedMembers());
+        assertEquals(Agreement.MINORITY, fleet.snapshot(0).agreement());
         for (int i = 0; i < 4; i++) {
-            fleet.side(i, 0);
+            fleet.setPartition(i, 0);
         }
-        fleet.runUntil(40 * SECOND);
+        fleet.runUntil(40 * MICROS_PER_SECOND);
         for (int i = 0; i < 14; i++) {
-            assertTrue(Scenario.settled(fleet, i, 14), fleet.name(i) + ": " + fleet.standing(i));
+            assertTrue(Scenario.agreesOnCount(fleet, i, 14), fleet.nameOf(i) + ": " + fleet.snapshot(i));
         }
     }
 
     @Test
-    void trafficIsTheSumOfWhatWasSentAndTheMostOfTenSeconds() {
+    void trafficReportsTotalsAndPeakOverTenSeconds() {
         Traffic traffic = new Traffic(2);
         for (int second = 0; second < 30; second++) {
-            traffic.add(0, 10);
-            traffic.add(1, second == 15 ? 1000 : 20);
-            traffic.roll();
+            traffic.record(0, 10);
+            traffic.record(1, second == 15 ? 1000 : 20);
+            traffic.endSecond();
         }
-        assertEquals(60, traffic.datagrams());
-        assertEquals(30 * 10 + 29 * 20 + 1000, traffic.bytes());
-        assertEquals(29 * 20 + 1000, traffic.mostOfOne());
-        assertEquals((9 * 20 + 1000) / 10.0, traffic.mostInTenSeconds());
+        assertEquals(60, traffic.totalDatagrams());
+        assertEquals(30 * 10 + 29 * 20 + 1000, traffic.totalBytes());
+        assertEquals(29 * 20 + 1000, traffic.maxMemberBytes());
+        assertEquals((9 * 20 + 1000) / 10.0, traffic.peakBytesPerSecond());
     }
 
     @Test
-    void theFlatMachineTakesNoMoreNamesThanItsBound() {
-        assertNull(FlatMember.KIND.refuses(Layout.of(1024)));
-        assertEquals("1025 members; allowed are 1 to 1024", FlatMember.KIND.refuses(Layout.of(1025)));
+    void flatMembershipRefusesMoreNamesThanItsLimit() {
+        assertNull(FlatMember.VARIANT.refusalReason(Layout.of(1024)));
+        assertEquals("1025 members; allowed are 1 to 1024",
+            FlatMember.VARIANT.refusalReason(Layout.of(1025)));
     }
 
     @Test
-    void layoutsHaveAllNamesInUnevenZonesAndAChangeMovesNoName() {
+    void layoutHasUnevenZonesAndAChangeMovesNoName() {
         Layout layout = Layout.of(5700);
         assertEquals(5700, layout.names().stream().distinct().count());
         assertEquals(7, layout.zones().size());
-        assertEquals(798, layout.zones().get(Layout.SEVENTH).size());
-        Layout next = layout.changed(List.of("a1-3", "c2-7"), 3);
-        assertEquals(5701, next.size());
+        assertEquals(798, layout.zones().get(Layout.SEVENTH_ZONE).size());
+        Layout changed = layout.withChanges(List.of("a1-3", "c2-7"), 3);
+        assertEquals(5701, changed.size());
         Map<String, String> zoneBefore = new HashMap<>();
         layout.zones().forEach((zone, names) -> names.forEach(name -> zoneBefore.put(name, zone)));
-        next.zones().forEach((zone, names) -> names.forEach(name -> assertEquals(zone,
+        changed.zones().forEach((zone, names) -> names.forEach(name -> assertEquals(zone,
             zoneBefore.getOrDefault(name, zone))));
-        assertTrue(!next.names().contains("a1-3") && next.names().contains("a1-new0"));
+        assertTrue(!changed.names().contains("a1-3") && changed.names().contains("a1-new0"));
     }
 }
--- a/lab/src/test/java/dockrelay/lab/scale/tenants/DemandTest.java
+++ b/lab/src/test/java/dockrelay/lab/scale/tenants/DemandTest.java
@@ -22,7 +22,7 @@
         2);
 
     @Test
-    void sizesGoWithTheTenants() throws Exception {
+    void sizesScaleWithTheNumberOfTenants() throws Exception {
         assertEquals(190_000, Demand.TENANTS);
         assertEquals(2_300, Demand.services(190_000).size());
         assertEquals(23, Demand.services(TENANTS).size());
@@ -33,33 +33,34 @@
     @Test
     void everyRouteHasABackend() throws Exception {
         List<String> services = Demand.services(TENANTS);
-        SyntheticBackendList list = new SyntheticBackendList(services.size() * Demand.BACKENDS_EACH, ZONES, services,
+        SyntheticBackendList list = new SyntheticBackendList(services.size() * Demand.BACKENDS_PER_SERVICE,
+            ZONES, services,
             (zone, number) -> "127.0.0.1:1");
-        Set<String> there = new HashSet<>();
-        for (JsonNode one : JSON.readTree(list.fullListJson()).get("servers")) {
-            there.add(one.get("kind").asText() + " in " + one.get("zone").asText());
+        Set<String> available = new HashSet<>();
+        for (JsonNode server : JSON.readTree(list.fullListJson()).get("servers")) {
+            available.add(server.get("kind").asText() + " in " + server.get("zone").asText());
         }
         for (JsonNode route : JSON.readTree(demand.routes())) {
             for (JsonNode zone : route.get("RunsIn")) {
-                String wanted = route.get("KindsOpen").get(0).asText() + " in " + zone.asText();
-                assertTrue(there.contains(wanted), route.get("Name") + " wants " + wanted);
+                String required = route.get("KindsOpen").get(0).asText() + " in " + zone.asText();
+                assertTrue(available.contains(required), route.get("Name") + " wants " + required);
             }
         }
     }
 
     @Test
-    void demandIsSkewedAndItsRoutesAreThere() throws Exception {
+    void demandIsSkewedAndUsesConfiguredRoutes() throws Exception {
         Set<String> routes = new HashSet<>();
         JSON.readTree(demand.routes()).forEach(route -> routes.add(route.get("Name").asText()));
         Random random = new Random(3);
-        int first = 0, all = 20_000;
-        for (int i = 0; i < all; i++) {
+        int firstTenantRequests = 0, requestCount = 20_000;
+        for (int i = 0; i < requestCount; i++) {
             FullHttpRequest request = demand.nextRequest(random, "id" + i);
             assertTrue(routes.contains(request.headers().get("X-Priority-Class")));
-            first += request.headers().get("X-Tenant-Id").equals("tenant-0") ? 1 : 0;
+            firstTenantRequests += request.headers().get("X-Tenant-Id").equals("tenant-0") ? 1 : 0;
         }
         double share = new Zipf(TENANTS, 1).share(0);
-        assertEquals(share, (double) first / all, 0.01);
+        assertEquals(share, (double) firstTenantRequests / requestCount, 0.01);
         assertTrue(share > 50.0 / TENANTS, "the first one asks for far more than an even share: " + share);
     }
 }
