--- a/lab/src/main/java/dockrelay/lab/scale/members/BudgetMember.java
+++ b/lab/src/main/java/dockrelay/lab/scale/members/BudgetMember.java
@@ -13,9 +13,12 @@
 import java.util.Map;
 import java.util.Random;
 
-/** The machine of the fleet's budgets, with one who spends all that he is given and wants more. */
+/** A budget node whose consumer spends all tokens that it is given and demands more. */
 final class BudgetMember implements HollowStateMachine, BudgetNode.Callbacks {
-    /** What one budget's bucket is: filled by its part, emptied at each look. */
+    /**
+     * Token bucket of one budget, in microtokens: refilled by the leased share, drained at each consumption.
+     * Only the total that was spent is in whole tokens.
+     */
     private static final class Bucket {
         long rate, burst, tokens, spentTokens;
     }
@@ -33,8 +36,7 @@
         budgets.forEach(budget -> buckets.put(budget.name(), new Bucket()));
         consumedAt = now;
         node = new BudgetNode(self, layout.names(), budgets, random.nextInt() | 1, BudgetTiming.DEFAULT,
-            random,
-            this, now);
+            random, this, now);
     }
 
     @Override
@@ -49,7 +51,7 @@
         updateNumber = Math.max(updateNumber, newUpdateNumber);
     }
 
-    /** Spends what there is, and says so. */
+    /** Spends all available tokens and reports usage and demand to the budget node. */
     void consume(long now, double demandRatio) {
         long elapsedMicros = Math.max(0, Math.min(now, leaseEndsAt) - consumedAt);
         consumedAt = now;
@@ -67,20 +69,22 @@
         node.reportUsage(updateNumber, usages);
     }
 
+    /** Forwards a hint as to which members are present and which are absent. */
     void updatePresence(List<String> present, List<String> absent) {
         node.updatePresence(present, absent);
     }
 
+    /** Whether this member is the lease coordinator at this time. */
     boolean isCoordinator(long now) {
         return node.isCoordinator(now);
     }
 
-    /** Whether it may spend of every budget now. */
+    /** Whether it holds a share of every budget at this time. */
     boolean holdsAllShares(long now) {
         return now < leaseEndsAt && buckets.values().stream().allMatch(bucket -> bucket.rate > 0);
     }
 
-    /** Its part of the first budget's rate now. */
+    /** Its share, from 0 to 1, of the first budget's rate at this time. */
     double rateShare(long now) {
         Budget firstBudget = budgets.iterator().next();
         return now < leaseEndsAt ? (double) buckets.get(firstBudget.name()).rate / firstBudget.rate() : 0;
@@ -93,7 +97,7 @@
 
     @Override
     public void logEvent(String text) {
-        // what it comes to is measured
+        // the effect is measured instead
     }
 
     @Override
--- a/lab/src/main/java/dockrelay/lab/scale/members/BudgetsRole.java
+++ b/lab/src/main/java/dockrelay/lab/scale/members/BudgetsRole.java
@@ -11,12 +11,12 @@
 import java.util.List;
 
 /**
- * The budgets of the whole fleet over a virtual network, by how many share them: what one keeper of all
- * takes in and sends, and how long a newcomer waits for his part.
+ * Measures fleet-wide budgets over a virtual network for a given number of members: the traffic of the lease
+ * coordinator, and how long a member that joins waits for its share.
  */
 public final class BudgetsRole implements Role {
-    private static final long MICROS_PER_SECOND = VirtualFleet.MICROS_PER_SECOND, CONSUME_INTERVAL_MICROS =
-        MICROS_PER_SECOND / 10, PRESENCE_INTERVAL_MICROS = MICROS_PER_SECOND / 4;
+    private static final long MICROS_PER_SECOND = VirtualFleet.MICROS_PER_SECOND,
+        CONSUME_INTERVAL_MICROS = MICROS_PER_SECOND / 10, PRESENCE_INTERVAL_MICROS = MICROS_PER_SECOND / 4;
     private static final long WARM_UP_MICROS = 30 * MICROS_PER_SECOND,
         MEASURE_MICROS = 30 * MICROS_PER_SECOND, SETTLE_MICROS = 12 * MICROS_PER_SECOND;
     private static final double TOKENS_PER_SECOND = 10_000, DEMAND_RATIO = 1.5;
@@ -28,6 +28,7 @@
         return "budgets";
     }
 
+    /** The numbers of budgets to run with. */
     private static List<Integer> budgetCounts(ScaleSpec spec) {
         return spec.roleSection().readAscendingCounts("budgets", List.of(1, 32), 1, MAX_BUDGETS);
     }
@@ -57,6 +58,7 @@
         return figures.asList();
     }
 
+    /** Runs the fleet with one number of budgets. */
     private static void playBudgets(ScaleSpec spec, int size, int budgetCount, int play, Figures figures)
         throws SizeRefusedException {
         List<Budget> budgets = new ArrayList<>();
@@ -75,8 +77,9 @@
             fleet.runUntil(2 * WARM_UP_MICROS);
         }
         if (coordinator(fleet) < 0) {
-            throw new SizeRefusedException("no keeper of " + budgetCount + " budgets was agreed on within "
-                + 2 * WARM_UP_MICROS / MICROS_PER_SECOND + " s: nothing is lent");
+            throw new SizeRefusedException("no lease coordinator for " + budgetCount
+                + " budgets was elected within " + 2 * WARM_UP_MICROS / MICROS_PER_SECOND
+                + " s: no shares are leased");
         }
         fleet.sentTraffic.reset();
         fleet.receivedTraffic.reset();
@@ -99,6 +102,9 @@
         measureRestarts(fleet, layout, figures, suffix);
     }
 
+    /**
+     * Measures how fast restarted members get their shares, and how the fleet fares without its coordinator.
+     */
     private static void measureRestarts(VirtualFleet fleet, Layout layout, Figures figures, String suffix) {
         List<Double> convergenceSeconds = new ArrayList<>();
         int unconverged = 0;
@@ -112,9 +118,8 @@
             fleet.runUntil(fleet.now() + SETTLE_MICROS);
             fleet.start(restarted, layout);
             ConvergenceSampler sampler = new ConvergenceSampler(fleet, SETTLE_MICROS, false,
-                member -> member == restarted,
-                member -> ((BudgetMember) fleet.stateMachine(member))
-                .holdsAllShares(fleet.localTime(member)));
+                member -> member == restarted, member -> ((BudgetMember) fleet.stateMachine(member))
+                    .holdsAllShares(fleet.localTime(member)));
             fleet.runUntil(fleet.now() + SETTLE_MICROS);
             convergenceSeconds.addAll(sampler.convergenceSeconds());
             unconverged += sampler.unconvergedCount();
@@ -128,7 +133,7 @@
             sampler.divergedShare());
     }
 
-    /** Who keeps the budgets; below 0 where nobody does. */
+    /** Index of the lease coordinator; -1 if there is none. */
     private static int coordinator(VirtualFleet fleet) {
         for (int i = 0; i < fleet.memberCount(); i++) {
             if (fleet.isRunning(i) && ((BudgetMember) fleet.stateMachine(i))
@@ -139,6 +144,7 @@
         return -1;
     }
 
+    /** Makes each running member spend its tokens, periodically. */
     private static void consumePeriodically(VirtualFleet fleet) {
         for (int i = 0; i < fleet.memberCount(); i++) {
             BudgetMember member = (BudgetMember) fleet.stateMachine(i);
@@ -149,7 +155,7 @@
         fleet.runAfter(CONSUME_INTERVAL_MICROS, () -> consumePeriodically(fleet));
     }
 
-    /** Who is there, as membership would say some time later; a hint only. */
+    /** Periodically tells each member which members are running, as a hint like that of the membership. */
     private static void updatePresencePeriodically(VirtualFleet fleet, Layout layout) {
         List<String> present = new ArrayList<>();
         for (int i = 0; i < fleet.memberCount(); i++) {
--- a/lab/src/main/java/dockrelay/lab/scale/members/BusyDay.java
+++ b/lab/src/main/java/dockrelay/lab/scale/members/BusyDay.java
@@ -6,21 +6,24 @@
 import java.util.Set;
 
 /**
- * Ordinary restarts go on; a rack dies at once; a changed list is told to one after the other; the rack comes
- * back.
+ * A busy day of a fleet: members restart continuously, a rack fails at once, a changed member list is rolled
+ * out to one member after the other, and the rack comes back.
  */
 final class BusyDay {
-    /** Names that go and names that come with the change. */
+    /** Number of names that the list change removes, and number of names that it adds. */
     static final int CHANGED_NAMES = 8;
     private static final int MAX_RACK_SIZE = 40;
     private static final long MICROS_PER_SECOND = VirtualFleet.MICROS_PER_SECOND;
-    /** One restart in 7.6 s among 5,700; among few as often as one in 15 s, so that there are some. */
+    /**
+     * One restart every 7.6 s among 5,700 members. Small fleets restart a member at least every 15 s, so that
+     * some restarts happen during the run.
+     */
     private static final double MEMBER_SECONDS_PER_RESTART = 7.6 * 5_700, MAX_RESTART_INTERVAL_SECONDS = 15;
     private static final long LEAVE_MICROS = MICROS_PER_SECOND, DOWNTIME_MICROS = 2 * MICROS_PER_SECOND;
-    private static final long RACK_LOSS_AT_MICROS = 20 * MICROS_PER_SECOND, LIST_CHANGE_AT_MICROS =
-        30 * MICROS_PER_SECOND, ROLLOUT_MICROS = 6 * MICROS_PER_SECOND,
+    private static final long RACK_LOSS_AT_MICROS = 20 * MICROS_PER_SECOND,
+        LIST_CHANGE_AT_MICROS = 30 * MICROS_PER_SECOND, ROLLOUT_MICROS = 6 * MICROS_PER_SECOND,
         RACK_RETURN_AT_MICROS = 60 * MICROS_PER_SECOND, END_MICROS = 90 * MICROS_PER_SECOND;
-    /** A restart or two may be under way. */
+    /** Tolerated difference of member counts, as a restart or two may be in progress. */
     private static final int COUNT_TOLERANCE = 2;
 
     private final VirtualFleet fleet;
@@ -44,6 +47,7 @@
             MEMBER_SECONDS_PER_RESTART / layout.size()) * MICROS_PER_SECOND);
     }
 
+    /** Plays the whole scenario and records its figures. */
     void run() {
         fleet.runAfter(restartIntervalMicros, this::restart);
         fleet.runUntil(startedAt + RACK_LOSS_AT_MICROS);
@@ -64,16 +68,14 @@
             i -> !restartingMembers.contains(i), this::countsNearlyAll);
         fleet.runUntil(startedAt + RACK_RETURN_AT_MICROS);
         figures.addTimes("a list told among restarts, counted by all after the last was told",
-            rolloutSampler.convergenceSeconds(),
-            rolloutSampler.unconvergedCount());
+            rolloutSampler.convergenceSeconds(), rolloutSampler.unconvergedCount());
         figures.add("members that count wrongly after a list was told, among restarts", "share of looks",
             rolloutSampler.divergedShare());
         lostRack.forEach(i -> fleet.start(i, layoutByMember[i]));
         lostRack.clear();
         int expectedCount = Scenario.runningCount(fleet);
         ConvergenceSampler returnSampler = new ConvergenceSampler(fleet, END_MICROS - RACK_RETURN_AT_MICROS,
-            true, i -> !removedMembers.contains(i),
-            i -> Scenario.agreesOnCount(fleet, i, expectedCount));
+            true, i -> !removedMembers.contains(i), i -> Scenario.agreesOnCount(fleet, i, expectedCount));
         fleet.runUntil(startedAt + END_MICROS);
         figures.addTimes("a rack back, all agree", returnSampler.convergenceSeconds(),
             returnSampler.unconvergedCount());
@@ -82,6 +84,7 @@
         Scenario.addPeakTraffic(fleet, figures, "busy day");
     }
 
+    /** Whether the member counts about as many members as are running. */
     private boolean countsNearlyAll(int member) {
         if (runningCountAt != fleet.now()) {
             runningCountAt = fleet.now();
@@ -90,6 +93,7 @@
         return Math.abs(fleet.snapshot(member).countedMembers() - runningCount) <= COUNT_TOLERANCE;
     }
 
+    /** Restarts one random member and schedules the next restart. */
     private void restart() {
         if (fleet.now() > startedAt + RACK_RETURN_AT_MICROS - LEAVE_MICROS - DOWNTIME_MICROS
             - 2 * MICROS_PER_SECOND) {
@@ -114,7 +118,9 @@
         });
     }
 
-    /** Some names go, who have ended before; some come; the rest is told within some seconds. */
+    /**
+     * Removes some members, which leave first, adds new ones, and configures the rest within some seconds.
+     */
     private void changeList(List<Integer> leaving) {
         List<String> removedNames = new ArrayList<>();
         for (int i : leaving) {
--- a/lab/src/main/java/dockrelay/lab/scale/members/ConvergenceSampler.java
+++ b/lab/src/main/java/dockrelay/lab/scale/members/ConvergenceSampler.java
@@ -6,11 +6,13 @@
 import java.util.function.IntPredicate;
 
 /**
- * Looks at members in even steps until it ends: from when on each was right, either for good or, where more
- * goes on, for a second at least.
+ * Samples members of a virtual fleet at a fixed interval and records when each reached an expected state:
+ * either for good or, in scenarios where further events follow, for at least a second.
  */
 final class ConvergenceSampler {
-    /** Many are looked at less often: with one flat membership a look at all costs the cube of the size. */
+    /**
+     * Large fleets are sampled less often: in a flat membership the cost of sampling grows with size cubed.
+     */
     private static final long SAMPLE_INTERVAL_MICROS = 100 * VirtualFleet.MICROS_PER_MILLI,
         LARGE_FLEET_SAMPLE_INTERVAL_MICROS = 250 * VirtualFleet.MICROS_PER_MILLI;
     private static final int LARGE_FLEET_SIZE = 300;
@@ -23,7 +25,13 @@
     private final long[] lastDivergedAt;
     private long sampledAt = -1, sampleCount, divergedSamples;
 
-    /** Looks at those who are watched and live, from now on for so long. */
+    /**
+     * Starts sampling the watched members that are running.
+     *
+     * @param durationMicros how long to sample, in microseconds of virtual time
+     * @param permanent whether a member has to stay in the expected state until the end
+     * @param converged whether a member is in the expected state
+     */
     ConvergenceSampler(VirtualFleet fleet, long durationMicros, boolean permanent, IntPredicate watched,
         IntPredicate converged) {
         this.fleet = fleet;
@@ -56,7 +64,7 @@
         }
     }
 
-    /** Seconds from the beginning until each was right; those that never were are left out. */
+    /** Seconds until each member reached the expected state; members that never did are left out. */
     List<Double> convergenceSeconds() {
         List<Double> result = new ArrayList<>();
         for (int i = 0; i < lastDivergedAt.length; i++) {
@@ -68,7 +76,7 @@
         return result;
     }
 
-    /** How many were still wrong at the end. */
+    /** Number of members that had not reached the expected state. */
     int unconvergedCount() {
         int result = 0;
         for (int i = 0; i < lastDivergedAt.length; i++) {
@@ -77,7 +85,7 @@
         return result;
     }
 
-    /** The part of all looks at which a member was wrong. */
+    /** Share of all samples in which a member was not in the expected state. */
     double divergedShare() {
         return (double) divergedSamples / Math.max(1, sampleCount);
     }
--- a/lab/src/main/java/dockrelay/lab/scale/members/FlatMember.java
+++ b/lab/src/main/java/dockrelay/lab/scale/members/FlatMember.java
@@ -9,7 +9,7 @@
 import java.nio.ByteBuffer;
 import java.util.Random;
 
-/** All names in one membership, each known singly to each. */
+/** A member of one flat membership, in which each member tracks every other one individually. */
 final class FlatMember implements HollowMember {
     static final Variant VARIANT = new Variant() {
         @Override
@@ -19,8 +19,7 @@
 
         @Override
         public HollowMember create(String self, Layout layout, long incarnation, Random random,
-            Callbacks callbacks,
-                                 long now) {
+            Callbacks callbacks, long now) {
             return new FlatMember(self, layout, incarnation, random, callbacks, now);
         }
 
@@ -31,7 +30,7 @@
 
         @Override
         public void addSettings(ObjectNode settings, Layout layout) {
-            // names and addresses are all
+            // a flat membership needs names and addresses only
         }
 
         @Override
@@ -50,8 +49,7 @@
     private FlatMember(String self, Layout layout, long incarnation, Random random, Callbacks callbacks,
                        long now) {
         membership = new Membership(self, layout.names(), incarnation, random.nextInt() | 1,
-            ProtocolTiming.DEFAULT, random,
-            new Membership.Callbacks() {
+            ProtocolTiming.DEFAULT, random, new Membership.Callbacks() {
                 @Override
                 public void send(String receiver, ByteBuffer datagram) {
                     callbacks.send(receiver, datagram);
@@ -64,12 +62,12 @@
 
                 @Override
                 public void incarnationChanged(long newIncarnation) {
-                    // a hollow process starts anew well above what it had
+                    // not stored: a restarted hollow process gets a far higher incarnation anyway
                 }
 
                 @Override
                 public void nameConflict(String name, String reason) {
-                    throw new IllegalStateException("two processes go by " + name + ": " + reason);
+                    throw new IllegalStateException("two processes use the name " + name + ": " + reason);
                 }
             }, now);
     }
--- a/lab/src/main/java/dockrelay/lab/scale/members/GroupMember.java
+++ b/lab/src/main/java/dockrelay/lab/scale/members/GroupMember.java
@@ -13,7 +13,9 @@
 import java.util.Random;
 import java.util.WeakHashMap;
 
-/** Groups within zones: each known singly in its own group, the others by what they say of themselves. */
+/**
+ * A member of a grouped membership: it tracks its own group individually and other groups by their reports.
+ */
 final class GroupMember implements HollowMember {
     static final Variant VARIANT = new Variant() {
         @Override
@@ -23,8 +25,7 @@
 
         @Override
         public HollowMember create(String self, Layout layout, long incarnation, Random random,
-            Callbacks callbacks,
-                                 long now) {
+            Callbacks callbacks, long now) {
             return new GroupMember(self, layout, incarnation, random, callbacks, now);
         }
 
@@ -51,7 +52,7 @@
         }
     };
 
-    /** The same for all who were given the same list: one object for all of them in this process. */
+    /** Group assignments by layout, shared by all members of this process to save memory. */
     private static final Map<Layout, GroupAssignment> ASSIGNMENTS = new WeakHashMap<>();
 
     private final GroupedMembership membership;
@@ -59,8 +60,7 @@
     private GroupMember(String self, Layout layout, long incarnation, Random random, Callbacks callbacks,
                         long now) {
         membership = new GroupedMembership(self, assignment(layout), incarnation, random.nextInt() | 1,
-            ProtocolTiming.DEFAULT, random,
-            new GroupedMembership.Callbacks() {
+            ProtocolTiming.DEFAULT, random, new GroupedMembership.Callbacks() {
                 @Override
                 public void send(String receiver, ByteBuffer datagram) {
                     callbacks.send(receiver, datagram);
@@ -73,21 +73,22 @@
 
                 @Override
                 public void incarnationChanged(long newIncarnation) {
-                    // a hollow process starts anew well above what it had
+                    // not stored: a restarted hollow process gets a far higher incarnation anyway
                 }
 
                 @Override
                 public void nameConflict(String name, String reason) {
-                    throw new IllegalStateException("two processes go by " + name + ": " + reason);
+                    throw new IllegalStateException("two processes use the name " + name + ": " + reason);
                 }
 
                 @Override
                 public void memberLookupCompleted(String name, MemberStatus status) {
-                    // nobody asks
+                    // hollow members look up no other members
                 }
             }, now);
     }
 
+    /** The group assignment of a layout; computed once for each layout. */
     static synchronized GroupAssignment assignment(Layout layout) {
         return ASSIGNMENTS.computeIfAbsent(layout, key -> GroupAssignment.of(key.zones(),
             GroupAssignment.DEFAULT_GROUP_SIZE));
--- a/lab/src/main/java/dockrelay/lab/scale/members/HollowMember.java
+++ b/lab/src/main/java/dockrelay/lab/scale/members/HollowMember.java
@@ -4,32 +4,33 @@
 import dockrelay.fleet.MembershipSnapshot;
 import java.util.Random;
 
-/** The machine that a proxy plays to know who is there, whichever it is. */
+/** A membership state machine, flat or grouped, that runs in a hollow process. */
 interface HollowMember extends HollowStateMachine {
-    /** One kind of machine. */
+    /** A variant of the membership state machine. */
     interface Variant extends Factory {
-        /** As a specification names it. */
+        /** The name by which an experiment file selects it. */
         String name();
 
         @Override
         HollowMember create(String self, Layout layout, long incarnation, Random random, Callbacks callbacks,
                           long now);
 
-        /** Which names know each other singly; equal numbers are one group. */
+        /** Group number of a member; members of a group track each other individually. */
         int groupOf(Layout layout, String name);
 
-        /** What a real proxy has to be told beside names and addresses, to play the same. */
+        /** Adds the settings, besides names and addresses, that make a real proxy use this variant. */
         void addSettings(ObjectNode settings, Layout layout);
 
-        /** Null, or why the code does not take this list. */
+        /** Why the state machine does not accept this layout; null if it does. */
         String refusalReason(Layout layout);
     }
 
+    /** This member's current view of the membership. */
     MembershipSnapshot snapshot(long now);
 
-    /** Equal where two see the same. */
+    /** Digest of this member's view of its group; equal for members with the same view. */
     String digest();
 
-    /** Of how many names it keeps something singly. */
+    /** Number of members that it tracks individually. */
     int trackedMemberCount(long now);
 }
--- a/lab/src/main/java/dockrelay/lab/scale/members/Layout.java
+++ b/lab/src/main/java/dockrelay/lab/scale/members/Layout.java
@@ -6,12 +6,12 @@
 import java.util.Map;
 
 /**
- * Who is where: names by zone, zones by region. Zones are of unlike sizes; a name tells its zone, as the
- * names of real machines do.
+ * Member names by zone, and zones by region. Zones differ in size. A name begins with its zone, and a zone
+ * with its region, as host names usually do.
  */
 public final class Layout {
     private static final List<String> ZONES = List.of("a1", "b1", "c1", "a2", "b2", "c2", "a3");
-    /** Shares of the names, in hundredths; a2 has a seventh, b1 and b2 are the region that is cut off. */
+    /** Percentage of the members in each zone; a2 has a seventh, b1 and b2 are the region that is cut off. */
     private static final int[] ZONE_PERCENTAGES = {22, 18, 16, 14, 12, 10, 8};
     private static final int HUNDRED_PERCENT = 100;
     static final String SEVENTH_ZONE = "a2", CUT_OFF_REGION = "b";
@@ -24,6 +24,7 @@
         zones.values().forEach(names::addAll);
     }
 
+    /** A layout with this number of members over the standard zones. */
     static Layout of(int size) {
         Map<String, List<String>> zones = new LinkedHashMap<>();
         int assigned = 0, cumulativePercentage = 0;
@@ -43,12 +44,12 @@
         return new Layout(zones);
     }
 
-    /** These zones as they are. */
+    /** A layout with these member names by zone. */
     static Layout of(Map<String, List<String>> zones) {
         return new Layout(zones);
     }
 
-    /** The same without these names, and with so many new ones in turns over the zones. */
+    /** A copy without these names and with a number of new ones, assigned to the zones round robin. */
     Layout withChanges(List<String> removed, int addedCount) {
         Map<String, List<String>> newZones = new LinkedHashMap<>();
         zones.forEach((zone, zoneNames) -> {
@@ -64,7 +65,7 @@
         return new Layout(newZones);
     }
 
-    /** With names that stand in a zone already, such as those of real processes. */
+    /** A copy with additional names in existing zones, such as those of real processes. */
     Layout withNames(Map<String, String> zoneByName) {
         Map<String, List<String>> newZones = new LinkedHashMap<>();
         zones.forEach((zone, zoneNames) -> newZones.put(zone, new ArrayList<>(zoneNames)));
@@ -84,10 +85,12 @@
         return names.size();
     }
 
+    /** The zone of a member name. */
     static String zoneOf(String name) {
         return name.substring(0, name.indexOf('-'));
     }
 
+    /** The region of a member name. */
     static String regionOf(String name) {
         return name.substring(0, 1);
     }
--- a/lab/src/main/java/dockrelay/lab/scale/members/LoopbackFleet.java
+++ b/lab/src/main/java/dockrelay/lab/scale/members/LoopbackFleet.java
@@ -24,20 +24,22 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.HdrHistogram.ConcurrentHistogram;
 
-/** Hollow members with a real socket each, on loopback, spread over some threads of this process. */
+/** Hollow members with one UDP socket each on the loopback interface, spread over threads of this process. */
 final class LoopbackFleet implements AutoCloseable {
     private static final int MAX_DATAGRAM_BYTES = 2048, MAX_DATAGRAMS_PER_READ = 64;
     private static final long MICROS_PER_SECOND = 1_000_000, SAMPLE_INTERVAL_MICROS = 100_000;
 
-    /** What a member went by when it was last looked at; which of its looks that was. */
+    /**
+     * A member's view of the membership when it was last sampled, and the time of the sample in microseconds.
+     */
     record Sample(MembershipSnapshot snapshot, String digest, long sampledAtMicros) {
     }
 
-    /** Wakes in the order of their times; one that is no longer true is passed over. */
+    /** A scheduled wake-up; it is ignored if the member has been rescheduled since. */
     private record WakeUp(long timeMicros, Member member) {
     }
 
-    /** One thread with its members. */
+    /** An event loop thread and the members that it runs. */
     private final class Worker extends Thread {
         private final Selector selector = Selector.open();
         private final PriorityQueue<WakeUp> wakeUps =
@@ -55,6 +57,7 @@
             setDaemon(true);
         }
 
+        /** Runs the task on this thread; may be called from any thread. */
         void submit(Runnable task) {
             tasks.add(task);
             selector.wakeup();
@@ -71,6 +74,7 @@
             }
         }
 
+        /** One pass of the event loop: datagrams, submitted tasks, due wake-ups, samples. */
         private void runOnce() throws IOException {
             WakeUp firstWakeUp = wakeUps.peek();
             long now = now(), waitUntil = Math.min(nextSampleAt, firstWakeUp == null ? Long.MAX_VALUE
@@ -89,8 +93,8 @@
             for (Runnable task = tasks.poll(); task != null; task = tasks.poll()) {
                 task.run();
             }
-            for (WakeUp wakeUp = wakeUps.peek(); wakeUp != null
-                && wakeUp.timeMicros <= now(); wakeUp = wakeUps.peek()) {
+            for (WakeUp wakeUp = wakeUps.peek(); wakeUp != null && wakeUp.timeMicros <= now();
+                wakeUp = wakeUps.peek()) {
                 wakeUps.poll();
                 if (wakeUp.member.isScheduledAt(wakeUp.timeMicros)) {
                     wakeUpDelays.recordValue(Math.max(0, now() - wakeUp.timeMicros));
@@ -104,7 +108,7 @@
         }
     }
 
-    /** One member with its socket. */
+    /** A member with its socket; used by its worker thread only. */
     private final class Member implements HollowMember.Callbacks {
         final String name;
         final int index;
@@ -120,6 +124,7 @@
             this.channel = channel;
         }
 
+        /** Creates the state machine and registers the socket. */
         void start(Layout layout, Random random) throws IOException {
             channel.configureBlocking(false);
             channel.register(worker.selector, SelectionKey.OP_READ, this);
@@ -129,6 +134,7 @@
             scheduleWakeUp();
         }
 
+        /** Schedules the next wake-up, unless an earlier one is already queued. */
         void scheduleWakeUp() {
             if (stateMachine.nextTickAt() < wakeUpAt) {
                 wakeUpAt = stateMachine.nextTickAt();
@@ -136,6 +142,7 @@
             }
         }
 
+        /** Whether a wake-up for this time is still valid. */
         boolean isScheduledAt(long timeMicros) {
             return timeMicros == wakeUpAt && stateMachine != null;
         }
@@ -146,6 +153,7 @@
             scheduleWakeUp();
         }
 
+        /** Handles a bounded number of received datagrams. */
         void readDatagrams(ByteBuffer buffer) throws IOException {
             for (int i = 0; i < MAX_DATAGRAMS_PER_READ && stateMachine != null; i++) {
                 buffer.clear();
@@ -160,6 +168,7 @@
             }
         }
 
+        /** Publishes this member's current view. */
         void publishSample() {
             if (stateMachine != null) {
                 long sampledAt = now();
@@ -168,6 +177,7 @@
             }
         }
 
+        /** Stops the member and closes its socket. */
         void stop() {
             stateMachine = null;
             worker.members.remove(this);
@@ -186,13 +196,13 @@
             try {
                 channel.send(datagram, addresses.get(receiver));
             } catch (IOException e) {
-                unsentDatagrams.incrementAndGet(); // as lost: its socket's buffer was full
+                unsentDatagrams.incrementAndGet(); // counts as lost: the send buffer was full
             }
         }
 
         @Override
         public void memberChanged(MemberStateChange change) {
-            // what it comes to is looked at
+            // the resulting state is sampled instead
         }
     }
 
@@ -205,10 +215,13 @@
     private final AtomicInteger unsentDatagrams = new AtomicInteger();
     final Traffic sentTraffic, receivedTraffic;
 
-    /** Opens a socket for each of these names; those of others are told by their addresses. */
+    /**
+     * Opens a socket for each of these names.
+     *
+     * @param remoteAddresses addresses of members that run elsewhere, by name
+     */
     LoopbackFleet(HollowMember.Variant variant, Collection<String> names,
-        Map<String, InetSocketAddress> remoteAddresses,
-                  int threadCount) throws IOException {
+        Map<String, InetSocketAddress> remoteAddresses, int threadCount) throws IOException {
         this.variant = variant;
         this.sentTraffic = new Traffic(names.size());
         this.receivedTraffic = new Traffic(names.size());
@@ -230,10 +243,12 @@
         return System.nanoTime() / 1000;
     }
 
+    /** Address of a member of this fleet or of one that runs elsewhere. */
     InetSocketAddress addressOf(String name) {
         return addresses.get(name);
     }
 
+    /** Starts the threads and all members. */
     void start(Layout layout, long seed) {
         Random random = new Random(seed);
         for (Member member : membersByName.values()) {
@@ -249,34 +264,35 @@
         workers.forEach(Thread::start);
     }
 
-    /** Ends it without a word, as a machine that fails. */
+    /** Stops a member without notice to its peers, as if its machine had failed. */
     void kill(String name) {
         Member member = membersByName.get(name);
         member.worker.submit(member::stop);
     }
 
-    /** What each that lives went by when it was last looked at, ten times a second. */
+    /** Latest sample of each running member by name, refreshed ten times a second; safe from any thread. */
     Map<String, Sample> latestSamples() {
         return latestSamples;
     }
 
+    /** Number of datagrams that a socket did not accept. */
     int unsentDatagrams() {
         return unsentDatagrams.get();
     }
 
-    /** How late the worst thread's wakes were, in microseconds, 99 in 100 of them: its own want of time. */
+    /** The 99th percentile of wake-up delays of the slowest thread, in microseconds: its CPU starvation. */
     long wakeUpDelayP99Micros() {
         return workers.stream().mapToLong(worker -> worker.wakeUpDelays.getValueAtPercentile(99)).max()
             .orElse(0);
     }
 
-    /** Null, or what ended a thread. */
+    /** The exception that ended a thread, or null. */
     String failure() {
         return workers.stream().map(worker -> worker.failure).filter(failure -> failure != null).findFirst()
             .orElse(null);
     }
 
-    /** Seconds of processor time of all members together. */
+    /** CPU time of all worker threads together, in seconds. */
     double cpuSeconds() {
         long cpuNanos = 0;
         for (Worker worker : workers) {
--- a/lab/src/main/java/dockrelay/lab/scale/members/LoopbackPlay.java
+++ b/lab/src/main/java/dockrelay/lab/scale/members/LoopbackPlay.java
@@ -16,8 +16,9 @@
 import java.util.function.Predicate;
 
 /**
- * Hollow members on sockets and real proxies beside them, by the clock: quiet, some die singly, a seventh
- * dies at once. What the real ones say at their consoles has to be what the hollow ones hold.
+ * Runs hollow members on sockets beside real proxies, in real time: an idle phase, some single deaths, then
+ * the loss of a seventh of the members. Compares what the consoles of the real proxies report with the state
+ * of the hollow members.
  */
 final class LoopbackPlay {
     private static final long MICROS_PER_SECOND = 1_000_000, START_TIMEOUT_MICROS = 60 * MICROS_PER_SECOND;
@@ -35,10 +36,9 @@
     private int liveCount;
     private long trafficSecondStart = now();
 
-    /** The size counts the real ones among the members. */
+    /** Creates a run with {@code size} members, of which {@code proxyCount} are real. */
     LoopbackPlay(HollowMember.Variant variant, int size, Map<String, Long> settings, int proxyCount,
-        int threadCount, long seed,
-             Path root, Figures figures) {
+        int threadCount, long seed, Path root, Figures figures) {
         this.variant = variant;
         this.settings = settings;
         this.proxyCount = proxyCount;
@@ -54,13 +54,13 @@
         this.layout = Layout.of(size - proxyCount).withNames(zoneByProxy);
     }
 
+    /** Runs all phases and records their figures. */
     void play() throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory("dockrelay-scale-");
         try (RealProxies proxies = new RealProxies(proxyCount, root, folder, seed)) {
             realProxies = proxies;
-            List<String> names = layout.names().stream().filter(name -> !realProxies.peerAddresses()
-                .containsKey(name))
-                .toList();
+            List<String> names = layout.names().stream()
+                .filter(name -> !realProxies.peerAddresses().containsKey(name)).toList();
             try (LoopbackFleet fleet = new LoopbackFleet(variant, names, realProxies.peerAddresses(),
                 threadCount)) {
                 hollowFleet = fleet;
@@ -77,6 +77,7 @@
         }
     }
 
+    /** The phases, once all members have been started. */
     private void run() throws IOException, InterruptedException {
         List<Double> startSeconds = awaitState(START_TIMEOUT_MICROS, this::agreesOnAll,
             reply -> reply.allAgree() && reply.count("counted") == liveCount);
@@ -120,6 +121,7 @@
         figures.add("datagrams that a socket did not take", "datagrams", hollowFleet.unsentDatagrams());
     }
 
+    /** Measures CPU, memory and traffic of members that only maintain the membership. */
     private void measureIdle() throws IOException, InterruptedException {
         hollowFleet.sentTraffic.reset();
         hollowFleet.receivedTraffic.reset();
@@ -129,11 +131,9 @@
         sleepMicros(settings.get("quiet"));
         double elapsedSeconds = (double) (now() - startedAt) / MICROS_PER_SECOND;
         figures.add("processor of a hollow member, with its socket's", "% of a core",
-            (hollowFleet.cpuSeconds()
-            - cpuBefore) / elapsedSeconds / memberCount * 100);
+            (hollowFleet.cpuSeconds() - cpuBefore) / elapsedSeconds / memberCount * 100);
         figures.add("processor of a real proxy without requests", "% of a core",
-            (realProxies.cpuSeconds() - realCpuBefore)
-            / elapsedSeconds / realProxies.count() * 100);
+            (realProxies.cpuSeconds() - realCpuBefore) / elapsedSeconds / realProxies.count() * 100);
         figures.add("memory of a real proxy, resident, most", "MB", realProxies.maxResidentKib() / 1e3);
         figures.add("bytes sent, mean of all hollow members", "B/s",
             hollowFleet.sentTraffic.totalBytes() / elapsedSeconds / memberCount);
@@ -158,30 +158,35 @@
         compareDigests("on a quiet day");
     }
 
-    /** Whether the real ones hold what the hollow ones beside them do; the digest of a group is its own. */
+    /** Counts the real proxies whose member count and group digest equal those of the hollow members. */
     private void compareDigests(String phase) {
         int matching = 0;
         List<MembersReply> replies = realProxies.queryMembers();
         for (MembersReply reply : replies) {
             int group = variant.groupOf(layout, reply.name());
             matching += hollowFleet.latestSamples().entrySet().stream()
-                .filter(entry -> variant.groupOf(layout, entry.getKey())
-                == group).allMatch(entry -> entry.getValue().digest().equals(reply.digest()))
+                .filter(entry -> variant.groupOf(layout, entry.getKey()) == group)
+                .allMatch(entry -> entry.getValue().digest().equals(reply.digest()))
                 && reply.count("counted") == liveCount ? 1 : 0;
         }
         figures.add("real proxies with the count and digest of the hollow ones, " + phase, "of "
             + realProxies.count(), matching);
     }
 
+    /** Whether this hollow member counts all members and knows that all agree. */
     private boolean agreesOnAll(LoopbackFleet.Sample sample) {
         return sample.snapshot().agreement() == dockrelay.fleet.MembershipSnapshot.Agreement.ALL
             && sample.snapshot().countedMembers() == liveCount;
     }
 
-    /** Waits for the time given; from when on each was right and stayed so, hollow and real. */
+    /**
+     * Waits and watches the hollow and the real members. The start phase ends as soon as all match.
+     *
+     * @param durationMicros how long to watch, in microseconds
+     * @return for each member that matches at the end, the seconds until it did so for good
+     */
     private List<Double> awaitState(long durationMicros, Predicate<LoopbackFleet.Sample> hollowCondition,
-        Predicate<MembersReply> realCondition)
-        throws IOException, InterruptedException {
+        Predicate<MembersReply> realCondition) throws IOException, InterruptedException {
         long startedAt = now();
         Map<String, Long> matchedSince = new HashMap<>();
         while (now() - startedAt < durationMicros) {
@@ -200,25 +205,27 @@
             sleepUntilNextPoll(timestamp);
         }
         return matchedSince.values().stream().filter(timestamp -> timestamp >= 0)
-            .map(timestamp -> (double) (timestamp - startedAt) / MICROS_PER_SECOND)
-            .toList();
+            .map(timestamp -> (double) (timestamp - startedAt) / MICROS_PER_SECOND).toList();
     }
 
+    /** Records since when a member matches; -1 means that it does not. */
     private static void recordMatch(Map<String, Long> matchedSince, String name, boolean matches,
         long timestamp) {
-        matchedSince.merge(name, matches ? timestamp : -1L, (previous, current) -> current < 0 ? current
-            : previous < 0 ? current : previous);
+        matchedSince.merge(name, matches ? timestamp : -1L, (previous, current) ->
+            current < 0 ? current : previous < 0 ? current : previous);
     }
 
+    /** Sleeps for this many microseconds while counting traffic seconds and watching for crashes. */
     private void sleepMicros(long durationMicros) throws IOException, InterruptedException {
         for (long startedAt = now(); now() - startedAt < durationMicros;) {
             sleepUntilNextPoll(now());
         }
     }
 
+    /** Sleeps until the poll interval that began at this time is over. */
     private void sleepUntilNextPoll(long pollStartedAt) throws IOException, InterruptedException {
         if (realProxies.crashReport() != null) {
-            throw new IOException("a real proxy ended: " + realProxies.crashReport());
+            throw new IOException("a real proxy exited unexpectedly: " + realProxies.crashReport());
         }
         TimeUnit.MICROSECONDS.sleep(Math.max(0, POLL_INTERVAL_MILLIS * 1000 - (now() - pollStartedAt)));
         while (now() - trafficSecondStart >= MICROS_PER_SECOND) {
--- a/lab/src/main/java/dockrelay/lab/scale/members/MembersRole.java
+++ b/lab/src/main/java/dockrelay/lab/scale/members/MembersRole.java
@@ -19,16 +19,21 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
 
-/** Hollow proxies: the machine that knows who is there, many to a process, over a virtual network. */
+/**
+ * Measures the membership state machine with many hollow proxies in one process, over a virtual network or,
+ * beside real proxies, over loopback sockets.
+ */
 public final class MembersRole implements Role {
     private static final List<HollowMember.Variant> VARIANTS =
         List.of(FlatMember.VARIANT, GroupMember.VARIANT);
-    /** They take minutes of the fleet's time. */
+    /**
+     * Scenarios that take minutes of virtual time: started first, and skipped above the size in "long_up_to".
+     */
     private static final List<Scenario> LONG_SCENARIOS =
         List.of(Scenario.REGION, Scenario.LOSS, Scenario.BUSY);
     private static final long MICROS_PER_SECOND = VirtualFleet.MICROS_PER_SECOND;
     private static final int MAX_THREADS = 8, MAX_DEATHS = 100;
-    /** What one holds at the most, by probes: of itself, and of each whom it knows singly. */
+    /** Upper bounds of memory: for a member, for each peer it tracks, and for a real proxy. */
     private static final long BYTES_PER_MEMBER = 60_000, BYTES_PER_PEER = 500, BYTES_PER_PROXY = 192L << 20;
 
     @Override
@@ -36,6 +41,7 @@
         return "members";
     }
 
+    /** The state machine variant that the experiment selects. */
     private static HollowMember.Variant variant(ScaleSpec spec) {
         String name = spec.roleSection().readText("machine", VARIANTS.get(VARIANTS.size() - 1).name());
         return VARIANTS.stream().filter(variant -> variant.name().equals(name)).findFirst().orElseThrow(
@@ -51,7 +57,7 @@
         return spec.roleSection().readCount("proxies", 4, 4, 20);
     }
 
-    /** Sockets and processes, by the clock, or the virtual network. */
+    /** Whether the experiment asks for sockets and processes in real time instead of the virtual network. */
     private static boolean usesLoopback(ScaleSpec spec) {
         String network = spec.roleSection().readText("network", "virtual");
         if (!network.equals("virtual") && !network.equals("loopback")) {
@@ -60,6 +66,7 @@
         return network.equals("loopback");
     }
 
+    /** The numeric keys of the role with their values; times are in microseconds. */
     private static Map<String, Long> numericSettings(ScaleSpec spec) {
         TomlSection section = spec.roleSection();
         long hourMicros = 3_600 * MICROS_PER_SECOND;
@@ -83,6 +90,7 @@
         return result;
     }
 
+    /** The selected scenarios; all of them by default. */
     private static List<Scenario> scenarios(ScaleSpec spec) {
         List<String> keys = spec.roleSection().readTexts("scenarios");
         List<Scenario> result = Arrays.stream(Scenario.values())
@@ -102,7 +110,7 @@
         boolean loopback = usesLoopback(spec);
         int proxyCount = proxyCount(spec), threadCount = threadCount(spec);
         if (variant.refusalReason(Layout.of(size)) != null) {
-            return new ResourceEstimate(0, 1); // nothing will be started
+            return new ResourceEstimate(0, 1); // the layout is refused, so nothing will be started
         }
         int trackedPeers = variant == FlatMember.VARIANT ? size : Math.min(size, 200);
         long totalBytes = size * (BYTES_PER_MEMBER + BYTES_PER_PEER * trackedPeers);
@@ -121,8 +129,7 @@
         if (usesLoopback(spec)) {
             Figures figures = new Figures(name(), size, "real", play);
             new LoopbackPlay(variant, size, numericSettings(spec), proxyCount(spec), threadCount(spec),
-                spec.seed() + play,
-                Path.of(System.getProperty("stoatreel.root", ".")), figures).play();
+                spec.seed() + play, Path.of(System.getProperty("stoatreel.root", ".")), figures).play();
             return figures.asList();
         }
         Figures allFigures = new Figures(name(), size, "virtual", play);
@@ -130,7 +137,7 @@
         if (size > numericSettings(spec).get("long_up_to")) {
             scenarios.removeAll(LONG_SCENARIOS);
         }
-        if (scenarios.remove(Scenario.HEAP)) { // first and alone: what it holds is measured
+        if (scenarios.remove(Scenario.HEAP)) { // first and alone, as it measures the heap of this JVM
             allFigures.addAll(playScenario(spec, variant, layout, Scenario.HEAP, size, play, progress));
         }
         scenarios.sort(Comparator.comparing(scenario -> !LONG_SCENARIOS.contains(scenario)));
@@ -150,14 +157,13 @@
         return allFigures.asList();
     }
 
+    /** Plays one scenario and reports its figures as progress. */
     private List<Figure> playScenario(ScaleSpec spec, HollowMember.Variant variant, Layout layout,
-        Scenario scenario,
-                             int size, int play, ProgressLog progress) {
+        Scenario scenario, int size, int play, ProgressLog progress) {
         long startedNanos = System.nanoTime();
         Figures figures = new Figures(name(), size, "virtual", play);
         scenario.play(new ScenarioPlay(variant, layout, numericSettings(spec),
-            spec.seed() * 1_000 + play * 10L
-            + scenario.ordinal()), figures);
+            spec.seed() * 1_000 + play * 10L + scenario.ordinal()), figures);
         progress.log(String.format(Locale.ROOT, "members %d: %s took %.1f s", size, scenario.key(),
             (System.nanoTime() - startedNanos) / 1e9));
         for (Figure figure : figures.asList()) {
--- a/lab/src/main/java/dockrelay/lab/scale/members/RealProxies.java
+++ b/lab/src/main/java/dockrelay/lab/scale/members/RealProxies.java
@@ -25,17 +25,21 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Real proxies, as processes with the program's own start, among hollow ones: each told all names. */
+/** Real proxy processes, started as in production, that run beside hollow ones and know all member names. */
 final class RealProxies implements AutoCloseable {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final Pattern KEY_VALUE = Pattern.compile("(\\w+)=(\\S+)");
 
-    /** What the console of one says: the words of its first line; empty where it gave none. */
+    /**
+     * The key=value pairs in the first line of a proxy's MEMBERS reply; empty if there was no valid reply.
+     */
     record MembersReply(String name, Map<String, String> values) {
+        /** The value as a number; -1 if absent. */
         int count(String key) {
             return Integer.parseInt(values.getOrDefault(key, "-1"));
         }
 
+        /** Whether the proxy reports that all members agree. */
         boolean allAgree() {
             return "all".equals(values.get("agreement"));
         }
@@ -52,6 +56,7 @@
     private final List<ProxyProcess> proxies = new ArrayList<>();
     private final Map<String, InetSocketAddress> peerAddresses = new LinkedHashMap<>();
 
+    /** Prepares the proxies and the emulator that they connect to; {@code folder} receives their files. */
     RealProxies(int count, Path root, Path folder, long seed) throws IOException {
         Files.createDirectories(folder);
         Path experimentFile = Files.writeString(folder.resolve("world.toml"),
@@ -70,12 +75,12 @@
         }
     }
 
-    /** Their names, and where each hears the others. */
+    /** Peer address of each proxy by name. */
     Map<String, InetSocketAddress> peerAddresses() {
         return peerAddresses;
     }
 
-    /** Starts them with this list: names with their addresses, the own ones among them. */
+    /** Starts the proxies with the peer addresses of all members, including these proxies' own. */
     void start(Map<String, InetSocketAddress> memberAddresses, HollowMember.Variant variant, Layout layout)
         throws IOException {
         Map<String, String> addressTexts = new LinkedHashMap<>();
@@ -85,8 +90,7 @@
             int index = proxy.index();
             proxy.setConsoleAddress(LoopbackAddresses.freeConsoleAddress(index));
             ObjectNode settings = (ObjectNode) JSON.readTree(ProxyConfiguration.toJson(plan.experiment(),
-                proxy,
-                LoopbackAddresses.hostAndPort(proxy.listenAddress()),
+                proxy, LoopbackAddresses.hostAndPort(proxy.listenAddress()),
                 LoopbackAddresses.hostAndPort(proxy.consoleAddress()), emulator.discoveryAddress(index),
                 plan.seed() + index, emulator.backendListFor(index, true), null, null));
             settings.put("peer_listen", LoopbackAddresses.hostAndPort(peerAddresses.get(proxy.name())));
@@ -95,11 +99,11 @@
             proxy.start(settings.toString(), Map.of("PROXY_LISTEN",
                 LoopbackAddresses.hostAndPort(proxy.listenAddress()),
                 "PROXY_CONSOLE", LoopbackAddresses.hostAndPort(proxy.consoleAddress()), "PROXY_DISCOVERY",
-                emulator.discoveryAddress(index)),
-                false);
+                emulator.discoveryAddress(index)), false);
         }
     }
 
+    /** Asks the console of each proxy for its view of the membership. */
     List<MembersReply> queryMembers() {
         List<MembersReply> replies = new ArrayList<>();
         for (ProxyProcess proxy : proxies) {
@@ -115,19 +119,19 @@
         return replies;
     }
 
-    /** Null, or which has ended though nobody told it to. */
+    /** Describes a proxy that exited unexpectedly; null if all are running. */
     String crashReport() {
         return proxies.stream().filter(proxy -> proxy.crashDescription() != null)
             .map(proxy -> proxy.name() + ": " + proxy.crashDescription())
             .findFirst().orElse(null);
     }
 
-    /** KiB that each holds, the most of all. */
+    /** Largest resident set size of the proxies, in KiB. */
     long maxResidentKib() {
         return proxies.stream().mapToLong(proxy -> proxy.sampleUsage().residentKib()).max().orElse(0);
     }
 
-    /** Seconds of processor time of all together, since their starts. */
+    /** Total CPU time of the proxies since their start, in seconds. */
     double cpuSeconds() {
         return proxies.stream().mapToDouble(proxy -> {
             proxy.sampleUsage();
--- a/lab/src/main/java/dockrelay/lab/scale/members/Scenario.java
+++ b/lab/src/main/java/dockrelay/lab/scale/members/Scenario.java
@@ -12,20 +12,23 @@
 import java.util.Locale;
 import java.util.Set;
 
-/** What befalls a virtual fleet, each from a fresh start and a seed of its own; times are virtual. */
+/**
+ * Scenarios on a virtual fleet. Each starts a fresh fleet with a seed of its own; times are virtual. The
+ * constants' names in lower case are the keys of experiment files.
+ */
 enum Scenario {
-    /** What the members hold; nothing else may run in this JVM meanwhile. */
+    /** Heap of a member; nothing else may run in this JVM meanwhile. */
     HEAP {
         @Override
         void play(ScenarioPlay play, Figures figures) {
             VirtualFleet[] fleet = {play.startedFleet(play.durationMicros("warm") / 2)};
             int memberCount = fleet[0].memberCount();
             long heapWithFleet = usedHeapBytes();
-            fleet[0] = null; // what is loaded and kept once is in both
+            fleet[0] = null; // classes and shared objects are in both measurements and cancel out
             figures.add("heap of a member", "kB", (heapWithFleet - usedHeapBytes()) / 1e3 / memberCount);
         }
     },
-    /** Nothing at all: what it costs, and what of a budget is given out. */
+    /** No faults: CPU, traffic and the share of a budget that is handed out. */
     QUIET {
         @Override
         void play(ScenarioPlay play, Figures figures) {
@@ -62,15 +65,14 @@
             figures.add("share of a budget given out on a quiet day, mean", "share", shareSum / SAMPLES);
             figures.add("share of a budget given out on a quiet day, least", "share", minTotalShare);
             ConvergenceSampler sampler = new ConvergenceSampler(fleet, 2 * VirtualFleet.MICROS_PER_SECOND,
-                true, i -> true,
-                i -> agreesOnCount(fleet, i, memberCount));
+                true, i -> true, i -> agreesOnCount(fleet, i, memberCount));
             fleet.runUntil(fleet.now() + 3 * VirtualFleet.MICROS_PER_SECOND);
             figures.add("members that know that all agree on a quiet day", "share", 1 - (double) sampler
                 .unconvergedCount() / memberCount);
             figures.add("false deaths on a quiet day", "deaths", fleet.falseDeaths());
         }
     },
-    /** Single ones die, one after the other. */
+    /** Single members die, one after the other. */
     DEATHS {
         @Override
         void play(ScenarioPlay play, Figures figures) {
@@ -95,8 +97,7 @@
                 fleet.kill(victim);
                 int expectedCount = runningCount(fleet);
                 ConvergenceSampler sampler = new ConvergenceSampler(fleet, play.durationMicros("gap"), true,
-                    i -> true,
-                    i -> fleet.snapshot(i).countedMembers() == expectedCount);
+                    i -> true, i -> fleet.snapshot(i).countedMembers() == expectedCount);
                 fleet.runUntil(killedAt + play.durationMicros("gap"));
                 undetected += unaware.size();
                 fleetDetectionSeconds.addAll(sampler.convergenceSeconds());
@@ -106,7 +107,7 @@
             figures.addTimes("a death, counted by all", fleetDetectionSeconds, unconverged);
         }
     },
-    /** A seventh of all, drawn evenly. */
+    /** A seventh of all members, chosen at random, dies at once. */
     SEVENTH {
         @Override
         void play(ScenarioPlay play, Figures figures) {
@@ -116,7 +117,7 @@
                 "a seventh lost");
         }
     },
-    /** The zone that has a seventh of all. */
+    /** The zone with a seventh of all members fails. */
     ZONE {
         @Override
         void play(ScenarioPlay play, Figures figures) {
@@ -130,7 +131,7 @@
             killAndMeasure(play, fleet, figures, victims, "a zone lost");
         }
     },
-    /** A region is cut off from the others, and comes back. */
+    /** A region is partitioned from the others, then reconnected. */
     REGION {
         @Override
         void play(ScenarioPlay play, Figures figures) {
@@ -159,25 +160,24 @@
             addPeakTraffic(fleet, figures, "a region cut off and back");
         }
     },
-    /** One datagram in a hundred is lost, and nobody dies. */
+    /** One datagram in a hundred is lost, and no member dies. */
     LOSS {
         @Override
         void play(ScenarioPlay play, Figures figures) {
             VirtualFleet fleet = play.warmedUpFleet(0);
             fleet.setLossProbability(LOSS_PROBABILITY);
             long durationMicros = Math.min(play.durationMicros("loss_for"),
-                play.durationMicros("loss_member_minutes") * 60
-                * VirtualFleet.MICROS_PER_SECOND / fleet.memberCount());
+                play.durationMicros("loss_member_minutes") * 60 * VirtualFleet.MICROS_PER_SECOND
+                / fleet.memberCount());
             long deathsBefore = fleet.falseDeaths();
             fleet.runUntil(fleet.now() + durationMicros);
             figures.add("false deaths at 1% loss", "deaths", fleet.falseDeaths() - deathsBefore);
             figures.add("member-minutes at 1% loss", "min",
-                (double) durationMicros / VirtualFleet.MICROS_PER_SECOND / 60
-                * fleet.memberCount());
+                (double) durationMicros / VirtualFleet.MICROS_PER_SECOND / 60 * fleet.memberCount());
             addPeakTraffic(fleet, figures, "1% loss");
         }
     },
-    /** Restarts as on any day, a rack dies, the list changes, and the rack comes back. */
+    /** Ordinary restarts, the loss of a rack, a change of the member list and the return of the rack. */
     BUSY {
         @Override
         void play(ScenarioPlay play, Figures figures) {
@@ -188,37 +188,41 @@
     private static final int SAMPLES = 10;
     private static final double LOSS_PROBABILITY = 0.01;
 
+    /** Plays this scenario and records its figures. */
     abstract void play(ScenarioPlay play, Figures figures);
 
+    /** The key of this scenario in experiment files. */
     String key() {
         return name().toLowerCase(Locale.ROOT);
     }
 
+    /** Kills the victims and measures how the others notice. */
     private static void killAndMeasure(ScenarioPlay play, VirtualFleet fleet, Figures figures,
-        Set<Integer> victims,
-                             String label) {
+        Set<Integer> victims, String label) {
         victims.forEach(fleet::kill);
         int expectedCount = runningCount(fleet);
         ConvergenceSampler sampler = new ConvergenceSampler(fleet, play.durationMicros("look"), true,
-            i -> true,
-            i -> fleet.snapshot(i).countedMembers() == expectedCount);
+            i -> true, i -> fleet.snapshot(i).countedMembers() == expectedCount);
         fleet.runUntil(fleet.now() + play.durationMicros("look"));
         figures.addTimes(label + ", counted by all", sampler.convergenceSeconds(),
             sampler.unconvergedCount());
         addPeakTraffic(fleet, figures, label);
     }
 
+    /** Records the peak traffic of any member over ten seconds. */
     static void addPeakTraffic(VirtualFleet fleet, Figures figures, String label) {
         figures.add("bytes sent, most in any 10 s, " + label, "B/s", fleet.sentTraffic.peakBytesPerSecond());
         figures.add("bytes received, most in any 10 s, " + label, "B/s",
             fleet.receivedTraffic.peakBytesPerSecond());
     }
 
+    /** Whether the member counts this many members and knows that all agree. */
     static boolean agreesOnCount(VirtualFleet fleet, int member, int count) {
         MembershipSnapshot snapshot = fleet.snapshot(member);
         return snapshot.agreement() == Agreement.ALL && snapshot.countedMembers() == count;
     }
 
+    /** Number of running members. */
     static int runningCount(VirtualFleet fleet) {
         int result = 0;
         for (int i = 0; i < fleet.memberCount(); i++) {
@@ -227,7 +231,7 @@
         return result;
     }
 
-    /** Those that live, in an order that the seed draws. */
+    /** Indexes of the running members in a random order that the seed determines. */
     static List<Integer> shuffledRunning(VirtualFleet fleet) {
         List<Integer> result = new ArrayList<>();
         for (int i = 0; i < fleet.memberCount(); i++) {
@@ -244,7 +248,7 @@
         return shuffledRunning(fleet).get(0);
     }
 
-    /** What is held after all that nobody needs is gone. */
+    /** Used heap after garbage collection, in bytes. */
     private static long usedHeapBytes() {
         for (int i = 0; i < 3; i++) {
             System.gc();
--- a/lab/src/main/java/dockrelay/lab/scale/members/ScenarioPlay.java
+++ b/lab/src/main/java/dockrelay/lab/scale/members/ScenarioPlay.java
@@ -3,7 +3,9 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** One scenario at one size with one kind of machine: what the specification says of it. */
+/**
+ * Parameters of one run of a scenario: layout, state machine variant, seed and settings of the experiment.
+ */
 final class ScenarioPlay {
     private final HollowMember.Variant variant;
     private final Layout layout;
@@ -22,20 +24,26 @@
         return layout;
     }
 
-    /** A time of the specification, in microseconds. */
+    /** A duration from the experiment, in microseconds. */
     long durationMicros(String key) {
         return settings.get(key);
     }
 
+    /** A count from the experiment. */
     int count(String key) {
         return settings.get(key).intValue();
     }
 
+    /** Group number of a member of the fleet. */
     int groupOf(int member, VirtualFleet fleet) {
         return groupByName.computeIfAbsent(fleet.nameOf(member), name -> variant.groupOf(layout, name));
     }
 
-    /** A fleet that has found itself; traffic counts from here on. */
+    /**
+     * A fleet after the warm-up time, with its traffic counters reset.
+     *
+     * @param spareNames number of names that can be added later
+     */
     VirtualFleet warmedUpFleet(int spareNames) {
         VirtualFleet fleet = startedFleet(durationMicros("warm"), spareNames);
         fleet.sentTraffic.reset();
@@ -43,7 +51,7 @@
         return fleet;
     }
 
-    /** One that was started so long ago. */
+    /** A fleet that was started this long ago, in microseconds of virtual time. */
     VirtualFleet startedFleet(long ageMicros) {
         return startedFleet(ageMicros, 0);
     }
--- a/lab/src/main/java/dockrelay/lab/scale/members/Traffic.java
+++ b/lab/src/main/java/dockrelay/lab/scale/members/Traffic.java
@@ -1,8 +1,9 @@
 package dockrelay.lab.scale.members;
 
 /**
- * Bytes and datagrams of each member, one way: in all, and the most in any ten seconds by whole seconds. A
- * member is added to by one thread; another one may end the seconds, and what falls just between is lost.
+ * Bytes and datagrams of each member in one direction: totals, and the peak over any ten whole seconds. Each
+ * member is counted by a single thread. Another thread may end the seconds; a count that races with the end
+ * of a second may be lost.
  */
 final class Traffic {
     private static final int WINDOW_SECONDS = 10;
@@ -18,15 +19,16 @@
         datagramCounts = new long[memberCount];
     }
 
+    /** Counts a datagram of this length, in bytes. */
     void record(int member, int lengthBytes) {
         totalBytes[member] += lengthBytes;
         bytesBySecond[member][currentSecond % WINDOW_SECONDS] += lengthBytes;
         datagramCounts[member]++;
     }
 
-    /** A second is over. */
+    /** Ends the current second. */
     void endSecond() {
-        currentSecond = currentSecond + 1; // by one thread only
+        currentSecond = currentSecond + 1; // not atomic: called by one thread only
         for (int i = 0; i < totalBytes.length; i++) {
             if (currentSecond >= WINDOW_SECONDS) {
                 long windowBytes = 0;
@@ -39,7 +41,7 @@
         }
     }
 
-    /** Counts from here on anew. */
+    /** Resets all counters. */
     void reset() {
         currentSecond = 0;
         for (int i = 0; i < totalBytes.length; i++) {
@@ -50,10 +52,12 @@
         }
     }
 
+    /** Datagrams of all members. */
     long totalDatagrams() {
         return sum(datagramCounts);
     }
 
+    /** Bytes of all members. */
     long totalBytes() {
         return sum(totalBytes);
     }
@@ -66,6 +70,7 @@
         return sum;
     }
 
+    /** Bytes of the busiest member. */
     long maxMemberBytes() {
         long result = 0;
         for (long bytes : totalBytes) {
@@ -74,7 +79,7 @@
         return result;
     }
 
-    /** Bytes a second of the member that had the most in any ten seconds. */
+    /** Highest rate of any member over any ten seconds, in bytes per second. */
     double peakBytesPerSecond() {
         long result = 0;
         for (long windowBytes : peakWindowBytes) {
