--- a/lab/src/main/java/dockrelay/lab/scale/tenants/Demand.java
+++ b/lab/src/main/java/dockrelay/lab/scale/tenants/Demand.java
@@ -13,17 +13,19 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Tenants, services and routes in the settings' words, and who asks for what. The platform has classes and
- * tenants: a route is a class, with the zones in which it runs and the kind of backends that is open to it;
- * a service is a kind, and its backends are those of that kind; a tenant is a tenant, who uses a few routes.
+ * Settings for tenants, services and routes, and the requests of the tenants. The proxy's settings have no
+ * routes or services: a route maps to a class, with the zones in which it runs and the kind of backend it
+ * may use; a service maps to a kind of backend. Each tenant uses a few routes.
  */
 final class Demand implements OpenLoopGenerator.Workload {
+    /** Numbers at full size, and the requests per second of the whole fleet. */
     static final int TENANTS = 190_000, SERVICES = 2_300, ROUTES = 34_000, PROXIES = 5_700,
         REQUESTS_PER_SECOND = 530_000;
     /** Backends of a service, and routes that a tenant uses. */
     static final int BACKENDS_PER_SERVICE = 2, ROUTES_PER_TENANT = 3;
-    /** A quota is so many times what its tenant asks for on the mean. */
+    /** Ratio of a tenant's quota to its mean request rate. */
     private static final double QUOTA_RATIO = 2;
+    /** Prime stride that spreads the tenants' routes over all routes. */
     private static final int ROUTE_STRIDE = 7_919;
 
     private final int tenantCount;
@@ -42,12 +44,12 @@
         this.timeoutSeconds = timeoutSeconds;
     }
 
-    /** As many as there are of these at the full size, at this one. */
+    /** Scales a full-size number to this number of tenants; at least 1. */
     static int scaled(int fullSize, int tenantCount) {
         return Math.max(1, (int) Math.round((double) fullSize * tenantCount / TENANTS));
     }
 
-    /** A service's name is the kind of its backends. */
+    /** Names of the services; a service's name is the kind of its backends. */
     static List<String> services(int tenantCount) {
         List<String> result = new ArrayList<>();
         for (int i = 0; i < scaled(SERVICES, tenantCount); i++) {
@@ -56,7 +58,9 @@
         return result;
     }
 
-    /** As JSON. Each route runs where its service has a backend; each third one in one zone alone. */
+    /**
+     * Routes as JSON. A route runs in the zones of its service's backends; every third one in one zone only.
+     */
     String routes() {
         int serviceCount = scaled(SERVICES, tenantCount);
         StringBuilder json = new StringBuilder("[");
@@ -75,20 +79,20 @@
         return json.append(']').toString();
     }
 
-    /** As JSON, each with a quota over what it asks for; the small ones' are a fraction of a request. */
+    /** Tenants as JSON, each with a quota above its mean rate; small tenants get less than one request/s. */
     String quotas() {
         double requestsPerSecond = (double) REQUESTS_PER_SECOND * tenantCount / TENANTS;
         StringBuilder json = new StringBuilder("[");
         for (int i = 0; i < tenantCount; i++) {
             json.append(i == 0 ? "" : ",").append("{\"Name\":\"tenant-").append(i).append("\",\"QuotaRps\":")
-                .append(String.format(Locale.ROOT, "%.4f", QUOTA_RATIO * requestsPerSecond
-                * tenantDistribution.share(i)))
+                .append(String.format(Locale.ROOT, "%.4f",
+                    QUOTA_RATIO * requestsPerSecond * tenantDistribution.share(i)))
                 .append(",\"Share\":").append(tenantDistribution.share(i)).append('}');
         }
         return json.append(']').toString();
     }
 
-    /** How many tenants have been heard of. */
+    /** Number of tenants that have sent a request. */
     int activeTenants() {
         return activeTenants.size();
     }
@@ -102,8 +106,8 @@
     public FullHttpRequest nextRequest(RandomGenerator random, String id) {
         int tenant = tenantDistribution.draw(random);
         activeTenants.add(tenant);
-        int route = (int) (((long) tenant * ROUTE_STRIDE + random.nextInt(ROUTES_PER_TENANT)) % scaled(ROUTES,
-            tenantCount));
+        int route = (int) (((long) tenant * ROUTE_STRIDE + random.nextInt(ROUTES_PER_TENANT))
+            % scaled(ROUTES, tenantCount));
         return SingleClassWorkload.buildRequest("route-" + route, id, timeoutSeconds, "tenant-" + tenant);
     }
 }
--- a/lab/src/main/java/dockrelay/lab/scale/tenants/TenantsPlay.java
+++ b/lab/src/main/java/dockrelay/lab/scale/tenants/TenantsPlay.java
@@ -22,13 +22,13 @@
 import java.util.Random;
 import java.util.concurrent.TimeUnit;
 
-/** One size of the settings: a start, some time under load, changes of the list. */
+/** Runs one proxy with settings of one size: start, a phase under load, changes of the backend list. */
 final class TenantsPlay implements AutoCloseable {
     private static final List<String> ZONES = List.of("a", "b", "c", "d", "e", "f", "g");
     private static final int SERVERS_PER_ZONE = 6, MIN_CHANGES = 10;
     private static final long CLIENT_TIMEOUT_MICROS = 2_100_000, SETTLE_MILLIS = 2_000,
         CHANGES_TIMEOUT_MILLIS = 30_000;
-    /** The log has room for so many lines of a kind a second. */
+    /** Pauses between changes; the proxy limits how many log lines of a kind it writes per second. */
     private static final long CHANGE_INTERVAL_MILLIS = 250, LOG_INTERVAL_MILLIS = 1_100;
     private static final double REQUEST_TIMEOUT_SECONDS = 2.0, NANOS_PER_MILLI = 1e6, BYTES_PER_MIB = 1 << 20;
 
@@ -38,9 +38,8 @@
     private final long seed;
     private final FigureSink results;
     private final ProgressLog progress;
-    private final EventLoopGroup serversGroup = eventLoopGroup("nodes"), loadGeneratorGroup =
-        eventLoopGroup("clients"),
-        discoveryGroup = eventLoopGroup("discovery");
+    private final EventLoopGroup serversGroup = eventLoopGroup("nodes"),
+        loadGeneratorGroup = eventLoopGroup("clients"), discoveryGroup = eventLoopGroup("discovery");
     private final EmulatedServers servers = new EmulatedServers(serversGroup.next(), ZONES.size(),
         SERVERS_PER_ZONE);
     private final SyntheticBackendList backendList;
@@ -50,8 +49,7 @@
     private OpenLoopGenerator loadGenerator;
 
     TenantsPlay(TenantsRole.Settings settings, Build build, int size, boolean withQuotas, long seed,
-        FigureSink results,
-                ProgressLog progress) throws IOException {
+        FigureSink results, ProgressLog progress) throws IOException {
         this.settings = settings;
         this.withQuotas = withQuotas;
         this.size = size;
@@ -71,15 +69,15 @@
             NioIoHandler.newFactory());
     }
 
+    /** Runs all phases and records the results; ends early if the proxy exits. */
     void run() throws Exception {
         Demand demand = new Demand(size, ZONES, settings.skew(), proxy.address(), REQUEST_TIMEOUT_SECONDS);
         String configuration = new FleetProxyConfig(discovery.address(), false,
             Demand.scaled(Demand.PROXIES, size), ZONES,
-            Demand.services(size), demand.routes(), withQuotas ? demand.quotas()
-            : "[]", FleetProxyConfig.EMPTY_LIST)
-            .toJson(proxy, seed);
-        results.add("MiB", "configuration", configuration.getBytes(StandardCharsets.UTF_8)
-            .length / BYTES_PER_MIB);
+            Demand.services(size), demand.routes(), withQuotas ? demand.quotas() : "[]",
+            FleetProxyConfig.EMPTY_LIST).toJson(proxy, seed);
+        results.add("MiB", "configuration",
+            configuration.getBytes(StandardCharsets.UTF_8).length / BYTES_PER_MIB);
         proxy.start(configuration, discovery.address(), versionTracker::onLogLine);
         StartOutcome startOutcome = proxy.awaitReady(settings.readyTimeoutMicros() / 1_000);
         long readyAt = System.nanoTime();
@@ -94,8 +92,7 @@
         TimeUnit.MILLISECONDS.sleep(SETTLE_MILLIS);
         results.add("MiB", "start: resident", proxy.residentBytes() / BYTES_PER_MIB);
         loadGenerator = new OpenLoopGenerator(loadGeneratorGroup.next(), settings.requestsPerSecond(),
-            CLIENT_TIMEOUT_MICROS, new Random(seed),
-            new Random(seed + 1), demand);
+            CLIENT_TIMEOUT_MICROS, new Random(seed), new Random(seed + 1), demand);
         loadGenerator.start();
         TimeUnit.MILLISECONDS.sleep(SETTLE_MILLIS);
         loadGenerator.swapTally();
@@ -115,12 +112,12 @@
         }
     }
 
-    /** What one changed backend takes, with so many routes to whom it may be open; nothing else goes on. */
+    /** Measures the CPU time of a backend change with no other load. */
     private void measureChanges() throws Exception {
         CpuTime cpuBefore = proxy.cpuTime();
         long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(CHANGES_TIMEOUT_MILLIS);
         int changeCount = 0;
-        do { // the first are told in any case; then one at a time until one is seen in the log
+        do { // after a fixed number of changes, one at a time until the log shows one in force
             String state = changeCount % 2 == 0 ? "leaving" : "active";
             discovery.push(backendList.applyChange(List.of(changeCount / 2 % Demand.BACKENDS_PER_SERVICE),
                 state, -1));
@@ -128,8 +125,7 @@
                 : LOG_INTERVAL_MILLIS);
         } while (changeCount < MIN_CHANGES
             || versionTracker.awaitApplied(backendList.version(), LOG_INTERVAL_MILLIS) == 0
-            && System.nanoTime() < deadline
-            && proxy.isAlive());
+            && System.nanoTime() < deadline && proxy.isAlive());
         if (versionTracker.awaitApplied(backendList.version(), 0) == 0) {
             results.add(FigureSink.EVENT_UNIT,
                 "changes of the list: not in force within " + CHANGES_TIMEOUT_MILLIS / 1_000 + " s", 1);
@@ -140,6 +136,7 @@
         results.add("MiB", "resident after all", proxy.residentBytes() / BYTES_PER_MIB);
     }
 
+    /** Whether the proxy has exited; if so, records it with the last lines of its log. */
     private boolean hasExited(String phase) {
         if (proxy.isAlive()) {
             return false;
--- a/lab/src/main/java/dockrelay/lab/scale/tenants/Zipf.java
+++ b/lab/src/main/java/dockrelay/lab/scale/tenants/Zipf.java
@@ -3,7 +3,7 @@
 import java.util.Arrays;
 import java.util.random.RandomGenerator;
 
-/** Draws a rank from 0 on: each one's share falls with this power of its place. */
+/** Zipf distribution over ranks from 0: the share of a rank falls with a power of its position. */
 final class Zipf {
     private final double[] cumulativeShares;
 
@@ -19,10 +19,12 @@
         }
     }
 
+    /** Probability of a rank. */
     double share(int rank) {
         return cumulativeShares[rank] - (rank == 0 ? 0 : cumulativeShares[rank - 1]);
     }
 
+    /** Draws a random rank. */
     int draw(RandomGenerator random) {
         int position = Arrays.binarySearch(cumulativeShares, random.nextDouble());
         return Math.min(cumulativeShares.length - 1, position >= 0 ? position + 1 : -position - 1);
