--- a/lab/src/test/java/dockrelay/lab/scale/members/CostGrowthTest.java
+++ b/lab/src/test/java/dockrelay/lab/scale/members/CostGrowthTest.java
@@ -12,15 +12,18 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * How what a member sends and keeps goes with the size of the fleet, by counts over the virtual network at
- * three small sizes: what grows with the fleet is seen here before it is one of thousands.
+ * Growth of a member's traffic and state with the size of the fleet, measured on the virtual network at three
+ * small sizes. Guards against costs that grow with the fleet and would show only with thousands of members.
  */
 class CostGrowthTest {
     private static final long MICROS_PER_SECOND = VirtualFleet.MICROS_PER_SECOND;
     private static final int[] ZONE_COUNTS = {3, 6, 12};
     private static final int MEMBERS_PER_ZONE = 32;
 
-    /** What a member costs, by counts; the last one is that of the busiest member. */
+    /**
+     * Mean costs of a member, and the peak bytes per second of the busiest member after a seventh was lost;
+     * or the growth exponents of these costs.
+     */
     private record Cost(double trackedMembers, double datagramsPerSecond, double bytesPerSecond,
         double peakBytesAfterLoss) {
     }
@@ -30,8 +33,7 @@
         for (int zoneIndex = 0; zoneIndex < zoneCount; zoneIndex++) {
             String name = "abc".charAt(zoneIndex % 3) + "" + zoneIndex;
             zones.put(name, java.util.stream.IntStream.range(0, MEMBERS_PER_ZONE)
-                .mapToObj(i -> name + "-" + i)
-                .toList());
+                .mapToObj(i -> name + "-" + i).toList());
         }
         return Layout.of(zones);
     }
@@ -61,7 +63,7 @@
             fleet.sentTraffic.peakBytesPerSecond());
     }
 
-    /** Cheap is worth nothing where members do not know of all. */
+    /** Low cost counts only if the members still know all others. */
     private static void assertAllMembersCount(VirtualFleet fleet, int expected) {
         for (int i = 0; i < fleet.memberCount(); i++) {
             if (fleet.isRunning(i)) {
@@ -70,11 +72,10 @@
         }
     }
 
-    /** The exponent by which each grows. */
+    /** The exponent of each cost as a power of the fleet size. */
     private static Cost growthExponents(HollowMember.Variant variant) {
         SimpleRegression[] regressions = {new SimpleRegression(), new SimpleRegression(),
-            new SimpleRegression(),
-            new SimpleRegression()};
+            new SimpleRegression(), new SimpleRegression()};
         for (int zoneCount : ZONE_COUNTS) {
             Cost cost = measureCost(variant, zoneCount);
             double logSize = Math.log(zoneCount);
@@ -87,12 +88,12 @@
             regressions[3].getSlope());
     }
 
-    /** One flat membership grows with the fleet: that has to be seen, or other flat lines prove nothing. */
+    /** Control test: the costs of a flat membership grow with the fleet, and this method has to detect it. */
     @Test
     void flatMembershipCostsGrowWithTheFleet() {
         Cost exponents = growthExponents(FlatMember.VARIANT);
         assertTrue(exponents.trackedMembers > 0.99, exponents.toString());
-        assertTrue(Math.abs(exponents.datagramsPerSecond) < 0.05, "as many datagrams, each longer: "
+        assertTrue(Math.abs(exponents.datagramsPerSecond) < 0.05, "expected a constant number of datagrams: "
             + exponents);
         assertTrue(exponents.bytesPerSecond > 0.15, exponents.toString());
         assertTrue(exponents.peakBytesAfterLoss > 0.25, exponents.toString());
--- a/lab/src/test/java/dockrelay/lab/scale/members/LoopbackFleetTest.java
+++ b/lab/src/test/java/dockrelay/lab/scale/members/LoopbackFleetTest.java
@@ -9,9 +9,9 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** Hollow members on sockets of their own: they find each other, and miss who ends. */
+/** Hollow members with sockets of their own discover each other and detect a member that dies. */
 class LoopbackFleetTest {
-    /** Nothing is proved by how long it takes; only that it comes to it. */
+    /** Generous, as only the final state is checked, not the time to it. */
     private static final int TIMEOUT_SECONDS = 60;
 
     @Test
@@ -37,7 +37,8 @@
         long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
         while (fleet.latestSamples().size() != count || fleet.latestSamples().values().stream()
             .anyMatch(sample -> sample.snapshot().countedMembers() != count)) {
-            assertTrue(System.nanoTime() < deadline, "not " + count + " after " + TIMEOUT_SECONDS + " s: "
+            assertTrue(System.nanoTime() < deadline, "not all members count " + count + " after "
+                + TIMEOUT_SECONDS + " s: "
                 + fleet.latestSamples());
             TimeUnit.MILLISECONDS.sleep(20);
         }
--- a/lab/src/test/java/dockrelay/lab/scale/members/VirtualFleetTest.java
+++ b/lab/src/test/java/dockrelay/lab/scale/members/VirtualFleetTest.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** The virtual network under the hollow members: the same from a seed, and no more than it was told. */
+/** The virtual network of the hollow members, its traffic counters and layouts. */
 class VirtualFleetTest {
     private static final long MICROS_PER_SECOND = VirtualFleet.MICROS_PER_SECOND;
 
@@ -51,7 +51,8 @@
             .orElse(0);
         double latest = sampler.convergenceSeconds().stream().mapToDouble(Double::doubleValue).max()
             .orElse(0);
-        assertTrue(earliest > 0.2 && latest < 5, sampler.convergenceSeconds().toString()); // of virtual time
+        // seconds of virtual time
+        assertTrue(earliest > 0.2 && latest < 5, sampler.convergenceSeconds().toString());
         assertEquals(0, fleet.falseDeaths());
     }
 
--- a/lab/src/test/java/dockrelay/lab/scale/tenants/DemandTest.java
+++ b/lab/src/test/java/dockrelay/lab/scale/tenants/DemandTest.java
@@ -14,6 +14,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
+/** Generated settings and requests: sizes, consistency of routes with backends, skew of the demand. */
 class DemandTest {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final List<String> ZONES = List.of("a", "b", "c", "d", "e", "f", "g");
@@ -34,8 +35,7 @@
     void everyRouteHasABackend() throws Exception {
         List<String> services = Demand.services(TENANTS);
         SyntheticBackendList list = new SyntheticBackendList(services.size() * Demand.BACKENDS_PER_SERVICE,
-            ZONES, services,
-            (zone, number) -> "127.0.0.1:1");
+            ZONES, services, (zone, number) -> "127.0.0.1:1");
         Set<String> available = new HashSet<>();
         for (JsonNode server : JSON.readTree(list.fullListJson()).get("servers")) {
             available.add(server.get("kind").asText() + " in " + server.get("zone").asText());
@@ -43,7 +43,7 @@
         for (JsonNode route : JSON.readTree(demand.routes())) {
             for (JsonNode zone : route.get("RunsIn")) {
                 String required = route.get("KindsOpen").get(0).asText() + " in " + zone.asText();
-                assertTrue(available.contains(required), route.get("Name") + " wants " + required);
+                assertTrue(available.contains(required), route.get("Name") + " has no backend: " + required);
             }
         }
     }
@@ -61,6 +61,6 @@
         }
         double share = new Zipf(TENANTS, 1).share(0);
         assertEquals(share, (double) firstTenantRequests / requestCount, 0.01);
-        assertTrue(share > 50.0 / TENANTS, "the first one asks for far more than an even share: " + share);
+        assertTrue(share > 50.0 / TENANTS, "the first tenant sends far more than an even share: " + share);
     }
 }
