--- a/lab/src/main/java/dockrelay/lab/scale/CapacityCommand.java
+++ b/lab/src/main/java/dockrelay/lab/scale/CapacityCommand.java
@@ -9,14 +9,14 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** {@code lab capacity}: writes the tables of the page of capacity from the figures. */
+/** {@code lab capacity}: writes the tables of the capacity page from measured figures. */
 @Command(name = "capacity", mixinStandardHelpOptions = true, description =
-    "Writes the tables of a page between its two marks, " + Tables.BEGIN + " and " + Tables.END + ".")
+    "Writes the tables of a page between its two markers, " + Tables.BEGIN + " and " + Tables.END + ".")
 public final class CapacityCommand implements Callable<Integer> {
-    @Option(names = "--page", required = true, description = "such as docs/CAPACITY.md")
+    @Option(names = "--page", required = true, description = "page to update, such as docs/CAPACITY.md")
     Path page;
     @Parameters(paramLabel = "SCALE.JSON", arity = "1..*", description =
-        "figures as lab scale writes them; the page shows them in the order of their making")
+        "figures written by lab scale; the page shows them in order of measurement")
     List<Path> files;
 
     @Override
--- a/lab/src/main/java/dockrelay/lab/scale/Figure.java
+++ b/lab/src/main/java/dockrelay/lab/scale/Figure.java
@@ -1,8 +1,8 @@
 package dockrelay.lab.scale;
 
 /**
- * One measured value. {@code how} is "real" (processes and sockets), "virtual" (the machines over a virtual
- * network) or "module" (one JVM, the classes themselves).
+ * One measured value of one play. {@code how} is "real" (processes and sockets), "virtual" (protocol state
+ * machines over a virtual network) or "module" (classes called directly in one JVM).
  */
 public record Figure(String role, String name, int size, String unit, double value, String how, int play) {
     public Figure {
--- a/lab/src/main/java/dockrelay/lab/scale/Fit.java
+++ b/lab/src/main/java/dockrelay/lab/scale/Fit.java
@@ -4,20 +4,23 @@
 import org.apache.commons.math3.stat.regression.SimpleRegression;
 
 /**
- * How a figure goes with the size, by least squares over all plays: the exponent from the logarithms (null
- * where a value is not above 0) and the slope on the size itself, each with its standard error.
+ * How a figure grows with the size, by least squares over all plays: the exponent from a fit of the
+ * logarithms (null if a value is not above 0) and the slope of a linear fit, each with its standard error.
  */
 public record Fit(int sizes, Double exponent, Double exponentError, double slope, double slopeError,
                   double intercept, double interceptError, String grows) {
-    /** Fewer sizes make no fit. */
+    /** Fewest distinct sizes for a fit. */
     public static final int LEAST_SIZES = 4;
-    /** An exponent this far from a whole one still counts as that one. */
+    /**
+     * Tolerance around the exponents 0 and 1; the largest standard error with which a fit is conclusive; the
+     * bound of exponent plus error for a figure whose exponent cannot be told from 0.
+     */
     private static final double NEAR = 0.1, UNKNOWN = 0.25, FLAT = 0.3;
 
     public static final String FASTER = "faster than linear", LINEAR = "linear", BELOW = "below linear",
         CONSTANT = "constant", FALLS = "falls", NOT_TOLD = "not told";
 
-    /** Null where there are too few sizes. */
+    /** Fits the figures of one name; null if there are too few distinct sizes. */
     public static Fit of(List<Figure> figures) {
         int sizes = (int) figures.stream().mapToInt(Figure::size).distinct().count();
         if (sizes < LEAST_SIZES) {
@@ -39,7 +42,7 @@
             plain.getInterceptStdErr(), same ? CONSTANT : positive ? grows(exponent, error) : NOT_TOLD);
     }
 
-    /** Two errors either way have to say so. */
+    /** Classifies the growth; a class applies only if it holds at two standard errors either way. */
     static String grows(double exponent, double error) {
         if (exponent - 2 * error > 1 + NEAR) {
             return FASTER;
--- a/lab/src/main/java/dockrelay/lab/scale/Machine.java
+++ b/lab/src/main/java/dockrelay/lab/scale/Machine.java
@@ -4,21 +4,23 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** What a run had to go by; no names, no paths. */
+/** Describes the machine of a run, without host names and paths. */
 final class Machine {
     private Machine() {
     }
 
+    /** Physical memory in bytes. */
     static long memory() {
         return ((com.sun.management.OperatingSystemMXBean) ManagementFactory.getOperatingSystemMXBean())
             .getTotalMemorySize();
     }
 
-    /** Processes that wanted to run, over the last minute: what else went on beside. */
+    /** Load average over the last minute, which shows other work on the machine. */
     static double load() {
         return Math.round(ManagementFactory.getOperatingSystemMXBean().getSystemLoadAverage() * 10) / 10.0;
     }
 
+    /** Properties of the machine as {@code scale.json} stores them. */
     static Map<String, Object> described() {
         Map<String, Object> result = new LinkedHashMap<>();
         result.put("cores", Runtime.getRuntime().availableProcessors());
--- a/lab/src/main/java/dockrelay/lab/scale/ProgressLog.java
+++ b/lab/src/main/java/dockrelay/lab/scale/ProgressLog.java
@@ -1,6 +1,6 @@
 package dockrelay.lab.scale;
 
-/** Takes lines that tell how a run goes on. */
+/** Receives lines about the progress of a run. */
 @FunctionalInterface
 public interface ProgressLog {
     void log(String text);
--- a/lab/src/main/java/dockrelay/lab/scale/ResourceEstimate.java
+++ b/lab/src/main/java/dockrelay/lab/scale/ResourceEstimate.java
@@ -1,5 +1,5 @@
 package dockrelay.lab.scale;
 
-/** What a run takes at the most: bytes of memory, in all processes together, and processes. */
+/** Upper bounds of what a run needs: bytes of memory over all processes, and the number of processes. */
 public record ResourceEstimate(long bytes, int processes) {
 }
--- a/lab/src/main/java/dockrelay/lab/scale/Role.java
+++ b/lab/src/main/java/dockrelay/lab/scale/Role.java
@@ -2,17 +2,17 @@
 
 import java.util.List;
 
-/** One kind of thing that is measured at several sizes. */
+/** A subject that is measured at several sizes, such as member lists or request rates. */
 public interface Role {
-    /** As the specification's {@code role} names it. */
+    /** The name, as used by the specification's key {@code role}. */
     String name();
 
     /**
-     * What a run of this size takes. It is asked for every size before the first play, and reads all of the
-     * role's own keys ({@link ScaleSpec#own}), so that a wrong one is told before anything runs.
+     * Estimates the resources for a size. Called for every size before the first play; it reads all keys of
+     * the role's section ({@link ScaleSpec#own}), so that a wrong one is reported before anything runs.
      */
     ResourceEstimate estimate(ScaleSpec spec, int size);
 
-    /** Measures one size once; {@code play} counts from 1. A size that the code does not take is refused. */
+    /** Measures one size once; {@code play} counts from 1. Refuses a size that the code does not support. */
     List<Figure> play(ScaleSpec spec, int size, int play, ProgressLog progress) throws Exception;
 }
--- a/lab/src/main/java/dockrelay/lab/scale/Roles.java
+++ b/lab/src/main/java/dockrelay/lab/scale/Roles.java
@@ -7,7 +7,7 @@
 import dockrelay.lab.scale.tenants.TenantsRole;
 import java.util.List;
 
-/** The roles that there are. */
+/** Registry of all roles. */
 public final class Roles {
     private static final List<Role> ALL = List.of(
         new MembersRole(),
@@ -24,7 +24,7 @@
         return ALL;
     }
 
-    /** Null where there is none of this name. */
+    /** Finds a role by name; null if there is none. */
     public static Role of(String name) {
         return ALL.stream().filter(role -> role.name().equals(name)).findFirst().orElse(null);
     }
--- a/lab/src/main/java/dockrelay/lab/scale/ScaleCommand.java
+++ b/lab/src/main/java/dockrelay/lab/scale/ScaleCommand.java
@@ -15,15 +15,15 @@
     Path file;
     @Option(names = "--out", required = true, description = "folder for scale.json")
     Path out;
-    @Option(names = "--role", description = "goes before the file's role")
+    @Option(names = "--role", description = "overrides the file's role")
     String role;
-    @Option(names = "--quick", description = "the file's quick_sizes, once each")
+    @Option(names = "--quick", description = "measure only the file's quick_sizes, once each")
     boolean quick;
     @Option(names = "--note", defaultValue = "",
-        description = "goes into scale.json, such as what ran beside")
+        description = "a remark stored in scale.json, such as other work on the machine")
     String note;
     @Option(names = "--build", defaultValue = "${sys:stoatreel.root:-.}", description =
-        "checkout that the figures are of (${DEFAULT-VALUE})")
+        "checkout to measure (${DEFAULT-VALUE})")
     Path root;
 
     @Override
@@ -31,7 +31,7 @@
         if (role != null && Roles.of(role) == null) {
             throw new SpecException("--role " + role + ": allowed is one of " + Roles.names());
         }
-        System.setProperty("stoatreel.root", root.toString()); // roles start the processes of this checkout
+        System.setProperty("stoatreel.root", root.toString()); // the roles start processes of this checkout
         long began = System.nanoTime();
         ScaleSpec spec = ScaleSpec.read(file, role == null ? null : Roles.of(role), quick);
         try {
--- a/lab/src/main/java/dockrelay/lab/scale/ScaleResult.java
+++ b/lab/src/main/java/dockrelay/lab/scale/ScaleResult.java
@@ -14,7 +14,7 @@
 import java.util.function.Function;
 import java.util.stream.Collectors;
 
-/** All that a run has measured, as {@code scale.json} has it; cut short where sizes were still to come. */
+/** The results of a run, as stored in {@code scale.json}; {@code cutShort} while sizes remain unmeasured. */
 public record ScaleResult(Map<String, Object> build, Map<String, Object> machine, String when, String spec,
                           String note, long seed, boolean cutShort, List<Figure> figures,
                           List<Refusal> refused, List<Slope> slopes) {
@@ -22,19 +22,19 @@
         .enable(SerializationFeature.ORDER_MAP_ENTRIES_BY_KEYS)
         .disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES);
 
-    /** A size that was not played, and why. */
+    /** A size that was not measured, and the reason. */
     public record Refusal(String role, int size, String why) {
     }
 
-    /** How one figure goes with the size. */
+    /** How one figure grows with the size. */
     public record Slope(String role, String name, String unit, String how, Fit fit) {
     }
 
-    /** What one figure is told apart by. */
+    /** Identifies a figure across sizes and plays. */
     private record Key(String role, String name, String unit, String how) {
     }
 
-    /** A slope for each figure that was measured at enough sizes. */
+    /** Fits each figure that was measured at enough sizes. */
     static List<Slope> slopes(List<Figure> figures) {
         Map<Key, List<Figure>> groups = figures.stream().collect(Collectors.groupingBy(
             (Function<Figure, Key>) one -> new Key(one.role(), one.name(), one.unit(), one.how()),
--- a/lab/src/main/java/dockrelay/lab/scale/ScaleRun.java
+++ b/lab/src/main/java/dockrelay/lab/scale/ScaleRun.java
@@ -10,11 +10,11 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** Plays one specification: all sizes in turn, each so many times. */
+/** Runs one specification: measures each size in turn, with the configured number of plays. */
 public final class ScaleRun {
     private static final int MOST_PROCESSES = 200;
 
-    /** Takes what there is after each size, so that a run that is ended leaves what it has measured. */
+    /** Receives the result so far after each size, so that an interrupted run keeps what it has measured. */
     interface Partial {
         void take(ScaleResult result) throws IOException;
     }
@@ -33,26 +33,26 @@
         this.progress = progress;
     }
 
-    /** Refuses what would take more than half of the memory or too many processes, before anything runs. */
+    /** Refuses sizes that need more than half of the memory or too many processes, before anything runs. */
     void check() throws SizeRefusedException {
         ResourceEstimate[] all = spec.sizes().stream().map(size -> spec.role().estimate(spec, size))
             .toArray(ResourceEstimate[]::new);
         spec.done();
         for (int i = 0; i < all.length; i++) {
             String what = spec.name() + ": " + spec.role().name() + " at " + spec.sizes().get(i)
-                + " would take ";
+                + " would need ";
             if (all[i].bytes() > memory / 2) {
-                throw new SizeRefusedException(what + (all[i].bytes() >> 20) + " MiB; allowed is half of this"
-                    + " machine's memory, " + (memory / 2 >> 20) + " MiB: take smaller sizes");
+                throw new SizeRefusedException(what + (all[i].bytes() >> 20) + " MiB; the limit is half of this"
+                    + " machine's memory, " + (memory / 2 >> 20) + " MiB: choose smaller sizes");
             }
             if (all[i].processes() > MOST_PROCESSES) {
-                throw new SizeRefusedException(what + all[i].processes() + " processes; allowed are "
-                    + MOST_PROCESSES + ": take smaller sizes");
+                throw new SizeRefusedException(what + all[i].processes() + " processes; the limit is "
+                    + MOST_PROCESSES + ": choose smaller sizes");
             }
         }
     }
 
-    /** Measures all; a size that the code does not take is noted as refused and the rest goes on. */
+    /** Measures all sizes; records a size that the code does not support as refused, and continues. */
     ScaleResult play(Path root, String note, Partial partial) throws Exception {
         check();
         Map<String, Object> machine = Machine.described(), build = Source.of(root);
--- a/lab/src/main/java/dockrelay/lab/scale/ScaleSpec.java
+++ b/lab/src/main/java/dockrelay/lab/scale/ScaleSpec.java
@@ -9,8 +9,8 @@
 import java.util.List;
 
 /**
- * What is to be measured: one role, at these sizes, so many times each. The role's own keys are in the table
- * of its name.
+ * Specification of a run, read from a TOML file: one role, its sizes and the number of plays for each. The
+ * role's own keys are in the table of its name.
  */
 public final class ScaleSpec {
     private static final int MOST_SIZE = 1_000_000, MOST_PLAYS = 100;
@@ -43,7 +43,8 @@
     }
 
     /**
-     * Throws a SpecException that says what is wrong in one line. A role given here goes before the file's.
+     * Reads a specification; throws a SpecException with a one-line message if it is invalid. A role that is
+     * not null overrides the file's.
      */
     public static ScaleSpec read(Path file, Role role, boolean quick) {
         try {
@@ -55,11 +56,12 @@
         }
     }
 
-    /** The same from a text, for tests. */
+    /** Parses a specification from text; the path appears in messages only. */
     public static ScaleSpec of(Path file, String text, Role role, boolean quick) {
         return new ScaleSpec(file, TomlSection.parse(file, text), role, quick);
     }
 
+    /** The name of the file, without its folder. */
     public String name() {
         return file.getFileName().toString();
     }
@@ -80,17 +82,17 @@
         return seed;
     }
 
-    /** Whether this is a short look: a role may then play less of what it plays. */
+    /** Whether this is a quick run, in which a role may shorten its plays. */
     public boolean quick() {
         return quick;
     }
 
-    /** The table of the role's own keys. */
+    /** The section with the role's own keys. */
     public TomlSection roleSection() {
         return own;
     }
 
-    /** Refuses keys that nothing has read. */
+    /** Throws a SpecException for keys that nothing has read. */
     void done() {
         top.rejectUnknownKeys();
         own.rejectUnknownKeys();
--- a/lab/src/main/java/dockrelay/lab/scale/SizeRefusedException.java
+++ b/lab/src/main/java/dockrelay/lab/scale/SizeRefusedException.java
@@ -1,8 +1,8 @@
 package dockrelay.lab.scale;
 
 /**
- * A size that is not played, and why, in one line: the code under test does not take it, or the machine has
- * no room for it. What an operator can do is part of the line where there is something.
+ * Thrown for a size that is not measured: the code under test does not support it, or the machine lacks the
+ * resources. The message is one line with the reason and, if possible, what the operator can do.
  */
 public final class SizeRefusedException extends Exception {
     private static final long serialVersionUID = 1L;
--- a/lab/src/main/java/dockrelay/lab/scale/Source.java
+++ b/lab/src/main/java/dockrelay/lab/scale/Source.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 
-/** Which code a run was of: the commit, whether files differ from it, and the hash of each module's tree. */
+/** Identifies the measured code: the commit, whether files differ from it, and each module's tree hash. */
 final class Source {
     private static final List<String> MODULES = List.of("decision", "fleet", "settings", "proxy",
         "lab/src/main");
@@ -36,7 +36,7 @@
         return result;
     }
 
-    /** Null where it says nothing. */
+    /** Runs git and returns its output; null if it fails. */
     private static String git(Path root, String... words) {
         List<String> command = new ArrayList<>(List.of("git", "-C", root.toString()));
         command.addAll(List.of(words));
--- a/lab/src/main/java/dockrelay/lab/scale/Tables.java
+++ b/lab/src/main/java/dockrelay/lab/scale/Tables.java
@@ -13,12 +13,12 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/** Figures as tables: for a terminal, and for the page of capacity between its two marks. */
+/** Formats figures as tables: for a terminal, and for the capacity page between its two markers. */
 final class Tables {
     static final String BEGIN = "<!-- scale: begin -->", END = "<!-- scale: end -->";
     private static final int COMMIT = 7, SMALL = 10;
 
-    /** A row's name. */
+    /** Identifies the figure of a table row. */
     private record Name(String role, String name, String unit, String how) {
         boolean of(Figure figure) {
             return figure.role().equals(role) && figure.name().equals(name) && figure.unit().equals(unit)
@@ -34,7 +34,7 @@
     private Tables() {
     }
 
-    /** The page with its tables written anew. */
+    /** Returns the page with the tables between its markers replaced. */
     static String into(Path page, String text, List<ScaleResult> results) {
         int begin = text.indexOf(BEGIN), end = text.indexOf(END);
         if (begin < 0 || end < begin) {
@@ -43,6 +43,7 @@
         return text.substring(0, begin + BEGIN.length()) + "\n" + markdown(results) + text.substring(end);
     }
 
+    /** Formats the results as Markdown, in order of measurement. */
     static String markdown(List<ScaleResult> results) {
         StringBuilder out = new StringBuilder();
         results.stream().sorted(Comparator.comparing(ScaleResult::when).thenComparing(ScaleResult::spec))
@@ -123,7 +124,7 @@
             fit.exponentError());
     }
 
-    /** The mean of the plays, and the least and most where they differ. */
+    /** The mean over the plays, with minimum and maximum if they differ. */
     private static String cell(ScaleResult result, Name name, int size) {
         double[] values = result.figures().stream().filter(one -> one.size() == size && name.of(one))
             .mapToDouble(Figure::value).sorted().toArray();
@@ -142,7 +143,7 @@
         return String.format(Locale.ROOT, "%,d", size);
     }
 
-    /** Three digits that count. */
+    /** Formats a number with three significant digits. */
     static String number(double value) {
         double size = Math.abs(value);
         if (value == 0) {
@@ -159,7 +160,7 @@
         return text.replaceAll("0+$", "").replaceAll("\\.$", "");
     }
 
-    /** The same for a terminal. */
+    /** Formats the result as plain text for a terminal. */
     static String plain(ScaleResult result) {
         StringBuilder out = new StringBuilder();
         for (String role : roles(result)) {
--- a/lab/src/main/java/dockrelay/lab/scale/list/EmulatedDiscovery.java
+++ b/lab/src/main/java/dockrelay/lab/scale/list/EmulatedDiscovery.java
@@ -30,8 +30,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Discovery for one list of any length, as the lab's own speaks: whole lists, and watches on which changes
- * are pushed. It is as fast as it can be: what is measured is who listens. One loop's thread owns it.
+ * Emulated discovery service for one list of any length, with the protocol of the lab's own discovery: full
+ * lists, and watches on which changes are pushed. It adds no delays of its own, since the proxy is what is
+ * measured. One event loop owns its state.
  */
 public final class EmulatedDiscovery {
     private static final long ALIVE_MILLIS = 2_000;
@@ -44,6 +45,7 @@
     private volatile CompletableFuture<Long> wholeTold = new CompletableFuture<>();
     private volatile boolean wholeNext;
 
+    /** Binds the listener and starts the keep-alive of the watches; must not be called on the event loop. */
     public EmulatedDiscovery(EventLoop loop, SyntheticBackendList list) {
         this.loop = loop;
         this.list = list;
@@ -63,13 +65,13 @@
         return LoopbackAddresses.hostAndPort((InetSocketAddress) listener.localAddress());
     }
 
-    /** When (nano clock) the last byte of a whole list left, from the next one that is told on. */
+    /** Completes with the time (nanoseconds) at which the next full list is written to a watch. */
     public CompletableFuture<Long> nextWhole() {
         wholeTold = new CompletableFuture<>();
         return wholeTold;
     }
 
-    /** Ends all watches; whoever watches anew is told the whole list, whatever it has. */
+    /** Ends all watches; the next watch receives the full list, whichever version it has. */
     public CompletableFuture<Long> tellWholeAgain() {
         CompletableFuture<Long> told = nextWhole();
         wholeNext = true;
@@ -77,12 +79,12 @@
         return told;
     }
 
-    /** Pushes what has changed; complete when (nano clock) its last byte has left. */
+    /** Pushes a change to all watches; completes with the time (nanoseconds) at which it is written. */
     public CompletableFuture<Long> push(String change) {
         CompletableFuture<Long> told = new CompletableFuture<>();
         loop.execute(() -> {
             if (watches.isEmpty()) {
-                told.complete(System.nanoTime()); // nobody listens: whoever comes next is told of it
+                told.complete(System.nanoTime()); // no watch is open: the next one receives this change
             }
             for (Channel watch : watches) {
                 watch.writeAndFlush(content(change + "\n"))
@@ -96,6 +98,7 @@
         return new DefaultHttpContent(Unpooled.wrappedBuffer(text.getBytes(StandardCharsets.UTF_8)));
     }
 
+    /** Handles the requests of one connection: a full list, or a watch. */
     private final class Call extends SimpleChannelInboundHandler<FullHttpRequest> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
--- a/lab/src/main/java/dockrelay/lab/scale/list/ListPlay.java
+++ b/lab/src/main/java/dockrelay/lab/scale/list/ListPlay.java
@@ -22,11 +22,11 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
 
-/** One size of the list by one manner of discovery: starts, then changes while requests flow. */
+/** Measures one list size in one discovery mode: proxy starts first, then list changes under load. */
 final class ListPlay implements AutoCloseable {
     private static final List<String> ZONES = List.of("a", "b", "c", "d", "e", "f", "g"), KINDS =
         List.of("m1", "m2");
-    /** Nodes that answer for the hollow ones, in each zone; the zone that is lost is not the proxy's own. */
+    /** Servers per zone behind the synthetic backends; index of the lost zone, which is not the proxy's. */
     private static final int NODES_EACH = 6, LOST = 3;
     private static final double TIMEOUT_SECONDS = 2.0;
     private static final long PATIENCE_MICROS = 2_100_000, STEP_MILLIS = 2_000, SETTLE_MILLIS = 2_000;
@@ -49,7 +49,7 @@
     private ProxyUnderTest proxy;
     private ListVersionTracker force;
     private OpenLoopGenerator clients;
-    private double quietShare; // of a core, which requests alone take
+    private double quietShare; // share of a core that the requests take while the list does not change
     private List<Integer> lostOnes = List.of();
 
     ListPlay(ListSpec spec, Build build, int size, String manner, long seed, FigureSink found, ProgressLog progress) {
@@ -92,7 +92,10 @@
         }
     }
 
-    /** Starts a proxy in place of the one there is; without a name it is not measured. */
+    /**
+     * Replaces the running proxy with a new one and measures its start; no figures if {@code what} is null.
+     * Returns whether the proxy became ready.
+     */
     private boolean start(String what, String known) throws Exception {
         stop();
         proxy = new ProxyUnderTest(build);
@@ -127,11 +130,12 @@
         return true;
     }
 
-    /** What happens in a part of the play; requests flow meanwhile, and are judged by when they were due. */
+    /** The action of a phase; requests are sent meanwhile and count in the phase in which they were due. */
     private interface Happening {
         void happen() throws Exception;
     }
 
+    /** Runs a phase and adds its CPU, loop lateness and request figures, unless the proxy has ended. */
     private void part(String name, Happening what) throws Exception {
         if (!proxy.isAlive()) {
             return;
@@ -163,6 +167,7 @@
         }
     }
 
+    /** Measures the CPU time of the requests alone. */
     private void quiet() throws InterruptedException {
         CpuTime before = proxy.cpuTime();
         long began = System.nanoTime();
@@ -170,13 +175,14 @@
         quietShare = (double) proxy.cpuTime().since(before).usedNanos() / (System.nanoTime() - began);
     }
 
-    /** Says the change; returns the times of its last byte and of its being in force, or of neither. */
+    /** Pushes a change; returns the time at which it was written (nanoseconds) and its list version. */
     private long[] change(List<Integer> which, String state, long started) throws Exception {
         long last = discovery.push(list.applyChange(which, state, started))
             .get(spec.lossBound(), TimeUnit.MICROSECONDS);
         return new long[] {last, list.version()};
     }
 
+    /** Waits for the last change to be applied, and adds how long the changes took from their sending. */
     private void inForce(String part, List<long[]> changes, long withinMillis) throws InterruptedException {
         long last = changes.get(changes.size() - 1)[1];
         boolean all = force.awaitApplied(last, withinMillis) > 0;
@@ -199,7 +205,7 @@
         }
     }
 
-    /** Each machine in its turn drains, leaves, and starts again or another one does in its place. */
+    /** Rolling restarts: each backend drains, leaves, and then returns or is replaced with a new one. */
     private void restarts() throws Exception {
         List<long[]> changes = new ArrayList<>();
         long next = System.nanoTime();
@@ -217,12 +223,13 @@
         inForce("restarts at the day's rate", changes, spec.lossBound() / 1_000);
     }
 
+    /** Restarts at a high rate for a fixed time. */
     private void fast() throws Exception {
         String part = "restarts, " + Math.round(spec.fastRate()) + " a second";
         series(part, spec.fastRate(), (int) Math.max(1, spec.fast() / MILLION * spec.fastRate()));
     }
 
-    /** What a change takes is told best where nothing else goes on. */
+    /** Measures the CPU time of a change without requests, which would hide it in their noise. */
     private void alone() throws Exception {
         String part = "changes without requests";
         clients.setPaused(true);
@@ -245,7 +252,7 @@
         }
     }
 
-    /** Restarts so many a second; returns how many changes were told, once all are in force. */
+    /** Sends restarts at {@code rate} changes a second; returns how many changes were sent and applied. */
     private int series(String part, double rate, int count) throws Exception {
         List<long[]> changes = new ArrayList<>();
         long began = System.nanoTime();
@@ -257,7 +264,8 @@
             TimeUnit.NANOSECONDS.sleep(due - System.nanoTime());
         }
         long by = System.nanoTime() + spec.lossBound() * 1_000;
-        // the log has room for some lines a second: the last one may be left out, a mark's is seen in the end
+        // the proxy limits its log lines a second and may omit the last change's, so no-op changes are sent
+        // until the line of one appears
         do {
             TimeUnit.MILLISECONDS.sleep(MARK_MILLIS);
             changes.add(change(List.of(0), "active", -1));
@@ -266,7 +274,7 @@
         return changes.size();
     }
 
-    /** A seventh of all is gone at once, or back, cold. */
+    /** Removes all backends of one of the seven zones in a single change, or returns them freshly started. */
     private void zone(String part, boolean lost) throws Exception {
         List<Integer> all = lost ? list.of(LOST) : lostOnes;
         if (lost) {
@@ -289,7 +297,7 @@
         }
     }
 
-    /** The watch ends, and the next one is told all. */
+    /** Ends the watch; the next one receives the full list. */
     private void again() throws Exception {
         String part = "whole list again";
         list.applyChange(List.of(0), "active", -1);
@@ -310,8 +318,9 @@
     }
 
     /**
-     * A zone's loss as discovery tells it machine by machine, as fast as it is read. That the last one is in
-     * force the console tells: it knows a name once the list has, and answers after the loop's turn.
+     * Loss of a zone, reported backend by backend as fast as the proxy reads. A final marker backend shows
+     * when all changes are applied: the console accepts its id once the list has it, and answers after the
+     * event loop's current iteration.
      */
     private void oneByOne() throws Exception {
         String part = "zone lost, one by one";
--- a/lab/src/main/java/dockrelay/lab/scale/list/ListRole.java
+++ b/lab/src/main/java/dockrelay/lab/scale/list/ListRole.java
@@ -11,8 +11,8 @@
 import java.util.List;
 
 /**
- * Discovery tells a real proxy of so many backends, all hollow but for the nodes that answer for them. The
- * proxy takes the list in whole, then lives through changes while requests flow.
+ * Measures a real proxy with a list of synthetic backends that share a few emulated servers: the proxy loads
+ * the full list, then applies changes of it while it serves requests.
  */
 public final class ListRole implements Role {
     private static final long PROXY = 192L << 20, OWN = 512L << 20, ENTRY = 2_000;
--- a/lab/src/main/java/dockrelay/lab/scale/list/ListSpec.java
+++ b/lab/src/main/java/dockrelay/lab/scale/list/ListSpec.java
@@ -5,7 +5,7 @@
 import dockrelay.lab.spec.TomlSection;
 import java.util.List;
 
-/** The keys of the role {@code list}. Times are in microseconds. */
+/** Settings of the role {@code list}, with their defaults. Times are in microseconds, rates per second. */
 record ListSpec(List<String> manners, double rate, long quiet, long restartEvery, int restarts,
     double fastRate,
                 long fast, long afterLoss, long lossBound, long readyWithin, int heapMiB,
@@ -33,12 +33,12 @@
             own.readCount("heap_mb", 0, 0, 1_024), own.readBoolean("counters", true));
     }
 
-    /** The fleet grows with its list: as many backends a proxy as at the size that is to be carried. */
+    /** Number of proxies for a list, with the ratio of the design size: 86,000 backends to 5,700 proxies. */
     static int proxies(int backends) {
         return Math.max(1, (int) Math.round((double) PROXIES * backends / BACKENDS));
     }
 
-    /** The build with its own heap, or with the one that is asked for here. */
+    /** The build with the configured heap size, or unchanged if none is set. */
     Build build(Build build) {
         return heapMiB == 0 ? build : new Build(build.root(), build.startCommand()
             .replaceAll("-Xm([sx])\\d+m", "-Xm$1" + heapMiB + "m"));
--- a/lab/src/main/java/dockrelay/lab/scale/list/ListVersionTracker.java
+++ b/lab/src/main/java/dockrelay/lab/scale/list/ListVersionTracker.java
@@ -12,10 +12,10 @@
 import java.util.regex.Pattern;
 
 /**
- * When a version of the list is in force at a proxy. Its log says when it takes one up; the module hears of
- * it in the same turn of the loop that serves, so the answer to a question that is put then (healthz) comes
- * when the turn is over. That is late by a millisecond or so, never early. Log lines are bounded: not every
- * version of a fast series is seen.
+ * Tracks when a proxy has applied a version of the backend list. The proxy logs when it accepts a version;
+ * its balancer is updated in the same iteration of the event loop, so the answer to a health check sent then
+ * shows that the update is complete. The time found is up to about a millisecond late, never early. The proxy
+ * limits its log lines, so not every version of a fast series is seen. Thread-safe.
  */
 public final class ListVersionTracker implements AutoCloseable {
     private static final Pattern TAKEN =
@@ -37,6 +37,7 @@
         this.proxy = proxy;
     }
 
+    /** Evaluates a line of the proxy's log; called on the thread that reads the log. */
     public void onLogLine(LogTail.Line line) {
         Matcher matcher = TAKEN.matcher(line.text());
         if (matcher.matches()) {
@@ -71,21 +72,21 @@
                 notifyAll();
             }
         } catch (IOException e) {
-            talk = null; // it does not listen yet, or no more
+            talk = null; // the proxy does not listen yet, or no longer
         }
     }
 
-    /** When the log said that this version or a later one was taken up; 0 where it never did in time. */
+    /** Time (nanoseconds) at which the log reported this version or a later one; 0 if not within the time. */
     public synchronized long taken(long version, long withinMillis) throws InterruptedException {
         return await(taken, version, withinMillis);
     }
 
-    /** When this version or a later one was in force; 0 where that was not seen in time. */
+    /** Time (nanoseconds) at which this version or a later one was applied; 0 if not seen within the time. */
     public synchronized long awaitApplied(long version, long withinMillis) throws InterruptedException {
         return await(since, version, withinMillis);
     }
 
-    /** The same of this very version, without waiting; 0 where its line was left out. */
+    /** Time at which exactly this version was applied, without waiting; 0 if its log line was omitted. */
     public synchronized long sinceExactly(long version) {
         return since.getOrDefault(version, 0L);
     }
@@ -106,7 +107,10 @@
         }
     }
 
-    /** The most that the proxy's loop was late since this was asked last, by its own next counters. */
+    /**
+     * Waits for the proxy's next counters and returns the largest loop lateness (milliseconds) reported since
+     * the last call; -1 if no counters came within the time.
+     */
     public synchronized long lateMillis(long withinMillis) throws InterruptedException {
         long by = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(withinMillis), wanted = counted + 1;
         while (counted < wanted && System.nanoTime() < by && proxy.isAlive()) {
@@ -117,7 +121,7 @@
         return counted < wanted ? -1 : most;
     }
 
-    /** What it said of its heap at last. */
+    /** Heap use from the proxy's most recent counters. */
     public synchronized long heapMiB() {
         return heapMiB;
     }
@@ -125,7 +129,7 @@
     @Override
     public void close() throws IOException {
         synchronized (this) {
-            asker.shutdownNow(); // a process that ends may still say something
+            asker.shutdownNow(); // the log of an ending process may still cause health checks
         }
         if (talk != null) {
             talk.close();
--- a/lab/src/main/java/dockrelay/lab/scale/list/SyntheticBackendList.java
+++ b/lab/src/main/java/dockrelay/lab/scale/list/SyntheticBackendList.java
@@ -4,15 +4,16 @@
 import java.util.List;
 
 /**
- * The list as discovery has it: hollow backends, each with an address of a node that answers. Its texts are
- * in the form that proxies are told it in.
+ * The discovery service's list of synthetic backends, each with the address of an emulated server. Full lists
+ * and changes are returned as JSON in the format of the discovery protocol. Thread-safe.
  */
 public final class SyntheticBackendList {
-    /** Who answers for a backend of this zone and number. */
+    /** Maps a backend's zone and number to the address of the server that answers for it. */
     public interface Addresses {
         String of(int zone, int number);
     }
 
+    /** A backend, and the list version of its last change. */
     private static final class Hollow {
         final String id;
         final int number, zone;
@@ -34,6 +35,7 @@
     private final List<Hollow> entries = new ArrayList<>();
     private long version = 1;
 
+    /** Creates {@code size} active backends, spread evenly over the zones and kinds. */
     public SyntheticBackendList(int size, List<String> zones, List<String> kinds, Addresses addresses) {
         this.zones = zones;
         this.kinds = kinds;
@@ -43,6 +45,7 @@
         }
     }
 
+    /** Appends a backend; returns its index. */
     private int add(int number, int zone) {
         Hollow made = new Hollow(String.format("s-%08x", entries.size() * MIXED), number, zone);
         made.version = version;
@@ -54,7 +57,7 @@
         return version;
     }
 
-    /** All of one zone that have not left. */
+    /** Indexes of a zone's backends that have not left. */
     public synchronized List<Integer> of(int zone) {
         List<Integer> result = new ArrayList<>();
         for (int i = 0; i < entries.size(); i++) {
@@ -69,7 +72,10 @@
         return entries.get(which).id;
     }
 
-    /** Another machine in the place of one: its id is new. It is in no text before it has been told of. */
+    /**
+     * Adds a backend with a new id that takes the place of another; returns its index. It appears in no list
+     * until a change makes it active.
+     */
     public synchronized int replacement(int which) {
         Hollow old = entries.get(which);
         int made = add(old.number, old.zone);
@@ -77,7 +83,10 @@
         return made;
     }
 
-    /** One change of the list: these are so from now on. Returns the text of it. */
+    /**
+     * Sets the state of some backends in one new list version, and their start time (milliseconds since the
+     * epoch) unless it is negative. Returns the change as JSON.
+     */
     public synchronized String applyChange(List<Integer> which, String state, long startedMillis) {
         version++;
         List<Hollow> changed = new ArrayList<>();
@@ -91,12 +100,12 @@
         return text(changed, false);
     }
 
-    /** The whole list as of now. */
+    /** The current list as JSON, without the backends that have left. */
     public synchronized String fullListJson() {
         return text(entries.stream().filter(entry -> !entry.state.equals(LEFT)).toList(), true);
     }
 
-    /** What has changed after that version, those that left among it. */
+    /** The changes after that version as JSON, including backends that have left. */
     public synchronized String since(long before) {
         return text(entries.stream().filter(entry -> entry.version > before).toList(), false);
     }
--- a/lab/src/main/java/dockrelay/lab/scale/load/EmulatedServers.java
+++ b/lab/src/main/java/dockrelay/lab/scale/load/EmulatedServers.java
@@ -30,9 +30,9 @@
 import java.util.concurrent.atomic.AtomicLongArray;
 
 /**
- * Emulated nodes that answer at once, in groups (zones): what is measured beside them is the proxy's own.
- * Each is a listener that any number of hollow backends may name as theirs, so that a list of tens of
- * thousands has somebody behind every entry. One loop's thread owns their connections.
+ * Emulated servers that answer immediately, in groups (zones), so that the measured time is the proxy's own.
+ * Many backends of a list can share the address of one server, which lets a list of tens of thousands have a
+ * listener behind every entry. One event loop owns all connections.
  */
 public final class EmulatedServers {
     private static final int LONGEST = 64 << 10, BACKLOG = 1024, PART = 30;
@@ -45,7 +45,7 @@
     private final List<Set<Channel>> open = new ArrayList<>();
     private final AtomicLongArray arrivals;
 
-    /** Listens for all at once; not to be called on the loop. */
+    /** Binds all listeners, {@code each} per group; must not be called on the event loop. */
     public EmulatedServers(EventLoop loop, int groups, int each) {
         this.loop = loop;
         this.each = each;
@@ -73,6 +73,7 @@
             }).bind(at).syncUninterruptibly().channel();
     }
 
+    /** Address of a server in the group; the number wraps around the group's size. */
     public InetSocketAddress address(int group, int number) {
         return addresses.get(group * each + Math.floorMod(number, each));
     }
@@ -81,12 +82,12 @@
         return LoopbackAddresses.hostAndPort(address(group, number));
     }
 
-    /** All of them. */
+    /** Addresses of all servers of all groups. */
     public List<InetSocketAddress> addresses() {
         return List.copyOf(addresses);
     }
 
-    /** Requests that have come to a group so far. */
+    /** Number of requests that a group has received so far. */
     public long arrivals(int group) {
         long sum = 0;
         for (int i = group * each; i < (group + 1) * each; i++) {
@@ -95,7 +96,10 @@
         return sum;
     }
 
-    /** A group dies: its connections are reset and new ones are refused. Not to be called on the loop. */
+    /**
+     * Emulates the loss of a group: resets its connections and refuses new ones. Must not be called on the
+     * event loop.
+     */
     public void stop(int group) {
         on(() -> {
             for (int i = group * each; i < (group + 1) * each; i++) {
@@ -109,7 +113,7 @@
         });
     }
 
-    /** It is there again, at the same addresses. Not to be called on the loop. */
+    /** Restores a stopped group at the same addresses; must not be called on the event loop. */
     public void start(int group) {
         for (int i = group * each; i < (group + 1) * each; i++) {
             listeners[i].closeFuture().syncUninterruptibly();
@@ -121,7 +125,7 @@
         return loop.submit(action).syncUninterruptibly().getNow();
     }
 
-    /** One connection. */
+    /** Answers the requests of one connection. */
     private final class Answer extends SimpleChannelInboundHandler<FullHttpRequest> {
         private final int node;
 
--- a/lab/src/main/java/dockrelay/lab/scale/load/FigureSink.java
+++ b/lab/src/main/java/dockrelay/lab/scale/load/FigureSink.java
@@ -3,18 +3,23 @@
 import dockrelay.lab.scale.load.ProxyUnderTest.StartOutcome;
 import dockrelay.lab.scale.load.ProxyUnderTest.CpuTime;
 
-/** Takes what a play has found, figure by figure. */
+/** Receives the figures that a play measures. */
 @FunctionalInterface
 public interface FigureSink {
-    /** Something that happened, or that did not: its figure is 1, and its name says what. */
+    /** Unit of a figure that reports an event: its value is 1, and its name says what happened. */
     String EVENT_UNIT = "event";
+    /** Fewest requests for which the 99.9th percentile is reported. */
     long ENOUGH_FOR_A_THOUSANDTH = 1_000;
-    /** Where one in a hundred left later than this, times from the intended send say nothing of the proxy. */
+    /**
+     * If the generator's lateness at the 99th percentile is above this, latencies measured from the scheduled
+     * time say nothing about the proxy.
+     */
     double LATE_MILLIS = 5;
 
+    /** Adds one figure. */
     void add(String unit, String what, double value);
 
-    /** What became of requests in one part of a play. */
+    /** Adds latencies and outcomes of the requests of one phase; no latencies if the generator was late. */
     default void addRequestFigures(String part, Tally tally) {
         add("requests", part + ": sent", tally.sent());
         if (tally.lateMillis(99) > LATE_MILLIS) {
@@ -33,7 +38,7 @@
         add("ms", part + ": generator late p99", tally.lateMillis(99));
     }
 
-    /** A start that did not come to serving. */
+    /** Adds the event of a proxy that did not start to serve or that exited. */
     default void addStartFailure(String what, StartOutcome end, long withinSeconds) {
         add(EVENT_UNIT, what + ": " + switch (end) {
             case OUT_OF_MEMORY -> "out of memory";
@@ -42,7 +47,7 @@
         }, 1);
     }
 
-    /** Of one core; waited is what it wanted a processor and had none. */
+    /** Adds CPU time as a share of one core, and the share of time spent waiting for a CPU. */
     default void addCpuTime(String part, CpuTime spent, long nanos) {
         add("% of a core", part + ": processor", 100.0 * spent.usedNanos() / nanos);
         add("% of the time", part + ": waited for a processor", 100.0 * spent.waited() / nanos);
--- a/lab/src/main/java/dockrelay/lab/scale/load/FleetProxyConfig.java
+++ b/lab/src/main/java/dockrelay/lab/scale/load/FleetProxyConfig.java
@@ -9,18 +9,19 @@
 import java.util.Map;
 
 /**
- * What a proxy of a large fleet is told at its start, in the platform's words. Lists of any length are given
- * as JSON that is made already. Limits are those that {@code run} is made for.
+ * Start configuration of one proxy of a large fleet, in the platform's format. Long lists (services, tenants,
+ * known backends) are passed as prebuilt JSON. The limits are those that the build's {@code run} command is
+ * sized for.
  */
 public record FleetProxyConfig(String discovery, boolean asked, int proxies, List<String> zones, List<String> kinds,
                    String services, String tenants, String known) {
-    /** One class that is open to all, and repeatable. */
+    /** JSON of a service list with one idempotent class, allowed in all zones and on all kinds. */
     public static final String ANY = "[" + serviceJson("any", null, null) + "]";
-    /** Nothing was known before. */
+    /** JSON of an empty backend list. */
     public static final String EMPTY_LIST = "{\"version\":0,\"full\":true,\"servers\":[]}";
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    /** A class as the settings have it; open to all zones or kinds where these are null. */
+    /** JSON of a class as the settings define it; all zones or kinds are allowed where these are null. */
     public static String serviceJson(String name, List<String> zones, List<String> kinds) {
         return "{\"Name\":\"" + name + "\",\"Aim\":0.25,\"HardLimit\":2.0,\"Idempotency\":\"idempotent\","
             + "\"DedupScope\":\"all\",\"MemorySpan\":60,\"LateWorth\":0.3,\"Streaming\":false,\"Worth\":1"
@@ -28,7 +29,7 @@
             + (kinds == null ? "" : ",\"KindsOpen\":[\"" + String.join("\",\"", kinds) + "\"]") + "}";
     }
 
-    /** The configuration of this proxy, which stands in the middle of the fleet. */
+    /** Returns the JSON configuration of this proxy, whose index is in the middle of the fleet. */
     public String toJson(ProxyUnderTest proxy, long seed) {
         ObjectNode top = JSON.createObjectNode();
         top.put("name", proxy.name());
--- a/lab/src/main/java/dockrelay/lab/scale/load/LoadPlay.java
+++ b/lab/src/main/java/dockrelay/lab/scale/load/LoadPlay.java
@@ -14,14 +14,14 @@
 import java.util.Random;
 import java.util.concurrent.TimeUnit;
 
-/** One rate: requests through the proxy, and as many beside them that go to the nodes themselves. */
+/** Measures one rate: sends requests through the proxy and, at the same rate, directly to the servers. */
 final class LoadPlay implements AutoCloseable {
     private static final List<String> ZONES = List.of("a", "b", "c", "d", "e", "f", "g"),
         KINDS = List.of("m1");
     private static final int NODES_EACH = 6, PROXIES = 3;
     private static final long READY_MILLIS = 30_000, PATIENCE_MICROS = 2_100_000;
     private static final double TIMEOUT_SECONDS = 2.0, MILLION = 1e6, MIB = 1 << 20;
-    /** How the names of those figures begin that are worth nothing where the generator was late. */
+    /** Prefixes of the figures that are void if the generator was late. */
     static final List<String> LATENCIES = List.of("through the proxy ", "direct p", "added ");
     private static final double[] PERCENTILES = {50, 99, 99.9};
 
@@ -61,7 +61,7 @@
         return sum;
     }
 
-    /** Returns how late the generator was, in milliseconds at 99 in 100. */
+    /** Runs the play; returns the generator's lateness in milliseconds at the 99th percentile. */
     double run() throws Exception {
         proxy.start(new FleetProxyConfig(discovery.address(), false, PROXIES, ZONES, KINDS, FleetProxyConfig.ANY, "[]", FleetProxyConfig.EMPTY_LIST)
             .toJson(proxy, seed), discovery.address(), line -> { });
@@ -84,7 +84,7 @@
         arrived = arrivals() - arrived;
         through.setPaused(true);
         direct.setPaused(true);
-        TimeUnit.MICROSECONDS.sleep(PATIENCE_MICROS); // what is out still is answered by then, or never
+        TimeUnit.MICROSECONDS.sleep(PATIENCE_MICROS); // every request in flight is answered or times out
         if (!proxy.isAlive()) {
             found.addStartFailure("run", StartOutcome.ENDED, 0);
             return 0;
--- a/lab/src/main/java/dockrelay/lab/scale/load/LoadRole.java
+++ b/lab/src/main/java/dockrelay/lab/scale/load/LoadRole.java
@@ -12,14 +12,14 @@
 import java.util.List;
 
 /**
- * One proxy under so many requests a second, beside as many that go to the same nodes without it: what it
- * adds. Latencies of a run in which the generator was late are void, and it is played again so often at most;
- * what the processor and memory say holds all the same.
+ * Measures the latency that one proxy adds, by comparing requests through it with as many requests a second
+ * that go directly to the same servers. If the generator was late, the latencies are void and the play is
+ * repeated, up to a configured number of times; figures of CPU and memory hold nevertheless.
  */
 public final class LoadRole implements Role {
     private static final long BYTES = 768L << 20, SECOND = 1_000_000, MINUTE = 60 * SECOND;
 
-    /** The role's own keys; times are in microseconds. */
+    /** Settings from the role's own section; times are in microseconds unless named otherwise. */
     record Keys(long warm, long length, double lateMillis, int again) {
         static Keys of(ScaleSpec spec) {
             TomlSection own = spec.roleSection();
@@ -59,7 +59,7 @@
             if (late <= keys.lateMillis) {
                 return figures;
             }
-            progress.log("  void: the generator was " + late + " ms late at 99 in 100");
+            progress.log("  void: the generator was " + late + " ms late at the 99th percentile");
             if (i < keys.again) {
                 figures.clear();
             }
@@ -68,7 +68,7 @@
         return withoutLatencies(figures);
     }
 
-    /** What a run still tells in which the generator was late. */
+    /** The figures that stay valid if the generator was late. */
     static List<Figure> withoutLatencies(List<Figure> figures) {
         return figures.stream().filter(figure -> LoadPlay.LATENCIES.stream()
             .noneMatch(figure.name()::startsWith)).toList();
--- a/lab/src/main/java/dockrelay/lab/scale/load/LogTail.java
+++ b/lab/src/main/java/dockrelay/lab/scale/load/LogTail.java
@@ -12,12 +12,12 @@
 import java.util.concurrent.locks.LockSupport;
 import java.util.function.Consumer;
 
-/** Reads a process's log as it is written, within about a millisecond. */
+/** Follows the log file of a process and passes on each line within about a millisecond of its writing. */
 public final class LogTail implements AutoCloseable {
     private static final long LOOK_NANOS = 500_000;
     private static final int BUFFER = 64 << 10, KEPT = 20;
 
-    /** A line, and when it was seen. */
+    /** A log line, and the time at which it was read, in nanoseconds of {@link System#nanoTime}. */
     public record Line(long at, String text) {
     }
 
@@ -58,7 +58,7 @@
                 readTo = file.position();
             }
         } catch (IOException e) {
-            heard(new Line(System.nanoTime(), "the log cannot be read: " + e));
+            heard(new Line(System.nanoTime(), "cannot read the log: " + e));
         }
     }
 
@@ -83,14 +83,14 @@
         }
     }
 
-    /** All that a process wrote that has ended. */
+    /** Waits until the log of a process that has ended is read to its end. */
     void awaitEnd() {
         try {
             while (!closed && thread.isAlive() && readTo < file.size()) {
                 LockSupport.parkNanos(LOOK_NANOS);
             }
         } catch (IOException e) {
-            return; // what was read has to do
+            return; // the lines read so far have to suffice
         }
     }
 
--- a/lab/src/main/java/dockrelay/lab/scale/load/OpenLoopGenerator.java
+++ b/lab/src/main/java/dockrelay/lab/scale/load/OpenLoopGenerator.java
@@ -26,14 +26,15 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Sends at planned times whatever became of the requests before, and counts each one's time from when it was
- * to be sent. Its own lateness is measured: what it could not send in time is not the proxy's.
+ * An open-loop load generator: sends requests at scheduled times, independent of earlier responses, and
+ * measures latency from the scheduled time, which avoids coordinated omission. It records its own lateness as
+ * well, so that delays of the generator are not attributed to the proxy.
  */
 public final class OpenLoopGenerator implements AutoCloseable {
     private static final int LONGEST = 1 << 20, CONNECT_MILLIS = 1_000;
     private static final double SECOND = 1e9;
 
-    /** What is sent next, and where to. */
+    /** Supplies the target and the content of each request. */
     public interface Workload {
         InetSocketAddress nextTarget(RandomGenerator random);
 
@@ -53,7 +54,10 @@
     private volatile boolean closed, paused;
     private long numbers;
 
-    /** Poisson arrivals of so many a second; a client waits so long for its answer. */
+    /**
+     * Poisson arrivals at {@code rate} requests a second. {@code times} draws the intervals between arrivals,
+     * {@code draws} is passed to the workload. A request without a response fails after the given patience.
+     */
     public OpenLoopGenerator(EventLoop loop, double rate, long patienceMicros, RandomGenerator times,
                     RandomGenerator draws, Workload shape) {
         this.loop = loop;
@@ -65,18 +69,22 @@
         thread.setDaemon(true);
     }
 
+    /** Starts the thread that schedules the requests. */
     public void start() {
         thread.start();
     }
 
-    /** What is to be sent from now on counts here; returns what counted until then, which goes on filling. */
+    /**
+     * Starts a new tally for the requests sent from now on. Returns the previous one, which still receives
+     * the outcomes of the requests sent before.
+     */
     public Tally swapTally() {
         Tally before = tally;
         tally = new Tally();
         return before;
     }
 
-    /** Sends nothing while this is so. */
+    /** While paused, the requests that fall due are skipped. */
     public void setPaused(boolean on) {
         paused = on;
     }
@@ -138,7 +146,7 @@
         return (System.nanoTime() - since) / 1_000;
     }
 
-    /** Ends it and its connections; what is out still counts as nothing. */
+    /** Stops sending and closes all connections; call it off the event loop. */
     @Override
     public void close() {
         closed = true;
@@ -146,11 +154,11 @@
         loop.submit(() -> new ArrayList<>(open).forEach(Channel::close)).syncUninterruptibly();
     }
 
-    /** A request whose answer is out. */
+    /** A request in flight: its scheduled time (nanoseconds) and the tally that it counts in. */
     private record Waiting(long intended, Tally tally) {
     }
 
-    /** One connection; one request is on it at a time. */
+    /** A keep-alive connection, with at most one request in flight. */
     private final class Line extends SimpleChannelInboundHandler<FullHttpResponse> {
         private final InetSocketAddress target;
         private Channel channel;
--- a/lab/src/main/java/dockrelay/lab/scale/load/ProxyUnderTest.java
+++ b/lab/src/main/java/dockrelay/lab/scale/load/ProxyUnderTest.java
@@ -23,18 +23,19 @@
 import java.util.stream.Stream;
 
 /**
- * One real proxy, started as {@code run} says, with what it says and what the system says of it. Times are
- * nanoseconds of the steady clock.
+ * A real proxy process, started with the build's {@code run} command, together with its log, its console and
+ * the operating system's figures for it. Times are in nanoseconds of {@link System#nanoTime}.
  */
 public final class ProxyUnderTest implements AutoCloseable {
     private static final int ASK_MILLIS = 60_000, START_ASK_MILLIS = 2_000;
     private static final long LOOK_NANOS = 2_000_000, END_MILLIS = 6_000;
 
-    /** How a start went. */
+    /** Outcome of a start: ready to serve, out of memory, exited, or still not ready at the deadline. */
     public enum StartOutcome { READY, OUT_OF_MEMORY, ENDED, NOT_READY }
 
-    /** Processor time, and the time in which it wanted a processor and had none, in nanoseconds. */
+    /** CPU time used, and time spent runnable while waiting for a CPU, both in nanoseconds. */
     public record CpuTime(long usedNanos, long waited) {
+        /** Returns the difference to an earlier reading. */
         public CpuTime since(CpuTime before) {
             return new CpuTime(usedNanos - before.usedNanos, waited - before.waited);
         }
@@ -48,7 +49,10 @@
     private long startedAt;
     private CpuTime last = new CpuTime(0, 0);
 
-    /** Its own folder is made here, and removed at the end. */
+    /**
+     * Creates a temporary working folder, which {@link #close} removes, and ends the processes that a killed
+     * lab left behind.
+     */
     public ProxyUnderTest(Build build) throws IOException {
         folder = Files.createTempDirectory("dockrelay-scale-");
         leftovers = new ChildProcessRegistry(ChildProcessRegistry.defaultFolder());
@@ -70,7 +74,7 @@
         return process.name();
     }
 
-    /** Starts it; each line of its log goes to the hearer, on a thread of the log's own. */
+    /** Starts the process; the listener receives each line of its log, on a thread that reads the log. */
     public void start(String configuration, String discovery, Consumer<LogTail.Line> hearer)
         throws IOException {
         startedAt = System.nanoTime();
@@ -83,7 +87,7 @@
         return startedAt;
     }
 
-    /** Asks until it says that it can serve; what else may become of it within the time is told as well. */
+    /** Polls the health check until the proxy can serve, the process exits or the time has passed. */
     public StartOutcome awaitReady(long withinMillis) {
         long by = startedAt + TimeUnit.MILLISECONDS.toNanos(withinMillis);
         while (System.nanoTime() < by) {
@@ -97,7 +101,7 @@
                     return StartOutcome.READY;
                 }
             } catch (IOException e) {
-                LockSupport.parkNanos(LOOK_NANOS); // nobody listens there yet
+                LockSupport.parkNanos(LOOK_NANOS); // the proxy does not listen yet
             }
             LockSupport.parkNanos(LOOK_NANOS);
         }
@@ -108,22 +112,22 @@
         return process.isAlive();
     }
 
-    /** The last lines of its log, for whoever wants to know why. */
+    /** Returns the last lines of the log, to explain a failure. */
     public List<String> lastLogLines() {
         return log.last();
     }
 
-    /** Whether its log says that memory ran out. */
+    /** Whether the log contains an OutOfMemoryError. */
     public boolean ranOutOfMemory() {
         return log.saysOutOfMemory();
     }
 
-    /** Resident memory in bytes; 0 where it is no more. */
+    /** Resident memory in bytes; 0 if the process has ended. */
     public long residentBytes() {
         return process.sampleUsage().residentKib() << 10;
     }
 
-    /** Of all its threads that there are now; what it was at last where it is no more. */
+    /** CPU time, summed over the live threads; the last known value if the process has ended. */
     public CpuTime cpuTime() {
         long used = 0, waited = 0;
         Path tasks = Path.of("/proc", String.valueOf(process.pid()), "task");
@@ -134,19 +138,19 @@
                     used += Long.parseLong(words[0]);
                     waited += Long.parseLong(words[1]);
                 } catch (IOException e) {
-                    continue; // it has just ended
+                    continue; // the thread has just ended
                 }
             }
         } catch (IOException | DirectoryIteratorException e) {
             return last;
         }
-        if (used >= last.usedNanos) { // one that has just ended has a thread or none left
+        if (used >= last.usedNanos) { // while the process ends, few or no threads are left and the sum falls
             last = new CpuTime(used, waited);
         }
         return last;
     }
 
-    /** A line to its console and the answer's first line; empty where it says nothing. */
+    /** Sends a line to the console and returns the first line of the answer; empty if there is none. */
     public String call(String line, int withinMillis) {
         try (Socket socket = new Socket()) {
             socket.connect(console(), withinMillis);
@@ -160,12 +164,15 @@
         }
     }
 
-    /** A connection to it on which it can be asked whether it is well, as often as wanted. */
+    /** Opens a keep-alive connection for repeated health checks. */
     public Talk talk() throws IOException {
         return new Talk(address(), ASK_MILLIS);
     }
 
-    /** One connection. The proxy answers on the loop that serves: an answer shows that the loop is free. */
+    /**
+     * A keep-alive connection for health checks. The proxy answers them on the event loop that serves
+     * requests, so an answer shows that the loop has finished its earlier work.
+     */
     public static final class Talk implements AutoCloseable {
         private static final byte[] QUESTION = "GET /healthz HTTP/1.1\r\nHost: app.svc\r\n\r\n"
             .getBytes(StandardCharsets.US_ASCII);
@@ -180,7 +187,7 @@
                 StandardCharsets.US_ASCII));
         }
 
-        /** Asks, and waits for the answer. */
+        /** Sends a health check and waits for the answer; returns whether its status is 200. */
         public boolean healthy() throws IOException {
             socket.getOutputStream().write(QUESTION);
             String status = answers.readLine();
@@ -196,7 +203,7 @@
                 answers.read();
             }
             if (status == null) {
-                throw new IOException("the connection ended");
+                throw new IOException("connection closed before the response to the health check");
             }
             return status.startsWith("HTTP/1.1 200");
         }
@@ -207,14 +214,14 @@
         }
     }
 
-    /** The lab is ended in the middle of a run. */
+    /** Shutdown hook, for a lab that is ended in the middle of a run. */
     private void abandon() {
         kill();
         try {
             leftovers.deleteOwnList();
             remove();
         } catch (IOException e) {
-            return; // the next lab ends what is left; nobody is there to be told
+            return; // the JVM is shutting down; the next lab ends what is left
         }
     }
 
@@ -231,7 +238,7 @@
         process.awaitExit(END_MILLIS);
     }
 
-    /** Ends it and removes what it left. */
+    /** Terminates the process, kills it if it does not exit in time, and removes its folder. */
     @Override
     public void close() throws IOException {
         process.signal("TERM");
--- a/lab/src/main/java/dockrelay/lab/scale/load/SingleClassWorkload.java
+++ b/lab/src/main/java/dockrelay/lab/scale/load/SingleClassWorkload.java
@@ -9,7 +9,9 @@
 import java.util.List;
 import java.util.random.RandomGenerator;
 
-/** Plain requests of one class, to any of some addresses. */
+/**
+ * A workload of identical GET requests of one class, each sent to a random target. The timeout is in seconds.
+ */
 public record SingleClassWorkload(List<InetSocketAddress> targets, String type, double timeoutSeconds)
     implements OpenLoopGenerator.Workload {
     public SingleClassWorkload(InetSocketAddress target, String type, double timeoutSeconds) {
@@ -26,7 +28,7 @@
         return buildRequest(type, id, timeoutSeconds, null);
     }
 
-    /** A request that is safe to repeat; of nobody's where the tenant is null. */
+    /** Builds a GET request of the class {@code type}; without a tenant header if {@code tenant} is null. */
     public static FullHttpRequest buildRequest(String type, String id, double timeoutSeconds, String tenant) {
         FullHttpRequest message = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET,
             "/" + type + "/" + id);
--- a/lab/src/main/java/dockrelay/lab/scale/load/Tally.java
+++ b/lab/src/main/java/dockrelay/lab/scale/load/Tally.java
@@ -3,8 +3,9 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * What became of the requests of one part of a run. Times are microseconds from the intended send. One that
- * had no answer counts with the time that its client waited: left out, the worst ones would be missing.
+ * Counts and latencies of the requests of one phase of a run. Latencies are in microseconds from the
+ * scheduled send time. A request without a response counts with the time that its client waited: without it,
+ * the slowest requests would be missing from the distribution. Thread-safe.
  */
 public final class Tally {
     private static final long MOST = 60_000_000;
@@ -33,12 +34,12 @@
         latency.recordValue(Math.min(MOST, Math.max(0, micros)));
     }
 
-    /** Milliseconds that this share of the requests (in hundreds) took at most; NaN where there was none. */
+    /** Latency in milliseconds at this percentile (0 to 100); NaN if there were no requests. */
     public synchronized double millis(double percentile) {
         return latency.getTotalCount() == 0 ? Double.NaN : latency.getValueAtPercentile(percentile) / 1e3;
     }
 
-    /** How late the generator itself sent, in milliseconds. */
+    /** The generator's own lateness at this percentile, in milliseconds. */
     public synchronized double lateMillis(double percentile) {
         return lateness.getValueAtPercentile(percentile) / 1e3;
     }
@@ -47,19 +48,22 @@
         return lateness.getTotalCount();
     }
 
+    /** Answered with status 200. */
     public synchronized long served() {
         return served;
     }
 
+    /** Rejected with status 429 or 503. */
     public synchronized long refused() {
         return refused;
     }
 
-    /** Answered by anything else, or the connection was refused or ended. */
+    /** Answered with any other status, or the connection was refused or closed. */
     public synchronized long failed() {
         return failed;
     }
 
+    /** Timed out at the client. */
     public synchronized long unanswered() {
         return unanswered;
     }
--- a/lab/src/test/java/dockrelay/lab/scale/CapacityPageTest.java
+++ b/lab/src/test/java/dockrelay/lab/scale/CapacityPageTest.java
@@ -14,7 +14,7 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The page of capacity shows what the committed figures say, and nothing else. */
+/** The capacity page shows exactly the tables of the committed figures. */
 class CapacityPageTest {
     private static final Path PAGE = Path.of("../docs/CAPACITY.md"), RESULTS = Path.of(
         "../experiments/scale/results");
@@ -39,7 +39,8 @@
         assertTrue(written.startsWith("# Capacity\n\n" + Tables.BEGIN + "\n\n### members.toml, commit 0123456"
             + "\n\nMade 2026-01-01"), written);
         assertTrue(written.endsWith(Tables.END + "\nafter\n"), written);
-        assertTrue(written.contains("| heap | B | virtual | 200 | 800 | 3,200 | 11,400 | 1.00 ± 0.00 | 2 ± "),
+        assertTrue(
+            written.contains("| heap | B | virtual | 200 | 800 | 3,200 | 11,400 | 1.00 ± 0.00 | 2 ± "),
             written);
         assertEquals(written, Tables.into(PAGE, written, List.of(both.get(1), both.get(0))));
         assertThrows(SpecException.class, () -> Tables.into(PAGE, "no marks", both));
@@ -56,7 +57,7 @@
             }
         }
         if (results.isEmpty() && !Files.exists(PAGE)) {
-            return; // neither figures nor a page that could say more than they do
+            return; // neither figures nor a page: nothing to compare
         }
         String page = Files.readString(PAGE);
         assertEquals(Tables.into(PAGE, page, results), page,
--- a/lab/src/test/java/dockrelay/lab/scale/FitTest.java
+++ b/lab/src/test/java/dockrelay/lab/scale/FitTest.java
@@ -9,7 +9,7 @@
 import java.util.function.DoubleUnaryOperator;
 import org.junit.jupiter.api.Test;
 
-/** Fits on data whose law is known. */
+/** Fits of data with a known growth law. */
 class FitTest {
     private static final int[] SIZES = {100, 400, 1600, 5700};
 
@@ -40,7 +40,7 @@
 
     @Test
     void theErrorIsTheStandardOne() {
-        // y = 1, 2, 2, 3 at x = 1, 2, 3, 4: slope 0.6, residual sum of squares 0.2, error sqrt(0.1 / 5)
+        // y = 1, 2, 2, 3 at x = 1, 2, 3, 4: slope 0.6, sum of squared residuals 0.2, error sqrt(0.1 / 5)
         double[] values = {1, 2, 2, 3};
         List<Figure> figures = new ArrayList<>();
         for (int i = 0; i < values.length; i++) {
@@ -67,7 +67,7 @@
         assertEquals(Fit.FASTER, Fit.grows(1.4, 0.1));
         assertEquals(Fit.CONSTANT, Fit.grows(0.1, 0.06));
         Fit zero = Fit.of(figures(n -> n < 1000 ? 0 : 5));
-        assertNull(zero.exponent(), "no logarithm of 0");
+        assertNull(zero.exponent(), "a value of 0 has no logarithm, so there is no exponent");
         assertEquals(Fit.NOT_TOLD, zero.grows());
         assertTrue(zero.slope() > 0);
     }
--- a/lab/src/test/java/dockrelay/lab/scale/ScaleRunTest.java
+++ b/lab/src/test/java/dockrelay/lab/scale/ScaleRunTest.java
@@ -14,12 +14,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Reading a specification, refusing what the machine has no room for, and what a run leaves behind. */
+/** Reading a specification, refusing sizes that the machine lacks resources for, and the stored result. */
 class ScaleRunTest {
     private static final Path FILE = Path.of("x.toml");
     private static final long MEMORY = 1L << 30;
 
-    /** Takes a MiB a unit, and as many processes as its key says; does not know sizes over 400. */
+    /** Needs 1 MiB per unit of size and the configured number of processes; refuses sizes over 400. */
     private static final class Doubling implements Role {
         int played;
 
@@ -55,9 +55,9 @@
         ScaleRun run = new ScaleRun(spec("sizes = [100, 513]"), MEMORY, line -> { });
         SizeRefusedException refused = assertThrows(SizeRefusedException.class,
             () -> run.play(Path.of("."), "", part -> { }));
-        assertEquals("x.toml: doubling at 513 would take 513 MiB; allowed is half of this machine's memory, "
-            + "512 MiB: take smaller sizes", refused.getMessage());
-        assertEquals(0, role.played, "nothing runs first");
+        assertEquals("x.toml: doubling at 513 would need 513 MiB; the limit is half of this machine's "
+            + "memory, 512 MiB: choose smaller sizes", refused.getMessage());
+        assertEquals(0, role.played, "no play may run before the estimates are checked");
     }
 
     @Test
@@ -65,7 +65,8 @@
         ScaleRun run = new ScaleRun(spec("sizes = [100]\n[doubling]\nprocesses = 201"), MEMORY, line -> { });
         SizeRefusedException refused = assertThrows(SizeRefusedException.class,
             () -> run.play(Path.of("."), "", part -> { }));
-        assertEquals("x.toml: doubling at 100 would take 201 processes; allowed are 200: take smaller sizes",
+        assertEquals(
+            "x.toml: doubling at 100 would need 201 processes; the limit is 200: choose smaller sizes",
             refused.getMessage());
     }
 
@@ -87,7 +88,7 @@
         List<ScaleResult> parts = new ArrayList<>();
         ScaleResult result = new ScaleRun(spec("sizes = [50, 100, 200, 400, 401]\nplays = 2\nseed = 7"),
             MEMORY, lines::add).play(Path.of("."), "beside nothing", parts::add);
-        assertEquals(5, parts.size(), "one after each size");
+        assertEquals(5, parts.size(), "expected a partial result after each of the 5 sizes");
         assertTrue(parts.get(1).cutShort() && Tables.markdown(parts).contains("Cut short"));
         assertFalse(result.cutShort());
         assertEquals(8, result.figures().size());
@@ -103,7 +104,7 @@
         assertEquals(Tables.markdown(List.of(result)), Tables.markdown(List.of(again)));
         String text = Files.readString(file);
         assertFalse(text.contains(System.getProperty("user.dir")) || text.contains(System.getProperty(
-            "user.home")), "no paths");
+            "user.home")), "the stored result must not contain local paths");
     }
 
     @Test
--- a/lab/src/test/java/dockrelay/lab/scale/list/HollowListTest.java
+++ b/lab/src/test/java/dockrelay/lab/scale/list/HollowListTest.java
@@ -12,6 +12,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
+/** Full lists, changes and replacements of synthetic backends, as the JSON that proxies receive. */
 class HollowListTest {
     private static final ObjectMapper JSON = new ObjectMapper();
     private final SyntheticBackendList list = new SyntheticBackendList(21, List.of("a", "b", "c"), List.of("m1", "m2"),
--- a/lab/src/test/java/dockrelay/lab/scale/list/RolesTest.java
+++ b/lab/src/test/java/dockrelay/lab/scale/list/RolesTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Each role with a real proxy at a small size: that all is measured, not how much it is. */
+/** Runs each role with a real proxy at a small size, and checks that its figures exist, not their values. */
 class RolesTest {
     private static final String ROOT = "stoatreel.root";
     private final String before = System.getProperty(ROOT);
--- a/lab/src/test/java/dockrelay/lab/scale/load/FoundTest.java
+++ b/lab/src/test/java/dockrelay/lab/scale/load/FoundTest.java
@@ -9,6 +9,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
+/** The figures derived from request outcomes and from failed starts. */
 class FoundTest {
     private final Map<String, Double> figures = new LinkedHashMap<>();
     private final FigureSink found = (unit, what, value) -> figures.put(what, value);
--- a/lab/src/test/java/dockrelay/lab/scale/load/LoadRoleTest.java
+++ b/lab/src/test/java/dockrelay/lab/scale/load/LoadRoleTest.java
@@ -7,6 +7,7 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
+/** Which figures of a play are kept if the generator was late. */
 class LoadRoleTest {
     @Test
     void aLateRunKeepsWhatDoesNotDependOnTheClientsClock() {
--- a/lab/src/test/java/dockrelay/lab/scale/load/OpenLoopTest.java
+++ b/lab/src/test/java/dockrelay/lab/scale/load/OpenLoopTest.java
@@ -21,6 +21,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
+/** The load generator against a server that withholds its answers, and the emulated servers' groups. */
 @Timeout(60)
 class OpenLoopTest {
     private static final int HELD = 20;
@@ -36,7 +37,7 @@
             2));
     }
 
-    /** Holds every connection's first request until it is let go; then it answers on each. */
+    /** A server that accepts connections and sends no response until {@link #answer} is called. */
     private static final class Holding implements AutoCloseable {
         final ServerSocket listener = new ServerSocket(0, 1024, InetAddress.getLoopbackAddress());
         final CountDownLatch arrived = new CountDownLatch(HELD);
@@ -53,7 +54,7 @@
                         arrived.countDown();
                     }
                 } catch (IOException e) {
-                    return; // closed: the test is over
+                    return; // listener closed at the end of the test
                 }
             });
             thread.setDaemon(true);
@@ -66,7 +67,7 @@
                     socket.getOutputStream().write("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
                         .getBytes(StandardCharsets.US_ASCII));
                 } catch (java.net.SocketException e) {
-                    continue; // it was answered before, and its client has closed it
+                    continue; // answered earlier, and the client has closed the connection
                 }
             }
         }
@@ -85,7 +86,7 @@
         try (Holding holding = new Holding();
              OpenLoopGenerator loop = loop((InetSocketAddress) holding.listener.getLocalSocketAddress(), 60_000_000)) {
             loop.start();
-            holding.arrived.await(); // nothing was answered, and still all these came
+            holding.arrived.await(); // open loop: requests keep coming although none is answered
             loop.setPaused(true);
             long heldFor = (System.nanoTime() - holding.firstAt) / 1_000_000;
             Tally tally = loop.swapTally();
@@ -93,7 +94,8 @@
                 holding.answer();
                 TimeUnit.MILLISECONDS.sleep(1);
             }
-            assertTrue(tally.millis(100) >= heldFor, tally.millis(100) + " of " + heldFor);
+            assertTrue(tally.millis(100) >= heldFor, tally.millis(100)
+                + " ms maximum latency, expected at least the ms that requests were held: " + heldFor);
         }
     }
 
@@ -109,7 +111,8 @@
                 TimeUnit.MILLISECONDS.sleep(1);
             }
             assertEquals(0, tally.served());
-            assertTrue(tally.millis(0) >= 99.9, "each waited for 100 ms: " + tally.millis(0));
+            assertTrue(tally.millis(0) >= 99.9, 
+                "each unanswered request must count with its wait of 100 ms, minimum: " + tally.millis(0));
         }
     }
 
