--- a/lab/src/main/java/dockrelay/lab/scale/Role.java
+++ b/lab/src/main/java/dockrelay/lab/scale/Role.java
@@ -9,7 +9,7 @@
 
     /**
      * Estimates the resources for a size. Called for every size before the first play; it reads all keys of
-     * the role's section ({@link ScaleSpec#roleSection}), so that a wrong one is reported before anything runs.
+     * the role's section ({@link ScaleSpec#roleSection}), so that a wrong one is reported first.
      */
     ResourceEstimate estimate(ScaleSpec spec, int size);
 
--- a/lab/src/main/java/dockrelay/lab/scale/ScaleCommand.java
+++ b/lab/src/main/java/dockrelay/lab/scale/ScaleCommand.java
@@ -37,7 +37,7 @@
         try {
             Path resultFile = out.resolve("scale.json");
             ScaleResult result = new ScaleRun(spec, text -> System.err.printf("%6.1f s  %s%n",
-                (System.nanoTime() - startNanos) / 1e9, text)).run(root, note, 
+                (System.nanoTime() - startNanos) / 1e9, text)).run(root, note,
                 partialResult -> partialResult.write(resultFile));
             result.write(resultFile);
             System.out.print(Tables.plainText(result));
--- a/lab/src/main/java/dockrelay/lab/scale/ScaleResult.java
+++ b/lab/src/main/java/dockrelay/lab/scale/ScaleResult.java
@@ -50,11 +50,13 @@
         return result;
     }
 
+    /** Writes the result as JSON, and creates the folder if it does not exist. */
     void write(Path file) throws IOException {
         Files.createDirectories(file.toAbsolutePath().getParent());
         Files.writeString(file, MAPPER.writeValueAsString(this) + "\n");
     }
 
+    /** Reads a stored result; ignores properties that this version does not know. */
     static ScaleResult read(Path file) throws IOException {
         return MAPPER.readValue(file.toFile(), new TypeReference<>() { });
     }
--- a/lab/src/main/java/dockrelay/lab/scale/ScaleRun.java
+++ b/lab/src/main/java/dockrelay/lab/scale/ScaleRun.java
@@ -43,13 +43,12 @@
                 + " would need ";
             if (estimates[i].maxMemoryBytes() > memoryBytes / 2) {
                 throw new SizeRefusedException(label + (estimates[i].maxMemoryBytes() >> 20)
-                    + " MiB; the limit is half of this"
-                    + " machine's memory, " + (memoryBytes / 2 >> 20) + " MiB: choose smaller sizes");
+                    + " MiB; the limit is half of this machine's memory, " + (memoryBytes / 2 >> 20)
+                    + " MiB: choose smaller sizes");
             }
             if (estimates[i].maxProcesses() > MAX_PROCESSES) {
                 throw new SizeRefusedException(label + estimates[i].maxProcesses()
-                    + " processes; the limit is "
-                    + MAX_PROCESSES + ": choose smaller sizes");
+                    + " processes; the limit is " + MAX_PROCESSES + ": choose smaller sizes");
             }
         }
     }
--- a/lab/src/main/java/dockrelay/lab/scale/SourceVersion.java
+++ b/lab/src/main/java/dockrelay/lab/scale/SourceVersion.java
@@ -18,6 +18,7 @@
     private SourceVersion() {
     }
 
+    /** Properties of the checkout as {@code scale.json} stores them. */
     static Map<String, Object> describe(Path root) {
         Map<String, Object> properties = new LinkedHashMap<>();
         String commit = git(root, "rev-parse", "HEAD");
--- a/lab/src/main/java/dockrelay/lab/scale/Tables.java
+++ b/lab/src/main/java/dockrelay/lab/scale/Tables.java
@@ -57,18 +57,21 @@
                 }
                 for (Refusal refusal : result.refused()) {
                     out.append("\n- `").append(refusal.role()).append("` at ")
-                        .append(formatSize(refusal.size())).append(" was refused: ").append(refusal.why()).append("\n");
+                        .append(formatSize(refusal.size())).append(" was refused: ")
+                        .append(refusal.why()).append("\n");
                 }
             });
         return out.append("\n").toString();
     }
 
+    /** The abbreviated commit hash, and whether the working tree differed from it. */
     private static String formatCommit(ScaleResult result) {
         String hash = String.valueOf(result.build().get("commit"));
         return "commit " + hash.substring(0, Math.min(COMMIT_HASH_CHARS, hash.length()))
             + (Boolean.TRUE.equals(result.build().get("dirty")) ? " with changes" : "");
     }
 
+    /** One paragraph about the machine, its load and the settings of a run. */
     private static String describeRun(ScaleResult result) {
         return "Made " + result.when() + ", " + result.machine().get("cores") + " cores, "
             + result.machine().get("memory_mb") + " MiB, Java " + result.machine().get("java")
@@ -92,6 +95,7 @@
         return keys;
     }
 
+    /** Appends the table of one role: a row for each figure and a column for each size. */
     private static void appendTable(ScaleResult result, String role, StringBuilder out) {
         Set<Integer> sizes = sizesOf(result, role);
         out.append("\n| ").append(role).append(" | unit | how |");
@@ -105,8 +109,8 @@
             sizes.forEach(size -> out.append(' ').append(formatCell(result, key, size)).append(" |"));
             Fit fit = findFit(result, key);
             out.append(fit == null ? " | | |" : " " + formatExponent(fit) + " | "
-                + formatNumber(fit.slope()) + " ± "
-                + formatNumber(fit.slopeError()) + " | " + fit.grows() + " |").append('\n');
+                + formatNumber(fit.slope()) + " ± " + formatNumber(fit.slopeError())
+                + " | " + fit.grows() + " |").append('\n');
         }
     }
 
@@ -143,6 +147,7 @@
         return formatNumber(sum / values.length) + (min.equals(max) ? "" : " (" + min + " to " + max + ")");
     }
 
+    /** Formats a size with thousands separators. */
     static String formatSize(int size) {
         return String.format(Locale.ROOT, "%,d", size);
     }
--- a/lab/src/main/java/dockrelay/lab/scale/list/EmulatedDiscovery.java
+++ b/lab/src/main/java/dockrelay/lab/scale/list/EmulatedDiscovery.java
@@ -52,16 +52,16 @@
         this.listener = new ServerBootstrap().group(eventLoop).channel(NioServerSocketChannel.class)
             .childHandler(new ChannelInitializer<Channel>() {
                 @Override
-                protected void initChannel(Channel made) {
-                    made.pipeline().addLast(new HttpServerCodec(),
-                        new HttpObjectAggregator(MAX_REQUEST_BYTES),
-                        new RequestHandler());
+                protected void initChannel(Channel channel) {
+                    channel.pipeline().addLast(new HttpServerCodec(),
+                        new HttpObjectAggregator(MAX_REQUEST_BYTES), new RequestHandler());
                 }
             }).bind(LoopbackAddresses.discoveryAddress(0)).syncUninterruptibly().channel();
         eventLoop.scheduleWithFixedDelay(() -> watches.forEach(watch -> watch.writeAndFlush(chunk("\n"))),
             KEEP_ALIVE_INTERVAL_MILLIS, KEEP_ALIVE_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
+    /** Host and port of the listener. */
     public String address() {
         return LoopbackAddresses.hostAndPort((InetSocketAddress) listener.localAddress());
     }
--- a/lab/src/main/java/dockrelay/lab/scale/list/ListPlay.java
+++ b/lab/src/main/java/dockrelay/lab/scale/list/ListPlay.java
@@ -246,7 +246,7 @@
             (int) Math.max(1, spec.fastDurationMicros() / MILLION * spec.fastChangesPerSecond()));
     }
 
-    /** Measures the CPU time of a change without requests, whose variation would hide it. */
+    /** Measures the CPU time of a change while no requests are sent, for an undisturbed reading. */
     private void changesWithoutRequests() throws Exception {
         String phase = "changes without requests";
         loadGenerator.setPaused(true);
@@ -271,7 +271,7 @@
         }
     }
 
-    /** Sends restarts at {@code changesPerSecond} changes a second; returns how many were sent. */
+    /** Sends restarts at {@code changesPerSecond}, then markers; returns how many changes were sent. */
     private int sendRestartSeries(String phase, double changesPerSecond, int count) throws Exception {
         List<long[]> changes = new ArrayList<>();
         long startNanos = System.nanoTime();
--- a/lab/src/main/java/dockrelay/lab/scale/list/ListRole.java
+++ b/lab/src/main/java/dockrelay/lab/scale/list/ListRole.java
@@ -15,6 +15,7 @@
  * the full list, then applies changes of it while it serves requests.
  */
 public final class ListRole implements Role {
+    /** Estimated memory of the proxy (a configured heap is added), of the lab, and for each backend. */
     private static final long PROXY_BYTES = 192L << 20, LAB_BYTES = 512L << 20, BYTES_PER_BACKEND = 2_000;
 
     @Override
--- a/lab/src/main/java/dockrelay/lab/scale/list/ListSpec.java
+++ b/lab/src/main/java/dockrelay/lab/scale/list/ListSpec.java
@@ -14,6 +14,7 @@
     private static final long MICROS_PER_SECOND = 1_000_000, MICROS_PER_MINUTE = 60 * MICROS_PER_SECOND;
     private static final List<String> DISCOVERY_MODES = List.of("push", "ask");
 
+    /** Reads the role's section; throws a SpecException for an invalid value. */
     static ListSpec of(ScaleSpec spec) {
         TomlSection section = spec.roleSection();
         List<String> discoveryModes = section.readTexts("manners");
--- a/lab/src/main/java/dockrelay/lab/scale/list/ListVersionTracker.java
+++ b/lab/src/main/java/dockrelay/lab/scale/list/ListVersionTracker.java
@@ -14,7 +14,7 @@
 /**
  * Tracks when a proxy has applied a version of the backend list. The proxy logs when it accepts a version;
  * its balancer is updated in the same iteration of the event loop, so the answer to a health check sent then
- * shows that the update is complete. The time found is up to about a millisecond late, never early. The proxy
+ * shows that the update is complete. The recorded time is about 1 ms late, never early. The proxy
  * limits its log lines, so not every version of a fast series is seen. Thread-safe.
  */
 public final class ListVersionTracker implements AutoCloseable {
@@ -61,6 +61,7 @@
         }
     }
 
+    /** Records the time at which a health check sent after this version is answered. */
     private void recordApplied(long version) {
         try {
             if (connection == null) {
--- a/lab/src/main/java/dockrelay/lab/scale/list/SyntheticBackendList.java
+++ b/lab/src/main/java/dockrelay/lab/scale/list/SyntheticBackendList.java
@@ -27,32 +27,35 @@
         }
     }
 
+    /** The id multiplier, a prime near 2^32 / golden ratio, spreads consecutive numbers over all ids. */
     private static final int BACKENDS_PER_CELL = 20, ENTRY_CAPACITY_CHARS = 140, ID_MULTIPLIER = 0x9e3779b1;
     private static final String LEFT = "left";
 
     private final List<String> zones, kinds;
-    private final AddressLookup addresses;
+    private final AddressLookup addressLookup;
     private final List<Backend> backends = new ArrayList<>();
     private long version = 1;
 
     /** Creates {@code size} active backends, spread evenly over the zones and kinds. */
-    public SyntheticBackendList(int size, List<String> zones, List<String> kinds, AddressLookup addresses) {
+    public SyntheticBackendList(int size, List<String> zones, List<String> kinds,
+                                AddressLookup addressLookup) {
         this.zones = zones;
         this.kinds = kinds;
-        this.addresses = addresses;
+        this.addressLookup = addressLookup;
         for (int i = 0; i < size; i++) {
-            add(i, i % zones.size());
+            appendBackend(i, i % zones.size());
         }
     }
 
     /** Appends a backend; returns its index. */
-    private int add(int number, int zone) {
+    private int appendBackend(int number, int zone) {
         Backend added = new Backend(String.format("s-%08x", backends.size() * ID_MULTIPLIER), number, zone);
         added.changedInVersion = version;
         backends.add(added);
         return backends.size() - 1;
     }
 
+    /** Version of the list, which each change increments. */
     public synchronized long version() {
         return version;
     }
@@ -78,7 +81,7 @@
      */
     public synchronized int addReplacement(int index) {
         Backend replaced = backends.get(index);
-        int added = add(replaced.number, replaced.zone);
+        int added = appendBackend(replaced.number, replaced.zone);
         backends.get(added).state = LEFT;
         return added;
     }
@@ -118,7 +121,7 @@
         String separator = "";
         for (Backend backend : selection) {
             json.append(separator).append("{\"id\":\"").append(backend.id).append("\",\"addr\":\"")
-                .append(addresses.addressOf(backend.zone, backend.number)).append("\",\"zone\":\"")
+                .append(addressLookup.addressOf(backend.zone, backend.number)).append("\",\"zone\":\"")
                 .append(zones.get(backend.zone)).append("\",\"kind\":\"")
                 .append(kinds.get(backend.number % kinds.size())).append("\",\"cell\":")
                 .append(backend.number / BACKENDS_PER_CELL).append(",\"state\":\"").append(backend.state)
--- a/lab/src/main/java/dockrelay/lab/scale/load/EmulatedServers.java
+++ b/lab/src/main/java/dockrelay/lab/scale/load/EmulatedServers.java
@@ -35,7 +35,7 @@
  * listener behind every entry. One event loop owns all connections.
  */
 public final class EmulatedServers {
-    private static final int MAX_REQUEST_BYTES = 64 << 10, BACKLOG = 1024, LOOPBACK_SUBNET = 30;
+    private static final int MAX_REQUEST_BYTES = 64 << 10, BACKLOG = 1024, LOOPBACK_SECOND_OCTET = 30;
     private static final byte[] RESPONSE_BODY = "ok\n".getBytes(StandardCharsets.US_ASCII);
 
     private final EventLoop eventLoop;
@@ -53,7 +53,7 @@
         this.requestCounts = new AtomicLongArray(groups * serversPerGroup);
         for (int i = 0; i < listeners.length; i++) {
             openChannels.add(new HashSet<>());
-            String host = "127." + LOOPBACK_SUBNET + "." + (1 + i / serversPerGroup) + "."
+            String host = "127." + LOOPBACK_SECOND_OCTET + "." + (1 + i / serversPerGroup) + "."
                 + (1 + i % serversPerGroup);
             listeners[i] = listen(i, new InetSocketAddress(host, 0));
             addresses.add((InetSocketAddress) listeners[i].localAddress());
@@ -66,11 +66,10 @@
             .childOption(ChannelOption.TCP_NODELAY, true)
             .childHandler(new ChannelInitializer<Channel>() {
                 @Override
-                protected void initChannel(Channel made) {
-                    openChannels.get(server).add(made);
-                    made.pipeline().addLast(new HttpServerCodec(),
-                        new HttpObjectAggregator(MAX_REQUEST_BYTES),
-                        new RequestHandler(server));
+                protected void initChannel(Channel channel) {
+                    openChannels.get(server).add(channel);
+                    channel.pipeline().addLast(new HttpServerCodec(),
+                        new HttpObjectAggregator(MAX_REQUEST_BYTES), new RequestHandler(server));
                 }
             }).bind(address).syncUninterruptibly().channel();
     }
@@ -80,6 +79,7 @@
         return addresses.get(group * serversPerGroup + Math.floorMod(number, serversPerGroup));
     }
 
+    /** The same address as {@code host:port}. */
     public String addressText(int group, int number) {
         return LoopbackAddresses.hostAndPort(address(group, number));
     }
--- a/lab/src/main/java/dockrelay/lab/scale/load/FigureSink.java
+++ b/lab/src/main/java/dockrelay/lab/scale/load/FigureSink.java
@@ -39,11 +39,11 @@
     }
 
     /** Adds the event of a proxy that did not start to serve or that exited. */
-    default void addStartFailure(String phase, StartOutcome outcome, long withinSeconds) {
+    default void addStartFailure(String phase, StartOutcome outcome, long timeoutSeconds) {
         add(EVENT_UNIT, phase + ": " + switch (outcome) {
             case OUT_OF_MEMORY -> "out of memory";
             case ENDED -> "ended by itself";
-            default -> "not ready within " + withinSeconds + " s";
+            default -> "not ready within " + timeoutSeconds + " s";
         }, 1);
     }
 
--- a/lab/src/main/java/dockrelay/lab/scale/load/FleetProxyConfig.java
+++ b/lab/src/main/java/dockrelay/lab/scale/load/FleetProxyConfig.java
@@ -14,8 +14,8 @@
  * sized for.
  */
 public record FleetProxyConfig(String discoveryAddress, boolean asksDiscovery, int proxyCount,
-                               List<String> zones, List<String> kinds,
-                   String servicesJson, String tenantsJson, String knownListJson) {
+                               List<String> zones, List<String> kinds, String servicesJson,
+                               String tenantsJson, String knownListJson) {
     /** JSON of a service list with one idempotent class, allowed in all zones and on all kinds. */
     public static final String ANY_CLASS_SERVICES = "[" + serviceJson("any", null, null) + "]";
     /** JSON of an empty backend list. */
--- a/lab/src/main/java/dockrelay/lab/scale/load/LoadPlay.java
+++ b/lab/src/main/java/dockrelay/lab/scale/load/LoadPlay.java
@@ -57,6 +57,7 @@
             NioIoHandler.newFactory());
     }
 
+    /** Number of requests that all servers have received so far. */
     private long totalRequestCount() {
         long sum = 0;
         for (int i = 0; i < ZONES.size(); i++) {
--- a/lab/src/main/java/dockrelay/lab/scale/load/LogTail.java
+++ b/lab/src/main/java/dockrelay/lab/scale/load/LogTail.java
@@ -73,10 +73,12 @@
         lineListener.accept(line);
     }
 
+    /** Whether a line so far contains an OutOfMemoryError. */
     boolean sawOutOfMemory() {
         return outOfMemory;
     }
 
+    /** The most recent lines, at most {@code MAX_KEPT_LINES}, oldest first. */
     List<String> lastLines() {
         synchronized (lastLines) {
             return List.copyOf(lastLines);
--- a/lab/src/main/java/dockrelay/lab/scale/load/OpenLoopGenerator.java
+++ b/lab/src/main/java/dockrelay/lab/scale/load/OpenLoopGenerator.java
@@ -55,9 +55,9 @@
     private long requestCount;
 
     /**
-     * Poisson arrivals at {@code requestsPerSecond}. {@code arrivalRandom} draws the intervals between arrivals,
-     * {@code workloadRandom} is passed to the workload. A request without a response times out after
-     * {@code timeoutMicros}.
+     * Creates a generator of Poisson arrivals. {@code arrivalRandom} draws the intervals between arrivals,
+     * {@code workloadRandom} is passed to the workload. A request without a response times out
+     * {@code timeoutMicros} after its scheduled time.
      */
     public OpenLoopGenerator(EventLoop eventLoop, double requestsPerSecond, long timeoutMicros,
         RandomGenerator arrivalRandom, RandomGenerator workloadRandom, Workload workload) {
@@ -90,6 +90,7 @@
         paused = pause;
     }
 
+    /** Submits each request to the event loop at its scheduled time, until the generator is closed. */
     private void run() {
         long dueNanos = System.nanoTime();
         while (!closed) {
@@ -105,6 +106,7 @@
         }
     }
 
+    /** Sends the next request on an idle connection, or on a new one if there is none; on the event loop. */
     private void send(long scheduledNanos) {
         if (closed) {
             return;
@@ -129,8 +131,8 @@
             .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
             .handler(new ChannelInitializer<Channel>() {
                 @Override
-                protected void initChannel(Channel made) {
-                    made.pipeline().addLast(new HttpClientCodec(),
+                protected void initChannel(Channel channel) {
+                    channel.pipeline().addLast(new HttpClientCodec(),
                         new HttpObjectAggregator(MAX_RESPONSE_BYTES), newConnection);
                 }
             }).connect(target).addListener((io.netty.channel.ChannelFutureListener) future -> {
--- a/lab/src/main/java/dockrelay/lab/scale/load/ProxyUnderTest.java
+++ b/lab/src/main/java/dockrelay/lab/scale/load/ProxyUnderTest.java
@@ -43,10 +43,10 @@
 
     private final Path folder;
     private final ProxyProcess process;
-    private final ChildProcessRegistry leftovers;
+    private final ChildProcessRegistry childProcesses;
     private final Thread shutdownHook = new Thread(this::cleanUpAtShutdown, "killer");
     private LogTail log;
-    private long startedAt;
+    private long startedAtNanos;
     private CpuTime lastCpuTime = new CpuTime(0, 0);
 
     /**
@@ -55,10 +55,10 @@
      */
     public ProxyUnderTest(Build build) throws IOException {
         folder = Files.createTempDirectory("dockrelay-scale-");
-        leftovers = new ChildProcessRegistry(ChildProcessRegistry.defaultFolder());
-        leftovers.killOrphans();
+        childProcesses = new ChildProcessRegistry(ChildProcessRegistry.defaultFolder());
+        childProcesses.killOrphans();
         process = new ProxyProcess(0, build, folder, LoopbackAddresses.freeProxyAddress(0), false, 0, -1,
-            leftovers);
+            childProcesses);
         process.setConsoleAddress(LoopbackAddresses.freeConsoleAddress(0));
         Runtime.getRuntime().addShutdownHook(shutdownHook);
     }
@@ -78,7 +78,7 @@
     /** Starts the process; the listener receives each line of its log, on a thread that reads the log. */
     public void start(String configuration, String discovery, Consumer<LogTail.Line> lineListener)
         throws IOException {
-        startedAt = System.nanoTime();
+        startedAtNanos = System.nanoTime();
         process.start(configuration, Map.of("PROXY_LISTEN", LoopbackAddresses.hostAndPort(address()),
             "PROXY_CONSOLE", LoopbackAddresses.hostAndPort(consoleAddress()), "PROXY_DISCOVERY",
             discovery), false);
@@ -86,12 +86,12 @@
     }
 
     public long startedAtNanos() {
-        return startedAt;
+        return startedAtNanos;
     }
 
     /** Polls the health check until the proxy can serve, the process exits or the time has passed. */
     public StartOutcome awaitReady(long timeoutMillis) {
-        long deadlineNanos = startedAt + TimeUnit.MILLISECONDS.toNanos(timeoutMillis);
+        long deadlineNanos = startedAtNanos + TimeUnit.MILLISECONDS.toNanos(timeoutMillis);
         while (System.nanoTime() < deadlineNanos) {
             if (!process.isAlive()) {
                 log.awaitEnd();
@@ -221,7 +221,7 @@
     private void cleanUpAtShutdown() {
         kill();
         try {
-            leftovers.deleteOwnList();
+            childProcesses.deleteOwnList();
             removeFolder();
         } catch (IOException e) {
             return; // the JVM is shutting down; the next lab ends what is left
@@ -251,7 +251,7 @@
         if (log != null) {
             log.close();
         }
-        leftovers.deleteOwnList();
+        childProcesses.deleteOwnList();
         Runtime.getRuntime().removeShutdownHook(shutdownHook);
         removeFolder();
     }
--- a/lab/src/main/java/dockrelay/lab/scale/load/SingleClassWorkload.java
+++ b/lab/src/main/java/dockrelay/lab/scale/load/SingleClassWorkload.java
@@ -28,7 +28,7 @@
         return buildRequest(requestClass, id, timeoutSeconds, null);
     }
 
-    /** Builds a GET request of the class {@code requestClass}; without a tenant header if {@code tenant} is null. */
+    /** Builds an idempotent GET request; without a tenant header if {@code tenant} is null. */
     public static FullHttpRequest buildRequest(String requestClass, String id, double timeoutSeconds,
         String tenant) {
         FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET,
--- a/lab/src/main/java/dockrelay/lab/scale/load/Tally.java
+++ b/lab/src/main/java/dockrelay/lab/scale/load/Tally.java
@@ -4,7 +4,7 @@
 
 /**
  * Counts and latencies of the requests of one phase of a run. Latencies are in microseconds from the
- * scheduled send time. A request without a response counts with the time that its client waited: without it,
+ * scheduled send time. A request without a response counts with the time that its client waited; otherwise
  * the slowest requests would be missing from the distribution. Thread-safe.
  */
 public final class Tally {
@@ -13,6 +13,7 @@
         latenessMicros = new Histogram(MAX_LATENCY_MICROS, 3);
     private long served, refused, failed, unanswered;
 
+    /** Counts a request that was sent this much after its scheduled time. */
     synchronized void addSent(long lateMicros) {
         latenessMicros.recordValue(Math.max(0, Math.min(MAX_LATENCY_MICROS, lateMicros)));
     }
--- a/lab/src/test/java/dockrelay/lab/scale/CapacityPageTest.java
+++ b/lab/src/test/java/dockrelay/lab/scale/CapacityPageTest.java
@@ -19,7 +19,8 @@
     private static final Path PAGE = Path.of("../docs/CAPACITY.md"), RESULTS_FOLDER = Path.of(
         "../experiments/scale/results");
 
-    private static ScaleResult result(String measuredAt, double valuePerUnit) {
+    /** A result with one figure that grows linearly with the size, from two plays. */
+    private static ScaleResult newResult(String measuredAt, double valuePerUnit) {
         List<Figure> figures = new ArrayList<>();
         for (int size : new int[] {100, 400, 1600, 5700}) {
             figures.add(new Figure("members", "heap", size, "B", valuePerUnit * size, "virtual", 1));
@@ -33,8 +34,8 @@
     @Test
     void tablesReplaceTheTextBetweenTheMarkersIdempotently() {
         String page = "# Capacity\n\n" + Tables.BEGIN_MARKER + "\nold\n" + Tables.END_MARKER + "\nafter\n";
-        List<ScaleResult> results = List.of(result("2026-01-02T00:00:00Z", 3),
-            result("2026-01-01T00:00:00Z", 2));
+        List<ScaleResult> results = List.of(newResult("2026-01-02T00:00:00Z", 3),
+            newResult("2026-01-01T00:00:00Z", 2));
         String updated = Tables.replaceTables(PAGE, page, results);
         assertTrue(updated.startsWith("# Capacity\n\n" + Tables.BEGIN_MARKER
             + "\n\n### members.toml, commit 0123456" + "\n\nMade 2026-01-01"), updated);
--- a/lab/src/test/java/dockrelay/lab/scale/FitTest.java
+++ b/lab/src/test/java/dockrelay/lab/scale/FitTest.java
@@ -13,6 +13,7 @@
 class FitTest {
     private static final int[] SIZES = {100, 400, 1600, 5700};
 
+    /** One figure at each size, with the values of the given growth law. */
     private static List<Figure> figures(DoubleUnaryOperator law) {
         List<Figure> result = new ArrayList<>();
         for (int size : SIZES) {
--- a/lab/src/test/java/dockrelay/lab/scale/ScaleRunTest.java
+++ b/lab/src/test/java/dockrelay/lab/scale/ScaleRunTest.java
@@ -47,13 +47,13 @@
 
     private final FakeRole role = new FakeRole();
 
-    private ScaleSpec spec(String text) {
+    private ScaleSpec parseSpec(String text) {
         return ScaleSpec.parse(SPEC_FILE, text, role, false);
     }
 
     @Test
     void sizesOverHalfOfTheMemoryAreRefusedBeforeAnyPlay() {
-        ScaleRun run = new ScaleRun(spec("sizes = [100, 513]"), MEMORY_BYTES, line -> { });
+        ScaleRun run = new ScaleRun(parseSpec("sizes = [100, 513]"), MEMORY_BYTES, line -> { });
         SizeRefusedException refused = assertThrows(SizeRefusedException.class,
             () -> run.run(Path.of("."), "", partial -> { }));
         assertEquals("x.toml: doubling at 513 would need 513 MiB; the limit is half of this machine's "
@@ -63,7 +63,7 @@
 
     @Test
     void tooManyProcessesAreRefused() {
-        ScaleRun run = new ScaleRun(spec("sizes = [100]\n[doubling]\nprocesses = 201"), MEMORY_BYTES,
+        ScaleRun run = new ScaleRun(parseSpec("sizes = [100]\n[doubling]\nprocesses = 201"), MEMORY_BYTES,
             line -> { });
         SizeRefusedException refused = assertThrows(SizeRefusedException.class,
             () -> run.run(Path.of("."), "", partial -> { }));
@@ -75,10 +75,12 @@
     @Test
     void unknownKeysAndUnsortedSizesAreReportedInOneLine() {
         SpecException unknownKey = assertThrows(SpecException.class, () -> new ScaleRun(
-            spec("sizes = [100]\n[doubling]\nproceses = 2"), MEMORY_BYTES, line -> { }).checkResources());
+            parseSpec("sizes = [100]\n[doubling]\nproceses = 2"), MEMORY_BYTES, line -> { })
+            .checkResources());
         assertEquals("x.toml:3: unknown key doubling.proceses = 2; did you mean doubling.processes?",
             unknownKey.getMessage());
-        SpecException unsortedSizes = assertThrows(SpecException.class, () -> spec("sizes = [400, 100]"));
+        SpecException unsortedSizes = assertThrows(SpecException.class,
+            () -> parseSpec("sizes = [400, 100]"));
         assertEquals("x.toml:1: sizes = [ 400, 100 ]: allowed is a rising list of whole numbers "
             + "from 1 to 1000000",
             unsortedSizes.getMessage());
@@ -88,7 +90,7 @@
     void resultHoldsFiguresFitsAndRefusalsAndSurvivesARoundTrip(@TempDir Path folder) throws Exception {
         List<String> lines = new ArrayList<>();
         List<ScaleResult> partialResults = new ArrayList<>();
-        ScaleResult result = new ScaleRun(spec("sizes = [50, 100, 200, 400, 401]\nplays = 2\nseed = 7"),
+        ScaleResult result = new ScaleRun(parseSpec("sizes = [50, 100, 200, 400, 401]\nplays = 2\nseed = 7"),
             MEMORY_BYTES, lines::add).run(Path.of("."), "beside nothing", partialResults::add);
         assertEquals(5, partialResults.size(), "expected a partial result after each of the 5 sizes");
         assertTrue(partialResults.get(1).cutShort() && Tables.markdown(partialResults).contains("Cut short"));
--- a/lab/src/test/java/dockrelay/lab/scale/list/RolesTest.java
+++ b/lab/src/test/java/dockrelay/lab/scale/list/RolesTest.java
@@ -34,7 +34,8 @@
         }
     }
 
-    private static Set<String> play(String name, int size, String keys) throws Exception {
+    /** Plays a role once; returns the names of its figures. */
+    private static Set<String> playRole(String name, int size, String keys) throws Exception {
         Role role = Roles.findByName(name);
         ScaleSpec spec = ScaleSpec.parse(Path.of("x.toml"), "role = \"" + name + "\"\nsizes = [" + size
             + "]\n[" + name + "]\n" + keys, role, false);
@@ -46,7 +47,7 @@
 
     @Test
     void listRoleMeasuresStartsAndChanges() throws Exception {
-        Set<String> names = play("list", 140, """
+        Set<String> names = playRole("list", 140, """
             manners = ["ask"]
             quiet = "1s"
             restart_every = "5s"
@@ -67,7 +68,7 @@
 
     @Test
     void tenantsRoleMeasuresStartsWithAndWithoutQuotas() throws Exception {
-        Set<String> names = play("tenants", 200, "length = \"1s\"");
+        Set<String> names = playRole("tenants", 200, "length = \"1s\"");
         for (String quotas : List.of("with", "without")) {
             for (String expected : List.of("start: ready after", "start: resident",
                 "load: tenants that asked", "changes of the list: processor time a change")) {
@@ -78,7 +79,8 @@
 
     @Test
     void loadRoleMeasuresAddedLatency() throws Exception {
-        Set<String> names = play("load", 50, "again = 0\nwarm = \"1s\"\nlength = \"1s\"\nlate_most = \"1s\"");
+        Set<String> names = playRole("load", 50,
+            "again = 0\nwarm = \"1s\"\nlength = \"1s\"\nlate_most = \"1s\"");
         for (String expected : List.of("added p50", "added p99", "added p99.9", "direct p99", "resident",
             "generator late p99")) {
             assertTrue(names.contains(expected), expected + " of " + names);
--- a/lab/src/test/java/dockrelay/lab/scale/load/FigureSinkTest.java
+++ b/lab/src/test/java/dockrelay/lab/scale/load/FigureSinkTest.java
@@ -14,7 +14,8 @@
     private final Map<String, Double> figures = new LinkedHashMap<>();
     private final FigureSink figureSink = (unit, name, value) -> figures.put(name, value);
 
-    private static Tally tally(long lateMicros, int count) {
+    /** A tally of requests served in 1 to 10 ms, each sent {@code lateMicros} after its scheduled time. */
+    private static Tally newTally(long lateMicros, int count) {
         Tally tally = new Tally();
         for (int i = 0; i < count; i++) {
             tally.addSent(lateMicros);
@@ -25,8 +26,8 @@
 
     @Test
     void p999IsReportedOnlyWithEnoughRequests() {
-        figureSink.addRequestFigures("few", tally(100, 100));
-        figureSink.addRequestFigures("many", tally(100, 2_000));
+        figureSink.addRequestFigures("few", newTally(100, 100));
+        figureSink.addRequestFigures("many", newTally(100, 2_000));
         assertEquals(5, figures.get("few: latency p50"), 0.1);
         assertEquals(10, figures.get("few: latency p99"), 0.1);
         assertFalse(figures.containsKey("few: latency p99.9"));
@@ -35,7 +36,7 @@
 
     @Test
     void lateGeneratorVoidsLatencies() {
-        figureSink.addRequestFigures("part", tally(6_000, 100));
+        figureSink.addRequestFigures("part", newTally(6_000, 100));
         assertEquals(1.0, figures.get("part: latencies void, the generator was late"));
         assertFalse(figures.containsKey("part: latency p99"));
         assertEquals(6, figures.get("part: generator late p99"), 0.1);
--- a/lab/src/test/java/dockrelay/lab/scale/load/OpenLoopGeneratorTest.java
+++ b/lab/src/test/java/dockrelay/lab/scale/load/OpenLoopGeneratorTest.java
@@ -42,14 +42,15 @@
         final ServerSocket listener = new ServerSocket(0, 1024, InetAddress.getLoopbackAddress());
         final CountDownLatch accepted = new CountDownLatch(HELD_REQUESTS);
         final List<Socket> heldSockets = new CopyOnWriteArrayList<>();
-        volatile long firstAcceptedNanos;
+        volatile long firstAcceptedAtNanos;
 
         UnresponsiveServer() throws IOException {
             Thread thread = new Thread(() -> {
                 try {
                     while (true) {
                         Socket socket = listener.accept();
-                        firstAcceptedNanos = firstAcceptedNanos == 0 ? System.nanoTime() : firstAcceptedNanos;
+                        firstAcceptedAtNanos = firstAcceptedAtNanos == 0
+                            ? System.nanoTime() : firstAcceptedAtNanos;
                         heldSockets.add(socket);
                         accepted.countDown();
                     }
@@ -89,7 +90,7 @@
             generator.start();
             server.accepted.await(); // open loop: requests keep coming although none is answered
             generator.setPaused(true);
-            long heldMillis = (System.nanoTime() - server.firstAcceptedNanos) / 1_000_000;
+            long heldMillis = (System.nanoTime() - server.firstAcceptedAtNanos) / 1_000_000;
             Tally tally = generator.swapTally();
             while (tally.served() < HELD_REQUESTS) {
                 server.answerAll();
@@ -113,7 +114,7 @@
                 TimeUnit.MILLISECONDS.sleep(1);
             }
             assertEquals(0, tally.served());
-            assertTrue(tally.latencyMillis(0) >= 99.9, 
+            assertTrue(tally.latencyMillis(0) >= 99.9,
                 "each unanswered request must count with its wait of 100 ms, minimum: "
                 + tally.latencyMillis(0));
         }
