--- a/lab/src/main/java/dockrelay/lab/scale/ScaleCommand.java
+++ b/lab/src/main/java/dockrelay/lab/scale/ScaleCommand.java
@@ -15,32 +15,33 @@
     Path file;
     @Option(names = "--out", required = true, description = "folder for scale.json")
     Path out;
-    @Option(names = "--role", description = "goes before the file's role")
+    @Option(names = "--role", description = "overrides the file's role")
     String role;
-    @Option(names = "--quick", description = "the file's quick_sizes, once each")
+    @Option(names = "--quick", description = "measure only the file's quick_sizes, once each")
     boolean quick;
     @Option(names = "--note", defaultValue = "",
-        description = "goes into scale.json, such as what ran beside")
+        description = "a remark stored in scale.json, such as other work on the machine")
     String note;
     @Option(names = "--build", defaultValue = "${sys:stoatreel.root:-.}", description =
-        "checkout that the figures are of (${DEFAULT-VALUE})")
+        "checkout to measure (${DEFAULT-VALUE})")
     Path root;
 
     @Override
     public Integer call() throws Exception {
-        if (role != null && Roles.of(role) == null) {
-            throw new SpecException("--role " + role + ": allowed is one of " + Roles.names());
+        if (role != null && Roles.findByName(role) == null) {
+            throw new SpecException("--role " + role + ": allowed is one of " + Roles.joinedNames());
         }
-        System.setProperty("stoatreel.root", root.toString()); // roles start the processes of this checkout
-        long began = System.nanoTime();
-        ScaleSpec spec = ScaleSpec.read(file, role == null ? null : Roles.of(role), quick);
+        System.setProperty("stoatreel.root", root.toString()); // the roles start processes of this checkout
+        long startNanos = System.nanoTime();
+        ScaleSpec spec = ScaleSpec.read(file, role == null ? null : Roles.findByName(role), quick);
         try {
-            Path to = out.resolve("scale.json");
+            Path resultFile = out.resolve("scale.json");
             ScaleResult result = new ScaleRun(spec, text -> System.err.printf("%6.1f s  %s%n",
-                (System.nanoTime() - began) / 1e9, text)).play(root, note, part -> part.write(to));
-            result.write(to);
-            System.out.print(Tables.plain(result));
-            System.out.println("figures: " + to);
+                (System.nanoTime() - startNanos) / 1e9, text)).run(root, note,
+                partialResult -> partialResult.write(resultFile));
+            result.write(resultFile);
+            System.out.print(Tables.plainText(result));
+            System.out.println("figures: " + resultFile);
             return 0;
         } catch (SizeRefusedException e) {
             System.err.println("refused: " + e.getMessage());
--- a/lab/src/main/java/dockrelay/lab/scale/ScaleSpec.java
+++ b/lab/src/main/java/dockrelay/lab/scale/ScaleSpec.java
@@ -9,11 +9,11 @@
 import java.util.List;
 
 /**
- * What is to be measured: one role, at these sizes, so many times each. The role's own keys are in the table
- * of its name.
+ * Specification of a run, read from a TOML file: one role, its sizes and the number of plays for each. The
+ * role's own keys are in the table of its name.
  */
 public final class ScaleSpec {
-    private static final int MOST_SIZE = 1_000_000, MOST_PLAYS = 100;
+    private static final int MAX_SIZE = 1_000_000, MAX_PLAYS = 100;
 
     private final Path file;
     private final Role role;
@@ -21,33 +21,34 @@
     private final int plays;
     private final long seed;
     private final boolean quick;
-    private final TomlSection top, own;
+    private final TomlSection rootSection, roleSection;
 
-    private ScaleSpec(Path file, TomlSection top, Role wanted, boolean quick) {
+    private ScaleSpec(Path file, TomlSection rootSection, Role roleOverride, boolean quick) {
         this.file = file;
-        this.top = top;
+        this.rootSection = rootSection;
         this.quick = quick;
-        String name = top.readText("role", wanted == null ? null : wanted.name());
-        role = wanted != null ? wanted : Roles.of(name);
+        String roleName = rootSection.readText("role", roleOverride == null ? null : roleOverride.name());
+        role = roleOverride != null ? roleOverride : Roles.findByName(roleName);
         if (role == null) {
-            throw top.invalidValue("role", "one of " + Roles.names());
+            throw rootSection.invalidValue("role", "one of " + Roles.joinedNames());
         }
-        List<Integer> all = top.readAscendingCounts("sizes", null, 1, MOST_SIZE);
-        List<Integer> few = top.readAscendingCounts("quick_sizes", all.subList(0, Math.min(2, all.size())), 1,
-            MOST_SIZE);
-        sizes = quick ? few : all;
-        int given = top.readCount("plays", 1, 1, MOST_PLAYS);
-        plays = quick ? 1 : given;
-        seed = top.readCount("seed", 1, 0, Integer.MAX_VALUE);
-        own = top.readTable(role.name());
+        List<Integer> fullSizes = rootSection.readAscendingCounts("sizes", null, 1, MAX_SIZE);
+        List<Integer> quickSizes = rootSection.readAscendingCounts("quick_sizes",
+            fullSizes.subList(0, Math.min(2, fullSizes.size())), 1, MAX_SIZE);
+        sizes = quick ? quickSizes : fullSizes;
+        int configuredPlays = rootSection.readCount("plays", 1, 1, MAX_PLAYS);
+        plays = quick ? 1 : configuredPlays;
+        seed = rootSection.readCount("seed", 1, 0, Integer.MAX_VALUE);
+        roleSection = rootSection.readTable(role.name());
     }
 
     /**
-     * Throws a SpecException that says what is wrong in one line. A role given here goes before the file's.
+     * Reads a specification; throws a SpecException with a one-line message if it is invalid. A role that is
+     * not null overrides the file's.
      */
     public static ScaleSpec read(Path file, Role role, boolean quick) {
         try {
-            return of(file, Files.readString(file), role, quick);
+            return parse(file, Files.readString(file), role, quick);
         } catch (NoSuchFileException e) {
             throw new SpecException(file + ": no such file");
         } catch (IOException e) {
@@ -55,11 +56,12 @@
         }
     }
 
-    /** The same from a text, for tests. */
-    public static ScaleSpec of(Path file, String text, Role role, boolean quick) {
+    /** Parses a specification from text; the path appears in messages only. */
+    public static ScaleSpec parse(Path file, String text, Role role, boolean quick) {
         return new ScaleSpec(file, TomlSection.parse(file, text), role, quick);
     }
 
+    /** The name of the file, without its folder. */
     public String name() {
         return file.getFileName().toString();
     }
@@ -80,19 +82,19 @@
         return seed;
     }
 
-    /** Whether this is a short look: a role may then play less of what it plays. */
+    /** Whether this is a quick run, in which a role may shorten its plays. */
     public boolean quick() {
         return quick;
     }
 
-    /** The table of the role's own keys. */
+    /** The section with the role's own keys. */
     public TomlSection roleSection() {
-        return own;
+        return roleSection;
     }
 
-    /** Refuses keys that nothing has read. */
-    void done() {
-        top.rejectUnknownKeys();
-        own.rejectUnknownKeys();
+    /** Throws a SpecException for keys that nothing has read. */
+    void rejectUnreadKeys() {
+        rootSection.rejectUnknownKeys();
+        roleSection.rejectUnknownKeys();
     }
 }
--- a/lab/src/main/java/dockrelay/lab/scale/list/ListRole.java
+++ b/lab/src/main/java/dockrelay/lab/scale/list/ListRole.java
@@ -11,11 +11,12 @@
 import java.util.List;
 
 /**
- * Discovery tells a real proxy of so many backends, all hollow but for the nodes that answer for them. The
- * proxy takes the list in whole, then lives through changes while requests flow.
+ * Measures a real proxy with a list of synthetic backends that share a few emulated servers: the proxy loads
+ * the full list, then applies changes of it while it serves requests.
  */
 public final class ListRole implements Role {
-    private static final long PROXY = 192L << 20, OWN = 512L << 20, ENTRY = 2_000;
+    /** Estimated memory of the proxy (a configured heap is added), of the lab, and for each backend. */
+    private static final long PROXY_BYTES = 192L << 20, LAB_BYTES = 512L << 20, BYTES_PER_BACKEND = 2_000;
 
     @Override
     public String name() {
@@ -24,23 +25,24 @@
 
     @Override
     public ResourceEstimate estimate(ScaleSpec spec, int size) {
-        int heap = ListSpec.of(spec).heapMiB();
-        return new ResourceEstimate(PROXY + ((long) heap << 20) + OWN + ENTRY * size, 1);
+        int heapMiB = ListSpec.of(spec).heapMiB();
+        return new ResourceEstimate(PROXY_BYTES + ((long) heapMiB << 20) + LAB_BYTES
+            + BYTES_PER_BACKEND * size, 1);
     }
 
     @Override
     public List<Figure> play(ScaleSpec spec, int size, int play, ProgressLog progress) throws Exception {
         Build build = Build.load(Path.of(System.getProperty("stoatreel.root", ".")));
-        ListSpec own = ListSpec.of(spec);
+        ListSpec listSpec = ListSpec.of(spec);
         List<Figure> figures = new ArrayList<>();
-        for (String manner : own.manners()) {
-            try (ListPlay one = new ListPlay(own, own.build(build), size, manner, spec.seed() + play,
-                (unit, what, value) -> {
-                    figures.add(new Figure(name(), what + " (" + manner + ")", size, unit, value, "real",
-                        play));
-                    progress.log("  " + manner + ": " + what + " " + value + " " + unit);
+        for (String discoveryMode : listSpec.discoveryModes()) {
+            try (ListPlay listPlay = new ListPlay(listSpec, listSpec.withHeap(build), size, discoveryMode,
+                spec.seed() + play, (unit, figureName, value) -> {
+                    figures.add(new Figure(name(), figureName + " (" + discoveryMode + ")", size, unit,
+                        value, "real", play));
+                    progress.log("  " + discoveryMode + ": " + figureName + " " + value + " " + unit);
                 }, progress)) {
-                one.run();
+                listPlay.run();
             }
         }
         return figures;
