--- a/lab/src/main/java/dockrelay/lab/LabRun.java
+++ b/lab/src/main/java/dockrelay/lab/LabRun.java
@@ -32,15 +32,15 @@
 import java.util.stream.Stream;
 
 /**
- * One play of an experiment: starts the world and the proxies, lets clients come and things break, and
- * judges.
+ * One play of an experiment: starts the emulator and the proxies, runs clients and faults, and collects the
+ * result.
  */
 final class LabRun {
     private static final long SAMPLE_MILLIS = 250, BEAT = 5_000, SECOND = 1_000_000;
-    /** Clients come a little after the last proxy is let in. */
+    /** Delay, in microseconds, between the last proxy becoming ready and the start of the clients. */
     private static final long LEAD = 200_000;
 
-    /** The program could not be played at all. */
+    /** The proxies could not be started. */
     static final class FailedStart extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -70,7 +70,7 @@
         ChildProcessRegistry leftovers = new ChildProcessRegistry(ChildProcessRegistry.defaultFolder());
         List<Long> left = leftovers.killOrphans();
         if (!left.isEmpty()) {
-            System.err.println("ended what an earlier lab had left behind: processes " + left);
+            System.err.println("killed processes left over by an earlier lab: " + left);
         }
         Experiment experiment = plan.experiment();
         Referee referee = new Referee(plan);
@@ -133,7 +133,7 @@
             List<String> dead = proxies.crashes();
             progress.accept(ready + " of " + wanted + " proxies are ready");
             if (!dead.isEmpty()) {
-                throw new FailedStart("proxies ended at their start: " + String.join(", ", dead)
+                throw new FailedStart("proxies exited during start: " + String.join(", ", dead)
                     + "; their logs are in " + out.resolve("proxies"));
             }
             if (ready == wanted) {
@@ -155,7 +155,10 @@
         }
     }
 
-    /** How late the world's loop runs is how late nodes and discovery act, and the clients' loop clients. */
+    /**
+     * Records the lateness of an event loop every 5 ms. The emulator's loop delays nodes and discovery by
+     * as much as it is late, the clients' loop the clients.
+     */
     private void beat(EmulatorNetwork net, EventLoop loop, LatenessRecorder lateness, long due) {
         net.schedule(loop, due - clock.nowMicros(), () -> {
             long now = clock.nowMicros();
--- a/lab/src/main/java/dockrelay/lab/Main.java
+++ b/lab/src/main/java/dockrelay/lab/Main.java
@@ -21,14 +21,17 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** The lab's commands. Exit codes: 0 done, 1 a rule was broken or the run fell short, 2 misuse. */
+/**
+ * The lab's commands. Exit codes: 0 success, 1 a rule was broken or the play was void or failed, 2 usage
+ * error.
+ */
 @Command(name = "lab", mixinStandardHelpOptions = true, version = "lab 0.1.0", subcommands = {Main.Run.class,
     Main.Compare.class, Main.Sweep.class, Main.Check.class, Main.ListAll.class, ScaleCommand.class,
     CapacityCommand.class}, description =
-        "Plays real proxies against an emulated world.",
+        "Runs real proxies against emulated clients, backends and discovery.",
     exitCodeListHeading = "Exit codes:%n", exitCodeList = {"0:done, every rule kept",
         "1:a rule was broken, or the run is void or could not start",
-        "2:misuse: arguments or experiment file"})
+        "2:usage error: invalid arguments or experiment file"})
 public final class Main {
     private Main() {
     }
@@ -54,7 +57,7 @@
         return line;
     }
 
-    /** Plays one experiment until a play is valid, within a bound. */
+    /** Plays one experiment until a play is valid, up to a maximum number of plays. */
     @Command(name = "run", mixinStandardHelpOptions = true, description =
         "Plays an experiment and writes a report.")
     static final class Run implements Callable<Integer> {
@@ -70,16 +73,16 @@
             description = "checkout whose deploy/balancer.toml starts the proxies (${DEFAULT-VALUE})")
         Path root;
         @Option(names = "--set", paramLabel = "KEY=VALUE", description =
-            "laid over the file, such as clients.load=0.8")
+            "overrides a value of the file, such as clients.load=0.8")
         List<String> settings = new ArrayList<>();
         @Option(names = "--plays", defaultValue = "" + Plays.MOST, description =
-            "a void play is played again, up to so many plays in all (${DEFAULT-VALUE})")
+            "maximum number of plays, as void plays are repeated (${DEFAULT-VALUE})")
         int most;
 
         @Override
         public Integer call() throws Exception {
             if (most < 1) {
-                throw new SpecException("--plays = " + most + "; allowed are 1 and more");
+                throw new SpecException("--plays = " + most + "; allowed is 1 or more");
             }
             Plan plan = Plan.generate(ExperimentReader.read(file, settings), seed);
             Build build = Build.load(root);
@@ -97,7 +100,7 @@
             progress.end();
             Result result = plays.last();
             if (result != null) {
-                System.out.print(result.summary()); // first: a full disk must not lose it
+                System.out.print(result.summary()); // before writing, which fails on a full disk
                 result.afterVoid(never == null ? plays.reasons()
                     : plays.reasons().subList(0, plays.reasons().size() - 1));
                 result.write(out);
@@ -110,10 +113,10 @@
         }
     }
 
-    /** Plays two sides in turn on the same seeds. */
+    /** Plays two builds or configurations alternately on the same seeds. */
     @Command(name = "compare", mixinStandardHelpOptions = true, description =
         "Plays two builds or two configurations "
-        + "in turn on the same seeds: paired differences, each with its 95% confidence interval.")
+        + "alternately on the same seeds: paired differences with 95% confidence intervals.")
     static final class Compare implements Callable<Integer> {
         @Parameters(paramLabel = "FILE", description = "the experiment")
         Path file;
@@ -123,10 +126,11 @@
         @Option(names = "--b", defaultValue = "${sys:stoatreel.root:-.}", description =
             "second build (${DEFAULT-VALUE})")
         Path b;
-        @Option(names = "--set-a", paramLabel = "KEY=VALUE", description = "laid over the file for the first")
+        @Option(names = "--set-a", paramLabel = "KEY=VALUE", description =
+            "overrides a value of the file for the first")
         List<String> settingsA = new ArrayList<>();
         @Option(names = "--set-b", paramLabel = "KEY=VALUE", description =
-            "laid over the file for the second")
+            "overrides a value of the file for the second")
         List<String> settingsB = new ArrayList<>();
         @Option(names = "--seeds", split = ",", defaultValue = "1,2,3,4,5", description = "${DEFAULT-VALUE}")
         List<Long> seeds;
@@ -149,10 +153,10 @@
         }
     }
 
-    /** Plays one key over some values. */
+    /** Plays an experiment with several values of one key. */
     @Command(name = "sweep", mixinStandardHelpOptions = true, description =
-        "Plays one key of the experiment over "
-        + "values: a table and plots.")
+        "Plays an experiment with each of several "
+        + "values of one key: a table and charts.")
     static final class Sweep implements Callable<Integer> {
         @Parameters(paramLabel = "FILE", description = "the experiment")
         Path file;
@@ -160,7 +164,8 @@
         String key;
         @Option(names = "--values", required = true, split = ",", description = "such as 0.4,0.6,0.8")
         List<String> values;
-        @Option(names = "--set", paramLabel = "KEY=VALUE", description = "laid over the file for all")
+        @Option(names = "--set", paramLabel = "KEY=VALUE", description =
+            "overrides a value of the file in all plays")
         List<String> settings = new ArrayList<>();
         @Option(names = "--seeds", split = ",", defaultValue = "1,2", description = "${DEFAULT-VALUE}")
         List<Long> seeds;
@@ -182,15 +187,16 @@
     private static int finish(Series series, TablePage page, Path out, String file) {
         System.out.print(page.plain());
         if (series.leftOut() > 0) {
-            System.out.println(series.leftOut() + " plays were left out, as each try was void");
+            System.out.println(series.leftOut()
+                + " results are missing, as each of their plays was void");
         }
         System.out.println("report: " + out.resolve(file));
         return series.kept() && series.leftOut() == 0 ? 0 : 1;
     }
 
-    /** Reads an experiment and says what it would play. */
+    /** Reads an experiment and prints a summary of its plan. */
     @Command(name = "check", mixinStandardHelpOptions = true, description =
-        "Reads an experiment; starts nothing.")
+        "Validates an experiment and prints its plan, without running it.")
     static final class Check implements Callable<Integer> {
         @Parameters(paramLabel = "FILE", description = "the experiment")
         Path file;
@@ -211,7 +217,7 @@
 
     /** Lists the experiments of a folder. */
     @Command(name = "list", mixinStandardHelpOptions = true, description =
-        "Lists experiments and what each shows.")
+        "Lists experiments with their descriptions.")
     static final class ListAll implements Callable<Integer> {
         @Parameters(paramLabel = "FOLDER", arity = "0..1", defaultValue = "experiments", description =
             "${DEFAULT-VALUE}")
--- a/lab/src/main/java/dockrelay/lab/Plays.java
+++ b/lab/src/main/java/dockrelay/lab/Plays.java
@@ -7,11 +7,11 @@
 import java.util.function.Function;
 
 /**
- * Plays until a play is valid, within a bound. A valid play is the last one whatever it showed: one that
- * broke a rule is never played again.
+ * Repeats a play until it is valid, up to a maximum number of plays. A valid play is never repeated,
+ * whatever its result: a broken rule stands.
  */
 final class Plays<T> {
-    /** So many plays at most, the first among them. */
+    /** Default maximum number of plays, including the first. */
     static final int MOST = 3;
 
     private final int most;
@@ -26,6 +26,9 @@
         this.told = told;
     }
 
+    /**
+     * Returns the first valid play; throws NeverValidException if all are void, and what the play throws.
+     */
     T play(Callable<T> play) throws Exception {
         while (reasons.size() < most) {
             String reason;
@@ -45,12 +48,12 @@
         throw new NeverValidException(reasons);
     }
 
-    /** Why the plays before were void. */
+    /** The reasons why plays were void, in order. */
     List<String> reasons() {
         return List.copyOf(reasons);
     }
 
-    /** The last play, void or not; null where it could not go on to its end. */
+    /** The last play, void or not; null if it was aborted. */
     T last() {
         return last;
     }
--- a/lab/src/main/java/dockrelay/lab/Progress.java
+++ b/lab/src/main/java/dockrelay/lab/Progress.java
@@ -1,6 +1,6 @@
 package dockrelay.lab;
 
-/** One line that tells what is happening now, on a terminal only. */
+/** A progress line on standard error, overwritten in place; prints nothing if there is no terminal. */
 final class Progress {
     private final boolean terminal = System.console() != null;
     private int width;
--- a/lab/src/main/java/dockrelay/lab/Series.java
+++ b/lab/src/main/java/dockrelay/lab/Series.java
@@ -18,11 +18,11 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** Many plays: two sides in turn on the same seeds, or one key over some values. */
+/** Series of plays: two builds or configurations on the same seeds, or several values of one key. */
 final class Series {
     private static final ObjectMapper JSON = new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT);
 
-    /** What is played: a file, what is laid over it, and a build. */
+    /** What is played: an experiment file, overrides of its values, and a build. */
     record Side(String name, Path file, List<String> settings, Build build) {
     }
 
@@ -36,16 +36,17 @@
         this.progress = progress;
     }
 
-    /** Whether every rule was kept in every play. */
+    /** Whether no rule was broken in any play. */
     boolean kept() {
         return kept;
     }
 
+    /** How many combinations of side and seed have no result because all their plays were void. */
     int leftOut() {
         return leftOut;
     }
 
-    /** One valid play, or null where each was void. */
+    /** Plays until a play is valid and writes its result; returns null if all plays were void. */
     private Result play(Side side, long seed) throws Exception {
         Path place = out.resolve(side.name.replaceAll("[^A-Za-z0-9._=-]", "_") + "-" + seed);
         Plays<Result> plays = new Plays<>(Plays.MOST, Result::voidBecause, text -> {
@@ -68,7 +69,7 @@
         }
     }
 
-    /** The second side against the first, seed by seed; the order changes with each seed. */
+    /** Compares two sides by plays on the same seeds, alternating which side is played first. */
     TablePage compare(Side a, Side b, List<Long> seeds) throws Exception {
         List<Result> ofA = new ArrayList<>(), ofB = new ArrayList<>();
         for (int i = 0; i < seeds.size(); i++) {
@@ -80,7 +81,7 @@
             }
         }
         TablePage page = new TablePage("compare: " + a.name + " and " + b.name, "Means over " + ofA.size()
-            + " seeds, in turn. The difference is the second's less the first's, with its 95% interval.",
+            + " seeds. The difference is second minus first, with its 95% confidence interval.",
             List.of("figure", a.name, b.name, "difference", "95%", ""));
         Map<String, Object> values = new LinkedHashMap<>();
         for (Figure figure : Figure.values()) {
@@ -117,7 +118,7 @@
         return result;
     }
 
-    /** One key over some values. */
+    /** Plays each value of a key on all seeds. */
     TablePage sweep(Side side, String key, List<String> texts, List<Long> seeds) throws Exception {
         List<String> head = new ArrayList<>(List.of(key));
         for (Figure figure : Figure.values()) {
@@ -158,7 +159,7 @@
         return page;
     }
 
-    /** Where a value stands on the axis: at its number, or after the one before. */
+    /** The x coordinate of a value: its number without the unit, or its index if it is not a number. */
     private static double place(String text, int index) {
         String number = text.replaceAll("[a-zA-Z]+$", "");
         try {
--- a/lab/src/main/java/dockrelay/lab/VoidPlayException.java
+++ b/lab/src/main/java/dockrelay/lab/VoidPlayException.java
@@ -1,6 +1,9 @@
 package dockrelay.lab;
 
-/** A play could not go on as the machine did not give its processes the cores: it says nothing of them. */
+/**
+ * A play was aborted because the machine did not give its processes enough CPU time; it shows nothing about
+ * them.
+ */
 final class VoidPlayException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/lab/src/main/java/dockrelay/lab/plan/Plan.java
+++ b/lab/src/main/java/dockrelay/lab/plan/Plan.java
@@ -22,22 +22,28 @@
 import java.util.random.RandomGenerator;
 
 /**
- * All that an experiment and a seed fix before anything starts: the nodes' figures, every arrival, every
- * fault
- * and its victims. Times are microseconds from the moment that clients come. The same file and seed give the
- * same plan to the byte, which its hash shows.
+ * Everything that an experiment and a seed determine before the run: the parameters of the nodes, every
+ * arrival, every fault and its victims. Times are microseconds since the clients started. The same file and
+ * seed always give the same plan. The hash, SHA-256 over the text form of nodes, arrivals and faults,
+ * verifies this, so the names of those records and of their components are part of it.
  */
 public record Plan(Experiment experiment, long seed, List<Node> nodes, double[] meanWork, double rate,
                    List<Arrival> arrivals, List<Break> faults, String hash) {
     private static final double SECOND = 1_000_000;
-    /** Bursts: so much of the time the rate is so much higher; the mean stays. */
+    /**
+     * Share of each period spent in a burst, and the burst's rate relative to the mean, which bursts
+     * preserve.
+     */
     private static final double BURST_SHARE = 0.2, BURST_RATE = 2;
 
-    /** An emulated node. Work and speeds are in microseconds of a standard core. */
+    /** An emulated node (backend). */
     public record Node(int index, String name, String zone, String kind, int cell, Figures figures) {
     }
 
-    /** What a node can do. */
+    /**
+     * The drawn parameters of a node. Times and work are in microseconds, work as executed by a standard
+     * core; speed is relative to such a core.
+     */
     public record Figures(int cores, double speed, int slots, int queue, double chokeAt, long chokeOver,
                           double chokeSlower, double chokeBelow, long chokeRest, long chokeMost,
                           double coldFrom,
@@ -46,22 +52,23 @@
                           double fullTax, double handshakeWork, long handshakeDelay, double probeWork,
                           long reportPeriod, double reportNoise, double errorRate, boolean dropsExpired,
                           boolean stopsOnCancel) {
-        /** Work in a microsecond, when warm and left alone. */
+        /** Work executed per microsecond by a node that is warm and not slowed down. */
         public double capacity() {
             return cores * speed;
         }
     }
 
     /**
-     * A client's request; it is tried again at most so often. Tenant and route (its routing key) may be
-     * empty.
+     * A client's request, which the client retries at most {@code retries} times. {@code key} is the
+     * idempotency key and {@code route} the routing key; tenant and route may be empty. {@code salt} seeds
+     * what is drawn for this request during the run.
      */
     public record Arrival(int index, long at, int serviceClass, double work, double tryShare, int retries,
         String key, String tenant,
                           String route, long salt) {
     }
 
-    /** A fault with its victims drawn. */
+    /** One occurrence of a fault, with its victims drawn. */
     public record Break(long at, long lasts, FaultKind kind, List<Integer> victims, double size,
                         FolderOnRestart folder, DiskFault disk, Link link) {
         public long endAt() {
@@ -100,7 +107,8 @@
         List<Node> result = new ArrayList<>();
         int zones = spec.zones().size();
         for (int i = 0; i < spec.count(); i++) {
-            // By turns rather than drawn: eight nodes of two kinds are to be about as many of each as stated.
+            // The golden-ratio sequence instead of random draws: even a few nodes match the kinds' shares
+            // closely.
             NodeKind kind = kindAt(spec.kinds(), shares * ((i * 0.6180339887498949 + 0.5) % 1));
             double slower = choke.slower().draw(random);
             Experiment.Connections connections = spec.connections();
@@ -153,7 +161,7 @@
         double highest = rate * peak(clients, swing);
         double at = 0;
         while (rate > 0) {
-            at += times.nextExponential() / highest; // thinned below to the rate of the moment
+            at += times.nextExponential() / highest; // thinned below to the current rate
             if (at >= experiment.length()) {
                 break;
             }
@@ -173,7 +181,7 @@
         };
     }
 
-    /** The rate of the moment against the mean. */
+    /** The arrival rate at a time, relative to the mean rate. */
     private static double shape(Experiment experiment, double swing, long at) {
         Clients clients = experiment.clients();
         double phase = (double) at / clients.swingPeriod();
@@ -231,7 +239,10 @@
         return result.stream().sorted().toList();
     }
 
-    /** The same with all groups spelt out, and its first side drawn where the file asks for a part of it. */
+    /**
+     * Expands the names of groups in a link fault to single parties, and draws among its {@code from}
+     * parties where the file asks for a share or a count of them.
+     */
     private static Link link(Experiment experiment, Fault fault, List<Node> nodes, RandomGenerator random) {
         if (fault.link() == null) {
             return null;
--- a/lab/src/main/java/dockrelay/lab/plan/RandomStreams.java
+++ b/lab/src/main/java/dockrelay/lab/plan/RandomStreams.java
@@ -7,7 +7,10 @@
 import java.util.random.RandomGenerator;
 import java.util.random.RandomGeneratorFactory;
 
-/** A stream of random numbers for each purpose, so that a change of one purpose moves none of the others. */
+/**
+ * Independent random number streams, one per purpose, so that a change in the draws for one purpose does
+ * not affect those for the others.
+ */
 public final class RandomStreams {
     private static final RandomGeneratorFactory<RandomGenerator> FACTORY =
         RandomGeneratorFactory.of("L64X128MixRandom");
@@ -19,7 +22,7 @@
         return FACTORY.create(deriveSeed(seed, purpose));
     }
 
-    /** A number that is the same for the same seed and purpose, on every machine. */
+    /** A seed derived from a seed and a purpose by SHA-256; the same on every machine. */
     public static long deriveSeed(long seed, String purpose) {
         byte[] text = (seed + "/" + purpose).getBytes(StandardCharsets.UTF_8);
         return ByteBuffer.wrap(sha256().digest(text)).getLong();
@@ -29,7 +32,7 @@
         try {
             return MessageDigest.getInstance("SHA-256");
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException(e); // every runtime has it
+            throw new IllegalStateException(e); // every Java platform must provide SHA-256
         }
     }
 }
--- a/lab/src/main/java/dockrelay/lab/plan/Requests.java
+++ b/lab/src/main/java/dockrelay/lab/plan/Requests.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import java.util.random.RandomGenerator;
 
-/** Draws what each request is, where a trace does not say it. */
+/** Draws the properties of each request, where a trace does not specify them. */
 final class Requests {
     private final Experiment experiment;
     private final double[] means, cvs, classShares, tenantShares, keyShares;
@@ -29,7 +29,7 @@
         tenantShares = sums(experiment.tenants().stream().mapToDouble(Tenant::share).toArray());
         double[] keys = new double[experiment.clients().keys()];
         for (int i = 0; i < keys.length; i++) {
-            keys[i] = Math.pow(i + 1, -experiment.clients().keySkew()); // Zipf's law
+            keys[i] = Math.pow(i + 1, -experiment.clients().keySkew()); // Zipf distribution
         }
         keyShares = sums(keys);
     }
@@ -41,7 +41,7 @@
         return shares;
     }
 
-    /** An index drawn by the shares whose sums these are. */
+    /** Draws an index with probabilities given by their cumulative sums. */
     private int pick(double[] sums) {
         int index = Arrays.binarySearch(sums, draws.nextDouble() * sums[sums.length - 1]);
         return Math.min(sums.length - 1, index < 0 ? -index - 1 : index + 1);
--- a/lab/src/main/java/dockrelay/lab/report/Estimate.java
+++ b/lab/src/main/java/dockrelay/lab/report/Estimate.java
@@ -3,7 +3,10 @@
 import org.apache.commons.math3.distribution.TDistribution;
 import org.apache.commons.math3.stat.descriptive.DescriptiveStatistics;
 
-/** A mean and half the width of its 95% confidence interval (Student's t); NaN where one value tells none. */
+/**
+ * A mean and half the width of its 95% confidence interval (Student's t). The half width is NaN for fewer
+ * than two values. Serialized to JSON by component names.
+ */
 public record Estimate(double mean, double half, int count) {
     private static final double TAIL = 0.975;
 
@@ -15,7 +18,7 @@
         return new Estimate(statistics.getMean(), half, count);
     }
 
-    /** Whether the interval leaves out 0. */
+    /** Whether the confidence interval excludes 0. */
     public boolean differs() {
         return !Double.isNaN(half) && Math.abs(mean) > half;
     }
--- a/lab/src/main/java/dockrelay/lab/report/Figure.java
+++ b/lab/src/main/java/dockrelay/lab/report/Figure.java
@@ -3,7 +3,7 @@
 import dockrelay.lab.report.OutcomeStatistics.Outcome;
 import java.util.function.ToDoubleFunction;
 
-/** The figures by which plays are compared. */
+/** The metrics by which plays are compared, with title and decimal places for tables. */
 public enum Figure {
     G("G", 4, Result::g),
     WORTH("worth in time", 4, result -> result.score.whole().share()),
--- a/lab/src/main/java/dockrelay/lab/report/HtmlReport.java
+++ b/lab/src/main/java/dockrelay/lab/report/HtmlReport.java
@@ -14,7 +14,7 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** One page with all in it: the charting library, the figures and the text. */
+/** Renders a play's result as one self-contained HTML page: charting library, data and text. */
 final class HtmlReport {
     private static final String CHARTS = "/META-INF/resources/webjars/uplot/1.6.30/dist/uPlot.";
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -37,9 +37,9 @@
         return page("report.html", data);
     }
 
-    /** A template with the shared style, the charting library and these data in it. */
+    /** Fills a page template with the shared style, the charting library and the data. */
     static String page(String template, Map<String, Object> data) throws IOException {
-        // A script element ends at the first "</", wherever it stands.
+        // A script element ends at the first "</script", even inside a string literal.
         String json = JSON.writeValueAsString(data).replace("</", "<\\/");
         return read("/dockrelay/lab/report/" + template)
             .replace("/*STYLE*/", read("/dockrelay/lab/report/style.css"))
@@ -85,7 +85,7 @@
     private static String read(String resource) throws IOException {
         try (InputStream in = HtmlReport.class.getResourceAsStream(resource)) {
             if (in == null) {
-                throw new FileNotFoundException(resource + " is not in this jar");
+                throw new FileNotFoundException(resource + " is missing from the jar");
             }
             return new String(in.readAllBytes(), StandardCharsets.UTF_8);
         }
--- a/lab/src/main/java/dockrelay/lab/report/OutcomeStatistics.java
+++ b/lab/src/main/java/dockrelay/lab/report/OutcomeStatistics.java
@@ -9,20 +9,19 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * What became of the clients' requests, by the second they were meant to leave in. Worth goes by work: a
- * request is
- * worth its class's worth times its work over the class's mean. Told from the clients' loop, read after the
- * run.
+ * The outcomes of the clients' requests, in total and per second of the intended send time, class and
+ * tenant. The value of a request is that of its class times its work relative to the class's mean work.
+ * Thread-safe: updated by the clients' event loop, read by the play's thread.
  */
 public final class OutcomeStatistics {
-    /** How a client's request ended, over all its tries. */
+    /** The final outcome of a client's request, over all its tries. */
     public enum Outcome { IN_TIME, LATE, REFUSED, FAILED, UNANSWERED, UNREACHABLE }
 
     private static final long SECOND = 1_000_000;
     private static final int WINDOW = 10;
     private static final long LONGEST = 3_600 * SECOND;
 
-    /** What was asked for and earned in a span, in one class or in all. */
+    /** Counts, latencies and value of the requests of one second, class or tenant, or of all. */
     public static final class Part {
         public double asked, earned, unservedLate;
         public long requests, tries;
@@ -70,7 +69,9 @@
         return result;
     }
 
-    /** Latency counts from the intended send. */
+    /**
+     * Records the outcome of a request. The latency, in microseconds, counts from the intended send time.
+     */
     public synchronized void recordOutcome(Arrival arrival, Outcome how, long latency, int tries) {
         ServiceClass type = plan.experiment().classes().get(arrival.serviceClass());
         double worth = type.value() * arrival.work() / plan.meanWork()[arrival.serviceClass()];
@@ -94,7 +95,7 @@
         return classes[index];
     }
 
-    /** By name; one without a name is all that has none. */
+    /** Statistics by tenant name; requests without a tenant are under the empty name. */
     public synchronized Map<String, Part> tenants() {
         return new TreeMap<>(tenants);
     }
@@ -103,7 +104,7 @@
         return seconds.clone();
     }
 
-    /** The share of worth earned in the worst ten seconds on end. */
+    /** The lowest share of value earned in any 10 consecutive seconds after the settling time. */
     public synchronized double worstWindow() {
         double worst = whole.share();
         int first = (int) (plan.experiment().settle() / SECOND);
--- a/lab/src/main/java/dockrelay/lab/report/Result.java
+++ b/lab/src/main/java/dockrelay/lab/report/Result.java
@@ -22,7 +22,9 @@
 import java.util.Map;
 import org.HdrHistogram.Histogram;
 
-/** What a run came to. Its keys are explained in docs/lab.md. */
+/**
+ * The result of a play, written as result.json, series.csv and report.html. docs/lab.md explains the keys.
+ */
 public final class Result {
     private static final ObjectMapper JSON = new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT);
     private static final double WHOLE = 0.55, WORST_WINDOW = 0.15, WORST_CLASS = 0.3;
@@ -38,7 +40,10 @@
     private final Referee.Totals totals;
     private final String rulesVoid, latenciesVoid;
 
-    /** The lab's own figures: what it was late with, and what the play says nothing of, and why. */
+    /**
+     * How well the lab itself kept up: the lateness of its load generator and event loops, and the reasons
+     * why rules or latencies cannot be judged by this play, null where they can.
+     */
     public record Own(Histogram generatorLateness, Histogram loopLateness, String rulesVoid,
         String latenciesVoid, Map<String, Object> starvation, List<Long> leftovers) {
     }
@@ -128,7 +133,7 @@
         return g;
     }
 
-    /** Work that no client's answer came from, of the work asked for. */
+    /** Work that did not contribute to a client's answer, as a share of the requested work. */
     public double waste() {
         return waste;
     }
@@ -141,7 +146,7 @@
         return totals.connections() / Math.max(1.0, totals.firstRequests());
     }
 
-    /** Of all proxies, in milliseconds. */
+    /** CPU time of all proxies per request, in milliseconds. */
     public double cpuPerRequest() {
         return 1e3 * cpuSeconds / Math.max(1.0, totals.firstRequests());
     }
@@ -150,22 +155,22 @@
         return voidBecause() != null;
     }
 
-    /** Why the play says nothing of the proxies, in a line; null where it is valid. */
+    /** Why the play is void, in one line; null if it is valid. */
     public String voidBecause() {
         return rulesVoid != null ? rulesVoid : latenciesVoid;
     }
 
-    /** Why it cannot be judged by this play whether the rules were kept; null where it can. */
+    /** Why this play cannot show whether the rules were kept, in one line; null if it can. */
     public String rulesVoidBecause() {
         return rulesVoid;
     }
 
-    /** Why the plays before this one were void. */
+    /** Records why the preceding plays were void. */
     public void afterVoid(List<String> reasons) {
         values.put("void_plays_before", reasons);
     }
 
-    /** Whether every rule was kept. */
+    /** Whether no rule was broken. */
     public boolean kept() {
         return broken.isEmpty();
     }
@@ -179,13 +184,14 @@
             : "n" + victim).toList();
     }
 
+    /** Writes the files of the result to a folder. */
     public void write(Path folder) throws IOException {
         write(folder.resolve("result.json"), JSON.writeValueAsString(values));
         write(folder.resolve("series.csv"), series());
         write(folder.resolve("report.html"), HtmlReport.of(this));
     }
 
-    /** Beside, then moved into place: what is there is whole. */
+    /** Writes to a temporary file and renames it, so that the target file is always complete. */
     static void write(Path file, String text) throws IOException {
         Path beside = file.resolveSibling(file.getFileName() + ".part");
         try {
@@ -197,7 +203,7 @@
         }
     }
 
-    /** A row a second, by when requests were meant to leave. */
+    /** One CSV row per second; requests count in the second of their intended send time. */
     private String series() {
         StringBuilder text =
             new StringBuilder("second,asked,earned,requests,in_time,late,refused,failed,unanswered,"
@@ -270,7 +276,7 @@
         return Math.round(value * 1e4) / 1e4;
     }
 
-    /** For people, in a few lines. */
+    /** A summary of a few lines for the terminal. */
     public String summary() {
         Part whole = score.whole();
         StringBuilder text = new StringBuilder();
@@ -291,7 +297,7 @@
         }
         if (isVoid()) {
             text.append("VOID: ").append(voidBecause())
-                .append("; this machine could not carry it in real time, and what follows tells nothing\n");
+                .append("; this machine could not run it in real time; the results below are invalid\n");
         }
         if (kept()) {
             return text.append("every rule kept\n").toString();
@@ -302,6 +308,6 @@
                 one.proxy().isEmpty() ? "" : " by " + one.proxy(),
                 one.request().isEmpty() ? "" : ", request " + one.request(), one.description()));
         }
-        return text.append(broken.size()).append(" breaches told, counts in result.json\n").toString();
+        return text.append(broken.size()).append(" breaches recorded, counts in result.json\n").toString();
     }
 }
--- a/lab/src/main/java/dockrelay/lab/report/Sample.java
+++ b/lab/src/main/java/dockrelay/lab/report/Sample.java
@@ -1,7 +1,13 @@
 package dockrelay.lab.report;
 
-/** The nodes at one moment, in seconds from when clients came: what they hold, in all and the busiest. */
+/**
+ * A sample of the nodes, taken at a time in seconds since the clients started: mean, maximum and minimum of
+ * the requests held by nodes that are up, and how many nodes are down or overloaded.
+ */
 public record Sample(double at, double mean, int most, int least, long down, long crowded) {
+    /**
+     * Computes a sample from the requests held by each node; a negative value marks a node that is down.
+     */
     public static Sample of(double at, int[] held, long crowded) {
         int up = 0, sum = 0, most = 0, least = Integer.MAX_VALUE;
         for (int one : held) {
--- a/lab/src/main/java/dockrelay/lab/report/TablePage.java
+++ b/lab/src/main/java/dockrelay/lab/report/TablePage.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** A table and some plots on a page of its own, for what more than one play came to. */
+/** An HTML page with a table and charts, for the results of several plays. */
 public final class TablePage {
     private static final ObjectMapper JSON = new ObjectMapper();
 
@@ -26,7 +26,7 @@
         rows.add(cells);
     }
 
-    /** One line over these places, with half the width of an interval around each, NaN for none. */
+    /** Adds a line chart of means with their confidence intervals, if any, over these x values. */
     public void chart(String name, String axis, List<Double> at, List<Estimate> values) {
         List<Object> means = new ArrayList<>(), lows = new ArrayList<>(), highs = new ArrayList<>();
         for (Estimate one : values) {
@@ -43,7 +43,7 @@
             Map.of("title", title, "text", text, "head", head, "rows", rows, "charts", charts)));
     }
 
-    /** The same for a terminal. */
+    /** The table as aligned plain text, for a terminal. */
     public String plain() {
         int[] widths = new int[head.size()];
         List<List<String>> all = new ArrayList<>(List.of(head));
--- a/lab/src/main/java/dockrelay/lab/spec/ExperimentReader.java
+++ b/lab/src/main/java/dockrelay/lab/spec/ExperimentReader.java
@@ -33,7 +33,7 @@
 import java.util.List;
 import java.util.Set;
 
-/** Reads an experiment file. The defaults are the deployment's that the program was built for. */
+/** Reads an experiment file. Defaults describe the deployment that the proxy was built for. */
 public final class ExperimentReader {
     private static final long MILLI = 1_000, SECOND = 1_000_000, HOUR = 3_600 * SECOND;
     private static final double MANY = 1e6;
@@ -41,12 +41,12 @@
     private ExperimentReader() {
     }
 
-    /** Throws a SpecException that says what is wrong in one line. */
+    /** Reads a file; throws a SpecException with a one-line message if it is invalid. */
     public static Experiment read(Path file) {
         return read(file, List.of());
     }
 
-    /** The same with these keys laid over the file's, each as key=value. */
+    /** Reads a file whose values are overridden by these settings, each of the form key=value. */
     public static Experiment read(Path file, List<String> settings) {
         try {
             Overrides overrides = Overrides.of(settings);
@@ -82,7 +82,7 @@
             s.readBytes("file_limit", 0, 0, 1L << 40),
             s.readBoolean("pinned", false), s.readTexts("zones"));
         if (result.zones().size() > result.count()) {
-            throw s.invalidValue("zones", "no more zones than proxies, by turns");
+            throw s.invalidValue("zones", "at most as many zones as proxies");
         }
         s.rejectUnknownKeys();
         return result;
@@ -155,7 +155,8 @@
     }
 
     /**
-     * A row a request: seconds, then class, work in ms, tenant and key, each of which may be empty or absent.
+     * Reads a trace of one request per row: time in seconds, then class, work in ms, tenant and routing
+     * key, each of which may be empty or missing.
      */
     private static List<Traced> trace(TomlSection s, Path file) {
         List<Traced> result = new ArrayList<>();
@@ -169,14 +170,14 @@
                 String[] cells = (line + ",,,,").split(",", -1);
                 long at = Math.round(Double.parseDouble(cells[0].trim()) * SECOND);
                 if (at < before) {
-                    throw new SpecException(trace + ": " + line + ": the times go back");
+                    throw new SpecException(trace + ": " + line + ": times must not decrease");
                 }
                 before = at;
                 result.add(new Traced(at, cells[1].trim(), cells[2].isBlank() ? -1
                     : Double.parseDouble(cells[2].trim()) * MILLI, cells[3].trim(), cells[4].trim()));
             }
         } catch (IOException | NumberFormatException e) {
-            throw s.invalidValue("trace", "a file beside this one with rows of seconds,class,work in ms,tenant,key; "
+            throw s.invalidValue("trace", "a file in this folder with rows of seconds,class,work in ms,tenant,key; "
                 + e);
         }
         return result;
@@ -200,7 +201,7 @@
             s.readCount("keys", 0, 0, 10_000_000), s.readNumber("key_skew", 1, 0, 10),
             arrivals == Arrivals.TRACE ? trace(s, file) : List.of());
         if (result.arrivals() == Arrivals.STEPS && steps.isEmpty()) {
-            throw s.invalidValue("arrivals", "steps only with [[clients.step]]");
+            throw s.invalidValue("arrivals", "steps only together with [[clients.step]]");
         }
         s.rejectUnknownKeys();
         return result;
@@ -218,10 +219,10 @@
                 s.readEnum("effect", Idempotency.IDEMPOTENT, Idempotency.class),
                 s.readEnum("scope", DedupScope.ALL, DedupScope.class), s.readMicros("window", 0, 0, HOUR));
             if (read.deadline() < read.latencyTarget()) {
-                throw s.invalidValue("deadline", "no less than the aim, " + Units.time(read.latencyTarget()));
+                throw s.invalidValue("deadline", "a time of at least the aim, " + Units.time(read.latencyTarget()));
             }
             if (!names.add(read.name())) {
-                throw s.invalidValue("name", "a name that no other class has");
+                throw s.invalidValue("name", "a name not used by another class");
             }
             s.rejectUnknownKeys();
             result.add(read);
@@ -301,13 +302,13 @@
                 kind == FaultKind.LINK ? link(s) : null);
             boolean drawn = fault.part() > 0 || fault.count() > 0;
             if ((kind.targetsNodes() || kind.targetsProxies()) && drawn == !fault.victims().isEmpty()) {
-                throw s.invalidValue("kind", "a fault with either victims, or part or count of them to be drawn");
+                throw s.invalidValue("kind", "a fault with either victims, or a part or count of them to draw");
             }
             if (kind == FaultKind.UPGRADE && !sharedSocket) {
                 throw s.invalidValue("kind", "upgrade only with proxies.shared_socket = true");
             }
             if (fault.times() > 1 && fault.every() <= 0) {
-                throw s.invalidValue("every", "a time above 0s where times is above 1");
+                throw s.invalidValue("every", "a time above 0s if times is above 1");
             }
             s.rejectUnknownKeys();
             result.add(fault);
--- a/lab/src/main/java/dockrelay/lab/spec/Overrides.java
+++ b/lab/src/main/java/dockrelay/lab/spec/Overrides.java
@@ -8,7 +8,7 @@
 import org.tomlj.Toml;
 import org.tomlj.TomlParseResult;
 
-/** Keys laid over an experiment file from the command line, each as key=value. */
+/** Values from the command line, each key=value, that override those of an experiment file. */
 final class Overrides {
     static final Overrides NONE = new Overrides();
 
@@ -25,7 +25,7 @@
             }
             String key = setting.substring(0, equals).trim(), text = setting.substring(equals + 1).trim();
             TomlParseResult parsed = Toml.parse("v = " + text);
-            // A shell takes quotes away: what is no value of TOML is a text.
+            // The shell strips quotes, so anything that is not a TOML value is taken as a string.
             result.values.put(key, parsed.hasErrors() ? text : parsed.get("v"));
         }
         return result;
@@ -39,7 +39,7 @@
         return value;
     }
 
-    /** Refuses what no key of the file's tables has taken. */
+    /** Throws for an override whose key the reader has not asked for. */
     void done() {
         for (String key : values.keySet()) {
             if (!read.contains(key)) {
--- a/lab/src/main/java/dockrelay/lab/spec/SpecException.java
+++ b/lab/src/main/java/dockrelay/lab/spec/SpecException.java
@@ -1,6 +1,9 @@
 package dockrelay.lab.spec;
 
-/** What is wrong with an experiment file, in one line: file, line, key, value and what is allowed. */
+/**
+ * An invalid experiment file or option; the one-line message names file, line, key, value and what is
+ * allowed.
+ */
 public final class SpecException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
--- a/lab/src/main/java/dockrelay/lab/spec/TomlSection.java
+++ b/lab/src/main/java/dockrelay/lab/spec/TomlSection.java
@@ -17,8 +17,8 @@
 import org.tomlj.TomlTable;
 
 /**
- * One table of an experiment file. Each read says what is allowed, so an error can; {@link #done()} names
- * the keys that nothing has read.
+ * One table of an experiment file. Each read checks the value and throws a SpecException that names what is
+ * allowed; {@link #done()} rejects the keys that nothing has read.
  */
 public final class TomlSection {
     private static final int FAR = 3;
@@ -36,7 +36,7 @@
         this.overrides = overrides;
     }
 
-    /** The whole of a file's text. */
+    /** Parses a file's text and returns its top-level table. */
     public static TomlSection parse(Path file, String text) {
         return parse(file, text, Overrides.of(List.of()));
     }
@@ -51,7 +51,7 @@
         return new TomlSection(file, parsed, "", overrides);
     }
 
-    /** A table that may be absent: every key then has its default. */
+    /** A nested table; if it is absent, an empty one, so that every key has its default. */
     public TomlSection readTable(String key) {
         Object value = get(key);
         if (value == null) {
@@ -63,7 +63,7 @@
         throw invalidValue(key, "a table, [" + path + key + "]");
     }
 
-    /** The tables of an array of them; none where it is absent. */
+    /** The tables of an array of tables; an empty list if the key is absent. */
     public List<TomlSection> readTables(String key) {
         List<TomlSection> result = new ArrayList<>();
         Object value = get(key);
@@ -82,6 +82,7 @@
         return result;
     }
 
+    /** A string; without a default (null) the key is required. */
     public String readText(String key, String fallback) {
         Object value = get(key);
         if (value == null && fallback != null) {
@@ -90,9 +91,10 @@
         if (value instanceof String text) {
             return text;
         }
-        throw invalidValue(key, "a text in quotes");
+        throw invalidValue(key, "a string in quotes");
     }
 
+    /** A list of strings; empty if the key is absent. */
     public List<String> readTexts(String key) {
         List<String> result = new ArrayList<>();
         Object value = get(key);
@@ -102,15 +104,16 @@
         if (value instanceof TomlArray array) {
             for (int i = 0; i < array.size(); i++) {
                 if (!(array.get(i) instanceof String text)) {
-                    throw invalidValue(key, "a list of texts in quotes");
+                    throw invalidValue(key, "a list of strings in quotes");
                 }
                 result.add(text);
             }
             return result;
         }
-        throw invalidValue(key, "a list of texts in quotes");
+        throw invalidValue(key, "a list of strings in quotes");
     }
 
+    /** An enum constant by its lower-case name; without a default (null) the key is required. */
     public <T extends Enum<T>> T readEnum(String key, T fallback, Class<T> type) {
         String words = String.join(", ", Arrays.stream(type.getEnumConstants()).map(TomlSection::word).toList());
         String text = readText(key, fallback == null ? null : word(fallback));
@@ -137,6 +140,7 @@
         throw invalidValue(key, "true or false");
     }
 
+    /** A whole number within bounds, both inclusive. */
     public int readCount(String key, int fallback, int least, int most) {
         Object value = get(key);
         if (value == null) {
@@ -148,7 +152,10 @@
         throw invalidValue(key, "a whole number from " + least + " to " + most);
     }
 
-    /** Whole numbers in rising order. */
+    /**
+     * Whole numbers within bounds, in strictly ascending order; without a default (null) the key is
+     * required.
+     */
     public List<Integer> readAscendingCounts(String key, List<Integer> fallback, int least, int most) {
         Object value = get(key);
         if (value == null && fallback != null) {
@@ -171,6 +178,7 @@
         return result;
     }
 
+    /** A number within bounds, both inclusive. */
     public double readNumber(String key, double fallback, double least, double most) {
         Object value = get(key);
         double number = value == null ? fallback : value instanceof Number given ? given.doubleValue()
@@ -181,6 +189,7 @@
         throw invalidValue(key, "a number from " + Units.plain(least) + " to " + Units.plain(most));
     }
 
+    /** A number or a [low, high] pair within bounds. */
     public Range readRange(String key, Range fallback, double least, double most) {
         return readRange(key, fallback, least, most, value -> value instanceof Number number
             ? number.doubleValue()
@@ -188,7 +197,7 @@
             + Units.plain(most));
     }
 
-    /** A time, in microseconds. */
+    /** A single duration such as "250ms", in microseconds. */
     public long readMicros(String key, long fallback, long least, long most) {
         Range range = readMicrosRange(key, Range.of(fallback), least, most);
         if (range.low() != range.high()) {
@@ -197,6 +206,7 @@
         return Math.round(range.low());
     }
 
+    /** A duration or a [low, high] pair of durations, in microseconds. */
     public Range readMicrosRange(String key, Range fallback, long least, long most) {
         return readRange(key, fallback, least, most,
             value -> value instanceof String text ? Units.micros(text) : Double.NaN,
@@ -204,6 +214,7 @@
             + Units.time(most));
     }
 
+    /** A size such as "192MiB", in bytes. */
     public long readBytes(String key, long fallback, long least, long most) {
         Object value = get(key);
         double bytes = value == null ? fallback : value instanceof String text ? Units.bytes(text)
@@ -235,7 +246,7 @@
         return given == null ? table.get(List.of(key)) : given;
     }
 
-    /** Refuses what has not been read, as a misspelt key would otherwise be taken for its default. */
+    /** Throws for a key that has not been read: a misspelt key would otherwise silently get its default. */
     public void rejectUnknownKeys() {
         for (String key : table.keySet()) {
             if (!read.contains(key)) {
@@ -249,6 +260,7 @@
         }
     }
 
+    /** An exception for an invalid value: position, key, value and what is allowed. */
     public SpecException invalidValue(String key, String allowed) {
         return new SpecException(at(key) + path + key + " = " + shown(key) + ": allowed is " + allowed);
     }
@@ -273,7 +285,7 @@
             : value.toString();
     }
 
-    /** Levenshtein's distance. */
+    /** Levenshtein distance. */
     private static int distance(String a, String b) {
         int[] before = new int[b.length() + 1];
         for (int j = 0; j <= b.length(); j++) {
--- a/lab/src/main/java/dockrelay/lab/spec/Units.java
+++ b/lab/src/main/java/dockrelay/lab/spec/Units.java
@@ -4,7 +4,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Times and sizes as people write them. Times are in microseconds, sizes in bytes. */
+/** Parses and formats durations and sizes with units, such as "250ms" and "192MiB". */
 public final class Units {
     private static final Pattern FIGURE = Pattern.compile("([0-9]+(?:\\.[0-9]+)?)\\s*([a-zA-Z]+)");
     private static final double MICROS = 1_000_000;
@@ -12,7 +12,7 @@
     private Units() {
     }
 
-    /** NaN where it is no time. */
+    /** Parses a duration to microseconds; NaN if it is not one. */
     static double micros(String text) {
         return figure(text, unit -> switch (unit) {
             case "us" -> 1;
@@ -23,7 +23,7 @@
         });
     }
 
-    /** NaN where it is no size. */
+    /** Parses a size to bytes; NaN if it is not one. */
     static double bytes(String text) {
         return figure(text, unit -> switch (unit) {
             case "B" -> 1;
@@ -40,7 +40,7 @@
             : Double.NaN;
     }
 
-    /** A time with the unit that reads best. */
+    /** Formats a duration in the largest of s, ms and us in which it is at least 1. */
     public static String time(double micros) {
         if (micros >= MICROS) {
             return plain(micros / MICROS) + "s";
--- a/lab/src/test/java/dockrelay/lab/JudgedPlay.java
+++ b/lab/src/test/java/dockrelay/lab/JudgedPlay.java
@@ -3,18 +3,19 @@
 import dockrelay.lab.report.Result;
 import java.util.concurrent.Callable;
 
-/** Plays real processes in the build until the rules can be judged by a play, within a bound. */
+/** Repeats a play of real processes in a test until it can show whether the rules were kept. */
 final class JudgedPlay {
     /**
-     * More than the lab's own, as nobody sits by to ask again: a host that took cores back made 8 of 23 plays
-     * void, and with fifteen to be played three each get all of them valid in 53 of 100 builds, six in 97.
+     * More than the lab's default, because an unattended build cannot be asked to repeat a play. On a host
+     * that reclaimed cores 8 of 23 plays were void; at that rate, 15 plays are all valid in 53% of the
+     * builds with at most 3 tries each, and in 97% with 6.
      */
     private static final int MOST = 6;
 
     private JudgedPlay() {
     }
 
-    /** The first play by which the rules can be judged; what was void is told on the way. */
+    /** Returns the first play that is valid for judging the rules; prints why earlier plays were void. */
     static Result of(Callable<Result> play) throws Exception {
         return new Plays<Result>(MOST, Result::rulesVoidBecause, System.out::println).play(play);
     }
--- a/lab/src/test/java/dockrelay/lab/PlaysTest.java
+++ b/lab/src/test/java/dockrelay/lab/PlaysTest.java
@@ -10,9 +10,9 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What is played again, and how often. */
+/** Void plays are repeated up to the maximum; valid plays and failures are not. */
 class PlaysTest {
-    /** A play: why it is void, or null, and what it broke. */
+    /** A fake play result: why it is void, or null, and the rule it broke. */
     private record Play(String voidBecause, String broke) {
     }
 
@@ -50,14 +50,14 @@
         }));
         assertEquals(3, count.size());
         assertEquals(List.of("reason 1", "1 of 4 proxies was not ready", "reason 3"), never.reasons());
-        assertEquals("none of 3 plays was valid: reason 1; 1 of 4 proxies was not ready; reason 3. Play "
-            + "it again on a machine with less beside it, or play less of it at once", never.getMessage());
+        assertEquals("none of 3 plays was valid: reason 1; 1 of 4 proxies was not ready; reason 3. Run "
+            + "it again on a less loaded machine, or run a smaller experiment", never.getMessage());
     }
 
     @Test
     void failureThatIsNotTheMachinesIsNotPlayedAgain() {
         assertThrows(LabRun.FailedStart.class, () -> plays.play(() -> {
-            throw new LabRun.FailedStart("ended at its start");
+            throw new LabRun.FailedStart("exited during start");
         }));
         assertThrows(IOException.class, () -> plays.play(() -> {
             throw new IOException("disk full");
--- a/lab/src/test/java/dockrelay/lab/RealBudgetsTest.java
+++ b/lab/src/test/java/dockrelay/lab/RealBudgetsTest.java
@@ -14,9 +14,9 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Four proxies, as processes, that share a budget of further attempts while nodes are slow and fail: one
- * proxy is
- * killed, stopped, cut off, replaced. What reaches the nodes is held against the whole.
+ * Four proxy processes share a budget of extra attempts while nodes are slow, and one proxy each is killed,
+ * paused, partitioned and upgraded. The extra attempts that reach the nodes must stay within the fleet-wide
+ * budget, which the referee verifies.
  */
 class RealBudgetsTest {
     private static final double EXTRA = 12;
@@ -75,9 +75,9 @@
             keepers += Files.readString(folder.resolve("out/proxies/" + name + "/log"))
                 .contains("budgets: the keeper of term") ? 1 : 0;
         }
-        assertTrue(keepers > 0, "nobody was the keeper");
+        assertTrue(keepers > 0, "no proxy became the lease coordinator");
         long extras = (Long) result.values().get("extra_attempts");
-        System.out.println("further attempts that reached nodes: " + extras + " of at most " + EXTRA * 34);
-        assertTrue(extras > 20, extras + ": the budget was hardly used, and so hardly tried");
+        System.out.println("extra attempts that reached nodes: " + extras + " of at most " + EXTRA * 34);
+        assertTrue(extras > 20, extras + " extra attempts are too few to exercise the budget");
     }
 }
--- a/lab/src/test/java/dockrelay/lab/RealGroupsTest.java
+++ b/lab/src/test/java/dockrelay/lab/RealGroupsTest.java
@@ -21,11 +21,12 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Six proxies as processes, three, two and one to a group: one that speaks for its group is killed, and later
- * a group is cut off from the others, both ways.
+ * Six proxy processes in groups of three, two and one: the representative of a group is killed and
+ * restarted, and later a group is partitioned from the others in both directions. All members must learn of
+ * each change in time.
  */
 class RealGroupsTest {
-    /** A death, a group's loss and its return are with all within this. */
+    /** Maximum time, in seconds, until all members know of a death, a partition or their end. */
     private static final double KNOWN = 6;
     private static final double KILLED = 5, BACK = 12, CUT = 19, HEALED = 27, END = 34;
     private static final List<String> OTHERS = List.of("n0", "n2", "n3", "n4", "n5");
@@ -35,7 +36,7 @@
     Path folder;
     private final List<Said> said = new ArrayList<>();
 
-    /** What one proxy told of the fleet. */
+    /** One row of members.csv: a proxy's view of the fleet. */
     private record Said(double at, String proxy, int present, int of, String agreement, int counted,
                         double age, int groups, String group, boolean speaker) {
         static Said of(String row) {
@@ -77,8 +78,9 @@
             to = ["n0", "n1", "n2", "n5"]
             mode = "silent"
             """.formatted(END, KILLED, BACK - KILLED, CUT, HEALED - CUT));
-        // What is bound here are seconds: a play that keeps to it on a starved machine has shown it, and only
-        // one that does not is void there.
+        // The limits here are seconds, so a play that passes on a starved machine counts; only a play that
+        // fails
+        // the checks may be void for starvation and be repeated.
         Result result = new Plays<Result>(Plays.MOST, played -> holds(played) ? null
             : played.rulesVoidBecause(), System.out::println).play(() -> new LabRun(
             Plan.generate(ExperimentReader.read(file), 3), Build.load(Path.of("..")), folder.resolve("out"),
@@ -102,29 +104,31 @@
         said.clear();
         Files.readAllLines(folder.resolve("out/members.csv")).stream().skip(1).map(Said::of)
             .forEach(said::add);
-        if (result.rulesVoidBecause() == null) { // requests' rules are bound in milliseconds
+        if (result.rulesVoidBecause() == null) { // the rules for requests have limits of milliseconds
             assertEquals(List.of(), result.broken);
         }
         Map<?, ?> members = (Map<?, ?>) result.values().get("members");
-        assertEquals(List.of(), members.get("falsely_gone_first"), "nobody is held gone that runs");
-        assertEquals(2, members.get("deaths_seen"), "by those of its group: " + members);
+        assertEquals(List.of(), members.get("falsely_gone_first"), "no running member is declared gone");
+        assertEquals(2, members.get("deaths_seen"),
+            "both other members of the group see the death: " + members);
         assertTrue((Double) members.get("shares_most") < 1 + 1e-4, members.toString());
         assertEquals(Set.of("a/1 3", "b/1 3", "c/1 3"), groups());
         assertTrue(said.stream().anyMatch(one -> one.at < KILLED && one.proxy.equals("n1") && one.speaker),
-            "who is killed spoke for its group");
+            "the killed proxy was the representative of its group");
 
         List<String> all = new ArrayList<>(MOST);
         all.addAll(FEW);
         known("the start", 0, KILLED, all, one -> one.says(6, "all") && one.present == 6);
         known("the death", KILLED, BACK, OTHERS, one -> one.says(5, "all") && one.present == 5);
         known("the return", BACK, CUT, all, one -> one.says(6, "all") && one.present == 6);
-        known("the cut, by most", CUT, HEALED, MOST, one -> one.says(4, "all") && one.present == 4);
-        known("the cut, by few", CUT, HEALED, FEW, one -> one.says(6, "minority"));
-        known("the heal", HEALED, END, all, one -> one.says(6, "all") && one.present == 6);
-        for (String one : FEW) { // what is counted grows old, and is not counted once it is too old
+        known("the partition, on the majority side", CUT, HEALED, MOST,
+            one -> one.says(4, "all") && one.present == 4);
+        known("the partition, on the minority side", CUT, HEALED, FEW, one -> one.says(6, "minority"));
+        known("the end of the partition", HEALED, END, all, one -> one.says(6, "all") && one.present == 6);
+        for (String one : FEW) { // a group's last report is counted until it is too old
             double oldest = said.stream().filter(row -> row.proxy.equals(one) && row.at >= CUT
                 && row.at < HEALED && row.agreement.equals("all")).mapToDouble(Said::age).max().orElse(0);
-            System.out.println(one + ": counts were up to " + oldest + " s old before the fact said so");
+            System.out.println(one + ": reports were counted up to an age of " + oldest + " s");
             assertTrue(oldest > 1 && oldest <= KNOWN, one + ": " + of(one, CUT, HEALED));
         }
     }
@@ -135,7 +139,10 @@
         return result;
     }
 
-    /** From some moment on, soon enough after the beginning, each of these says so until the end of it. */
+    /**
+     * Asserts that within KNOWN seconds of the start each proxy meets the condition and does so until the
+     * end.
+     */
     private void known(String what, double from, double until, List<String> proxies, Predicate<Said> holds) {
         double latest = 0;
         for (String proxy : proxies) {
@@ -145,12 +152,12 @@
                     since = !holds.test(one) ? Double.NaN : Double.isNaN(since) ? one.at : since;
                 }
             }
-            assertTrue(!Double.isNaN(since), what + ": " + proxy + " never came to say so: " + of(proxy, from,
-                until));
+            assertTrue(!Double.isNaN(since), what + ": " + proxy + " does not meet the condition at the end: "
+                + of(proxy, from, until));
             latest = Math.max(latest, since - from);
         }
-        System.out.println(what + " is with all after " + latest + " s");
-        assertTrue(latest <= KNOWN, what + " was with all after " + latest + " s only");
+        System.out.println(what + ": known to all after " + latest + " s");
+        assertTrue(latest <= KNOWN, what + ": known to all only after " + latest + " s");
     }
 
     private List<Said> of(String proxy, double from, double until) {
--- a/lab/src/test/java/dockrelay/lab/RealMembersTest.java
+++ b/lab/src/test/java/dockrelay/lab/RealMembersTest.java
@@ -14,7 +14,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Four proxies that know of each other, as processes: one is killed, stopped, cut off, replaced. */
+/**
+ * Four proxy processes run the membership protocol while one each is killed, paused, partitioned and
+ * upgraded. Deaths must be detected, nobody falsely declared gone, and all must agree again.
+ */
 class RealMembersTest {
     @TempDir
     Path folder;
@@ -59,14 +62,16 @@
             Build.load(Path.of("..")), folder.resolve("out"), text -> { }).play());
         assertEquals(List.of(), result.broken);
         Map<?, ?> members = (Map<?, ?>) result.values().get("members");
-        assertEquals(3, members.get("deaths_seen"), members.toString()); // by the three others
-        assertEquals(List.of(), members.get("falsely_gone_first"), "a pause and an upgrade are no deaths");
+        assertEquals(3, members.get("deaths_seen"), members.toString()); // one per surviving proxy
+        assertEquals(List.of(), members.get("falsely_gone_first"),
+            "a pause and an upgrade are not taken for deaths");
         assertTrue((Double) members.get("shares_most") < 1 + 1e-4, members.toString());
         for (Object fault : (List<?>) members.get("agreed_after_s")) {
             assertTrue(((Map<?, ?>) fault).get("agreed_after_s") != null, members.toString());
         }
         String n2 = Files.readString(folder.resolve("out/proxies/n2.1/log"));
         assertTrue(n2.contains("n3 is gone") && n2.contains("n3 is present"), n2);
-        assertTrue(n2.contains("n0 is present, started anew, was present"), "one member: " + n2);
+        assertTrue(n2.contains("n0 is present, started anew, was present"),
+            "the upgraded proxy is the same member with a new incarnation: " + n2);
     }
 }
--- a/lab/src/test/java/dockrelay/lab/RealProxiesTest.java
+++ b/lab/src/test/java/dockrelay/lab/RealProxiesTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The program itself, as processes, while much goes wrong at once: rules alone are judged, not speed. */
+/** Real proxy processes keep all rules under many concurrent faults; latency is not checked. */
 class RealProxiesTest {
     @TempDir
     Path folder;
@@ -23,7 +23,7 @@
     @Test
     void rulesAreKeptWhileNodesAndProxiesBreak() throws Exception {
         Path file = Files.writeString(folder.resolve("much.toml"), """
-            shows = "much goes wrong at once"
+            shows = "many concurrent faults"
             length = "10s"
             [proxies]
             count = 3
--- a/lab/src/test/java/dockrelay/lab/RefereeProofTest.java
+++ b/lab/src/test/java/dockrelay/lab/RefereeProofTest.java
@@ -22,7 +22,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * For each rule a proxy that breaks it and no other: what the referee does not see there, it sees nowhere.
+ * Verifies the referee: for each rule, a stand-in proxy breaks it and no other, and the referee must report
+ * exactly that rule. A violation missed here would be missed in every play.
  */
 class RefereeProofTest {
     private static final Map<String, Set<Rule>> PROOFS = new LinkedHashMap<>();
@@ -42,7 +43,7 @@
         PROOFS.put("budget", Set.of(Rule.BUDGET));
         PROOFS.put("memory", Set.of(Rule.MEMORY));
         PROOFS.put("descriptors", Set.of(Rule.DESCRIPTORS));
-        PROOFS.put("crash", Set.of(Rule.CRASH, Rule.ANSWERED)); // what it had in hand is lost with it
+        PROOFS.put("crash", Set.of(Rule.CRASH, Rule.ANSWERED)); // its in-flight requests are lost
         PROOFS.put("deaf", Set.of(Rule.CRASH));
     }
 
@@ -50,9 +51,9 @@
     Path folder;
 
     private Set<Rule> broken(String fault) throws Exception {
-        boolean known = fault.equals("unasked"); // a change counts as known 6 s later
+        boolean known = fault.equals("unasked"); // a change counts as known only after 6 s
         Path file = Files.writeString(folder.resolve(fault + ".toml"), """
-            shows = "a proxy that does one thing wrong"
+            shows = "a proxy that breaks one rule"
             length = "%s"
             [proxies]
             count = 1
@@ -91,7 +92,7 @@
             fault.equals("cold") ? 0.8 : 0.45, fault.equals("budget") ? 2 : 0, known ? "8s" : "3s"));
         Path root = Files.createDirectories(folder.resolve("build-" + fault));
         String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
-        // Compiled once, quickly: it lives for seconds, and compiling was most of what it wanted cores for.
+        // C1 only: the process lives for seconds, and with C2 compilation took most of its CPU time.
         Build build = new Build(root, "FAULT=" + fault + " exec " + java
             + " -Xmx600m -XX:+UseSerialGC -XX:TieredStopAtLevel=1 -cp '"
             + System.getProperty("java.class.path") + "' dockrelay.lab.StandIn");
@@ -103,13 +104,14 @@
 
     @Test
     void eachRuleIsSeenToBeBrokenByTheProxyThatBreaksItAndByNoOther() {
-        // One after another: two at a time and the machine's other work made 8 of 23 plays void.
+        // Sequential: with two plays at a time, competition for CPU made 8 of 23 plays void.
         List<Executable> checks = new ArrayList<>();
         for (Map.Entry<String, Set<Rule>> proof : PROOFS.entrySet()) {
             checks.add(() -> assertEquals(proof.getValue(), broken(proof.getKey()), proof.getKey()));
         }
         Set<Rule> proven = PROOFS.values().stream().flatMap(Set::stream).collect(Collectors.toSet());
-        checks.add(() -> assertEquals(Set.of(Rule.values()), proven, "a rule without a proof"));
+        checks.add(() -> assertEquals(Set.of(Rule.values()), proven,
+            "every rule has a stand-in that breaks it"));
         assertAll(checks);
     }
 }
--- a/lab/src/test/java/dockrelay/lab/StandIn.java
+++ b/lab/src/test/java/dockrelay/lab/StandIn.java
@@ -22,7 +22,9 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.stream.Stream;
 
-/** A small proxy that does one thing wrong, by $FAULT, so that the referee can be shown to see it. */
+/**
+ * A minimal proxy that misbehaves in the way named by the environment variable FAULT, to test the referee.
+ */
 public final class StandIn {
     private record Server(String id, String addr, int cell, String state, long started) {
     }
@@ -85,7 +87,7 @@
                     client.send(HttpRequest.newBuilder(URI.create("http://"
                     + System.getenv("PROXY_DISCOVERY") + "/v1/servers?watch=1&after=0")).build(),
                     HttpResponse.BodyHandlers.ofLines());
-                try (Stream<String> body = response.body()) { // its end ends the watch
+                try (Stream<String> body = response.body()) { // closing it ends the watch
                     Stream<String> lines = body.filter(line -> !line.isBlank());
                     (fault.equals("unasked") ? lines.limit(1) : lines).forEach(this::line);
                 }
@@ -111,7 +113,7 @@
         }
     }
 
-    /** By turns; with the fault cold whatever started last gets all. */
+    /** Selects servers round-robin; with fault "cold", always the server started last. */
     private Server next() {
         List<Server> all = servers.values().stream().sorted(java.util.Comparator.comparing(Server::id))
             .toList();
@@ -148,7 +150,7 @@
         int number = turn.get();
         Server server = next();
         if (fault.equals("answered") && number % 20 == 0) {
-            return; // holds the connection and says nothing
+            return; // leaves the request unanswered and the connection open
         }
         if (fault.equals("foreign") && number % 20 == 0) {
             send(HttpRequest.newBuilder(URI.create("http://" + server.addr + path))
--- a/lab/src/test/java/dockrelay/lab/spec/ExperimentReaderTest.java
+++ b/lab/src/test/java/dockrelay/lab/spec/ExperimentReaderTest.java
@@ -14,6 +14,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
+/** Validation messages of experiment files, overrides, reproducible plans and traces. */
 class ExperimentReaderTest {
     @TempDir
     Path folder;
@@ -40,8 +41,8 @@
         assertEquals("one.toml:4: class[0].aim = [ \"2s\", \"1s\" ]: allowed is a time such as \"250ms\", "
             + "or two as [low, high], from 1ms to 3600s",
             wrong("[[class]]\nname = \"a\"\naim = [\"2s\", \"1s\"]\n"));
-        assertEquals("one.toml:4: proxies.zones = [ \"a\", \"b\", \"c\" ]: allowed is no more zones than "
-            + "proxies, by turns", wrong("[proxies]\ncount = 2\nzones = [\"a\", \"b\", \"c\"]\n"));
+        assertEquals("one.toml:4: proxies.zones = [ \"a\", \"b\", \"c\" ]: allowed is at most as many zones "
+            + "as proxies", wrong("[proxies]\ncount = 2\nzones = [\"a\", \"b\", \"c\"]\n"));
         assertTrue(wrong("length = \n").startsWith("one.toml:2: not TOML: "));
         assertTrue(wrong("[[fault]]\nkind = \"crash\"\nvictims = [\"s-99\"]\n")
             .contains("no victim is named s-99"));
@@ -84,7 +85,7 @@
     @Test
     void theExperimentsThatAreKeptCanBeRead() throws IOException {
         try (Stream<Path> files = Files.list(Path.of("../experiments"))) {
-            // The folder beside them holds scale runs, which are of another form.
+            // The subfolder holds scale runs, which have another format.
             for (Path file : files.filter(Files::isRegularFile).toList()) {
                 Plan plan = Plan.generate(ExperimentReader.read(file), 1);
                 assertTrue(plan.arrivals().size() > 100, file.toString());
