--- a/lab/src/main/java/dockrelay/lab/LabRun.java
+++ b/lab/src/main/java/dockrelay/lab/LabRun.java
@@ -7,8 +7,8 @@
 import dockrelay.lab.process.MembershipMonitor;
 import dockrelay.lab.process.ProxyFleet;
 import dockrelay.lab.referee.Referee;
-import dockrelay.lab.report.Result;
-import dockrelay.lab.report.Sample;
+import dockrelay.lab.report.PlayResult;
+import dockrelay.lab.report.NodeSample;
 import dockrelay.lab.report.OutcomeStatistics;
 import dockrelay.lab.spec.Experiment;
 import dockrelay.lab.starvation.LatenessRecorder;
@@ -36,120 +36,135 @@
  * result.
  */
 final class LabRun {
-    private static final long SAMPLE_MILLIS = 250, BEAT = 5_000, SECOND = 1_000_000;
+    private static final long SAMPLE_MILLIS = 250, LATENESS_SAMPLE_PERIOD_MICROS = 5_000,
+        MICROS_PER_SECOND = 1_000_000;
     /** Delay, in microseconds, between the last proxy becoming ready and the start of the clients. */
-    private static final long LEAD = 200_000;
+    private static final long START_DELAY_MICROS = 200_000;
 
     /** The proxies could not be started. */
-    static final class FailedStart extends Exception {
+    static final class ProxyStartException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        FailedStart(String message) {
+        ProxyStartException(String message) {
             super(message);
         }
     }
 
     private final Plan plan;
     private final Build build;
-    private final Path out;
-    private final Consumer<String> progress;
+    private final Path outputFolder;
+    private final Consumer<String> progressListener;
     private final Clock clock = new Clock();
     private final StarvationDetector starvation;
 
-    LabRun(Plan plan, Build build, Path out, Consumer<String> progress) {
+    LabRun(Plan plan, Build build, Path outputFolder, Consumer<String> progressListener) {
         this.plan = plan;
         this.build = build;
-        this.out = out;
-        this.progress = progress;
-        starvation = new StarvationDetector(Referee.SOCKET_TOLERANCE_MICROS, plan.experiment().proxies().cpuCores());
+        this.outputFolder = outputFolder;
+        this.progressListener = progressListener;
+        starvation = new StarvationDetector(Referee.SOCKET_TOLERANCE_MICROS, plan.experiment().proxies()
+            .cpuCores());
     }
 
-    Result play() throws IOException, FailedStart, VoidPlayException, InterruptedException {
-        Files.createDirectories(out);
-        empty(out.resolve("proxies"));
-        ChildProcessRegistry leftovers = new ChildProcessRegistry(ChildProcessRegistry.defaultFolder());
-        List<Long> left = leftovers.killOrphans();
-        if (!left.isEmpty()) {
-            System.err.println("killed processes left over by an earlier lab: " + left);
+    PlayResult play() throws IOException, ProxyStartException, VoidPlayException, InterruptedException {
+        Files.createDirectories(outputFolder);
+        deleteRecursively(outputFolder.resolve("proxies"));
+        ChildProcessRegistry processRegistry = new ChildProcessRegistry(ChildProcessRegistry.defaultFolder());
+        List<Long> killedProcesses = processRegistry.killOrphans();
+        if (!killedProcesses.isEmpty()) {
+            System.err.println("killed processes left over by an earlier lab: " + killedProcesses);
         }
         Experiment experiment = plan.experiment();
         Referee referee = new Referee(plan);
-        EmulatorNetwork net = new EmulatorNetwork(plan.seed());
-        Emulator world = new Emulator(plan, net, clock, referee);
-        List<Sample> samples = new ArrayList<>();
-        OutcomeStatistics score = new OutcomeStatistics(plan);
-        LatenessRecorder generator = new LatenessRecorder();
-        try (ProxyFleet proxies = new ProxyFleet(plan, build, out.resolve("proxies"), clock, referee, world,
-            net, leftovers, starvation, generator)) {
-            Thread killer = new Thread(proxies::close, "killer");
-            Runtime.getRuntime().addShutdownHook(killer);
+        EmulatorNetwork network = new EmulatorNetwork(plan.seed());
+        Emulator emulator = new Emulator(plan, network, clock, referee);
+        List<NodeSample> samples = new ArrayList<>();
+        OutcomeStatistics outcomes = new OutcomeStatistics(plan);
+        LatenessRecorder generatorLateness = new LatenessRecorder();
+        try (ProxyFleet proxies = new ProxyFleet(plan, build, outputFolder.resolve("proxies"), clock,
+            referee, emulator,
+            network, processRegistry, starvation, generatorLateness)) {
+            Thread shutdownHook = new Thread(proxies::close, "killer");
+            Runtime.getRuntime().addShutdownHook(shutdownHook);
             proxies.start();
-            FrontLoadBalancer front = new FrontLoadBalancer(proxies.listenAddresses(), experiment.clients(), plan.seed(), net, clock,
+            FrontLoadBalancer front = new FrontLoadBalancer(proxies.listenAddresses(), experiment.clients(),
+                plan.seed(), network, clock,
                 proxies::proxyReady);
             front.start();
-            awaitStart(experiment, proxies, front);
-            OpenLoopClients clients = new OpenLoopClients(plan, net, clock, referee, front, score, generator);
-            beat(net, net.emulatorLoop(), proxies.starvationMonitor().emulatorLateness, clock.nowMicros() + BEAT);
-            beat(net, net.clientLoop(), proxies.starvationMonitor().clientsLateness, clock.nowMicros() + BEAT);
-            long zero = clock.nowMicros() + LEAD;
+            awaitProxiesReady(experiment, proxies, front);
+            OpenLoopClients clients = new OpenLoopClients(plan, network, clock, referee, front, outcomes,
+                generatorLateness);
+            recordLateness(network, network.emulatorLoop(), proxies.starvationMonitor().emulatorLateness,
+                clock.nowMicros()
+                + LATENESS_SAMPLE_PERIOD_MICROS);
+            recordLateness(network, network.clientLoop(), proxies.starvationMonitor().clientsLateness,
+                clock.nowMicros()
+                + LATENESS_SAMPLE_PERIOD_MICROS);
+            long startTime = clock.nowMicros() + START_DELAY_MICROS;
             for (Break fault : plan.faults()) {
                 if (fault.kind().targetsProxies()) {
-                    proxies.scheduleFault(fault, zero);
+                    proxies.scheduleFault(fault, startTime);
                 } else {
-                    world.scheduleFault(fault, zero);
+                    emulator.scheduleFault(fault, startTime);
                 }
             }
-            MembershipMonitor members = new MembershipMonitor(plan, proxies, clock);
+            MembershipMonitor membershipMonitor = new MembershipMonitor(plan, proxies, clock);
             if (experiment.permissions().peerProtocol()) {
-                members.start();
+                membershipMonitor.start();
             }
-            clients.start(zero);
+            clients.start(startTime);
             starvation.setJudging(true);
-            watch(experiment, zero, clients, world, score, samples);
+            sampleUntilEnd(experiment, startTime, clients, emulator, outcomes, samples);
             starvation.setJudging(false);
             front.close();
-            members.close();
+            membershipMonitor.close();
             proxies.stop();
-            Result result = new Result(plan, build.root().getFileName().toString(), score, referee,
+            PlayResult result = new PlayResult(plan, build.root().getFileName().toString(), outcomes, referee,
                 proxies.resourceUsages(),
-                samples, new Result.Own(generator.total(), proxies.starvationMonitor().emulatorLateness.total(), starvation.rulesVoidReason(),
+                samples, new PlayResult.LabTimeliness(generatorLateness.total(),
+                proxies.starvationMonitor().emulatorLateness.total(), starvation.rulesVoidReason(),
                     starvation.latenciesVoidReason(),
-                    starvation.toResult(SchedulerStats.isAvailable()), left), world.overloadCrashedBackendCount(),
-                world.discoveryEntriesSent(), proxies.peerTraffic(), members.collectResults(out.resolve("proxies"), zero));
-            Runtime.getRuntime().removeShutdownHook(killer);
+                    starvation.toResult(SchedulerStats.isAvailable()), killedProcesses),
+                    emulator.overloadCrashedBackendCount(),
+                emulator.discoveryEntriesSent(), proxies.peerTraffic(),
+                membershipMonitor.collectResults(outputFolder.resolve("proxies"), startTime));
+            Runtime.getRuntime().removeShutdownHook(shutdownHook);
             return result;
         } finally {
-            net.close();
+            network.close();
         }
     }
 
-    private void awaitStart(Experiment experiment, ProxyFleet proxies, FrontLoadBalancer front)
-        throws FailedStart, VoidPlayException, InterruptedException {
-        TimeLimit limit = new TimeLimit(experiment.proxies().startWithin());
-        long since = clock.nowMicros();
-        int wanted = experiment.proxies().count();
+    private void awaitProxiesReady(Experiment experiment, ProxyFleet proxies, FrontLoadBalancer front)
+        throws ProxyStartException, VoidPlayException, InterruptedException {
+        TimeLimit limit = new TimeLimit(experiment.proxies().maxStartTime());
+        long startedWaiting = clock.nowMicros();
+        int proxyCount = experiment.proxies().count();
         while (true) {
-            int ready = front.healthyProxyCount();
-            List<String> dead = proxies.crashes();
-            progress.accept(ready + " of " + wanted + " proxies are ready");
-            if (!dead.isEmpty()) {
-                throw new FailedStart("proxies exited during start: " + String.join(", ", dead)
-                    + "; their logs are in " + out.resolve("proxies"));
+            int readyCount = front.healthyProxyCount();
+            List<String> crashes = proxies.crashes();
+            progressListener.accept(readyCount + " of " + proxyCount + " proxies are ready");
+            if (!crashes.isEmpty()) {
+                throw new ProxyStartException("proxies exited during start: " + String.join(", ", crashes)
+                    + "; their logs are in " + outputFolder.resolve("proxies"));
             }
-            if (ready == wanted) {
+            if (readyCount == proxyCount) {
                 return;
             }
-            long took = clock.nowMicros() - since, waited = took > limit.limitMicros() ? proxies.maxStartCpuWaitMicros() : 0;
-            TimeLimit.Verdict verdict = limit.verdict(took, waited);
-            if (verdict == TimeLimit.Verdict.STARVED && limit.isPastMaxWait(took)) {
+            long elapsed = clock.nowMicros() - startedWaiting, cpuWait = elapsed > limit.limitMicros()
+                ? proxies.maxStartCpuWaitMicros() : 0;
+            TimeLimit.Verdict verdict = limit.verdict(elapsed, cpuWait);
+            if (verdict == TimeLimit.Verdict.STARVED && limit.isPastMaxWait(elapsed)) {
                 throw new VoidPlayException(String.format(Locale.ROOT, "%d of %d proxies were not ready "
-                    + "within %.1f s, of which one waited %.1f s for a core", wanted - ready, wanted,
-                    took / 1e6, waited / 1e6));
+                    + "within %.1f s, of which one waited %.1f s for a core", proxyCount - readyCount,
+                    proxyCount,
+                    elapsed / 1e6, cpuWait / 1e6));
             }
             if (verdict == TimeLimit.Verdict.PASSED) {
-                throw new FailedStart((wanted - ready) + " of " + wanted + " proxies were not ready within "
-                    + experiment.proxies().startWithin() / SECOND + " s; their logs are in "
-                    + out.resolve("proxies"));
+                throw new ProxyStartException((proxyCount - readyCount) + " of " + proxyCount
+                    + " proxies were not ready within "
+                    + experiment.proxies().maxStartTime() / MICROS_PER_SECOND + " s; their logs are in "
+                    + outputFolder.resolve("proxies"));
             }
             TimeUnit.MILLISECONDS.sleep(50);
         }
@@ -159,42 +174,50 @@
      * Records the lateness of an event loop every 5 ms. The emulator's loop delays nodes and discovery by
      * as much as it is late, the clients' loop the clients.
      */
-    private void beat(EmulatorNetwork net, EventLoop loop, LatenessRecorder lateness, long due) {
-        net.schedule(loop, due - clock.nowMicros(), () -> {
+    private void recordLateness(EmulatorNetwork network, EventLoop loop, LatenessRecorder lateness,
+        long due) {
+        network.schedule(loop, due - clock.nowMicros(), () -> {
             long now = clock.nowMicros();
             lateness.record(now - due);
-            beat(net, loop, lateness, Math.max(due, now - BEAT) + BEAT);
+            recordLateness(network, loop, lateness, Math.max(due, now - LATENESS_SAMPLE_PERIOD_MICROS)
+                + LATENESS_SAMPLE_PERIOD_MICROS);
         });
     }
 
-    private void watch(Experiment experiment, long zero, OpenLoopClients clients, Emulator world,
-        OutcomeStatistics score,
-                       List<Sample> samples) throws InterruptedException {
-        long end = zero + experiment.length();
-        long slowest = experiment.classes().stream().mapToLong(Experiment.ServiceClass::deadline).max()
+    private void sampleUntilEnd(Experiment experiment, long startTime, OpenLoopClients clients,
+        Emulator emulator,
+        OutcomeStatistics outcomes,
+                       List<NodeSample> samples) throws InterruptedException {
+        long end = startTime + experiment.duration();
+        long maxDeadline = experiment.classes().stream().mapToLong(Experiment.ServiceClass::deadline).max()
             .orElse(0);
-        while (clock.nowMicros() < end || clients.unfinishedRequestCount() > 0 && clock.nowMicros() < end + 2 * slowest + SECOND) {
-            double at = (double) (clock.nowMicros() - zero) / SECOND;
-            if (at >= 0 && clock.nowMicros() < end) {
-                Sample sample = Sample.of(at, world.requestsPerBackend(), world.overloadedBackendCount());
+        while (clock.nowMicros() < end || clients.unfinishedRequestCount() > 0 && clock.nowMicros() < end
+            + 2 * maxDeadline + MICROS_PER_SECOND) {
+            double elapsedSeconds = (double) (clock.nowMicros() - startTime) / MICROS_PER_SECOND;
+            if (elapsedSeconds >= 0 && clock.nowMicros() < end) {
+                NodeSample sample = NodeSample.of(elapsedSeconds, emulator.requestsPerBackend(),
+                    emulator.overloadedBackendCount());
                 samples.add(sample);
-                OutcomeStatistics.Part now = score.seconds()[Math.max(0, (int) at - 1)];
-                StringBuilder happening = new StringBuilder();
+                OutcomeStatistics.Tally lastSecond = outcomes.talliesBySecond()[Math.max(0,
+                    (int) elapsedSeconds - 1)];
+                StringBuilder activeFaults = new StringBuilder();
                 for (Break fault : plan.faults()) {
-                    if (fault.at() <= at * SECOND && at * SECOND < fault.endAt()) {
-                        happening.append(", ").append(fault.kind().name().toLowerCase(Locale.ROOT));
+                    if (fault.at() <= elapsedSeconds * MICROS_PER_SECOND && elapsedSeconds
+                        * MICROS_PER_SECOND < fault.endAt()) {
+                        activeFaults.append(", ").append(fault.kind().name().toLowerCase(Locale.ROOT));
                     }
                 }
-                progress.accept(String.format(Locale.ROOT,
+                progressListener.accept(String.format(Locale.ROOT,
                     "%.0f of %d s: %d requests/s, %.0f%% of worth in time, "
-                    + "busiest node holds %d%s", at, experiment.length() / SECOND, now.requests,
-                    100 * now.share(), sample.most(), happening));
+                    + "busiest node holds %d%s", elapsedSeconds, experiment.duration() / MICROS_PER_SECOND,
+                    lastSecond.requests,
+                    100 * lastSecond.earnedShare(), sample.maxHeld(), activeFaults));
             }
             TimeUnit.MILLISECONDS.sleep(SAMPLE_MILLIS);
         }
     }
 
-    private static void empty(Path folder) throws IOException {
+    private static void deleteRecursively(Path folder) throws IOException {
         if (Files.exists(folder)) {
             try (Stream<Path> files = Files.walk(folder)) {
                 for (Path file : files.sorted(java.util.Comparator.reverseOrder()).toList()) {
--- a/lab/src/main/java/dockrelay/lab/Main.java
+++ b/lab/src/main/java/dockrelay/lab/Main.java
@@ -2,7 +2,7 @@
 
 import dockrelay.lab.plan.Plan;
 import dockrelay.lab.process.Build;
-import dockrelay.lab.report.Result;
+import dockrelay.lab.report.PlayResult;
 import dockrelay.lab.report.TablePage;
 import dockrelay.lab.scale.CapacityCommand;
 import dockrelay.lab.scale.ScaleCommand;
@@ -26,7 +26,7 @@
  * error.
  */
 @Command(name = "lab", mixinStandardHelpOptions = true, version = "lab 0.1.0", subcommands = {Main.Run.class,
-    Main.Compare.class, Main.Sweep.class, Main.Check.class, Main.ListAll.class, ScaleCommand.class,
+    Main.Compare.class, Main.Sweep.class, Main.Check.class, Main.ListExperiments.class, ScaleCommand.class,
     CapacityCommand.class}, description =
         "Runs real proxies against emulated clients, backends and discovery.",
     exitCodeListHeading = "Exit codes:%n", exitCodeList = {"0:done, every rule kept",
@@ -37,24 +37,24 @@
     }
 
     public static void main(String[] args) {
-        System.exit(commands().execute(args));
+        System.exit(createCommandLine().execute(args));
     }
 
-    static CommandLine commands() {
-        CommandLine line = new CommandLine(new Main());
-        line.setExecutionExceptionHandler((e, command, parsed) -> {
+    static CommandLine createCommandLine() {
+        CommandLine commandLine = new CommandLine(new Main());
+        commandLine.setExecutionExceptionHandler((e, command, parseResult) -> {
             if (e instanceof SpecException) {
                 command.getErr().println(e.getMessage());
                 return 2;
             }
-            if (e instanceof LabRun.FailedStart || e instanceof NeverValidException
+            if (e instanceof LabRun.ProxyStartException || e instanceof NoValidPlayException
                 || e instanceof IOException) {
                 command.getErr().println(e instanceof IOException ? e.toString() : e.getMessage());
                 return 1;
             }
             throw e;
         });
-        return line;
+        return commandLine;
     }
 
     /** Plays one experiment until a play is valid, up to a maximum number of plays. */
@@ -75,7 +75,7 @@
         @Option(names = "--set", paramLabel = "KEY=VALUE", description =
             "overrides a value of the file, such as clients.load=0.8")
         List<String> settings = new ArrayList<>();
-        @Option(names = "--plays", defaultValue = "" + Plays.MOST, description =
+        @Option(names = "--plays", defaultValue = "" + PlayRepeater.DEFAULT_MAX_PLAYS, description =
             "maximum number of plays, as void plays are repeated (${DEFAULT-VALUE})")
         int most;
 
@@ -86,30 +86,30 @@
             }
             Plan plan = Plan.generate(ExperimentReader.read(file, settings), seed);
             Build build = Build.load(root);
-            Progress progress = new Progress();
-            Plays<Result> plays = new Plays<>(most, Result::voidBecause, text -> {
-                progress.end();
-                System.out.println(text);
+            ProgressLine progress = new ProgressLine();
+            PlayRepeater<PlayResult> repeater = new PlayRepeater<>(most, PlayResult::voidReason, message -> {
+                progress.clear();
+                System.out.println(message);
             });
-            NeverValidException never = null;
+            NoValidPlayException noValidPlay = null;
             try {
-                plays.play(() -> new LabRun(plan, build, out, progress::say).play());
-            } catch (NeverValidException e) {
-                never = e;
+                repeater.playUntilValid(() -> new LabRun(plan, build, out, progress::show).play());
+            } catch (NoValidPlayException e) {
+                noValidPlay = e;
             }
-            progress.end();
-            Result result = plays.last();
+            progress.clear();
+            PlayResult result = repeater.lastPlay();
             if (result != null) {
                 System.out.print(result.summary()); // before writing, which fails on a full disk
-                result.afterVoid(never == null ? plays.reasons()
-                    : plays.reasons().subList(0, plays.reasons().size() - 1));
+                result.recordVoidPlays(noValidPlay == null ? repeater.voidReasons()
+                    : repeater.voidReasons().subList(0, repeater.voidReasons().size() - 1));
                 result.write(out);
                 System.out.println("report: " + out.resolve("report.html"));
             }
-            if (never != null) {
-                throw never;
+            if (noValidPlay != null) {
+                throw noValidPlay;
             }
-            return result.kept() ? 0 : 1;
+            return result.keptAllRules() ? 0 : 1;
         }
     }
 
@@ -140,16 +140,17 @@
 
         @Override
         public Integer call() throws Exception {
-            Series series = new Series(out, new Progress());
-            return finish(series, series.compare(
-                new Series.Side(name(a, settingsA, "a"), file, settingsA, Build.load(a)),
-                new Series.Side(name(b, settingsB, "b"), file, settingsB, Build.load(b)), seeds), out,
+            PlaySeries series = new PlaySeries(out, new ProgressLine());
+            return printSummary(series, series.compare(
+                new PlaySeries.Variant(variantName(a, settingsA, "a"), file, settingsA, Build.load(a)),
+                new PlaySeries.Variant(variantName(b, settingsB, "b"), file, settingsB, Build.load(b)),
+                seeds), out,
                 "compare.html");
         }
 
-        private static String name(Path build, List<String> settings, String side) {
+        private static String variantName(Path build, List<String> settings, String label) {
             String folder = build.toAbsolutePath().normalize().getFileName().toString();
-            return side + " " + folder + (settings.isEmpty() ? "" : " " + String.join(" ", settings));
+            return label + " " + folder + (settings.isEmpty() ? "" : " " + String.join(" ", settings));
         }
     }
 
@@ -178,20 +179,21 @@
 
         @Override
         public Integer call() throws Exception {
-            Series series = new Series(out, new Progress());
-            Series.Side side = new Series.Side(file.getFileName().toString(), file, settings, Build.load(root));
-            return finish(series, series.sweep(side, key, values, seeds), out, "sweep.html");
+            PlaySeries series = new PlaySeries(out, new ProgressLine());
+            PlaySeries.Variant variant = new PlaySeries.Variant(file.getFileName().toString(), file, settings,
+                Build.load(root));
+            return printSummary(series, series.sweep(variant, key, values, seeds), out, "sweep.html");
         }
     }
 
-    private static int finish(Series series, TablePage page, Path out, String file) {
-        System.out.print(page.plain());
-        if (series.leftOut() > 0) {
-            System.out.println(series.leftOut()
+    private static int printSummary(PlaySeries series, TablePage page, Path out, String pageFile) {
+        System.out.print(page.toPlainText());
+        if (series.missingResults() > 0) {
+            System.out.println(series.missingResults()
                 + " results are missing, as each of their plays was void");
         }
-        System.out.println("report: " + out.resolve(file));
-        return series.kept() && series.leftOut() == 0 ? 0 : 1;
+        System.out.println("report: " + out.resolve(pageFile));
+        return series.keptAllRules() && series.missingResults() == 0 ? 0 : 1;
     }
 
     /** Reads an experiment and prints a summary of its plan. */
@@ -208,9 +210,10 @@
             Plan plan = Plan.generate(ExperimentReader.read(file), seed);
             System.out.printf("%s: %s%n%d proxies, %d nodes, %d requests at %.0f/s in %d s, %d faults%n"
                 + "plan %s%n",
-                plan.experiment().name(), plan.experiment().shows(), plan.experiment().proxies().count(),
-                plan.nodes().size(), plan.arrivals().size(), plan.rate(),
-                plan.experiment().length() / 1_000_000, plan.faults().size(), plan.hash());
+                plan.experiment().name(), plan.experiment().description(), plan.experiment().proxies()
+                .count(),
+                plan.nodes().size(), plan.arrivals().size(), plan.requestsPerSecond(),
+                plan.experiment().duration() / 1_000_000, plan.faults().size(), plan.sha256());
             return 0;
         }
     }
@@ -218,7 +221,7 @@
     /** Lists the experiments of a folder. */
     @Command(name = "list", mixinStandardHelpOptions = true, description =
         "Lists experiments with their descriptions.")
-    static final class ListAll implements Callable<Integer> {
+    static final class ListExperiments implements Callable<Integer> {
         @Parameters(paramLabel = "FOLDER", arity = "0..1", defaultValue = "experiments", description =
             "${DEFAULT-VALUE}")
         Path folder;
@@ -226,9 +229,9 @@
         @Override
         public Integer call() throws IOException {
             try (Stream<Path> files = Files.list(folder)) {
-                for (Path file : files.filter(one -> one.toString().endsWith(".toml")).sorted().toList()) {
+                for (Path file : files.filter(path -> path.toString().endsWith(".toml")).sorted().toList()) {
                     Experiment experiment = ExperimentReader.read(file);
-                    System.out.printf("%-18s %s%n", experiment.name(), experiment.shows());
+                    System.out.printf("%-18s %s%n", experiment.name(), experiment.description());
                 }
             }
             return 0;
--- a/lab/src/main/java/dockrelay/lab/plan/Plan.java
+++ b/lab/src/main/java/dockrelay/lab/plan/Plan.java
@@ -27,9 +27,10 @@
  * seed always give the same plan. The hash, SHA-256 over the text form of nodes, arrivals and faults,
  * verifies this, so the names of those records and of their components are part of it.
  */
-public record Plan(Experiment experiment, long seed, List<Node> nodes, double[] meanWork, double rate,
-                   List<Arrival> arrivals, List<Break> faults, String hash) {
-    private static final double SECOND = 1_000_000;
+public record Plan(Experiment experiment, long seed, List<Node> nodes, double[] meanWorkByClass,
+    double requestsPerSecond,
+                   List<Arrival> arrivals, List<Break> faults, String sha256) {
+    private static final double MICROS_PER_SECOND = 1_000_000;
     /**
      * Share of each period spent in a burst, and the burst's rate relative to the mean, which bursts
      * preserve.
@@ -76,141 +77,152 @@
         }
     }
 
+    /** Draws the plan of an experiment; throws a SpecException if a fault names an unknown victim. */
     public static Plan generate(Experiment experiment, long seed) {
         List<Node> nodes = nodes(experiment, seed);
-        double[] means = new double[experiment.classes().size()];
-        double[] cvs = new double[means.length];
+        double[] meanWork = new double[experiment.classes().size()];
+        double[] workVariations = new double[meanWork.length];
         RandomGenerator random = RandomStreams.stream(seed, "classes");
-        double shares = 0, work = 0;
-        for (int i = 0; i < means.length; i++) {
-            ServiceClass c = experiment.classes().get(i);
-            means[i] = c.work().draw(random);
-            cvs[i] = c.cv().draw(random);
-            shares += c.share();
-            work += c.share() * means[i];
+        double shareSum = 0, weightedWork = 0;
+        for (int i = 0; i < meanWork.length; i++) {
+            ServiceClass serviceClass = experiment.classes().get(i);
+            meanWork[i] = serviceClass.meanWork().draw(random);
+            workVariations[i] = serviceClass.workVariation().draw(random);
+            shareSum += serviceClass.share();
+            weightedWork += serviceClass.share() * meanWork[i];
         }
         double capacity = nodes.stream().mapToDouble(node -> node.figures().capacity()).sum();
         Clients clients = experiment.clients();
-        double rate = clients.rate() > 0 ? clients.rate() / SECOND
-            : clients.load() * capacity / (work / shares);
-        List<Arrival> arrivals = arrivals(experiment, seed, rate, means, cvs);
-        List<Break> breaks = breaks(experiment, seed, nodes);
-        return new Plan(experiment, seed, nodes, means, rate * SECOND, arrivals, breaks,
-            hash(nodes, means, arrivals, breaks));
+        double requestsPerMicro = clients.requestsPerSecond() > 0 ? clients.requestsPerSecond()
+            / MICROS_PER_SECOND
+            : clients.load() * capacity / (weightedWork / shareSum);
+        List<Arrival> arrivals = arrivals(experiment, seed, requestsPerMicro, meanWork, workVariations);
+        List<Break> faults = drawFaults(experiment, seed, nodes);
+        return new Plan(experiment, seed, nodes, meanWork, requestsPerMicro * MICROS_PER_SECOND, arrivals,
+            faults,
+            hash(nodes, meanWork, arrivals, faults));
     }
 
     private static List<Node> nodes(Experiment experiment, long seed) {
         RandomGenerator random = RandomStreams.stream(seed, "nodes");
         Experiment.Nodes spec = experiment.nodes();
-        Experiment.Choke choke = spec.choke();
-        double shares = spec.kinds().stream().mapToDouble(NodeKind::share).sum();
+        Experiment.OverloadSlowdown slowdown = spec.overloadSlowdown();
+        double shareSum = spec.kinds().stream().mapToDouble(NodeKind::share).sum();
         List<Node> result = new ArrayList<>();
-        int zones = spec.zones().size();
+        int zoneCount = spec.zones().size();
         for (int i = 0; i < spec.count(); i++) {
             // The golden-ratio sequence instead of random draws: even a few nodes match the kinds' shares
             // closely.
-            NodeKind kind = kindAt(spec.kinds(), shares * ((i * 0.6180339887498949 + 0.5) % 1));
-            double slower = choke.slower().draw(random);
+            NodeKind kind = kindAt(spec.kinds(), shareSum * ((i * 0.6180339887498949 + 0.5) % 1));
+            double slowdownFactor = slowdown.slowdownFactor().draw(random);
             Experiment.Connections connections = spec.connections();
             Figures figures = new Figures(kind.cores(), kind.speed().draw(random),
                 (int) Math.max(1, Math.round(kind.slotsPerCore().draw(random) * kind.cores())),
-                (int) Math.round(kind.queuePerCore().draw(random) * kind.cores()),
-                choke.at().draw(random), Math.round(choke.over().draw(random)), slower,
-                choke.below().draw(random), Math.round(choke.rest().draw(random)),
-                Math.round(choke.most().draw(random)), kind.coldFrom().draw(random),
-                Math.round(kind.coldTime().draw(random)), kind.warmBy() == Experiment.WarmBy.REQUESTS,
+                (int) Math.round(kind.maxQueuedPerCore().draw(random) * kind.cores()),
+                slowdown.thresholdPerCore().draw(random), Math.round(slowdown.onsetDelay().draw(random)),
+                slowdownFactor,
+                slowdown.recoveryPerCore().draw(random), Math.round(slowdown.recoveryDelay().draw(random)),
+                Math.round(slowdown.maxDuration().draw(random)), kind.coldSpeedShare().draw(random),
+                Math.round(kind.warmUpTime().draw(random)), kind.warmBy() == Experiment.WarmBy.REQUESTS,
                 experiment.ruleLimits().overloadMultiple(), experiment.ruleLimits().overloadTime(),
-                (int) Math.round(connections.capPerCore().draw(random) * kind.cores()),
-                connections.fullTax().draw(random), connections.handshakeWork().draw(random),
-                Math.round(connections.handshakeDelay().draw(random)), spec.probes().work().draw(random),
-                Math.round(spec.probes().period().draw(random)), spec.probes().noise().draw(random),
+                (int) Math.round(connections.maxConnectionsPerCore().draw(random) * kind.cores()),
+                connections.slowdownWhenFull().draw(random), connections.handshakeWork().draw(random),
+                Math.round(connections.handshakeDelay().draw(random)), spec.probes().probeWork().draw(random),
+                Math.round(spec.probes().reportPeriod().draw(random)), spec.probes().reportNoise()
+                .draw(random),
                 kind.errorRate().draw(random), kind.dropsExpired(), kind.stopsOnCancel());
-            int inZone = i / zones;
-            int cell = inZone / spec.cellSize() * zones + i % zones;
-            result.add(new Node(i, "s-" + (i + 1), spec.zones().get(i % zones), kind.name(), cell, figures));
+            int indexInZone = i / zoneCount;
+            int cell = indexInZone / spec.cellSize() * zoneCount + i % zoneCount;
+            result.add(new Node(i, "s-" + (i + 1), spec.zones().get(i % zoneCount), kind.name(), cell,
+                figures));
         }
         return result;
     }
 
-    private static NodeKind kindAt(List<NodeKind> kinds, double at) {
-        double sum = 0;
+    private static NodeKind kindAt(List<NodeKind> kinds, double shareOffset) {
+        double cumulativeShare = 0;
         for (NodeKind kind : kinds) {
-            sum += kind.share();
-            if (at < sum) {
+            cumulativeShare += kind.share();
+            if (shareOffset < cumulativeShare) {
                 return kind;
             }
         }
         return kinds.get(kinds.size() - 1);
     }
 
-    private static List<Arrival> arrivals(Experiment experiment, long seed, double rate, double[] means,
-        double[] cvs) {
-        Requests requests = new Requests(experiment, seed, means, cvs);
+    private static List<Arrival> arrivals(Experiment experiment, long seed, double requestsPerMicro,
+        double[] meanWork,
+        double[] workVariations) {
+        RequestGenerator requests = new RequestGenerator(experiment, seed, meanWork, workVariations);
         List<Arrival> result = new ArrayList<>();
         Clients clients = experiment.clients();
-        if (clients.arrivals() == Experiment.Arrivals.TRACE) {
-            for (Experiment.Traced one : clients.trace()) {
-                if (one.at() < experiment.length()) {
-                    result.add(requests.next(result.size(), one));
+        if (clients.arrivalPattern() == Experiment.ArrivalPattern.TRACE) {
+            for (Experiment.TraceEntry entry : clients.trace()) {
+                if (entry.sendTime() < experiment.duration()) {
+                    result.add(requests.next(result.size(), entry));
                 }
             }
             return result;
         }
-        RandomGenerator times = RandomStreams.stream(seed, "arrivals");
-        double swing = clients.swing().draw(times);
-        double highest = rate * peak(clients, swing);
-        double at = 0;
-        while (rate > 0) {
-            at += times.nextExponential() / highest; // thinned below to the current rate
-            if (at >= experiment.length()) {
+        RandomGenerator random = RandomStreams.stream(seed, "arrivals");
+        double swingAmplitude = clients.swingAmplitude().draw(random);
+        double maxRate = requestsPerMicro * maxRelativeRate(clients, swingAmplitude);
+        double time = 0;
+        while (requestsPerMicro > 0) {
+            time += random.nextExponential() / maxRate; // thinned below to the current rate
+            if (time >= experiment.duration()) {
                 break;
             }
-            if (times.nextDouble() * highest <= rate * shape(experiment, swing, (long) at)) {
-                result.add(requests.next(result.size(), new Experiment.Traced((long) at, "", -1, "", "")));
+            if (random.nextDouble() * maxRate <= requestsPerMicro * relativeRate(experiment, swingAmplitude,
+                (long) time)) {
+                result.add(requests.next(result.size(), new Experiment.TraceEntry((long) time, "", -1, "",
+                    "")));
             }
         }
         return result;
     }
 
-    private static double peak(Clients clients, double swing) {
-        return switch (clients.arrivals()) {
+    private static double maxRelativeRate(Clients clients, double swingAmplitude) {
+        return switch (clients.arrivalPattern()) {
             case POISSON, TRACE -> 1;
             case BURSTY -> BURST_RATE;
-            case SWING -> 1 + swing;
-            case STEPS -> clients.steps().stream().mapToDouble(Double::doubleValue).max().orElse(1);
+            case SWING -> 1 + swingAmplitude;
+            case STEPS -> clients.stepLoads().stream().mapToDouble(Double::doubleValue).max().orElse(1);
         };
     }
 
     /** The arrival rate at a time, relative to the mean rate. */
-    private static double shape(Experiment experiment, double swing, long at) {
+    private static double relativeRate(Experiment experiment, double swingAmplitude, long time) {
         Clients clients = experiment.clients();
-        double phase = (double) at / clients.swingPeriod();
-        return switch (clients.arrivals()) {
+        double phase = (double) time / clients.swingPeriod();
+        return switch (clients.arrivalPattern()) {
             case POISSON, TRACE -> 1;
             case BURSTY -> phase % 1 < BURST_SHARE ? BURST_RATE
                 : (1 - BURST_SHARE * BURST_RATE) / (1 - BURST_SHARE);
-            case SWING -> 1 + swing * Math.sin(2 * Math.PI * phase);
-            case STEPS -> clients.steps().get(Math.min(clients.steps().size() - 1,
-                (int) (at * clients.steps().size() / experiment.length())));
+            case SWING -> 1 + swingAmplitude * Math.sin(2 * Math.PI * phase);
+            case STEPS -> clients.stepLoads().get(Math.min(clients.stepLoads().size() - 1,
+                (int) (time * clients.stepLoads().size() / experiment.duration())));
         };
     }
 
-    private static List<Break> breaks(Experiment experiment, long seed, List<Node> nodes) {
+    private static List<Break> drawFaults(Experiment experiment, long seed, List<Node> nodes) {
         List<Break> result = new ArrayList<>();
-        int number = 0;
+        int faultNumber = 0;
         for (Fault fault : experiment.faults()) {
-            RandomGenerator random = RandomStreams.stream(seed, "fault " + number++);
-            for (int i = 0; i < fault.times(); i++) {
-                result.add(new Break(fault.at() + i * fault.every(), fault.lasts(), fault.kind(),
-                    victims(experiment, fault, nodes, random), fault.size().draw(random), fault.folder(),
-                    fault.disk(), link(experiment, fault, nodes, random)));
+            RandomGenerator random = RandomStreams.stream(seed, "fault " + faultNumber++);
+            for (int i = 0; i < fault.occurrences(); i++) {
+                result.add(new Break(fault.startTime() + i * fault.repeatInterval(), fault.duration(),
+                    fault.kind(),
+                    drawVictims(experiment, fault, nodes, random), fault.magnitude().draw(random),
+                    fault.folderOnRestart(),
+                    fault.diskFault(), expandLink(experiment, fault, nodes, random)));
             }
         }
         result.sort(Comparator.comparingLong(Break::at));
         return result;
     }
 
-    private static List<Integer> victims(Experiment experiment, Fault fault, List<Node> nodes,
+    private static List<Integer> drawVictims(Experiment experiment, Fault fault, List<Node> nodes,
         RandomGenerator random) {
         if (!fault.kind().targetsNodes() && !fault.kind().targetsProxies()) {
             return List.of();
@@ -230,11 +242,12 @@
         if (!result.isEmpty()) {
             return result;
         }
-        List<Integer> pool = new ArrayList<>(IntStream.range(0, names.size()).boxed().toList());
-        int most = Math.min(names.size(),
-            Math.max(1, fault.count() > 0 ? fault.count() : (int) Math.round(fault.part() * names.size())));
-        while (result.size() < most) {
-            result.add(pool.remove(random.nextInt(pool.size())));
+        List<Integer> candidates = new ArrayList<>(IntStream.range(0, names.size()).boxed().toList());
+        int victimCount = Math.min(names.size(),
+            Math.max(1, fault.victimCount() > 0 ? fault.victimCount() : (int) Math.round(fault.victimShare()
+            * names.size())));
+        while (result.size() < victimCount) {
+            result.add(candidates.remove(random.nextInt(candidates.size())));
         }
         return result.stream().sorted().toList();
     }
@@ -243,27 +256,28 @@
      * Expands the names of groups in a link fault to single parties, and draws among its {@code from}
      * parties where the file asks for a share or a count of them.
      */
-    private static Link link(Experiment experiment, Fault fault, List<Node> nodes, RandomGenerator random) {
+    private static Link expandLink(Experiment experiment, Fault fault, List<Node> nodes,
+        RandomGenerator random) {
         if (fault.link() == null) {
             return null;
         }
-        List<String> from = parties(experiment, fault.link().from(), nodes);
-        int most = fault.count() > 0 ? fault.count() : fault.part() > 0
-            ? (int) Math.max(1, Math.round(fault.part() * from.size())) : from.size();
-        while (from.size() > most) {
+        List<String> from = expandParties(experiment, fault.link().from(), nodes);
+        int maxParties = fault.victimCount() > 0 ? fault.victimCount() : fault.victimShare() > 0
+            ? (int) Math.max(1, Math.round(fault.victimShare() * from.size())) : from.size();
+        while (from.size() > maxParties) {
             from.remove(random.nextInt(from.size()));
         }
-        return new Link(from, parties(experiment, fault.link().to(), nodes), fault.link().both(),
+        return new Link(from, expandParties(experiment, fault.link().to(), nodes), fault.link().both(),
             fault.link().passage());
     }
 
-    private static List<String> parties(Experiment experiment, List<String> names, List<Node> nodes) {
-        int proxies = experiment.proxies().count();
+    private static List<String> expandParties(Experiment experiment, List<String> names, List<Node> nodes) {
+        int proxyCount = experiment.proxies().count();
         List<String> zones = experiment.nodes().zones();
         Set<String> result = new LinkedHashSet<>();
         for (String name : names) {
-            int before = result.size();
-            for (int i = 0; i < proxies; i++) {
+            int sizeBefore = result.size();
+            for (int i = 0; i < proxyCount; i++) {
                 if (name.equals("proxies") || name.equals("n" + i)
                     || name.equals("zone:" + zones.get(i % zones.size()))) {
                     result.add("n" + i);
@@ -277,7 +291,7 @@
             if (name.equals("clients") || name.equals("discovery")) {
                 result.add(name);
             }
-            if (result.size() == before) {
+            if (result.size() == sizeBefore) {
                 throw new SpecException("fault link: no party is named " + name
                     + "; there are clients, proxies, nodes, discovery, n0, s-1, zone:" + zones.get(0));
             }
@@ -285,13 +299,14 @@
         return new ArrayList<>(result);
     }
 
-    private static String hash(List<Node> nodes, double[] means, List<Arrival> arrivals, List<Break> breaks) {
+    private static String hash(List<Node> nodes, double[] meanWork, List<Arrival> arrivals,
+        List<Break> faults) {
         MessageDigest digest = RandomStreams.sha256();
-        for (double mean : means) {
-            digest.update((mean + "\n").getBytes(StandardCharsets.UTF_8));
+        for (double classMean : meanWork) {
+            digest.update((classMean + "\n").getBytes(StandardCharsets.UTF_8));
         }
-        for (List<?> part : List.of(nodes, arrivals, breaks)) {
-            for (Object item : part) {
+        for (List<?> items : List.of(nodes, arrivals, faults)) {
+            for (Object item : items) {
                 digest.update((item + "\n").getBytes(StandardCharsets.UTF_8));
             }
         }
--- a/lab/src/main/java/dockrelay/lab/plan/RandomStreams.java
+++ b/lab/src/main/java/dockrelay/lab/plan/RandomStreams.java
@@ -24,8 +24,8 @@
 
     /** A seed derived from a seed and a purpose by SHA-256; the same on every machine. */
     public static long deriveSeed(long seed, String purpose) {
-        byte[] text = (seed + "/" + purpose).getBytes(StandardCharsets.UTF_8);
-        return ByteBuffer.wrap(sha256().digest(text)).getLong();
+        byte[] input = (seed + "/" + purpose).getBytes(StandardCharsets.UTF_8);
+        return ByteBuffer.wrap(sha256().digest(input)).getLong();
     }
 
     static MessageDigest sha256() {
--- a/lab/src/main/java/dockrelay/lab/report/Estimate.java
+++ b/lab/src/main/java/dockrelay/lab/report/Estimate.java
@@ -8,18 +8,19 @@
  * than two values. Serialized to JSON by component names.
  */
 public record Estimate(double mean, double half, int count) {
-    private static final double TAIL = 0.975;
+    private static final double UPPER_QUANTILE = 0.975;
 
     public static Estimate of(double... values) {
         DescriptiveStatistics statistics = new DescriptiveStatistics(values);
         int count = values.length;
-        double half = count < 2 ? Double.NaN : new TDistribution(count - 1).inverseCumulativeProbability(TAIL)
+        double half = count < 2 ? Double.NaN : new TDistribution(count - 1)
+            .inverseCumulativeProbability(UPPER_QUANTILE)
             * statistics.getStandardDeviation() / Math.sqrt(count);
         return new Estimate(statistics.getMean(), half, count);
     }
 
     /** Whether the confidence interval excludes 0. */
-    public boolean differs() {
+    public boolean excludesZero() {
         return !Double.isNaN(half) && Math.abs(mean) > half;
     }
 }
--- a/lab/src/main/java/dockrelay/lab/report/OutcomeStatistics.java
+++ b/lab/src/main/java/dockrelay/lab/report/OutcomeStatistics.java
@@ -17,54 +17,58 @@
     /** The final outcome of a client's request, over all its tries. */
     public enum Outcome { IN_TIME, LATE, REFUSED, FAILED, UNANSWERED, UNREACHABLE }
 
-    private static final long SECOND = 1_000_000;
-    private static final int WINDOW = 10;
-    private static final long LONGEST = 3_600 * SECOND;
+    private static final long MICROS_PER_SECOND = 1_000_000;
+    private static final int WINDOW_SECONDS = 10;
+    private static final long MAX_LATENCY_MICROS = 3_600 * MICROS_PER_SECOND;
 
     /** Counts, latencies and value of the requests of one second, class or tenant, or of all. */
-    public static final class Part {
-        public double asked, earned, unservedLate;
+    public static final class Tally {
+        public double requestedValue, earnedValue, lateFailureValue;
         public long requests, tries;
-        public final Map<Outcome, Long> ends = new EnumMap<>(Outcome.class);
-        public final Histogram latency = new Histogram(LONGEST, 3);
-
-        private void add(double worth, double share, boolean late, Outcome how, long latencyMicros, int ofTries) {
-            asked += worth;
-            earned += worth * share;
-            unservedLate += late ? worth : 0;
+        public final Map<Outcome, Long> outcomes = new EnumMap<>(Outcome.class);
+        public final Histogram latencyHistogram = new Histogram(MAX_LATENCY_MICROS, 3);
+
+        private void add(double value, double earnedShare, boolean lateFailure, Outcome outcome,
+            long latencyMicros,
+            int requestTries) {
+            requestedValue += value;
+            earnedValue += value * earnedShare;
+            lateFailureValue += lateFailure ? value : 0;
             requests++;
-            tries += ofTries;
-            ends.merge(how, 1L, Long::sum);
-            if (how == Outcome.IN_TIME || how == Outcome.LATE) {
-                latency.recordValue(Math.min(LONGEST, Math.max(0, latencyMicros)));
+            tries += requestTries;
+            outcomes.merge(outcome, 1L, Long::sum);
+            if (outcome == Outcome.IN_TIME || outcome == Outcome.LATE) {
+                latencyHistogram.recordValue(Math.min(MAX_LATENCY_MICROS, Math.max(0, latencyMicros)));
             }
         }
 
-        public double share() {
-            return asked > 0 ? earned / asked : 1;
+        /** Earned value as a share of the requested value; 1 without requests. */
+        public double earnedShare() {
+            return requestedValue > 0 ? earnedValue / requestedValue : 1;
         }
 
-        public long count(Outcome end) {
-            return ends.getOrDefault(end, 0L);
+        public long count(Outcome outcome) {
+            return outcomes.getOrDefault(outcome, 0L);
         }
     }
 
     private final Plan plan;
-    private final Part whole = new Part();
-    private final Part[] classes;
-    private final Part[] seconds;
-    private final Map<String, Part> tenants = new TreeMap<>();
+    private final Tally total = new Tally();
+    private final Tally[] byClass;
+    private final Tally[] bySecond;
+    private final Map<String, Tally> byTenant = new TreeMap<>();
 
     public OutcomeStatistics(Plan plan) {
         this.plan = plan;
-        classes = parts(plan.experiment().classes().size());
-        seconds = parts((int) ((plan.experiment().length() + SECOND - 1) / SECOND));
+        byClass = newTallies(plan.experiment().classes().size());
+        bySecond = newTallies((int) ((plan.experiment().duration() + MICROS_PER_SECOND - 1)
+            / MICROS_PER_SECOND));
     }
 
-    private static Part[] parts(int count) {
-        Part[] result = new Part[count];
+    private static Tally[] newTallies(int count) {
+        Tally[] result = new Tally[count];
         for (int i = 0; i < count; i++) {
-            result[i] = new Part();
+            result[i] = new Tally();
         }
         return result;
     }
@@ -72,58 +76,59 @@
     /**
      * Records the outcome of a request. The latency, in microseconds, counts from the intended send time.
      */
-    public synchronized void recordOutcome(Arrival arrival, Outcome how, long latency, int tries) {
-        ServiceClass type = plan.experiment().classes().get(arrival.serviceClass());
-        double worth = type.value() * arrival.work() / plan.meanWork()[arrival.serviceClass()];
-        double share = how == Outcome.IN_TIME ? 1 : how == Outcome.LATE ? type.lateValue() : 0;
-        boolean late = share == 0 && latency > type.latencyTarget();
-        Part second = seconds[(int) (arrival.at() / SECOND)];
-        Part tenant = tenants.computeIfAbsent(arrival.tenant(), none -> new Part());
-        for (Part part : new Part[] {second, classes[arrival.serviceClass()], tenant}) {
-            part.add(worth, share, late, how, latency, tries);
+    public synchronized void recordOutcome(Arrival arrival, Outcome outcome, long latencyMicros, int tries) {
+        ServiceClass serviceClass = plan.experiment().classes().get(arrival.serviceClass());
+        double value = serviceClass.value() * arrival.work() / plan.meanWorkByClass()[arrival.serviceClass()];
+        double earnedShare = outcome == Outcome.IN_TIME ? 1 : outcome == Outcome.LATE
+            ? serviceClass.lateValue() : 0;
+        boolean lateFailure = earnedShare == 0 && latencyMicros > serviceClass.latencyTarget();
+        Tally secondTally = bySecond[(int) (arrival.at() / MICROS_PER_SECOND)];
+        Tally tenantTally = byTenant.computeIfAbsent(arrival.tenant(), name -> new Tally());
+        for (Tally tally : new Tally[] {secondTally, byClass[arrival.serviceClass()], tenantTally}) {
+            tally.add(value, earnedShare, lateFailure, outcome, latencyMicros, tries);
         }
-        if (arrival.at() >= plan.experiment().settle()) {
-            whole.add(worth, share, late, how, latency, tries);
+        if (arrival.at() >= plan.experiment().settlingTime()) {
+            total.add(value, earnedShare, lateFailure, outcome, latencyMicros, tries);
         }
     }
 
-    public synchronized Part whole() {
-        return whole;
+    public synchronized Tally total() {
+        return total;
     }
 
-    public synchronized Part ofClass(int index) {
-        return classes[index];
+    public synchronized Tally tallyOfClass(int index) {
+        return byClass[index];
     }
 
     /** Statistics by tenant name; requests without a tenant are under the empty name. */
-    public synchronized Map<String, Part> tenants() {
-        return new TreeMap<>(tenants);
+    public synchronized Map<String, Tally> talliesByTenant() {
+        return new TreeMap<>(byTenant);
     }
 
-    public synchronized Part[] seconds() {
-        return seconds.clone();
+    public synchronized Tally[] talliesBySecond() {
+        return bySecond.clone();
     }
 
     /** The lowest share of value earned in any 10 consecutive seconds after the settling time. */
-    public synchronized double worstWindow() {
-        double worst = whole.share();
-        int first = (int) (plan.experiment().settle() / SECOND);
-        for (int i = first; i + WINDOW <= seconds.length; i++) {
-            double asked = 0, earned = 0;
-            for (int j = i; j < i + WINDOW; j++) {
-                asked += seconds[j].asked;
-                earned += seconds[j].earned;
+    public synchronized double worstWindowShare() {
+        double worstShare = total.earnedShare();
+        int firstSecond = (int) (plan.experiment().settlingTime() / MICROS_PER_SECOND);
+        for (int i = firstSecond; i + WINDOW_SECONDS <= bySecond.length; i++) {
+            double requestedValue = 0, earnedValue = 0;
+            for (int j = i; j < i + WINDOW_SECONDS; j++) {
+                requestedValue += bySecond[j].requestedValue;
+                earnedValue += bySecond[j].earnedValue;
             }
-            worst = asked > 0 ? Math.min(worst, earned / asked) : worst;
+            worstShare = requestedValue > 0 ? Math.min(worstShare, earnedValue / requestedValue) : worstShare;
         }
-        return worst;
+        return worstShare;
     }
 
-    public synchronized double worstClass() {
-        double worst = 1;
-        for (Part part : classes) {
-            worst = Math.min(worst, part.share());
+    public synchronized double worstClassShare() {
+        double worstShare = 1;
+        for (Tally tally : byClass) {
+            worstShare = Math.min(worstShare, tally.earnedShare());
         }
-        return worst;
+        return worstShare;
     }
 }
--- a/lab/src/main/java/dockrelay/lab/report/TablePage.java
+++ b/lab/src/main/java/dockrelay/lab/report/TablePage.java
@@ -11,53 +11,55 @@
 public final class TablePage {
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    private final String title, text;
-    private final List<String> head;
+    private final String title, description;
+    private final List<String> columnTitles;
     private final List<List<String>> rows = new ArrayList<>();
     private final List<Map<String, Object>> charts = new ArrayList<>();
 
-    public TablePage(String title, String text, List<String> head) {
+    public TablePage(String title, String description, List<String> columnTitles) {
         this.title = title;
-        this.text = text;
-        this.head = head;
+        this.description = description;
+        this.columnTitles = columnTitles;
     }
 
-    public void row(List<String> cells) {
+    public void addRow(List<String> cells) {
         rows.add(cells);
     }
 
     /** Adds a line chart of means with their confidence intervals, if any, over these x values. */
-    public void chart(String name, String axis, List<Double> at, List<Estimate> values) {
+    public void addChart(String name, String xAxisLabel, List<Double> xValues, List<Estimate> values) {
         List<Object> means = new ArrayList<>(), lows = new ArrayList<>(), highs = new ArrayList<>();
-        for (Estimate one : values) {
-            double half = Double.isNaN(one.half()) ? 0 : one.half();
-            means.add(one.mean());
-            lows.add(one.mean() - half);
-            highs.add(one.mean() + half);
+        for (Estimate estimate : values) {
+            double halfWidth = Double.isNaN(estimate.half()) ? 0 : estimate.half();
+            means.add(estimate.mean());
+            lows.add(estimate.mean() - halfWidth);
+            highs.add(estimate.mean() + halfWidth);
         }
-        charts.add(Map.of("name", name, "axis", axis, "at", at, "mean", means, "low", lows, "high", highs));
+        charts.add(Map.of("name", name, "axis", xAxisLabel, "at", xValues, "mean", means, "low", lows,
+            "high", highs));
     }
 
     public void write(Path file) throws IOException {
-        Result.write(file, HtmlReport.page("table.html",
-            Map.of("title", title, "text", text, "head", head, "rows", rows, "charts", charts)));
+        PlayResult.write(file, HtmlReport.fillTemplate("table.html",
+            Map.of("title", title, "text", description, "head", columnTitles, "rows", rows, "charts",
+            charts)));
     }
 
     /** The table as aligned plain text, for a terminal. */
-    public String plain() {
-        int[] widths = new int[head.size()];
-        List<List<String>> all = new ArrayList<>(List.of(head));
-        all.addAll(rows);
-        for (List<String> row : all) {
+    public String toPlainText() {
+        int[] widths = new int[columnTitles.size()];
+        List<List<String>> allRows = new ArrayList<>(List.of(columnTitles));
+        allRows.addAll(rows);
+        for (List<String> row : allRows) {
             for (int i = 0; i < row.size(); i++) {
                 widths[i] = Math.max(widths[i], row.get(i).length());
             }
         }
         StringBuilder result = new StringBuilder();
-        for (List<String> row : all) {
+        for (List<String> row : allRows) {
             for (int i = 0; i < row.size(); i++) {
-                String cell = row.get(i), space = " ".repeat(widths[i] - cell.length());
-                result.append(i == 0 ? cell + space : "  " + space + cell);
+                String cell = row.get(i), padding = " ".repeat(widths[i] - cell.length());
+                result.append(i == 0 ? cell + padding : "  " + padding + cell);
             }
             result.append('\n');
         }
--- a/lab/src/main/java/dockrelay/lab/spec/Overrides.java
+++ b/lab/src/main/java/dockrelay/lab/spec/Overrides.java
@@ -13,9 +13,9 @@
     static final Overrides NONE = new Overrides();
 
     private final Map<String, Object> values = new HashMap<>();
-    private final Set<String> read = new HashSet<>();
+    private final Set<String> keysRead = new HashSet<>();
 
-    static Overrides of(List<String> settings) {
+    static Overrides parse(List<String> settings) {
         Overrides result = new Overrides();
         for (String setting : settings) {
             int equals = setting.indexOf('=');
@@ -34,15 +34,15 @@
     Object get(String path) {
         Object value = values.get(path);
         if (value != null) {
-            read.add(path);
+            keysRead.add(path);
         }
         return value;
     }
 
     /** Throws for an override whose key the reader has not asked for. */
-    void done() {
+    void rejectUnusedKeys() {
         for (String key : values.keySet()) {
-            if (!read.contains(key)) {
+            if (!keysRead.contains(key)) {
                 throw new SpecException("--set " + key + ": there is no such key in this experiment");
             }
         }
--- a/lab/src/main/java/dockrelay/lab/spec/TomlSection.java
+++ b/lab/src/main/java/dockrelay/lab/spec/TomlSection.java
@@ -18,75 +18,76 @@
 
 /**
  * One table of an experiment file. Each read checks the value and throws a SpecException that names what is
- * allowed; {@link #done()} rejects the keys that nothing has read.
+ * allowed; {@link #rejectUnknownKeys()} rejects the keys that nothing has read.
  */
 public final class TomlSection {
-    private static final int FAR = 3;
+    private static final int MAX_SUGGESTION_DISTANCE = 3;
 
     private final Path file;
     private final TomlTable table;
-    private final String path;
+    private final String pathPrefix;
     private final Overrides overrides;
-    private final Set<String> read = new LinkedHashSet<>();
+    private final Set<String> keysRead = new LinkedHashSet<>();
 
     private TomlSection(Path file, TomlTable table, String path, Overrides overrides) {
         this.file = file;
         this.table = table;
-        this.path = path;
+        this.pathPrefix = path;
         this.overrides = overrides;
     }
 
     /** Parses a file's text and returns its top-level table. */
     public static TomlSection parse(Path file, String text) {
-        return parse(file, text, Overrides.of(List.of()));
+        return parse(file, text, Overrides.parse(List.of()));
     }
 
     static TomlSection parse(Path file, String text, Overrides overrides) {
         TomlParseResult parsed = Toml.parse(text);
         if (parsed.hasErrors()) {
-            TomlParseError first = parsed.errors().get(0);
-            throw new SpecException(file + ":" + first.position().line() + ": not TOML: "
-                + first.getMessage().replace('\n', ' '));
+            TomlParseError firstError = parsed.errors().get(0);
+            throw new SpecException(file + ":" + firstError.position().line() + ": not TOML: "
+                + firstError.getMessage().replace('\n', ' '));
         }
         return new TomlSection(file, parsed, "", overrides);
     }
 
     /** A nested table; if it is absent, an empty one, so that every key has its default. */
     public TomlSection readTable(String key) {
-        Object value = get(key);
+        Object value = lookUp(key);
         if (value == null) {
-            return new TomlSection(file, Toml.parse(""), path + key + ".", overrides);
+            return new TomlSection(file, Toml.parse(""), pathPrefix + key + ".", overrides);
         }
-        if (value instanceof TomlTable below) {
-            return new TomlSection(file, below, path + key + ".", overrides);
+        if (value instanceof TomlTable nested) {
+            return new TomlSection(file, nested, pathPrefix + key + ".", overrides);
         }
-        throw invalidValue(key, "a table, [" + path + key + "]");
+        throw invalidValue(key, "a table, [" + pathPrefix + key + "]");
     }
 
     /** The tables of an array of tables; an empty list if the key is absent. */
     public List<TomlSection> readTables(String key) {
         List<TomlSection> result = new ArrayList<>();
-        Object value = get(key);
+        Object value = lookUp(key);
         if (value == null) {
             return result;
         }
         if (!(value instanceof TomlArray array)) {
-            throw invalidValue(key, "tables, [[" + path + key + "]]");
+            throw invalidValue(key, "tables, [[" + pathPrefix + key + "]]");
         }
         for (int i = 0; i < array.size(); i++) {
             if (!(array.get(i) instanceof TomlTable)) {
-                throw invalidValue(key, "tables, [[" + path + key + "]]");
+                throw invalidValue(key, "tables, [[" + pathPrefix + key + "]]");
             }
-            result.add(new TomlSection(file, array.getTable(i), path + key + "[" + i + "].", overrides));
+            result.add(new TomlSection(file, array.getTable(i), pathPrefix + key + "[" + i + "].",
+                overrides));
         }
         return result;
     }
 
     /** A string; without a default (null) the key is required. */
-    public String readText(String key, String fallback) {
-        Object value = get(key);
-        if (value == null && fallback != null) {
-            return fallback;
+    public String readText(String key, String defaultValue) {
+        Object value = lookUp(key);
+        if (value == null && defaultValue != null) {
+            return defaultValue;
         }
         if (value instanceof String text) {
             return text;
@@ -97,7 +98,7 @@
     /** A list of strings; empty if the key is absent. */
     public List<String> readTexts(String key) {
         List<String> result = new ArrayList<>();
-        Object value = get(key);
+        Object value = lookUp(key);
         if (value == null) {
             return result;
         }
@@ -114,25 +115,26 @@
     }
 
     /** An enum constant by its lower-case name; without a default (null) the key is required. */
-    public <T extends Enum<T>> T readEnum(String key, T fallback, Class<T> type) {
-        String words = String.join(", ", Arrays.stream(type.getEnumConstants()).map(TomlSection::word).toList());
-        String text = readText(key, fallback == null ? null : word(fallback));
+    public <T extends Enum<T>> T readEnum(String key, T defaultValue, Class<T> type) {
+        String names = String.join(", ", Arrays.stream(type.getEnumConstants())
+            .map(TomlSection::lowerCaseName).toList());
+        String text = readText(key, defaultValue == null ? null : lowerCaseName(defaultValue));
         for (T constant : type.getEnumConstants()) {
-            if (word(constant).equals(text)) {
+            if (lowerCaseName(constant).equals(text)) {
                 return constant;
             }
         }
-        throw invalidValue(key, "one of " + words);
+        throw invalidValue(key, "one of " + names);
     }
 
-    static String word(Enum<?> constant) {
+    static String lowerCaseName(Enum<?> constant) {
         return constant.name().toLowerCase(Locale.ROOT);
     }
 
-    public boolean readBoolean(String key, boolean fallback) {
-        Object value = get(key);
+    public boolean readBoolean(String key, boolean defaultValue) {
+        Object value = lookUp(key);
         if (value == null) {
-            return fallback;
+            return defaultValue;
         }
         if (value instanceof Boolean flag) {
             return flag;
@@ -141,30 +143,30 @@
     }
 
     /** A whole number within bounds, both inclusive. */
-    public int readCount(String key, int fallback, int least, int most) {
-        Object value = get(key);
+    public int readCount(String key, int defaultValue, int min, int max) {
+        Object value = lookUp(key);
         if (value == null) {
-            return fallback;
+            return defaultValue;
         }
-        if (value instanceof Long count && count >= least && count <= most) {
+        if (value instanceof Long count && count >= min && count <= max) {
             return count.intValue();
         }
-        throw invalidValue(key, "a whole number from " + least + " to " + most);
+        throw invalidValue(key, "a whole number from " + min + " to " + max);
     }
 
     /**
      * Whole numbers within bounds, in strictly ascending order; without a default (null) the key is
      * required.
      */
-    public List<Integer> readAscendingCounts(String key, List<Integer> fallback, int least, int most) {
-        Object value = get(key);
-        if (value == null && fallback != null) {
-            return fallback;
+    public List<Integer> readAscendingCounts(String key, List<Integer> defaultValue, int min, int max) {
+        Object value = lookUp(key);
+        if (value == null && defaultValue != null) {
+            return defaultValue;
         }
         List<Integer> result = new ArrayList<>();
         if (value instanceof TomlArray array && !array.isEmpty()) {
             for (int i = 0; i < array.size(); i++) {
-                if (!(array.get(i) instanceof Long count) || count < least || count > most
+                if (!(array.get(i) instanceof Long count) || count < min || count > max
                     || i > 0 && count <= result.get(i - 1)) {
                     result.clear();
                     break;
@@ -173,108 +175,116 @@
             }
         }
         if (result.isEmpty()) {
-            throw invalidValue(key, "a rising list of whole numbers from " + least + " to " + most);
+            throw invalidValue(key, "a rising list of whole numbers from " + min + " to " + max);
         }
         return result;
     }
 
     /** A number within bounds, both inclusive. */
-    public double readNumber(String key, double fallback, double least, double most) {
-        Object value = get(key);
-        double number = value == null ? fallback : value instanceof Number given ? given.doubleValue()
+    public double readNumber(String key, double defaultValue, double min, double max) {
+        Object value = lookUp(key);
+        double number = value == null ? defaultValue : value instanceof Number numberValue
+            ? numberValue.doubleValue()
             : Double.NaN;
-        if (number >= least && number <= most) {
+        if (number >= min && number <= max) {
             return number;
         }
-        throw invalidValue(key, "a number from " + Units.plain(least) + " to " + Units.plain(most));
+        throw invalidValue(key, "a number from " + UnitFormat.formatNumber(min) + " to "
+            + UnitFormat.formatNumber(max));
     }
 
     /** A number or a [low, high] pair within bounds. */
-    public Range readRange(String key, Range fallback, double least, double most) {
-        return readRange(key, fallback, least, most, value -> value instanceof Number number
+    public Range readRange(String key, Range defaultValue, double min, double max) {
+        return readRange(key, defaultValue, min, max, value -> value instanceof Number number
             ? number.doubleValue()
-            : Double.NaN, "a number, or two as [low, high], from " + Units.plain(least) + " to "
-            + Units.plain(most));
+            : Double.NaN, "a number, or two as [low, high], from " + UnitFormat.formatNumber(min) + " to "
+            + UnitFormat.formatNumber(max));
     }
 
     /** A single duration such as "250ms", in microseconds. */
-    public long readMicros(String key, long fallback, long least, long most) {
-        Range range = readMicrosRange(key, Range.of(fallback), least, most);
+    public long readMicros(String key, long defaultValue, long min, long max) {
+        Range range = readMicrosRange(key, Range.of(defaultValue), min, max);
         if (range.low() != range.high()) {
-            throw invalidValue(key, "one time from " + Units.time(least) + " to " + Units.time(most));
+            throw invalidValue(key, "one time from " + UnitFormat.formatMicros(min) + " to "
+                + UnitFormat.formatMicros(max));
         }
         return Math.round(range.low());
     }
 
     /** A duration or a [low, high] pair of durations, in microseconds. */
-    public Range readMicrosRange(String key, Range fallback, long least, long most) {
-        return readRange(key, fallback, least, most,
-            value -> value instanceof String text ? Units.micros(text) : Double.NaN,
-            "a time such as \"250ms\", or two as [low, high], from " + Units.time(least) + " to "
-            + Units.time(most));
+    public Range readMicrosRange(String key, Range defaultValue, long min, long max) {
+        return readRange(key, defaultValue, min, max,
+            value -> value instanceof String text ? UnitFormat.parseMicros(text) : Double.NaN,
+            "a time such as \"250ms\", or two as [low, high], from " + UnitFormat.formatMicros(min) + " to "
+            + UnitFormat.formatMicros(max));
     }
 
     /** A size such as "192MiB", in bytes. */
-    public long readBytes(String key, long fallback, long least, long most) {
-        Object value = get(key);
-        double bytes = value == null ? fallback : value instanceof String text ? Units.bytes(text)
+    public long readBytes(String key, long defaultValue, long min, long max) {
+        Object value = lookUp(key);
+        double bytes = value == null ? defaultValue : value instanceof String text
+            ? UnitFormat.parseBytes(text)
             : Double.NaN;
-        if (bytes >= least && bytes <= most) {
+        if (bytes >= min && bytes <= max) {
             return Math.round(bytes);
         }
-        throw invalidValue(key, "a size such as \"192MiB\", from " + least + " to " + most + " bytes");
+        throw invalidValue(key, "a size such as \"192MiB\", from " + min + " to " + max + " bytes");
     }
 
-    private Range readRange(String key, Range fallback, double least, double most, ToDoubleFunction<Object> read,
+    private Range readRange(String key, Range defaultValue, double min, double max,
+        ToDoubleFunction<Object> parser,
         String allowed) {
-        Object value = get(key);
+        Object value = lookUp(key);
         if (value == null) {
-            return fallback;
+            return defaultValue;
         }
         Range range = value instanceof TomlArray array && array.size() == 2
-            ? new Range(read.applyAsDouble(array.get(0)), read.applyAsDouble(array.get(1)))
-            : Range.of(read.applyAsDouble(value));
-        if (range.low() >= least && range.high() <= most && range.low() <= range.high()) {
+            ? new Range(parser.applyAsDouble(array.get(0)), parser.applyAsDouble(array.get(1)))
+            : Range.of(parser.applyAsDouble(value));
+        if (range.low() >= min && range.high() <= max && range.low() <= range.high()) {
             return range;
         }
         throw invalidValue(key, allowed);
     }
 
-    private Object get(String key) {
-        read.add(key);
-        Object given = overrides.get(path + key);
-        return given == null ? table.get(List.of(key)) : given;
+    private Object lookUp(String key) {
+        keysRead.add(key);
+        Object override = overrides.get(pathPrefix + key);
+        return override == null ? table.get(List.of(key)) : override;
     }
 
     /** Throws for a key that has not been read: a misspelt key would otherwise silently get its default. */
     public void rejectUnknownKeys() {
         for (String key : table.keySet()) {
-            if (!read.contains(key)) {
-                String near =
-                    read.stream().min(Comparator.comparingInt((String known) -> distance(known, key)))
-                    .filter(known -> distance(known, key) <= FAR).map(known -> "; did you mean " + path
+            if (!keysRead.contains(key)) {
+                String hint =
+                    keysRead.stream().min(Comparator.comparingInt((String known) -> editDistance(known, key)))
+                    .filter(known -> editDistance(known, key) <= MAX_SUGGESTION_DISTANCE)
+                    .map(known -> "; did you mean " + pathPrefix
                     + known + "?")
-                    .orElse("; known here: " + String.join(", ", read));
-                throw new SpecException(at(key) + "unknown key " + path + key + " = " + shown(key) + near);
+                    .orElse("; known here: " + String.join(", ", keysRead));
+                throw new SpecException(locationOf(key) + "unknown key " + pathPrefix + key + " = "
+                    + describeValue(key) + hint);
             }
         }
     }
 
     /** An exception for an invalid value: position, key, value and what is allowed. */
     public SpecException invalidValue(String key, String allowed) {
-        return new SpecException(at(key) + path + key + " = " + shown(key) + ": allowed is " + allowed);
+        return new SpecException(locationOf(key) + pathPrefix + key + " = " + describeValue(key)
+            + ": allowed is " + allowed);
     }
 
-    private String at(String key) {
-        if (overrides.get(path + key) != null) {
+    private String locationOf(String key) {
+        if (overrides.get(pathPrefix + key) != null) {
             return "--set: ";
         }
         TomlPosition position = table.inputPositionOf(List.of(key));
         return position == null ? file + ": " : file + ":" + position.line() + ": ";
     }
 
-    private String shown(String key) {
-        Object value = get(key);
+    private String describeValue(String key) {
+        Object value = lookUp(key);
         if (value == null) {
             return "(missing)";
         }
@@ -286,20 +296,20 @@
     }
 
     /** Levenshtein distance. */
-    private static int distance(String a, String b) {
-        int[] before = new int[b.length() + 1];
+    private static int editDistance(String a, String b) {
+        int[] previousRow = new int[b.length() + 1];
         for (int j = 0; j <= b.length(); j++) {
-            before[j] = j;
+            previousRow[j] = j;
         }
         for (int i = 1; i <= a.length(); i++) {
-            int[] now = new int[b.length() + 1];
-            now[0] = i;
+            int[] currentRow = new int[b.length() + 1];
+            currentRow[0] = i;
             for (int j = 1; j <= b.length(); j++) {
-                int other = before[j - 1] + (a.charAt(i - 1) == b.charAt(j - 1) ? 0 : 1);
-                now[j] = Math.min(other, Math.min(before[j], now[j - 1]) + 1);
+                int substitutionCost = previousRow[j - 1] + (a.charAt(i - 1) == b.charAt(j - 1) ? 0 : 1);
+                currentRow[j] = Math.min(substitutionCost, Math.min(previousRow[j], currentRow[j - 1]) + 1);
             }
-            before = now;
+            previousRow = currentRow;
         }
-        return before[b.length()];
+        return previousRow[b.length()];
     }
 }
--- a/lab/src/test/java/dockrelay/lab/RealBudgetsTest.java
+++ b/lab/src/test/java/dockrelay/lab/RealBudgetsTest.java
@@ -5,7 +5,7 @@
 
 import dockrelay.lab.plan.Plan;
 import dockrelay.lab.process.Build;
-import dockrelay.lab.report.Result;
+import dockrelay.lab.report.PlayResult;
 import dockrelay.lab.spec.ExperimentReader;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -19,13 +19,13 @@
  * budget, which the referee verifies.
  */
 class RealBudgetsTest {
-    private static final double EXTRA = 12;
+    private static final double EXTRA_ATTEMPTS_PER_SECOND = 12;
 
     @TempDir
     Path folder;
 
     @Test
-    void noMoreReachesTheNodesThanTheWholeFleetMaySpend() throws Exception {
+    void extraAttemptsStayWithinTheFleetBudget() throws Exception {
         Path file = Files.writeString(folder.resolve("budgets.toml"), """
             shows = "budgets"
             length = "34s"
@@ -66,18 +66,20 @@
             kind = "upgrade"
             at = "25s"
             victims = ["n0"]
-            """.formatted(EXTRA));
-        Result result = JudgedPlay.of(() -> new LabRun(Plan.generate(ExperimentReader.read(file), 3),
+            """.formatted(EXTRA_ATTEMPTS_PER_SECOND));
+        PlayResult result = RepeatedPlay.playUntilJudgeable(() ->
+            new LabRun(Plan.generate(ExperimentReader.read(file), 3),
             Build.load(Path.of("..")), folder.resolve("out"), text -> { }).play());
-        assertEquals(List.of(), result.broken);
-        int keepers = 0;
+        assertEquals(List.of(), result.violations);
+        int coordinators = 0;
         for (String name : List.of("n0.1", "n1.1", "n2.1", "n3.1")) {
-            keepers += Files.readString(folder.resolve("out/proxies/" + name + "/log"))
+            coordinators += Files.readString(folder.resolve("out/proxies/" + name + "/log"))
                 .contains("budgets: the keeper of term") ? 1 : 0;
         }
-        assertTrue(keepers > 0, "no proxy became the lease coordinator");
-        long extras = (Long) result.values().get("extra_attempts");
-        System.out.println("extra attempts that reached nodes: " + extras + " of at most " + EXTRA * 34);
-        assertTrue(extras > 20, extras + " extra attempts are too few to exercise the budget");
+        assertTrue(coordinators > 0, "no proxy became the lease coordinator");
+        long extraAttempts = (Long) result.values().get("extra_attempts");
+        System.out.println("extra attempts that reached nodes: " + extraAttempts + " of at most "
+            + EXTRA_ATTEMPTS_PER_SECOND * 34);
+        assertTrue(extraAttempts > 20, extraAttempts + " extra attempts are too few to exercise the budget");
     }
 }
--- a/lab/src/test/java/dockrelay/lab/RealGroupsTest.java
+++ b/lab/src/test/java/dockrelay/lab/RealGroupsTest.java
@@ -5,7 +5,7 @@
 
 import dockrelay.lab.plan.Plan;
 import dockrelay.lab.process.Build;
-import dockrelay.lab.report.Result;
+import dockrelay.lab.report.PlayResult;
 import dockrelay.lab.spec.ExperimentReader;
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -27,32 +27,34 @@
  */
 class RealGroupsTest {
     /** Maximum time, in seconds, until all members know of a death, a partition or their end. */
-    private static final double KNOWN = 6;
-    private static final double KILLED = 5, BACK = 12, CUT = 19, HEALED = 27, END = 34;
-    private static final List<String> OTHERS = List.of("n0", "n2", "n3", "n4", "n5");
-    private static final List<String> MOST = List.of("n0", "n1", "n2", "n5"), FEW = List.of("n3", "n4");
+    private static final double MAX_CONVERGENCE_SECONDS = 6;
+    private static final double KILL_AT = 5, RESTART_AT = 12, PARTITION_AT = 19, HEAL_AT = 27, END_AT = 34;
+    private static final List<String> SURVIVORS = List.of("n0", "n2", "n3", "n4", "n5");
+    private static final List<String> MAJORITY = List.of("n0", "n1", "n2", "n5"), MINORITY = List.of("n3",
+        "n4");
 
     @TempDir
     Path folder;
-    private final List<Said> said = new ArrayList<>();
+    private final List<MemberView> views = new ArrayList<>();
 
     /** One row of members.csv: a proxy's view of the fleet. */
-    private record Said(double at, String proxy, int present, int of, String agreement, int counted,
-                        double age, int groups, String group, boolean speaker) {
-        static Said of(String row) {
+    private record MemberView(double seconds, String proxy, int present, int known, String agreement,
+        int counted,
+                        double maxReportAge, int groupCount, String group, boolean representative) {
+        static MemberView parse(String row) {
             String[] cells = row.split(",");
-            return new Said(Double.parseDouble(cells[0]), cells[1], Integer.parseInt(cells[2]),
+            return new MemberView(Double.parseDouble(cells[0]), cells[1], Integer.parseInt(cells[2]),
                 Integer.parseInt(cells[3]), cells[4], Integer.parseInt(cells[5]),
                 Double.parseDouble(cells[7]), Integer.parseInt(cells[8]), cells[9], cells[10].equals("yes"));
         }
 
-        boolean says(int counts, String agreed) {
-            return counted == counts && agreement.equals(agreed);
+        boolean matches(int expectedCounted, String expectedAgreement) {
+            return counted == expectedCounted && agreement.equals(expectedAgreement);
         }
     }
 
     @Test
-    void groupsCountEachOtherAndAgreeAgain() throws Exception {
+    void groupsConvergeAfterDeathAndPartition() throws Exception {
         Path file = Files.writeString(folder.resolve("groups.toml"), """
             shows = "groups"
             length = "%.0fs"
@@ -77,20 +79,21 @@
             from = ["n3", "n4"]
             to = ["n0", "n1", "n2", "n5"]
             mode = "silent"
-            """.formatted(END, KILLED, BACK - KILLED, CUT, HEALED - CUT));
+            """.formatted(END_AT, KILL_AT, RESTART_AT - KILL_AT, PARTITION_AT, HEAL_AT - PARTITION_AT));
         // The limits here are seconds, so a play that passes on a starved machine counts; only a play that
         // fails
         // the checks may be void for starvation and be repeated.
-        Result result = new Plays<Result>(Plays.MOST, played -> holds(played) ? null
-            : played.rulesVoidBecause(), System.out::println).play(() -> new LabRun(
+        PlayResult result = new PlayRepeater<PlayResult>(PlayRepeater.DEFAULT_MAX_PLAYS, candidate ->
+        passesChecks(candidate) ? null
+            : candidate.rulesVoidReason(), System.out::println).playUntilValid(() -> new LabRun(
             Plan.generate(ExperimentReader.read(file), 3), Build.load(Path.of("..")), folder.resolve("out"),
             text -> { }).play());
-        judge(result);
+        checkResult(result);
     }
 
-    private boolean holds(Result result) {
+    private boolean passesChecks(PlayResult result) {
         try {
-            judge(result);
+            checkResult(result);
             return true;
         } catch (AssertionError e) {
             System.out.println(e.getMessage());
@@ -100,68 +103,81 @@
         }
     }
 
-    private void judge(Result result) throws IOException {
-        said.clear();
-        Files.readAllLines(folder.resolve("out/members.csv")).stream().skip(1).map(Said::of)
-            .forEach(said::add);
-        if (result.rulesVoidBecause() == null) { // the rules for requests have limits of milliseconds
-            assertEquals(List.of(), result.broken);
+    private void checkResult(PlayResult result) throws IOException {
+        views.clear();
+        Files.readAllLines(folder.resolve("out/members.csv")).stream().skip(1).map(MemberView::parse)
+            .forEach(views::add);
+        if (result.rulesVoidReason() == null) { // the rules for requests have limits of milliseconds
+            assertEquals(List.of(), result.violations);
         }
         Map<?, ?> members = (Map<?, ?>) result.values().get("members");
         assertEquals(List.of(), members.get("falsely_gone_first"), "no running member is declared gone");
         assertEquals(2, members.get("deaths_seen"),
             "both other members of the group see the death: " + members);
         assertTrue((Double) members.get("shares_most") < 1 + 1e-4, members.toString());
-        assertEquals(Set.of("a/1 3", "b/1 3", "c/1 3"), groups());
-        assertTrue(said.stream().anyMatch(one -> one.at < KILLED && one.proxy.equals("n1") && one.speaker),
+        assertEquals(Set.of("a/1 3", "b/1 3", "c/1 3"), groupsSeen());
+        assertTrue(views.stream().anyMatch(view -> view.seconds < KILL_AT && view.proxy.equals("n1")
+            && view.representative),
             "the killed proxy was the representative of its group");
 
-        List<String> all = new ArrayList<>(MOST);
-        all.addAll(FEW);
-        known("the start", 0, KILLED, all, one -> one.says(6, "all") && one.present == 6);
-        known("the death", KILLED, BACK, OTHERS, one -> one.says(5, "all") && one.present == 5);
-        known("the return", BACK, CUT, all, one -> one.says(6, "all") && one.present == 6);
-        known("the partition, on the majority side", CUT, HEALED, MOST,
-            one -> one.says(4, "all") && one.present == 4);
-        known("the partition, on the minority side", CUT, HEALED, FEW, one -> one.says(6, "minority"));
-        known("the end of the partition", HEALED, END, all, one -> one.says(6, "all") && one.present == 6);
-        for (String one : FEW) { // a group's last report is counted until it is too old
-            double oldest = said.stream().filter(row -> row.proxy.equals(one) && row.at >= CUT
-                && row.at < HEALED && row.agreement.equals("all")).mapToDouble(Said::age).max().orElse(0);
-            System.out.println(one + ": reports were counted up to an age of " + oldest + " s");
-            assertTrue(oldest > 1 && oldest <= KNOWN, one + ": " + of(one, CUT, HEALED));
+        List<String> all = new ArrayList<>(MAJORITY);
+        all.addAll(MINORITY);
+        assertConverges("the start", 0, KILL_AT, all, view -> view.matches(6, "all") && view.present == 6);
+        assertConverges("the death", KILL_AT, RESTART_AT, SURVIVORS, view -> view.matches(5, "all")
+            && view.present == 5);
+        assertConverges("the return", RESTART_AT, PARTITION_AT, all, view -> view.matches(6, "all")
+            && view.present == 6);
+        assertConverges("the partition, on the majority side", PARTITION_AT, HEAL_AT, MAJORITY,
+            view -> view.matches(4, "all") && view.present == 4);
+        assertConverges("the partition, on the minority side", PARTITION_AT, HEAL_AT, MINORITY, view ->
+            view.matches(6, "minority"));
+        assertConverges("the end of the partition", HEAL_AT, END_AT, all, view -> view.matches(6, "all")
+            && view.present == 6);
+        for (String proxy : MINORITY) { // a group's last report is counted until it is too old
+            double maxReportAge = views.stream().filter(view -> view.proxy.equals(proxy)
+                && view.seconds >= PARTITION_AT
+                && view.seconds < HEAL_AT && view.agreement.equals("all"))
+                .mapToDouble(MemberView::maxReportAge).max().orElse(0);
+            System.out.println(proxy + ": reports were counted up to an age of " + maxReportAge + " s");
+            assertTrue(maxReportAge > 1 && maxReportAge <= MAX_CONVERGENCE_SECONDS, proxy + ": "
+                + viewsOf(proxy, PARTITION_AT, HEAL_AT));
         }
     }
 
-    private Set<String> groups() {
+    private Set<String> groupsSeen() {
         Set<String> result = new HashSet<>();
-        said.forEach(one -> result.add(one.group + " " + one.groups));
+        views.forEach(view -> result.add(view.group + " " + view.groupCount));
         return result;
     }
 
     /**
-     * Asserts that within KNOWN seconds of the start each proxy meets the condition and does so until the
-     * end.
+     * Asserts that within MAX_CONVERGENCE_SECONDS of the start each proxy meets the condition and does so
+     * until the end.
      */
-    private void known(String what, double from, double until, List<String> proxies, Predicate<Said> holds) {
-        double latest = 0;
+    private void assertConverges(String phase, double from, double until, List<String> proxies,
+        Predicate<MemberView> condition) {
+        double maxDelay = 0;
         for (String proxy : proxies) {
-            double since = Double.NaN;
-            for (Said one : said) {
-                if (one.proxy.equals(proxy) && one.at >= from && one.at < until) {
-                    since = !holds.test(one) ? Double.NaN : Double.isNaN(since) ? one.at : since;
+            double convergedAt = Double.NaN;
+            for (MemberView view : views) {
+                if (view.proxy.equals(proxy) && view.seconds >= from && view.seconds < until) {
+                    convergedAt = !condition.test(view) ? Double.NaN : Double.isNaN(convergedAt)
+                        ? view.seconds : convergedAt;
                 }
             }
-            assertTrue(!Double.isNaN(since), what + ": " + proxy + " does not meet the condition at the end: "
-                + of(proxy, from, until));
-            latest = Math.max(latest, since - from);
+            assertTrue(!Double.isNaN(convergedAt), phase + ": " + proxy
+                + " does not meet the condition at the end: "
+                + viewsOf(proxy, from, until));
+            maxDelay = Math.max(maxDelay, convergedAt - from);
         }
-        System.out.println(what + ": known to all after " + latest + " s");
-        assertTrue(latest <= KNOWN, what + ": known to all only after " + latest + " s");
+        System.out.println(phase + ": known to all after " + maxDelay + " s");
+        assertTrue(maxDelay <= MAX_CONVERGENCE_SECONDS, phase + ": known to all only after " + maxDelay
+            + " s");
     }
 
-    private List<Said> of(String proxy, double from, double until) {
-        return said.stream().filter(one -> one.proxy.equals(proxy) && one.at >= from && one.at < until)
+    private List<MemberView> viewsOf(String proxy, double from, double until) {
+        return views.stream().filter(view -> view.proxy.equals(proxy) && view.seconds >= from
+            && view.seconds < until)
             .toList();
     }
 }
--- a/lab/src/test/java/dockrelay/lab/RealMembersTest.java
+++ b/lab/src/test/java/dockrelay/lab/RealMembersTest.java
@@ -5,7 +5,7 @@
 
 import dockrelay.lab.plan.Plan;
 import dockrelay.lab.process.Build;
-import dockrelay.lab.report.Result;
+import dockrelay.lab.report.PlayResult;
 import dockrelay.lab.spec.ExperimentReader;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -23,7 +23,7 @@
     Path folder;
 
     @Test
-    void membersFindOutWhoIsThereAndAgreeAgain() throws Exception {
+    void membersDetectDeathsAndAgreeAgain() throws Exception {
         Path file = Files.writeString(folder.resolve("members.toml"), """
             shows = "membership"
             length = "34s"
@@ -58,9 +58,10 @@
             at = "26s"
             victims = ["n0"]
             """);
-        Result result = JudgedPlay.of(() -> new LabRun(Plan.generate(ExperimentReader.read(file), 3),
+        PlayResult result = RepeatedPlay.playUntilJudgeable(() ->
+            new LabRun(Plan.generate(ExperimentReader.read(file), 3),
             Build.load(Path.of("..")), folder.resolve("out"), text -> { }).play());
-        assertEquals(List.of(), result.broken);
+        assertEquals(List.of(), result.violations);
         Map<?, ?> members = (Map<?, ?>) result.values().get("members");
         assertEquals(3, members.get("deaths_seen"), members.toString()); // one per surviving proxy
         assertEquals(List.of(), members.get("falsely_gone_first"),
@@ -69,9 +70,9 @@
         for (Object fault : (List<?>) members.get("agreed_after_s")) {
             assertTrue(((Map<?, ?>) fault).get("agreed_after_s") != null, members.toString());
         }
-        String n2 = Files.readString(folder.resolve("out/proxies/n2.1/log"));
-        assertTrue(n2.contains("n3 is gone") && n2.contains("n3 is present"), n2);
-        assertTrue(n2.contains("n0 is present, started anew, was present"),
-            "the upgraded proxy is the same member with a new incarnation: " + n2);
+        String logOfN2 = Files.readString(folder.resolve("out/proxies/n2.1/log"));
+        assertTrue(logOfN2.contains("n3 is gone") && logOfN2.contains("n3 is present"), logOfN2);
+        assertTrue(logOfN2.contains("n0 is present, started anew, was present"),
+            "the upgraded proxy is the same member with a new incarnation: " + logOfN2);
     }
 }
--- a/lab/src/test/java/dockrelay/lab/RealProxiesTest.java
+++ b/lab/src/test/java/dockrelay/lab/RealProxiesTest.java
@@ -5,7 +5,7 @@
 
 import dockrelay.lab.plan.Plan;
 import dockrelay.lab.process.Build;
-import dockrelay.lab.report.Result;
+import dockrelay.lab.report.PlayResult;
 import dockrelay.lab.report.OutcomeStatistics.Outcome;
 import dockrelay.lab.spec.ExperimentReader;
 import java.nio.file.Files;
@@ -21,7 +21,7 @@
     Path folder;
 
     @Test
-    void rulesAreKeptWhileNodesAndProxiesBreak() throws Exception {
+    void rulesAreKeptUnderConcurrentFaults() throws Exception {
         Path file = Files.writeString(folder.resolve("much.toml"), """
             shows = "many concurrent faults"
             length = "10s"
@@ -66,14 +66,15 @@
             at = "3s"
             victims = ["n2"]
             """);
-        Result result = JudgedPlay.of(() -> new LabRun(Plan.generate(ExperimentReader.read(file), 3),
+        PlayResult result = RepeatedPlay.playUntilJudgeable(() ->
+            new LabRun(Plan.generate(ExperimentReader.read(file), 3),
             Build.load(Path.of("..")), folder.resolve("out"), text -> { }).play());
         result.write(folder.resolve("out"));
-        assertEquals(List.of(), result.broken);
-        assertTrue(result.score.whole().count(Outcome.IN_TIME) > result.score.whole().requests / 2,
+        assertEquals(List.of(), result.violations);
+        assertTrue(result.outcomes.total().count(Outcome.IN_TIME) > result.outcomes.total().requests / 2,
             result.summary());
         assertTrue(Files.readString(folder.resolve("out/report.html")).contains("<title>Lab report</title>"));
         assertEquals(List.of(2, 1, 1), ((List<?>) result.values().get("proxies")).stream()
-            .map(one -> ((Map<?, ?>) one).get("starts")).toList());
+            .map(proxy -> ((Map<?, ?>) proxy).get("starts")).toList());
     }
 }
--- a/lab/src/test/java/dockrelay/lab/StandIn.java
+++ b/lab/src/test/java/dockrelay/lab/StandIn.java
@@ -26,45 +26,45 @@
  * A minimal proxy that misbehaves in the way named by the environment variable FAULT, to test the referee.
  */
 public final class StandIn {
-    private record Server(String id, String addr, int cell, String state, long started) {
+    private record Server(String id, String address, int cell, String state, long startedMillis) {
     }
 
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final List<Object> KEPT = new ArrayList<>();
+    private static final List<Object> RETAINED = new ArrayList<>();
 
     private final String fault = System.getenv("FAULT");
     private final Map<String, Server> servers = new ConcurrentHashMap<>();
     private final HttpClient client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
-    private final AtomicInteger turn = new AtomicInteger();
+    private final AtomicInteger nextIndex = new AtomicInteger();
 
     public static void main(String[] args) throws Exception {
-        new StandIn().serve();
+        new StandIn().start();
     }
 
-    private static InetSocketAddress address(String text) {
+    private static InetSocketAddress parseAddress(String text) {
         int colon = text.lastIndexOf(':');
         return new InetSocketAddress(text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
     }
 
-    private void serve() throws Exception {
-        watch();
+    private void start() throws Exception {
+        watchDiscovery();
         while (servers.isEmpty()) {
             TimeUnit.MILLISECONDS.sleep(10);
         }
-        HttpServer server = HttpServer.create(address(System.getenv("PROXY_LISTEN")), 1024);
+        HttpServer server = HttpServer.create(parseAddress(System.getenv("PROXY_LISTEN")), 1024);
         server.setExecutor(Executors.newCachedThreadPool());
-        server.createContext("/healthz", exchange -> answer(exchange, 200, ""));
-        server.createContext("/", this::take);
+        server.createContext("/healthz", exchange -> respond(exchange, 200, ""));
+        server.createContext("/", this::handle);
         server.start();
         if (fault.equals("memory")) {
             for (int i = 0; i < 40; i++) {
                 byte[] block = new byte[10 << 20];
                 Arrays.fill(block, (byte) 1);
-                KEPT.add(block);
+                RETAINED.add(block);
             }
         } else if (fault.equals("descriptors")) {
             for (int i = 0; i < 400; i++) {
-                KEPT.add(new java.io.FileInputStream("/dev/null"));
+                RETAINED.add(new java.io.FileInputStream("/dev/null"));
             }
         } else if (fault.equals("crash")) {
             TimeUnit.MILLISECONDS.sleep(1500);
@@ -80,7 +80,7 @@
         }
     }
 
-    private void watch() {
+    private void watchDiscovery() {
         Thread thread = new Thread(() -> {
             try {
                 HttpResponse<Stream<String>> response =
@@ -89,7 +89,7 @@
                     HttpResponse.BodyHandlers.ofLines());
                 try (Stream<String> body = response.body()) { // closing it ends the watch
                     Stream<String> lines = body.filter(line -> !line.isBlank());
-                    (fault.equals("unasked") ? lines.limit(1) : lines).forEach(this::line);
+                    (fault.equals("unasked") ? lines.limit(1) : lines).forEach(this::applyList);
                 }
             } catch (IOException | InterruptedException e) {
                 e.printStackTrace();
@@ -99,14 +99,14 @@
         thread.start();
     }
 
-    private void line(String text) {
+    private void applyList(String json) {
         try {
-            for (JsonNode one : JSON.readTree(text).get("servers")) {
-                Server server = new Server(one.get("id").asText(), one.get("addr").asText(),
-                    one.get("cell").asInt(),
-                    one.get("state").asText(), one.get("started_ms").asLong());
+            for (JsonNode entry : JSON.readTree(json).get("servers")) {
+                Server server = new Server(entry.get("id").asText(), entry.get("addr").asText(),
+                    entry.get("cell").asInt(),
+                    entry.get("state").asText(), entry.get("started_ms").asLong());
                 boolean usable = server.state.equals("active") || fault.equals("drain");
-                servers.compute(server.id, (id, before) -> usable ? server : null);
+                servers.compute(server.id, (id, previous) -> usable ? server : null);
             }
         } catch (IOException e) {
             e.printStackTrace();
@@ -114,16 +114,17 @@
     }
 
     /** Selects servers round-robin; with fault "cold", always the server started last. */
-    private Server next() {
-        List<Server> all = servers.values().stream().sorted(java.util.Comparator.comparing(Server::id))
+    private Server nextServer() {
+        List<Server> sorted = servers.values().stream().sorted(java.util.Comparator.comparing(Server::id))
             .toList();
-        Server youngest = all.stream().max(java.util.Comparator.comparingLong(Server::started)).orElseThrow();
-        return fault.equals("cold") && youngest.started > 0 ? youngest
-            : all.get(Math.floorMod(turn.getAndIncrement(), all.size()));
+        Server youngest = sorted.stream().max(java.util.Comparator.comparingLong(Server::startedMillis))
+            .orElseThrow();
+        return fault.equals("cold") && youngest.startedMillis > 0 ? youngest
+            : sorted.get(Math.floorMod(nextIndex.getAndIncrement(), sorted.size()));
     }
 
-    private HttpRequest.Builder to(Server server, HttpExchange exchange, String path, String body) {
-        HttpRequest.Builder builder = HttpRequest.newBuilder(URI.create("http://" + server.addr + path))
+    private HttpRequest.Builder buildRequest(Server server, HttpExchange exchange, String path, String body) {
+        HttpRequest.Builder builder = HttpRequest.newBuilder(URI.create("http://" + server.address + path))
             .timeout(Duration.ofMillis(Math.max(50,
                 Math.round(1000 * Double.parseDouble(exchange.getRequestHeaders()
                 .getFirst("X-Timeout"))) - 20)))
@@ -143,50 +144,51 @@
         }
     }
 
-    private void take(HttpExchange exchange) throws IOException {
+    private void handle(HttpExchange exchange) throws IOException {
         String body = new String(exchange.getRequestBody().readAllBytes(), StandardCharsets.UTF_8);
         String path = exchange.getRequestURI().toString();
-        boolean update = path.startsWith("/consignment-update");
-        int number = turn.get();
-        Server server = next();
-        if (fault.equals("answered") && number % 20 == 0) {
+        boolean isUpdate = path.startsWith("/consignment-update");
+        int requestNumber = nextIndex.get();
+        Server server = nextServer();
+        if (fault.equals("answered") && requestNumber % 20 == 0) {
             return; // leaves the request unanswered and the connection open
         }
-        if (fault.equals("foreign") && number % 20 == 0) {
-            send(HttpRequest.newBuilder(URI.create("http://" + server.addr + path))
+        if (fault.equals("foreign") && requestNumber % 20 == 0) {
+            send(HttpRequest.newBuilder(URI.create("http://" + server.address + path))
                 .header("X-Request-ID", "00000000deadbeef").build());
         }
         if (fault.equals("changed")) {
             path += "?x=1";
         }
-        if (fault.equals("attempts") && !update && body.isEmpty()) {
+        if (fault.equals("attempts") && !isUpdate && body.isEmpty()) {
             for (int i = 0; i < 6; i++) {
-                send(to(next(), exchange, path, body).timeout(Duration.ofMillis(5)).build());
+                send(buildRequest(nextServer(), exchange, path, body).timeout(Duration.ofMillis(5)).build());
             }
         }
-        if (fault.equals("budget") && !update && body.isEmpty()) {
-            send(to(next(), exchange, path, body).timeout(Duration.ofMillis(5)).build());
+        if (fault.equals("budget") && !isUpdate && body.isEmpty()) {
+            send(buildRequest(nextServer(), exchange, path, body).timeout(Duration.ofMillis(5)).build());
         }
-        if (fault.equals("repeat") && update) {
+        if (fault.equals("repeat") && isUpdate) {
             for (Server other : servers.values()) {
                 if (other.cell != server.cell) {
-                    client.sendAsync(to(other, exchange, path, body).build(),
+                    client.sendAsync(buildRequest(other, exchange, path, body).build(),
                         HttpResponse.BodyHandlers.ofString());
                     break;
                 }
             }
         }
-        HttpResponse<String> answer = send(to(server, exchange, path, body).build());
-        if (fault.equals("refusal") && update) {
-            answer(exchange, 503, "");
-        } else if (fault.equals("body") && number % 20 == 0) {
-            answer(exchange, 200, "made up\n");
+        HttpResponse<String> response = send(buildRequest(server, exchange, path, body).build());
+        if (fault.equals("refusal") && isUpdate) {
+            respond(exchange, 503, "");
+        } else if (fault.equals("body") && requestNumber % 20 == 0) {
+            respond(exchange, 200, "made up\n");
         } else {
-            answer(exchange, answer == null ? 502 : answer.statusCode(), answer == null ? "" : answer.body());
+            respond(exchange, response == null ? 502 : response.statusCode(), response == null ? ""
+                : response.body());
         }
     }
 
-    private static void answer(HttpExchange exchange, int status, String body) throws IOException {
+    private static void respond(HttpExchange exchange, int status, String body) throws IOException {
         byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
         exchange.sendResponseHeaders(status, bytes.length == 0 ? -1 : bytes.length);
         exchange.getResponseBody().write(bytes);
--- a/lab/src/test/java/dockrelay/lab/spec/ExperimentReaderTest.java
+++ b/lab/src/test/java/dockrelay/lab/spec/ExperimentReaderTest.java
@@ -19,41 +19,42 @@
     @TempDir
     Path folder;
 
-    private String wrong(String text) throws IOException {
+    private String errorFor(String text) throws IOException {
         Path file = Files.writeString(folder.resolve("one.toml"), "shows = \"x\"\n" + text);
-        String message = assertThrows(SpecException.class, () -> Plan.generate(ExperimentReader.read(file), 1))
+        String message = assertThrows(SpecException.class, () -> Plan.generate(ExperimentReader.read(file),
+            1))
             .getMessage();
         assertEquals(1, message.lines().count(), message);
         return message.replace(folder + "/", "");
     }
 
     @Test
-    void whatIsWrongIsNamedWithFileLineKeyValueAndWhatIsAllowed() throws IOException {
+    void errorNamesFileLineKeyValueAndAllowedValues() throws IOException {
         assertEquals("one.toml:3: unknown key nodes.cuont = 5; did you mean nodes.count?",
-            wrong("[nodes]\ncuont = 5\n"));
+            errorFor("[nodes]\ncuont = 5\n"));
         assertEquals("one.toml:2: length = \"20\": allowed is a time such as \"250ms\", or two as [low, "
-            + "high], from 1s to 3600s", wrong("length = \"20\"\n"));
+            + "high], from 1s to 3600s", errorFor("length = \"20\"\n"));
         assertEquals("one.toml:3: nodes.count = 0: allowed is a whole number from 1 to 1000",
-            wrong("[nodes]\ncount = 0\n"));
+            errorFor("[nodes]\ncount = 0\n"));
         assertEquals("one.toml:3: fault[0].kind = \"fire\": allowed is one of crash, slow, fast_errors, "
             + "neighbour, drain, detach, kill, term, pause, hangup, upgrade, outage, move, link",
-            wrong("[[fault]]\nkind = \"fire\"\n"));
+            errorFor("[[fault]]\nkind = \"fire\"\n"));
         assertEquals("one.toml:4: class[0].aim = [ \"2s\", \"1s\" ]: allowed is a time such as \"250ms\", "
             + "or two as [low, high], from 1ms to 3600s",
-            wrong("[[class]]\nname = \"a\"\naim = [\"2s\", \"1s\"]\n"));
+            errorFor("[[class]]\nname = \"a\"\naim = [\"2s\", \"1s\"]\n"));
         assertEquals("one.toml:4: proxies.zones = [ \"a\", \"b\", \"c\" ]: allowed is at most as many zones "
-            + "as proxies", wrong("[proxies]\ncount = 2\nzones = [\"a\", \"b\", \"c\"]\n"));
-        assertTrue(wrong("length = \n").startsWith("one.toml:2: not TOML: "));
-        assertTrue(wrong("[[fault]]\nkind = \"crash\"\nvictims = [\"s-99\"]\n")
+            + "as proxies", errorFor("[proxies]\ncount = 2\nzones = [\"a\", \"b\", \"c\"]\n"));
+        assertTrue(errorFor("length = \n").startsWith("one.toml:2: not TOML: "));
+        assertTrue(errorFor("[[fault]]\nkind = \"crash\"\nvictims = [\"s-99\"]\n")
             .contains("no victim is named s-99"));
     }
 
     @Test
-    void aKeyCanBeLaidOverTheFileAndIsCheckedLikeTheFiles() {
+    void overridesReplaceValuesAndAreValidated() {
         Path file = Path.of("../experiments/crash.toml");
         assertEquals(0.7, ExperimentReader.read(file, List.of("clients.load=0.7")).clients().load());
         assertEquals(9_000_000, ExperimentReader.read(file, List.of("fault[0].lasts=9s")).faults().get(0)
-            .lasts());
+            .duration());
         assertEquals("--set: clients.load = 11: allowed is a number from 0 to 10",
             assertThrows(SpecException.class, () -> ExperimentReader.read(file, List.of("clients.load=11")))
                 .getMessage());
@@ -61,14 +62,14 @@
     }
 
     @Test
-    void theSameSeedGivesTheSamePlanAndAnotherSeedAnother() {
+    void planDependsOnlyOnExperimentAndSeed() {
         Experiment experiment = ExperimentReader.read(Path.of("../experiments/steady.toml"));
-        assertEquals(Plan.generate(experiment, 1).hash(), Plan.generate(experiment, 1).hash());
-        assertNotEquals(Plan.generate(experiment, 1).hash(), Plan.generate(experiment, 2).hash());
+        assertEquals(Plan.generate(experiment, 1).sha256(), Plan.generate(experiment, 1).sha256());
+        assertNotEquals(Plan.generate(experiment, 1).sha256(), Plan.generate(experiment, 2).sha256());
     }
 
     @Test
-    void aTraceSaysWhatComesAndTheSeedDrawsTheRest() throws IOException {
+    void traceFixesGivenValuesAndTheRestIsDrawn() throws IOException {
         Files.writeString(folder.resolve("day.csv"), "# recorded\n0.5,slot-booking,70,port,k1\n1.25\n");
         Path file = Files.writeString(folder.resolve("trace.toml"),
             "shows = \"x\"\n[clients]\narrivals = \"trace\"\ntrace = \"day.csv\"\n");
@@ -78,12 +79,12 @@
             arrivals.get(0).serviceClass(), arrivals.get(0).work(), arrivals.get(0).tenant(),
             arrivals.get(0).route()));
         assertTrue(arrivals.get(1).at() == 1_250_000 && arrivals.get(1).work() > 0);
-        assertTrue(wrong("[clients]\narrivals = \"trace\"\ntrace = \"none.csv\"\n")
+        assertTrue(errorFor("[clients]\narrivals = \"trace\"\ntrace = \"none.csv\"\n")
             .contains("clients.trace"));
     }
 
     @Test
-    void theExperimentsThatAreKeptCanBeRead() throws IOException {
+    void committedExperimentsAreValid() throws IOException {
         try (Stream<Path> files = Files.list(Path.of("../experiments"))) {
             // The subfolder holds scale runs, which have another format.
             for (Path file : files.filter(Files::isRegularFile).toList()) {
