--- a/lab/src/main/java/dockrelay/lab/Main.java
+++ b/lab/src/main/java/dockrelay/lab/Main.java
@@ -2,7 +2,7 @@
 
 import dockrelay.lab.plan.Plan;
 import dockrelay.lab.process.Build;
-import dockrelay.lab.report.Result;
+import dockrelay.lab.report.PlayResult;
 import dockrelay.lab.report.TablePage;
 import dockrelay.lab.scale.CapacityCommand;
 import dockrelay.lab.scale.ScaleCommand;
@@ -21,40 +21,43 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** The lab's commands. Exit codes: 0 done, 1 a rule was broken or the run fell short, 2 misuse. */
+/**
+ * The lab's commands. Exit codes: 0 success, 1 a rule was broken or the play was void or failed, 2 usage
+ * error.
+ */
 @Command(name = "lab", mixinStandardHelpOptions = true, version = "lab 0.1.0", subcommands = {Main.Run.class,
-    Main.Compare.class, Main.Sweep.class, Main.Check.class, Main.ListAll.class, ScaleCommand.class,
+    Main.Compare.class, Main.Sweep.class, Main.Check.class, Main.ListExperiments.class, ScaleCommand.class,
     CapacityCommand.class}, description =
-        "Plays real proxies against an emulated world.",
+        "Runs real proxies against emulated clients, backends and discovery.",
     exitCodeListHeading = "Exit codes:%n", exitCodeList = {"0:done, every rule kept",
         "1:a rule was broken, or the run is void or could not start",
-        "2:misuse: arguments or experiment file"})
+        "2:usage error: invalid arguments or experiment file"})
 public final class Main {
     private Main() {
     }
 
     public static void main(String[] args) {
-        System.exit(commands().execute(args));
+        System.exit(createCommandLine().execute(args));
     }
 
-    static CommandLine commands() {
-        CommandLine line = new CommandLine(new Main());
-        line.setExecutionExceptionHandler((e, command, parsed) -> {
+    static CommandLine createCommandLine() {
+        CommandLine commandLine = new CommandLine(new Main());
+        commandLine.setExecutionExceptionHandler((e, command, parseResult) -> {
             if (e instanceof SpecException) {
                 command.getErr().println(e.getMessage());
                 return 2;
             }
-            if (e instanceof LabRun.FailedStart || e instanceof NeverValidException
+            if (e instanceof LabRun.ProxyStartException || e instanceof NoValidPlayException
                 || e instanceof IOException) {
                 command.getErr().println(e instanceof IOException ? e.toString() : e.getMessage());
                 return 1;
             }
             throw e;
         });
-        return line;
+        return commandLine;
     }
 
-    /** Plays one experiment until a play is valid, within a bound. */
+    /** Plays one experiment until a play is valid, up to a maximum number of plays. */
     @Command(name = "run", mixinStandardHelpOptions = true, description =
         "Plays an experiment and writes a report.")
     static final class Run implements Callable<Integer> {
@@ -70,50 +73,50 @@
             description = "checkout whose deploy/balancer.toml starts the proxies (${DEFAULT-VALUE})")
         Path root;
         @Option(names = "--set", paramLabel = "KEY=VALUE", description =
-            "laid over the file, such as clients.load=0.8")
+            "overrides a value of the file, such as clients.load=0.8")
         List<String> settings = new ArrayList<>();
-        @Option(names = "--plays", defaultValue = "" + Plays.MOST, description =
-            "a void play is played again, up to so many plays in all (${DEFAULT-VALUE})")
+        @Option(names = "--plays", defaultValue = "" + PlayRepeater.DEFAULT_MAX_PLAYS, description =
+            "maximum number of plays, as void plays are repeated (${DEFAULT-VALUE})")
         int most;
 
         @Override
         public Integer call() throws Exception {
             if (most < 1) {
-                throw new SpecException("--plays = " + most + "; allowed are 1 and more");
+                throw new SpecException("--plays = " + most + "; allowed is 1 or more");
             }
             Plan plan = Plan.generate(ExperimentReader.read(file, settings), seed);
             Build build = Build.load(root);
-            Progress progress = new Progress();
-            Plays<Result> plays = new Plays<>(most, Result::voidBecause, text -> {
-                progress.end();
-                System.out.println(text);
+            ProgressLine progress = new ProgressLine();
+            PlayRepeater<PlayResult> repeater = new PlayRepeater<>(most, PlayResult::voidReason, message -> {
+                progress.clear();
+                System.out.println(message);
             });
-            NeverValidException never = null;
+            NoValidPlayException noValidPlay = null;
             try {
-                plays.play(() -> new LabRun(plan, build, out, progress::say).play());
-            } catch (NeverValidException e) {
-                never = e;
+                repeater.playUntilValid(() -> new LabRun(plan, build, out, progress::show).play());
+            } catch (NoValidPlayException e) {
+                noValidPlay = e;
             }
-            progress.end();
-            Result result = plays.last();
+            progress.clear();
+            PlayResult result = repeater.lastPlay();
             if (result != null) {
-                System.out.print(result.summary()); // first: a full disk must not lose it
-                result.afterVoid(never == null ? plays.reasons()
-                    : plays.reasons().subList(0, plays.reasons().size() - 1));
+                System.out.print(result.summary()); // before writing, which fails on a full disk
+                result.recordVoidPlays(noValidPlay == null ? repeater.voidReasons()
+                    : repeater.voidReasons().subList(0, repeater.voidReasons().size() - 1));
                 result.write(out);
                 System.out.println("report: " + out.resolve("report.html"));
             }
-            if (never != null) {
-                throw never;
+            if (noValidPlay != null) {
+                throw noValidPlay;
             }
-            return result.kept() ? 0 : 1;
+            return result.keptAllRules() ? 0 : 1;
         }
     }
 
-    /** Plays two sides in turn on the same seeds. */
+    /** Plays two builds or configurations alternately on the same seeds. */
     @Command(name = "compare", mixinStandardHelpOptions = true, description =
         "Plays two builds or two configurations "
-        + "in turn on the same seeds: paired differences, each with its 95% confidence interval.")
+        + "alternately on the same seeds: paired differences with 95% confidence intervals.")
     static final class Compare implements Callable<Integer> {
         @Parameters(paramLabel = "FILE", description = "the experiment")
         Path file;
@@ -123,10 +126,11 @@
         @Option(names = "--b", defaultValue = "${sys:stoatreel.root:-.}", description =
             "second build (${DEFAULT-VALUE})")
         Path b;
-        @Option(names = "--set-a", paramLabel = "KEY=VALUE", description = "laid over the file for the first")
+        @Option(names = "--set-a", paramLabel = "KEY=VALUE", description =
+            "overrides a value of the file for the first")
         List<String> settingsA = new ArrayList<>();
         @Option(names = "--set-b", paramLabel = "KEY=VALUE", description =
-            "laid over the file for the second")
+            "overrides a value of the file for the second")
         List<String> settingsB = new ArrayList<>();
         @Option(names = "--seeds", split = ",", defaultValue = "1,2,3,4,5", description = "${DEFAULT-VALUE}")
         List<Long> seeds;
@@ -136,23 +140,24 @@
 
         @Override
         public Integer call() throws Exception {
-            Series series = new Series(out, new Progress());
-            return finish(series, series.compare(
-                new Series.Side(name(a, settingsA, "a"), file, settingsA, Build.load(a)),
-                new Series.Side(name(b, settingsB, "b"), file, settingsB, Build.load(b)), seeds), out,
+            PlaySeries series = new PlaySeries(out, new ProgressLine());
+            return printSummary(series, series.compare(
+                new PlaySeries.Variant(variantName(a, settingsA, "a"), file, settingsA, Build.load(a)),
+                new PlaySeries.Variant(variantName(b, settingsB, "b"), file, settingsB, Build.load(b)),
+                seeds), out,
                 "compare.html");
         }
 
-        private static String name(Path build, List<String> settings, String side) {
+        private static String variantName(Path build, List<String> settings, String label) {
             String folder = build.toAbsolutePath().normalize().getFileName().toString();
-            return side + " " + folder + (settings.isEmpty() ? "" : " " + String.join(" ", settings));
+            return label + " " + folder + (settings.isEmpty() ? "" : " " + String.join(" ", settings));
         }
     }
 
-    /** Plays one key over some values. */
+    /** Plays an experiment with several values of one key. */
     @Command(name = "sweep", mixinStandardHelpOptions = true, description =
-        "Plays one key of the experiment over "
-        + "values: a table and plots.")
+        "Plays an experiment with each of several "
+        + "values of one key: a table and charts.")
     static final class Sweep implements Callable<Integer> {
         @Parameters(paramLabel = "FILE", description = "the experiment")
         Path file;
@@ -160,7 +165,8 @@
         String key;
         @Option(names = "--values", required = true, split = ",", description = "such as 0.4,0.6,0.8")
         List<String> values;
-        @Option(names = "--set", paramLabel = "KEY=VALUE", description = "laid over the file for all")
+        @Option(names = "--set", paramLabel = "KEY=VALUE", description =
+            "overrides a value of the file in all plays")
         List<String> settings = new ArrayList<>();
         @Option(names = "--seeds", split = ",", defaultValue = "1,2", description = "${DEFAULT-VALUE}")
         List<Long> seeds;
@@ -173,24 +179,26 @@
 
         @Override
         public Integer call() throws Exception {
-            Series series = new Series(out, new Progress());
-            Series.Side side = new Series.Side(file.getFileName().toString(), file, settings, Build.load(root));
-            return finish(series, series.sweep(side, key, values, seeds), out, "sweep.html");
+            PlaySeries series = new PlaySeries(out, new ProgressLine());
+            PlaySeries.Variant variant = new PlaySeries.Variant(file.getFileName().toString(), file, settings,
+                Build.load(root));
+            return printSummary(series, series.sweep(variant, key, values, seeds), out, "sweep.html");
         }
     }
 
-    private static int finish(Series series, TablePage page, Path out, String file) {
-        System.out.print(page.plain());
-        if (series.leftOut() > 0) {
-            System.out.println(series.leftOut() + " plays were left out, as each try was void");
+    private static int printSummary(PlaySeries series, TablePage page, Path out, String pageFile) {
+        System.out.print(page.toPlainText());
+        if (series.missingResults() > 0) {
+            System.out.println(series.missingResults()
+                + " results are missing, as each of their plays was void");
         }
-        System.out.println("report: " + out.resolve(file));
-        return series.kept() && series.leftOut() == 0 ? 0 : 1;
+        System.out.println("report: " + out.resolve(pageFile));
+        return series.keptAllRules() && series.missingResults() == 0 ? 0 : 1;
     }
 
-    /** Reads an experiment and says what it would play. */
+    /** Reads an experiment and prints a summary of its plan. */
     @Command(name = "check", mixinStandardHelpOptions = true, description =
-        "Reads an experiment; starts nothing.")
+        "Validates an experiment and prints its plan, without running it.")
     static final class Check implements Callable<Integer> {
         @Parameters(paramLabel = "FILE", description = "the experiment")
         Path file;
@@ -202,17 +210,18 @@
             Plan plan = Plan.generate(ExperimentReader.read(file), seed);
             System.out.printf("%s: %s%n%d proxies, %d nodes, %d requests at %.0f/s in %d s, %d faults%n"
                 + "plan %s%n",
-                plan.experiment().name(), plan.experiment().shows(), plan.experiment().proxies().count(),
-                plan.nodes().size(), plan.arrivals().size(), plan.rate(),
-                plan.experiment().length() / 1_000_000, plan.faults().size(), plan.hash());
+                plan.experiment().name(), plan.experiment().description(), plan.experiment().proxies()
+                .count(),
+                plan.nodes().size(), plan.arrivals().size(), plan.requestsPerSecond(),
+                plan.experiment().duration() / 1_000_000, plan.faults().size(), plan.sha256());
             return 0;
         }
     }
 
     /** Lists the experiments of a folder. */
     @Command(name = "list", mixinStandardHelpOptions = true, description =
-        "Lists experiments and what each shows.")
-    static final class ListAll implements Callable<Integer> {
+        "Lists experiments with their descriptions.")
+    static final class ListExperiments implements Callable<Integer> {
         @Parameters(paramLabel = "FOLDER", arity = "0..1", defaultValue = "experiments", description =
             "${DEFAULT-VALUE}")
         Path folder;
@@ -220,9 +229,9 @@
         @Override
         public Integer call() throws IOException {
             try (Stream<Path> files = Files.list(folder)) {
-                for (Path file : files.filter(one -> one.toString().endsWith(".toml")).sorted().toList()) {
+                for (Path file : files.filter(path -> path.toString().endsWith(".toml")).sorted().toList()) {
                     Experiment experiment = ExperimentReader.read(file);
-                    System.out.printf("%-18s %s%n", experiment.name(), experiment.shows());
+                    System.out.printf("%-18s %s%n", experiment.name(), experiment.description());
                 }
             }
             return 0;
--- a/lab/src/main/java/dockrelay/lab/spec/Overrides.java
+++ b/lab/src/main/java/dockrelay/lab/spec/Overrides.java
@@ -8,14 +8,14 @@
 import org.tomlj.Toml;
 import org.tomlj.TomlParseResult;
 
-/** Keys laid over an experiment file from the command line, each as key=value. */
+/** Values from the command line, each key=value, that override those of an experiment file. */
 final class Overrides {
     static final Overrides NONE = new Overrides();
 
     private final Map<String, Object> values = new HashMap<>();
-    private final Set<String> read = new HashSet<>();
+    private final Set<String> keysRead = new HashSet<>();
 
-    static Overrides of(List<String> settings) {
+    static Overrides parse(List<String> settings) {
         Overrides result = new Overrides();
         for (String setting : settings) {
             int equals = setting.indexOf('=');
@@ -25,7 +25,7 @@
             }
             String key = setting.substring(0, equals).trim(), text = setting.substring(equals + 1).trim();
             TomlParseResult parsed = Toml.parse("v = " + text);
-            // A shell takes quotes away: what is no value of TOML is a text.
+            // The shell strips quotes, so anything that is not a TOML value is taken as a string.
             result.values.put(key, parsed.hasErrors() ? text : parsed.get("v"));
         }
         return result;
@@ -34,15 +34,15 @@
     Object get(String path) {
         Object value = values.get(path);
         if (value != null) {
-            read.add(path);
+            keysRead.add(path);
         }
         return value;
     }
 
-    /** Refuses what no key of the file's tables has taken. */
-    void done() {
+    /** Throws for an override whose key the reader has not asked for. */
+    void rejectUnusedKeys() {
         for (String key : values.keySet()) {
-            if (!read.contains(key)) {
+            if (!keysRead.contains(key)) {
                 throw new SpecException("--set " + key + ": there is no such key in this experiment");
             }
         }
