--- a/proxy/src/main/java/dockrelay/proxy/Proxy.java
+++ b/proxy/src/main/java/dockrelay/proxy/Proxy.java
@@ -345,7 +345,7 @@
         return eventLoop;
     }
 
-    ClientFrontend clientSide() {
+    ClientFrontend clientFrontend() {
         return clientFrontend;
     }
 
--- a/proxy/src/test/java/dockrelay/proxy/ConnectionCloseRaceTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/ConnectionCloseRaceTest.java
@@ -43,7 +43,7 @@
         start(1024);
         try (FakeClient client = new FakeClient(proxy)) {
             assertEquals(200, client.send(FakeClient.getRequest("4.0")).readStatus());
-            Fakes.whileBlocked(proxy.eventLoop(), () -> proxy.clientSide().closeIdle(), () -> {
+            Fakes.whileBlocked(proxy.eventLoop(), () -> proxy.clientFrontend().closeIdle(), () -> {
                 client.send(FakeClient.getRequest("4.0"));
             });
             assertEquals(200, client.readStatus());
@@ -59,7 +59,7 @@
         try (FakeClient client = new FakeClient(proxy)) {
             assertEquals(200, client.send(FakeClient.getRequest("4.0")).readStatus());
             String request = FakeClient.postRequest("put", "4.0");
-            Fakes.whileBlocked(proxy.eventLoop(), () -> proxy.clientSide().closeIdle(), () -> {
+            Fakes.whileBlocked(proxy.eventLoop(), () -> proxy.clientFrontend().closeIdle(), () -> {
                 client.send(request.substring(0, 20));
             });
             assertNull(client.readResponse(), "expected an orderly close, not a reset over unread bytes");
@@ -82,7 +82,7 @@
         try (FakeClient client = new FakeClient(proxy)) {
             assertEquals(200, client.send(FakeClient.getRequest("4.0")).readStatus());
             String request = FakeClient.getRequest("4.0");
-            Fakes.whileBlocked(proxy.eventLoop(), () -> proxy.clientSide().limitConnections(1), () -> {
+            Fakes.whileBlocked(proxy.eventLoop(), () -> proxy.clientFrontend().limitConnections(1), () -> {
                 client.send(request.substring(0, 20));
             });
             client.send(request.substring(20));
@@ -110,7 +110,7 @@
             activeClients.add(new FakeClient(proxy).send(FakeClient.postRequest("save", "4.0")));
         }
         Fakes.await("the requests to reach the backend", () -> backend.requests.size() == 3);
-        proxy.eventLoop().submit(() -> proxy.clientSide().limitConnections(3)).sync();
+        proxy.eventLoop().submit(() -> proxy.clientFrontend().limitConnections(3)).sync();
         int port = proxy.listenAddress().getPort();
         Thread stopThread = new Thread(proxy::stop);
         stopThread.start();
