--- a/decision/src/main/java/dockrelay/RiqBalancer.java
+++ b/decision/src/main/java/dockrelay/RiqBalancer.java
@@ -140,6 +140,7 @@
         this.actions = actions;
         this.randomState = seed;
         ServiceClass firstClass = settings.classes().get(0);
+        // A class that the settings do not name is treated as if its requests must never be executed twice.
         ServiceClass unknownClass = new ServiceClass("", firstClass.latencyTarget(), 0, firstClass.deadline(),
             Idempotency.AT_MOST_ONCE, DedupScope.CELL, 0, firstClass.lateValue(), null, null);
         meanTarget = settings.classes().stream().mapToDouble(ServiceClass::latencyTarget).average().orElse(0);
@@ -798,8 +799,7 @@
         return agree ? Math.max(demandShare, evenShare / 4) : hasView(now) ? fleet.share() : fleet.minShare();
     }
 
-    // Sends each tenant's demand here to all peers, and sets this proxy's share of each quota by its share of
-    // the demand, so that a tenant within its quota is not refused at a proxy with more than average traffic.
+    // Divides quotas by demand: a tenant within its quota is not refused at a proxy with more traffic.
     private void exchangeDemand(long now) {
         StringBuilder message = new StringBuilder();
         int tenantIndex = 0;
--- a/fleet/src/main/java/dockrelay/fleet/MemberState.java
+++ b/fleet/src/main/java/dockrelay/fleet/MemberState.java
@@ -2,7 +2,7 @@
 
 /** The state of a member in another member's view. */
 public enum MemberState {
-    /** Configured but not heard of yet; for a member itself: no peer has answered it yet. */
+    /** Configured, but nothing received from or about it yet; for the member itself: no peer answered yet. */
     JOINING,
     PRESENT,
     /** Answered neither a direct nor an indirect probe; it may still refute that. */
--- a/fleet/src/main/java/dockrelay/fleet/Membership.java
+++ b/fleet/src/main/java/dockrelay/fleet/Membership.java
@@ -38,7 +38,7 @@
     private static final int CONFLICT_THRESHOLD = 3, CONFLICT_WINDOW_PERIODS = 50;
     private static final int LEAVE_FANOUT = 16;
     /**
-     * A restarted process that nobody answers joins after this many periods. Until then it tries to learn
+     * A restarted process that no member answers joins after this many periods. Until then it tries to learn
      * from its peers which incarnation its name had.
      */
     private static final int JOIN_TIMEOUT_PERIODS = 5;
--- a/fleet/src/main/java/dockrelay/fleet/ProtocolTiming.java
+++ b/fleet/src/main/java/dockrelay/fleet/ProtocolTiming.java
@@ -25,7 +25,7 @@
         return 3 * minSuspicionTime(memberCount);
     }
 
-    /** A member that was never heard of counts as gone after this time. */
+    /** A member from or about which nothing was ever received counts as gone after this time. */
     long joiningTimeout() {
         return 50 * period;
     }
--- a/fleet/src/main/java/dockrelay/fleet/budget/Budget.java
+++ b/fleet/src/main/java/dockrelay/fleet/budget/Budget.java
@@ -36,7 +36,7 @@
         }
     }
 
-    /** A budget of so many tokens a second, with a burst of one second's tokens. */
+    /** A budget with this rate in tokens a second and a burst of one second's tokens. */
     public static Budget perSecond(String name, double rate) {
         long microtokens = Math.round(rate * MICROTOKENS_PER_TOKEN);
         return new Budget(name, microtokens, Math.max(MIN_BURST_MICROTOKENS, microtokens));
--- a/fleet/src/main/java/dockrelay/fleet/budget/BudgetNode.java
+++ b/fleet/src/main/java/dockrelay/fleet/budget/BudgetNode.java
@@ -20,7 +20,7 @@
  * and console answers the coordinator is called keeper.
  */
 public class BudgetNode {
-    /** Without a grant for so many periods, other members are asked as well. */
+    /** After this number of periods without a grant, the request also goes to other members. */
     private static final int MAX_BUDGETS = BudgetMessage.MAX_BUDGETS, REQUEST_RETRY_PERIODS = 3;
     /** Tick interval after leaving: nothing is due any more. */
     private static final long IDLE_TICK_MICROS = 3_600_000_000L;
--- a/fleet/src/main/java/dockrelay/fleet/budget/CoordinatorElection.java
+++ b/fleet/src/main/java/dockrelay/fleet/budget/CoordinatorElection.java
@@ -17,7 +17,7 @@
  * of the caller's clock.
  */
 class CoordinatorElection {
-    /** Votes are counted for so many of the last renewals. */
+    /** Votes are counted for this number of the latest renewals. */
     private static final int MAX_TRACKED_RENEWALS = 8;
     /**
      * Members without a vote get every n-th renewal only. A member that lost its state in a restart
--- a/fleet/src/main/java/dockrelay/fleet/budget/LeaseLedger.java
+++ b/fleet/src/main/java/dockrelay/fleet/budget/LeaseLedger.java
@@ -20,7 +20,7 @@
     private static final double MIN_RELATIVE_CHANGE = 0.05;
     /** Minimum interval between two divisions by demand. */
     private static final long MIN_DIVISION_INTERVAL_MICROS = 80_000;
-    /** A process that has sent no request for so many periods no longer waits for a token. */
+    /** A process that has sent no request for this number of periods no longer waits for a token. */
     private static final int MAX_WAITING_PERIODS = 4;
     /**
      * Part of the rate that is leased: clocks may run 3 % apart, and each holder refills its bucket by
--- a/fleet/src/main/java/dockrelay/fleet/group/FleetTotals.java
+++ b/fleet/src/main/java/dockrelay/fleet/group/FleetTotals.java
@@ -18,7 +18,7 @@
     }
 
     /**
-     * Whether a group is excluded: a majority of the fleet does not hear of it, and neither does this
+     * Whether a group is excluded: it is unreachable both to a majority of the fleet and to this
      * member.
      */
     boolean isExcluded(long now, int group) {
--- a/fleet/src/main/java/dockrelay/fleet/group/GroupPoller.java
+++ b/fleet/src/main/java/dockrelay/fleet/group/GroupPoller.java
@@ -86,8 +86,8 @@
     }
 
     /**
-     * Whether so many queries failed since a group's last reply that a single dead member cannot be the
-     * cause.
+     * Whether the number of queries that failed since a group's last reply is too high for a single dead
+     * member to be the cause.
      */
     boolean isUnresponsive(int group) {
         return failedQueries[group] >= MAX_FAILED_QUERIES;
--- a/fleet/src/main/java/dockrelay/fleet/group/GroupTable.java
+++ b/fleet/src/main/java/dockrelay/fleet/group/GroupTable.java
@@ -10,7 +10,7 @@
 class GroupTable {
     /** The row of a group. */
     static final class Row {
-        GroupSummary summary; // null if the group was never heard of
+        GroupSummary summary; // null if no summary of the group was ever received
         long earliestOrigin; // the earliest time at which the summary may have been made
         long version, changedAt;
         byte[] unreachable; // bitmap of the groups that are unreachable to this group; null if unknown
--- a/fleet/src/main/java/dockrelay/fleet/group/GroupTiming.java
+++ b/fleet/src/main/java/dockrelay/fleet/group/GroupTiming.java
@@ -71,7 +71,7 @@
         return 8 * protocolTiming.period();
     }
 
-    /** The additional time before a group that was never heard of counts as unreachable. */
+    /** The additional time before a group without any received summary counts as unreachable. */
     long initialGraceTime() {
         return 50 * protocolTiming.period();
     }
--- a/fleet/src/main/java/dockrelay/fleet/group/GroupedMembership.java
+++ b/fleet/src/main/java/dockrelay/fleet/group/GroupedMembership.java
@@ -22,8 +22,8 @@
     /** What the owner has to do for this state machine. Called on the thread that calls the state machine. */
     public interface Callbacks extends Membership.Callbacks {
         /**
-         * Reports the result of {@link #findMember}; {@code status} is null if nobody who may know the name
-         * answered.
+         * Reports the result of {@link #findMember}; {@code status} is null if no member that may know the
+         * name answered.
          */
         void memberLookupCompleted(String name, MemberStatus status);
     }
--- a/fleet/src/main/java/dockrelay/fleet/group/InterGroupProtocol.java
+++ b/fleet/src/main/java/dockrelay/fleet/group/InterGroupProtocol.java
@@ -92,7 +92,7 @@
         nextTickAt = Math.min(nextDueAt, pendingQueries.nextTimeoutAt());
     }
 
-    /** After a pause of this process, extends time-outs: nobody is blamed for the time of the pause. */
+    /** After a pause of this process, extends time-outs: the pause does not count against any member. */
     private void extendTimeoutsAfterStall(long now) {
         long stallTime = now - nextTickAt;
         if (stallTime >= timing.queryTimeout() / 4) {
--- a/proxy/src/main/java/dockrelay/proxy/BudgetConfigReader.java
+++ b/proxy/src/main/java/dockrelay/proxy/BudgetConfigReader.java
@@ -80,8 +80,8 @@
     }
 
     /**
-     * The budgets of a group with so many names. The parts of all groups never add up to more than the
-     * whole.
+     * The budgets of a group with this number of members. The parts of all groups never add up to more
+     * than the whole.
      */
     static List<Budget> groupShares(List<Budget> budgets, int groupSize, PeerGroups groups) {
         return budgets.stream().map(budget -> new Budget(budget.name(),
--- a/proxy/src/main/java/dockrelay/proxy/ListApplier.java
+++ b/proxy/src/main/java/dockrelay/proxy/ListApplier.java
@@ -54,7 +54,7 @@
         this.sink = sink;
     }
 
-    /** Whether so many changes are pending that reading should pause. */
+    /** Whether the number of pending changes has reached the limit at which reading should pause. */
     boolean isFull() {
         return pendingWeight >= MAX_PENDING_CHANGES;
     }
--- a/proxy/src/main/java/dockrelay/proxy/RequestTable.java
+++ b/proxy/src/main/java/dockrelay/proxy/RequestTable.java
@@ -448,7 +448,7 @@
             removeIfDone(entry);
         });
         if (entry.answered) {
-            cancelUnsentAttempts(entry); // after the event: the module is told of the success first
+            cancelUnsentAttempts(entry); // after the event: the module is notified of the success first
         }
     }
 
