--- a/proxy/src/test/java/dockrelay/proxy/UpgradeTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/UpgradeTest.java
@@ -108,7 +108,8 @@
         for (String descriptor : new String[] {"0", "3", "x"}) {
             IOException failure = assertThrows(IOException.class,
                 () -> ProcessEnvironment.read(config, Map.of("PROXY_SOCKET_FD", descriptor)));
-            assertTrue(failure.getMessage().contains("no listening socket"), failure.getMessage());
+            assertTrue(failure.getMessage().endsWith("PROXY_SOCKET_FD is " + descriptor
+                + "; only 0 (standard input) as a listening socket is supported"), failure.getMessage());
         }
     }
 }
