--- a/proxy/src/test/java/dockrelay/proxy/ListUpdatesDuringDrainTest.java
+++ b/proxy/src/test/java/dockrelay/proxy/ListUpdatesDuringDrainTest.java
@@ -93,7 +93,8 @@
     private FakeClient startWithHeldRequest() throws Exception {
         discovery.setFirstList(FakeDiscovery.listJson(1, true, firstEntry("active")));
         proxy = new Proxy(Fakes.parseConfig(Fakes.configJson(0, discovery.port(), MAX_SOCKETS, "", "")
-            .replace("\"HardLimit\":5.0", "\"HardLimit\":60.0")),
+            .replace("\"HardLimit\":5.0", "\"HardLimit\":60.0")
+            .replace("\"Name\":\"put\",\"Aim\":1.0", "\"Name\":\"put\",\"Aim\":60.0")),
             new ProcessEnvironment(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), stateFolder,
             null));
         Fakes.await("status 200 of healthz", () -> {
