--- a/fleet/src/test/java/dockrelay/fleet/DatagramTest.java
+++ b/fleet/src/test/java/dockrelay/fleet/DatagramTest.java
@@ -5,11 +5,11 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dockrelay.fleet.Datagram.MemberUpdate;
+import dockrelay.fleet.Datagram.DecodeException;
 import dockrelay.fleet.Datagram.Header;
 import dockrelay.fleet.Datagram.Kind;
+import dockrelay.fleet.Datagram.MemberUpdate;
 import dockrelay.fleet.Datagram.RefusalReason;
-import dockrelay.fleet.Datagram.DecodeException;
 import dockrelay.fleet.Datagram.ViewReport;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
@@ -25,10 +25,9 @@
         List<ViewReport> reports) {
         Datagram datagram = new Datagram(new Header(Kind.values()[random.nextInt(6)], random.nextInt(),
             random.nextLong() >>> 8, random.nextInt(), random.nextInt(), random.nextBoolean(),
-                random.nextInt(),
-            random.nextInt(), random.nextInt()));
-        int next = datagram.appendUpdates(updates, 0, updates.size());
-        assertEquals(updates.size(), next);
+            random.nextInt(), random.nextInt(), random.nextInt()));
+        int nextIndex = datagram.appendUpdates(updates, 0, updates.size());
+        assertEquals(updates.size(), nextIndex);
         datagram.appendReports(reports);
         ByteBuffer encoded = datagram.finish();
         return Arrays.copyOf(encoded.array(), encoded.remaining());
@@ -42,7 +41,7 @@
     }
 
     /**
-     * Entries and reports survive encoding and decoding; the first reports are sent, as many as fit; ages are
+     * Updates and reports survive encoding and decoding; the first reports are sent, as many as fit; ages are
      * rounded up.
      */
     @Test
@@ -69,49 +68,55 @@
                 || bytes.length > Datagram.MAX_DATAGRAM_BYTES - 100,
                 "reports were left out although the datagram has room");
             for (int i = 0; i < decoded.reports().size(); i++) {
-                ViewReport sent = reports.get(i), received = decoded.reports().get(i);
-                assertEquals(sent.incarnation(), received.incarnation());
-                assertEquals(sent.heartbeat(), received.heartbeat());
-                assertArrayEquals(sent.memberFlags(), received.memberFlags());
-                assertTrue(received.age() >= sent.age() && received.age() < sent.age() + 1000);
+                ViewReport sentReport = reports.get(i), receivedReport = decoded.reports().get(i);
+                assertEquals(sentReport.incarnation(), receivedReport.incarnation());
+                assertEquals(sentReport.heartbeat(), receivedReport.heartbeat());
+                assertArrayEquals(sentReport.memberFlags(), receivedReport.memberFlags());
+                assertTrue(receivedReport.age() >= sentReport.age() && receivedReport.age() < sentReport.age()
+                    + 1000);
             }
         }
     }
 
-    /** Truncated, corrupted and random datagrams are rejected, even with a valid checksum. */
+    /**
+     * Truncated and corrupted datagrams are refused. Random content with a valid checksum is decoded or
+     * refused, without any other exception.
+     */
     @Test
     void malformedDatagramsAreRefused() throws Exception {
         for (int seed = 0; seed < 3_000; seed++) {
             Random random = new Random(seed);
-            byte[] valid = randomDatagram(random, List.of(new MemberUpdate(1, MemberState.PRESENT, 5, 2)),
+            byte[] validDatagram = randomDatagram(random,
+                List.of(new MemberUpdate(1, MemberState.PRESENT, 5, 2)),
                 List.of(new ViewReport(1, 2, 3, 4, 5, new byte[] {1, 2})));
-            byte[] truncated = Arrays.copyOf(valid, random.nextInt(valid.length));
-            assertThrows(DecodeException.class, () -> Datagram.decode(ByteBuffer.wrap(truncated)));
-            byte[] corrupted = valid.clone();
-            corrupted[random.nextInt(corrupted.length)] ^= (byte) (1 + random.nextInt(255));
-            assertThrows(DecodeException.class, () -> Datagram.decode(ByteBuffer.wrap(corrupted)));
-            byte[] arbitrary = new byte[8 + random.nextInt(200)];
-            random.nextBytes(arbitrary);
-            System.arraycopy(valid, 0, arbitrary, 0, 3 + random.nextInt(5));
+            byte[] truncatedDatagram = Arrays.copyOf(validDatagram, random.nextInt(validDatagram.length));
+            assertThrows(DecodeException.class, () -> Datagram.decode(ByteBuffer.wrap(truncatedDatagram)));
+            byte[] corruptedDatagram = validDatagram.clone();
+            corruptedDatagram[random.nextInt(corruptedDatagram.length)] ^= (byte) (1 + random.nextInt(255));
+            assertThrows(DecodeException.class, () -> Datagram.decode(ByteBuffer.wrap(corruptedDatagram)));
+            byte[] randomContent = new byte[8 + random.nextInt(200)];
+            random.nextBytes(randomContent);
+            System.arraycopy(validDatagram, 0, randomContent, 0, 3 + random.nextInt(5));
             try {
-                Datagram.decode(ByteBuffer.wrap(withChecksum(arbitrary)));
+                Datagram.decode(ByteBuffer.wrap(withChecksum(randomContent)));
             } catch (DecodeException e) {
                 assertEquals(RefusalReason.CUT, e.reason);
             }
         }
     }
 
-    /** Unknown sections are skipped; a later format version is rejected as such. */
+    /** Unknown sections are skipped; a later format version is refused as such. */
     @Test
     void unknownSectionsAreSkippedAndNewerVersionsRefused() throws Exception {
-        byte[] valid = randomDatagram(new Random(1), List.of(new MemberUpdate(1, MemberState.PRESENT, 5, 2)),
-            List.of());
-        byte[] withUnknownSection = Arrays.copyOf(valid, valid.length + 8);
-        System.arraycopy(new byte[] {77, 0, 5, 1, 2, 3, 4, 5}, 0, withUnknownSection, valid.length - 4, 8);
+        byte[] validDatagram = randomDatagram(new Random(1),
+            List.of(new MemberUpdate(1, MemberState.PRESENT, 5, 2)), List.of());
+        byte[] withUnknownSection = Arrays.copyOf(validDatagram, validDatagram.length + 8);
+        System.arraycopy(new byte[] {77, 0, 5, 1, 2, 3, 4, 5}, 0, withUnknownSection,
+            validDatagram.length - 4, 8);
         assertEquals(1, Datagram.decode(ByteBuffer.wrap(withChecksum(withUnknownSection))).updates().size());
-        byte[] newerVersion = valid.clone();
-        newerVersion[2] = 2;
+        byte[] newerDatagram = validDatagram.clone();
+        newerDatagram[2] = 2;
         assertEquals(RefusalReason.NEWER, assertThrows(DecodeException.class,
-            () -> Datagram.decode(ByteBuffer.wrap(withChecksum(newerVersion)))).reason);
+            () -> Datagram.decode(ByteBuffer.wrap(withChecksum(newerDatagram)))).reason);
     }
 }
--- a/fleet/src/test/java/dockrelay/fleet/FaultSchedule.java
+++ b/fleet/src/test/java/dockrelay/fleet/FaultSchedule.java
@@ -16,7 +16,7 @@
     private static final long STARTUP_TIME = 4 * SECOND, FAULT_WINDOW = 14 * SECOND;
 
     /** The result of a run. */
-    record Outcome(int members, boolean lossless, int falseDeclarations, List<Long> detectionTimes,
+    record Outcome(int memberCount, boolean lossless, int falseDeclarations, List<Long> detectionTimes,
         double maxShareSum) {
     }
 
@@ -42,9 +42,9 @@
     private Outcome run() {
         boolean startTogether = random.nextBoolean();
         for (int i = 0; i < memberCount; i++) {
-            int number = i;
+            int memberIndex = i;
             simulation.schedule(startTogether ? 0 : random.nextInt((int) SECOND),
-                () -> simulation.start("n" + number, 1));
+                () -> simulation.start("n" + memberIndex, 1));
         }
         simulation.runUntil(STARTUP_TIME);
         int faultCount = 1 + random.nextInt(3);
@@ -56,7 +56,7 @@
         while (simulation.now < lastFaultAt) { // a fault may schedule further ones
             simulation.runUntil(lastFaultAt);
         }
-        // replayed datagrams still arrive
+        // Replayed datagrams still arrive.
         simulation.lossRate = simulation.duplicationRate = simulation.corruptionRate = 0;
         String error = awaitAgreement(lastFaultAt + CONVERGENCE_TIME);
         if (error == null) { // the views stay equal, except that members never heard of become gone over time
@@ -106,29 +106,29 @@
         return process != null && !process.dead && !process.paused;
     }
 
-    private void addRandomFault(long at) {
+    private void addRandomFault(long time) {
         int kind = random.nextInt(12);
         pausesOnly &= kind == 3 || kind == 11;
         switch (kind) {
-            case 0, 1 -> kill(at, randomMember());
+            case 0, 1 -> kill(time, randomMember());
             case 2 -> { // most or all members die at once, and most of them restart
                 double fraction = random.nextBoolean() ? 0.7 : 1;
                 for (int i = 0; i < memberCount; i++) {
                     if (random.nextDouble() < fraction) {
-                        kill(at, "n" + i);
+                        kill(time, "n" + i);
                     }
                 }
             }
             case 3 -> { // a pause; one of half a second must not be taken for a death
                 long duration = List.of(500 * MILLISECOND, 3 * SECOND, 9 * SECOND).get(random.nextInt(3));
                 lossless &= duration < SECOND;
-                pause(at, duration, randomMember());
+                pause(time, duration, randomMember());
             }
             case 11 -> { // a process that runs for short moments only
                 lossless = false;
                 String name = randomMember();
                 for (int i = 0; i < 30; i++) {
-                    pause(at + i * 350 * MILLISECOND, 250 * MILLISECOND, name);
+                    pause(time + i * 350 * MILLISECOND, 250 * MILLISECOND, name);
                 }
             }
             case 4 -> { // one member loses all datagrams in one direction
@@ -137,29 +137,29 @@
                 boolean inbound = random.nextBoolean();
                 for (int b = 0; b < memberCount; b++) {
                     if (a != b) {
-                        blockDirection(at, at + 3 * SECOND + random.nextInt((int) (6 * SECOND)), inbound ? b
-                            : a, inbound ? a : b);
+                        blockDirection(time, time + 3 * SECOND + random.nextInt((int) (6 * SECOND)), inbound
+                            ? b : a, inbound ? a : b);
                     }
                 }
             }
             case 5 -> { // two members cannot reach each other; indirect probes show that both are alive
                 int a = random.nextInt(memberCount), b = random.nextInt(memberCount);
                 lossless &= memberCount > 3 && singleFault; // needs at least one helper that is alive
-                blockDirection(at, at + 5 * SECOND, a, b);
-                blockDirection(at, at + 5 * SECOND, b, a);
+                blockDirection(time, time + 5 * SECOND, a, b);
+                blockDirection(time, time + 5 * SECOND, b, a);
             }
-            case 6 -> partition(at, 2);
-            case 7 -> partition(at, 3);
+            case 6 -> partition(time, 2);
+            case 7 -> partition(time, 3);
             case 8 -> { // loss, delay, duplication and corruption
                 lossless = false;
-                double loss = random.nextDouble() * 0.3;
-                scheduleAt(at, () -> {
-                    simulation.lossRate = loss;
+                double lossRate = random.nextDouble() * 0.3;
+                scheduleAt(time, () -> {
+                    simulation.lossRate = lossRate;
                     simulation.duplicationRate = 0.1;
                     simulation.corruptionRate = 0.02;
                     simulation.maxJitter = 30 * MILLISECOND;
                 });
-                scheduleAt(at + 6 * SECOND, () -> {
+                scheduleAt(time + 6 * SECOND, () -> {
                     simulation.lossRate = simulation.duplicationRate = simulation.corruptionRate = 0;
                     simulation.maxJitter = 3 * MILLISECOND;
                 });
@@ -168,15 +168,15 @@
                 lossless = false;
                 int a = random.nextInt(memberCount), b = random.nextInt(memberCount);
                 for (int i = 0; i < 10; i++) {
-                    blockDirection(at + i * 600 * MILLISECOND, at + i * 600 * MILLISECOND + 300 * MILLISECOND,
-                        a, b);
-                    blockDirection(at + i * 600 * MILLISECOND, at + i * 600 * MILLISECOND + 300 * MILLISECOND,
-                        b, a);
+                    blockDirection(time + i * 600 * MILLISECOND, time + i * 600 * MILLISECOND
+                        + 300 * MILLISECOND, a, b);
+                    blockDirection(time + i * 600 * MILLISECOND, time + i * 600 * MILLISECOND
+                        + 300 * MILLISECOND, b, a);
                 }
             }
             default -> { // a member leaves and returns
                 String name = randomMember();
-                scheduleAt(at, () -> {
+                scheduleAt(time, () -> {
                     if (isRunning(name)) {
                         MembershipSimulation.Process process = simulation.processes.get(name);
                         simulation.trace(name + " leaves");
@@ -185,14 +185,14 @@
                         restart(simulation.now + 2 * SECOND + random.nextInt((int) (5 * SECOND)), name);
                     }
                 });
-                lastFaultAt = Math.max(lastFaultAt, at + 8 * SECOND);
+                lastFaultAt = Math.max(lastFaultAt, time + 8 * SECOND);
             }
         }
         simulation.replayRate = random.nextInt(3) == 0 ? 0.01 : 0;
     }
 
-    private void pause(long at, long duration, String name) {
-        scheduleAt(at, () -> {
+    private void pause(long time, long duration, String name) {
+        scheduleAt(time, () -> {
             if (isRunning(name)) {
                 MembershipSimulation.Process process = simulation.processes.get(name);
                 simulation.pause(name);
@@ -203,13 +203,13 @@
                 });
             }
         });
-        lastFaultAt = Math.max(lastFaultAt, at + duration);
+        lastFaultAt = Math.max(lastFaultAt, time + duration);
     }
 
-    private void kill(long at, String name) {
-        scheduleAt(at, () -> simulation.kill(name));
+    private void kill(long time, String name) {
+        scheduleAt(time, () -> simulation.kill(name));
         if (random.nextInt(4) > 0) {
-            restart(at + 20 * MILLISECOND + random.nextInt((int) (8 * SECOND)), name);
+            restart(time + 20 * MILLISECOND + random.nextInt((int) (8 * SECOND)), name);
         }
     }
 
@@ -217,9 +217,9 @@
      * Restarts a member with its stored incarnation, or with the lowest one, so that peers have to correct
      * it.
      */
-    private void restart(long at, String name) {
+    private void restart(long time, String name) {
         boolean keepsIncarnation = random.nextBoolean();
-        scheduleAt(at, () -> {
+        scheduleAt(time, () -> {
             MembershipSimulation.Process process = simulation.processes.get(name);
             if (process != null && process.dead) {
                 simulation.start(name, keepsIncarnation ? simulation.incarnations.getOrDefault(name, 0L) + 1
@@ -228,22 +228,22 @@
         });
     }
 
-    private void blockDirection(long at, long end, int from, int to) {
+    private void blockDirection(long start, long end, int from, int to) {
         if (from != to) {
-            scheduleAt(at, () -> simulation.changeBlockCount(from, to, 1));
+            scheduleAt(start, () -> simulation.changeBlockCount(from, to, 1));
             scheduleAt(end, () -> simulation.changeBlockCount(from, to, -1));
         }
     }
 
-    private void partition(long at, int sideCount) {
+    private void partition(long start, int sideCount) {
         lossless = false;
-        long end = at + 2 * SECOND + random.nextInt((int) (12 * SECOND));
+        long end = start + 2 * SECOND + random.nextInt((int) (12 * SECOND));
         int[] sides = random.ints(memberCount, 0, sideCount).toArray();
         simulation.sides = singleFault ? sides : null;
         for (int a = 0; a < memberCount; a++) {
             for (int b = 0; b < memberCount; b++) {
                 if (sides[a] != sides[b]) {
-                    blockDirection(at, end, a, b);
+                    blockDirection(start, end, a, b);
                 }
             }
         }
--- a/fleet/src/test/java/dockrelay/fleet/FaultyMemberships.java
+++ b/fleet/src/test/java/dockrelay/fleet/FaultyMemberships.java
@@ -19,61 +19,61 @@
 
     static Map<String, MembershipSimulation.Factory> variants() {
         Map<String, MembershipSimulation.Factory> variants = new LinkedHashMap<>();
-        variants.put("never refutes a suspicion of itself", (self, names, incarnation, instanceId, timing,
-            random, callbacks, startTime) -> new Variant(self, names, incarnation, instanceId, timing, random,
-            callbacks, startTime) {
+        variants.put("never refutes a suspicion of itself",
+            (self, names, incarnation, instanceId, timing, random, callbacks, startTime) ->
+            new Variant(self, names, incarnation, instanceId, timing, random, callbacks, startTime) {
                 @Override
-                void refute(long now, Datagram.MemberUpdate entry) {
+                void refute(long now, Datagram.MemberUpdate update) {
                 }
             });
         variants.put("does not raise its incarnation above a forgotten one",
-            (self, names, incarnation, instanceId, timing, random, callbacks, startTime) -> new Variant(self,
-            names, 1, instanceId, timing, random, callbacks, startTime) {
+            (self, names, incarnation, instanceId, timing, random, callbacks, startTime) ->
+            new Variant(self, names, 1, instanceId, timing, random, callbacks, startTime) {
                 @Override
-                void refute(long now, Datagram.MemberUpdate entry) {
-                    if (entry.incarnation() <= 1) {
-                        super.refute(now, entry);
+                void refute(long now, Datagram.MemberUpdate update) {
+                    if (update.incarnation() <= 1) {
+                        super.refute(now, update);
                     }
                 }
             });
-        variants.put("does not extend time-outs after a pause", (self, names, incarnation, instanceId, timing,
-            random, callbacks, startTime) -> new Variant(self, names, incarnation, instanceId, timing, random,
-            callbacks, startTime) {
+        variants.put("does not extend time-outs after a pause",
+            (self, names, incarnation, instanceId, timing, random, callbacks, startTime) ->
+            new Variant(self, names, incarnation, instanceId, timing, random, callbacks, startTime) {
                 @Override
                 void extendDeadlinesAfterStall(long now) {
                 }
             });
-        variants.put("reports a state as stable right after a change", (self, names, incarnation, instanceId,
-            timing, random, callbacks, startTime) -> new Variant(self, names, incarnation, instanceId, timing,
-            random, callbacks, startTime) {
+        variants.put("reports a state as stable right after a change",
+            (self, names, incarnation, instanceId, timing, random, callbacks, startTime) ->
+            new Variant(self, names, incarnation, instanceId, timing, random, callbacks, startTime) {
                 @Override
-                boolean isStable(long unchanged) {
+                boolean isStable(long unchangedFor) {
                     return true;
                 }
             });
-        variants.put("understates the age of view reports", (self, names, incarnation, instanceId, timing,
-            random, callbacks, startTime) -> new Variant(self, names, incarnation, instanceId, timing, random,
-            callbacks, startTime) {
+        variants.put("understates the age of view reports",
+            (self, names, incarnation, instanceId, timing, random, callbacks, startTime) ->
+            new Variant(self, names, incarnation, instanceId, timing, random, callbacks, startTime) {
                 @Override
-                long ageAfterRoundTrip(long age, long trip) {
+                long ageAfterRoundTrip(long age, long roundTrip) {
                     return 0;
                 }
             });
-        variants.put("never pings members that are gone or have left", (self, names, incarnation, instanceId,
-            timing, random, callbacks, startTime) -> new Variant(self, names, incarnation, instanceId, timing,
-            random, callbacks, startTime) {
+        variants.put("never pings members that are gone or have left",
+            (self, names, incarnation, instanceId, timing, random, callbacks, startTime) ->
+            new Variant(self, names, incarnation, instanceId, timing, random, callbacks, startTime) {
                 @Override
-                void pingAbsent(long now, Member away) {
-                    if (away.state == MemberState.JOINING) {
-                        super.pingAbsent(now, away);
+                void pingAbsent(long now, Member member) {
+                    if (member.state == MemberState.JOINING) {
+                        super.pingAbsent(now, member);
                     }
                 }
             });
-        variants.put("accepts a gone report without suspicion", (self, names, incarnation, instanceId, timing,
-            random, callbacks, startTime) -> new Variant(self, names, incarnation, instanceId, timing, random,
-            callbacks, startTime) {
+        variants.put("accepts a gone report without suspicion",
+            (self, names, incarnation, instanceId, timing, random, callbacks, startTime) ->
+            new Variant(self, names, incarnation, instanceId, timing, random, callbacks, startTime) {
                 @Override
-                boolean requiresSuspicion(Datagram.MemberUpdate entry, MemberState held) {
+                boolean requiresSuspicion(Datagram.MemberUpdate update, MemberState currentState) {
                     return false;
                 }
             });
--- a/fleet/src/test/java/dockrelay/fleet/MembershipSimulation.java
+++ b/fleet/src/test/java/dockrelay/fleet/MembershipSimulation.java
@@ -14,7 +14,7 @@
  */
 final class MembershipSimulation extends VirtualNetwork {
     private static final int MAX_QUEUED_ACTIONS = 256;
-    /** How often a process computes its standing, and how often the invariants are checked. */
+    /** How often a process computes its snapshot, and how often the invariants are checked. */
     private static final long SNAPSHOT_INTERVAL = SECOND / 2, CHECK_INTERVAL = 50 * MILLISECOND;
 
     /** Creates a member; lets tests substitute a faulty variant. */
@@ -48,11 +48,10 @@
 
         Process(String name, long incarnation) {
             this.name = name;
-            // lower ones belong to earlier processes
+            // Lower incarnations belong to earlier processes.
             this.firstIncarnation = incarnations.getOrDefault(name, 0L) + 1;
             this.membership = factory.create(name, names, incarnation, instanceId, ProtocolTiming.DEFAULT,
-                new Random(random.nextLong()),
-                this, localTime());
+                new Random(random.nextLong()), this, localTime());
             scheduleTick();
             refreshSnapshot();
         }
@@ -206,7 +205,7 @@
     }
 
     /**
-     * Blocks one direction ({@code by} is 1) or unblocks it (-1); a direction may be blocked several times.
+     * Blocks one direction ({@code change} is 1) or unblocks it (-1); it may be blocked several times.
      */
     void changeBlockCount(int from, int to, int change) {
         blockCounts[from][to] += change;
@@ -264,8 +263,8 @@
             MembershipSnapshot snapshot = error != null || process.dead ? null
                 : process.membership.snapshot(process.localTime());
             // With many members, a few reports may be stale at any moment.
-            if (snapshot != null && snapshot.agreeingMembers() < snapshot.presentMembers()
-                - snapshot.presentMembers() / 40) {
+            if (snapshot != null && snapshot.agreeingMembers()
+                < snapshot.presentMembers() - snapshot.presentMembers() / 40) {
                 return process.name + " does not know that all agree: " + snapshot
                     + process.membership.memberStatuses(process.localTime()).stream()
                     .filter(status -> !status.state().isAbsent()
--- a/fleet/src/test/java/dockrelay/fleet/MembershipTest.java
+++ b/fleet/src/test/java/dockrelay/fleet/MembershipTest.java
@@ -42,8 +42,8 @@
             outcomes.size(), outcomes.stream().filter(FaultSchedule.Outcome::lossless).count(),
             outcomes.stream().mapToInt(FaultSchedule.Outcome::falseDeclarations).sum(),
             detectionTimes.get(detectionTimes.size() / 2) / 1e6,
-            detectionTimes.get(detectionTimes.size() * 99 / 100) / 1e6, outcomes.stream()
-            .mapToDouble(FaultSchedule.Outcome::maxShareSum).max().orElse(0));
+            detectionTimes.get(detectionTimes.size() * 99 / 100) / 1e6,
+            outcomes.stream().mapToDouble(FaultSchedule.Outcome::maxShareSum).max().orElse(0));
         assertEquals(List.of(), failures.stream().limit(20).toList(), failures.size() + " schedules failed");
     }
 
--- a/fleet/src/test/java/dockrelay/fleet/group/FaultyGroupedMemberships.java
+++ b/fleet/src/test/java/dockrelay/fleet/group/FaultyGroupedMemberships.java
@@ -20,67 +20,67 @@
 
     static Map<String, FleetSimulation.Factory> variants() {
         Map<String, FleetSimulation.Factory> variants = new LinkedHashMap<>();
-        variants.put("queries the same representative forever", (self, assignment, incarnation, instanceId,
-            timing, random, callbacks, startTime) -> new Variant(self, assignment, incarnation, instanceId,
-            timing, random, callbacks, startTime) {
-                private final Map<Integer, String> believed = new HashMap<>();
+        variants.put("queries the same representative forever",
+            (self, assignment, incarnation, instanceId, timing, random, callbacks, startTime) ->
+            new Variant(self, assignment, incarnation, instanceId, timing, random, callbacks, startTime) {
+                private final Map<Integer, String> firstTargets = new HashMap<>();
 
                 @Override
-                String groupQueryTarget(int group, String chosen) {
-                    return believed.computeIfAbsent(group, of -> chosen);
+                String groupQueryTarget(int group, String selected) {
+                    return firstTargets.computeIfAbsent(group, key -> selected);
                 }
 
                 @Override
-                String tableQueryTarget(String chosen) {
-                    return believed.computeIfAbsent(-1, of -> chosen);
+                String tableQueryTarget(String selected) {
+                    return firstTargets.computeIfAbsent(-1, key -> selected);
                 }
             });
-        variants.put("uses summaries of any age", (self, assignment, incarnation, instanceId, timing, random,
-            callbacks, startTime) -> new Variant(self, assignment, incarnation, instanceId, timing, random,
-            callbacks, startTime) {
+        variants.put("uses summaries of any age",
+            (self, assignment, incarnation, instanceId, timing, random, callbacks, startTime) ->
+            new Variant(self, assignment, incarnation, instanceId, timing, random, callbacks, startTime) {
                 @Override
                 boolean isFresh(long age) {
                     return true;
                 }
             });
-        variants.put("understates the age of relayed summaries", (self, assignment, incarnation, instanceId,
-            timing, random, callbacks, startTime) -> new Variant(self, assignment, incarnation, instanceId,
-            timing, random, callbacks, startTime) {
+        variants.put("understates the age of relayed summaries",
+            (self, assignment, incarnation, instanceId, timing, random, callbacks, startTime) ->
+            new Variant(self, assignment, incarnation, instanceId, timing, random, callbacks, startTime) {
                 @Override
-                long ageAfterRoundTrip(long age, long trip) {
+                long ageAfterRoundTrip(long age, long roundTrip) {
                     return 0;
                 }
             });
         variants.put("adds up the summaries of two representatives of a group",
-            (self, assignment, incarnation, instanceId, timing, random, callbacks,
-            startTime) -> new Variant(self, assignment, incarnation, instanceId, timing, random, callbacks,
-            startTime) {
+            (self, assignment, incarnation, instanceId, timing, random, callbacks, startTime) ->
+            new Variant(self, assignment, incarnation, instanceId, timing, random, callbacks, startTime) {
                 @Override
-                GroupSummary mergeSummary(GroupSummary before, long beforeAge, GroupSummary told) {
-                    return before == null || before.reporterId() == told.reporterId()
-                        || beforeAge > timing.reportExpiry() ? told
-                        : new GroupSummary(told.key(), told.listHash(), told.namesHash(), told.viewHash(),
-                        told.presentMembers(), told.leftMembers(), told.goneMembers(), told.countedMembers()
-                        + before.countedMembers(), told.agreement(), told.agreeingMembers(),
-                        told.representatives(), told.reporterId());
+                GroupSummary mergeSummary(GroupSummary stored, long storedAge, GroupSummary received) {
+                    return stored == null || stored.reporterId() == received.reporterId()
+                        || storedAge > timing.reportExpiry() ? received
+                        : new GroupSummary(received.key(), received.listHash(), received.namesHash(),
+                        received.viewHash(), received.presentMembers(), received.leftMembers(),
+                        received.goneMembers(), received.countedMembers() + stored.countedMembers(),
+                        received.agreement(), received.agreeingMembers(), received.representatives(),
+                        received.reporterId());
                 }
 
                 @Override
-                int countedMembers(GroupSummary of, int names) {
-                    return of.countedMembers();
+                int countedMembers(GroupSummary summary, int nameCount) {
+                    return summary.countedMembers();
                 }
             });
-        variants.put("counts a moved member in both groups", (self, assignment, incarnation, instanceId,
-            timing, random, callbacks, startTime) -> new Variant(self, assignment, incarnation, instanceId,
-            timing, random, callbacks, startTime) {
+        variants.put("counts a moved member in both groups",
+            (self, assignment, incarnation, instanceId, timing, random, callbacks, startTime) ->
+            new Variant(self, assignment, incarnation, instanceId, timing, random, callbacks, startTime) {
                 @Override
-                boolean hasSameNames(int told, int here) {
+                boolean hasSameNames(int received, int ownHash) {
                     return true;
                 }
 
                 @Override
-                int countedMembers(GroupSummary of, int names) {
-                    return of.countedMembers();
+                int countedMembers(GroupSummary summary, int nameCount) {
+                    return summary.countedMembers();
                 }
             });
         return variants;
--- a/fleet/src/test/java/dockrelay/fleet/group/FleetBenchmark.java
+++ b/fleet/src/test/java/dockrelay/fleet/group/FleetBenchmark.java
@@ -3,9 +3,9 @@
 import static dockrelay.fleet.VirtualNetwork.MILLISECOND;
 import static dockrelay.fleet.VirtualNetwork.SECOND;
 
+import dockrelay.fleet.MemberState;
 import dockrelay.fleet.MembershipSnapshot;
 import dockrelay.fleet.MembershipSnapshot.Agreement;
-import dockrelay.fleet.MemberState;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -126,7 +126,8 @@
         Map<FleetSimulation.Process, List<long[]>> history = new HashMap<>();
         long end = simulation.now + duration;
         trigger.run();
-        double sent = 0, received = 0, datagrams = 0, members = 0, maxSent = 0, maxReceived = 0;
+        double sentBytes = 0, receivedBytes = 0, sentDatagrams = 0, liveMembers = 0, maxSentRate = 0,
+            maxReceivedRate = 0;
         Map<FleetSimulation.Process, long[]> startCounters = new HashMap<>();
         simulation.processes.values()
             .forEach(process -> startCounters.put(process, trafficCounters(process)));
@@ -136,27 +137,31 @@
                 List<long[]> window = history.computeIfAbsent(process, p -> new ArrayList<>());
                 window.add(trafficCounters(process));
                 if (window.size() > 10) {
-                    long[] earlier = window.remove(0), current = window.get(window.size() - 1);
-                    maxSent = Math.max(maxSent, (current[0] - earlier[0]) * 1e6 / TRAFFIC_WINDOW);
-                    maxReceived = Math.max(maxReceived, (current[1] - earlier[1]) * 1e6 / TRAFFIC_WINDOW);
+                    long[] earlierCounters = window.remove(0),
+                        currentCounters = window.get(window.size() - 1);
+                    maxSentRate = Math.max(maxSentRate, (currentCounters[0] - earlierCounters[0]) * 1e6
+                        / TRAFFIC_WINDOW);
+                    maxReceivedRate = Math.max(maxReceivedRate,
+                        (currentCounters[1] - earlierCounters[1]) * 1e6 / TRAFFIC_WINDOW);
                 }
             }
         }
         for (FleetSimulation.Process process : simulation.processes.values()) {
-            long[] earlier = startCounters.getOrDefault(process, new long[4]),
-                current = trafficCounters(process);
+            long[] earlierCounters = startCounters.getOrDefault(process, new long[4]),
+                currentCounters = trafficCounters(process);
             if (!process.dead) {
-                members++;
-                sent += current[0] - earlier[0];
-                received += current[1] - earlier[1];
-                datagrams += current[2] - earlier[2];
+                liveMembers++;
+                sentBytes += currentCounters[0] - earlierCounters[0];
+                receivedBytes += currentCounters[1] - earlierCounters[1];
+                sentDatagrams += currentCounters[2] - earlierCounters[2];
             }
         }
-        double memberSeconds = members * duration / 1e6;
+        double memberSeconds = liveMembers * duration / 1e6;
         print(label, String.format(
             "mean %.2f kB/s out, %.2f kB/s in, %.1f datagrams/s out; maximum over 10 s "
-            + "%.2f kB/s out, %.2f kB/s in", sent / memberSeconds / 1e3, received / memberSeconds / 1e3,
-            datagrams / memberSeconds, maxSent / 1e3, maxReceived / 1e3));
+            + "%.2f kB/s out, %.2f kB/s in", sentBytes / memberSeconds / 1e3,
+            receivedBytes / memberSeconds / 1e3, sentDatagrams / memberSeconds, maxSentRate / 1e3,
+            maxReceivedRate / 1e3));
     }
 
     private List<FleetSimulation.Process> runningWithout(Predicate<FleetSimulation.Process> condition) {
--- a/fleet/src/test/java/dockrelay/fleet/group/FleetFaultSchedule.java
+++ b/fleet/src/test/java/dockrelay/fleet/group/FleetFaultSchedule.java
@@ -20,8 +20,8 @@
     private static final int FAULT_KINDS = 19;
 
     /** The result of a run. */
-    record Outcome(int members, int groups, boolean lossless, int falseDeclarations, int exclusions,
-                   double maxShareSum, long convergenceTime) {
+    record Outcome(int memberCount, int groupCount, boolean lossless, int falseDeclarations, int exclusions,
+        double maxShareSum, long convergenceTime) {
     }
 
     private final FleetSimulation simulation;
@@ -68,7 +68,7 @@
         while (simulation.now < lastFaultAt) { // a fault may schedule further ones
             simulation.runUntil(lastFaultAt);
         }
-        // replayed datagrams still arrive
+        // Replayed datagrams still arrive.
         simulation.lossRate = simulation.duplicationRate = simulation.corruptionRate = 0;
         String error = awaitAgreement(lastFaultAt + CONVERGENCE_TIME);
         long convergenceTime = simulation.now - lastFaultAt;
@@ -136,69 +136,69 @@
 
     // --- faults
 
-    private void addRandomFault(long at) {
+    private void addRandomFault(long time) {
         int kind = random.nextInt(FAULT_KINDS);
-        simulation.trace("fault " + kind + " at " + at / 1e6);
+        simulation.trace("fault " + kind + " at " + time / 1e6);
         switch (kind) {
-            case 0 -> kill(at, randomMember());
-            case 1 -> scheduleAt(at, () -> kill(simulation.now, randomRepresentative(randomGroup())));
-            case 2 -> scheduleAt(at, () -> pause(simulation.now, randomRepresentative(randomGroup())));
-            case 3 -> scheduleAt(at, () -> isolateInOneDirection(randomRepresentative(randomGroup())));
-            // the group loses its quorum
-            case 4 -> scheduleAt(at, () -> killRandomSubset(randomGroup(), 0.7));
-            case 5 -> scheduleAt(at, () -> killRandomSubset(randomGroup(), 1));
+            case 0 -> kill(time, randomMember());
+            case 1 -> scheduleAt(time, () -> kill(simulation.now, randomRepresentative(randomGroup())));
+            case 2 -> scheduleAt(time, () -> pause(simulation.now, randomRepresentative(randomGroup())));
+            case 3 -> scheduleAt(time, () -> isolateInOneDirection(randomRepresentative(randomGroup())));
+            // The group loses its quorum.
+            case 4 -> scheduleAt(time, () -> killRandomSubset(randomGroup(), 0.7));
+            case 5 -> scheduleAt(time, () -> killRandomSubset(randomGroup(), 1));
             case 6 -> {
                 lossless = false;
                 List<String> group = randomGroup();
                 boolean wholeFleet = random.nextBoolean(); // partitions the fleet, or only one group
                 List<String> members = wholeFleet ? allNames() : group;
-                partition(at, members, randomSubset(members, 0.5));
+                partition(time, members, randomSubset(members, 0.5));
             }
-            case 7 -> partition(at, allNames(), zones.get(new ArrayList<>(zones.keySet())
+            case 7 -> partition(time, allNames(), zones.get(new ArrayList<>(zones.keySet())
                 .get(random.nextInt(zones.size()))));
             case 8 -> {
                 List<String> region = new ArrayList<>();
                 zones.forEach((zone, names) -> region.addAll(regionByZone.get(zone) == 1 ? names
                     : List.of()));
-                partition(at, allNames(), region);
+                partition(time, allNames(), region);
             }
-            case 9 -> partition(at, allNames(), randomGroup());
-            case 10 -> blockBetweenGroups(at);
-            case 11 -> scheduleAt(at, () -> changeList(true));
-            case 12 -> scheduleAt(at, () -> changeList(false));
-            case 13 -> scheduleAt(at, this::giveMemberDifferentList);
-            case 14 -> degradeNetwork(at);
-            case 15 -> leave(at, randomMember());
-            case 16 -> randomGroup().forEach(name -> leave(at + random.nextInt((int) SECOND), name));
+            case 9 -> partition(time, allNames(), randomGroup());
+            case 10 -> blockBetweenGroups(time);
+            case 11 -> scheduleAt(time, () -> changeList(true));
+            case 12 -> scheduleAt(time, () -> changeList(false));
+            case 13 -> scheduleAt(time, this::giveMemberDifferentList);
+            case 14 -> degradeNetwork(time);
+            case 15 -> leave(time, randomMember());
+            case 16 -> randomGroup().forEach(name -> leave(time + random.nextInt((int) SECOND), name));
             case 17 -> { // a series of restarts, each too quick to be detected as a death
                 for (int i = 0; i < 12; i++) {
                     String name = randomMember();
-                    scheduleAt(at + i * 700 * MILLISECOND, () -> simulation.kill(name));
-                    restart(at + i * 700 * MILLISECOND + 300 * MILLISECOND, name, true);
+                    scheduleAt(time + i * 700 * MILLISECOND, () -> simulation.kill(name));
+                    restart(time + i * 700 * MILLISECOND + 300 * MILLISECOND, name, true);
                 }
             }
             default -> { // a flapping link, and a process that runs for short moments only
                 lossless = false;
-                String a = randomMember(), b = randomMember(), intermittent = randomMember();
+                String a = randomMember(), b = randomMember(), intermittentMember = randomMember();
                 for (int i = 0; i < 10; i++) {
-                    blockDirection(at + i * 600 * MILLISECOND, at + i * 600 * MILLISECOND + 300 * MILLISECOND,
-                        a, b);
-                    blockDirection(at + i * 600 * MILLISECOND, at + i * 600 * MILLISECOND + 300 * MILLISECOND,
-                        b, a);
-                    pause(at + i * 350 * MILLISECOND, 250 * MILLISECOND, intermittent);
+                    blockDirection(time + i * 600 * MILLISECOND, time + i * 600 * MILLISECOND
+                        + 300 * MILLISECOND, a, b);
+                    blockDirection(time + i * 600 * MILLISECOND, time + i * 600 * MILLISECOND
+                        + 300 * MILLISECOND, b, a);
+                    pause(time + i * 350 * MILLISECOND, 250 * MILLISECOND, intermittentMember);
                 }
             }
         }
         simulation.replayRate = random.nextInt(3) == 0 ? 0.01 : 0;
     }
 
-    private void pause(long at, String name) {
-        pause(at, List.of(500 * MILLISECOND, 3 * SECOND, 9 * SECOND).get(random.nextInt(3)), name);
+    private void pause(long time, String name) {
+        pause(time, List.of(500 * MILLISECOND, 3 * SECOND, 9 * SECOND).get(random.nextInt(3)), name);
     }
 
-    private void pause(long at, long duration, String name) {
+    private void pause(long time, long duration, String name) {
         lossless &= duration < SECOND;
-        scheduleAt(at, () -> {
+        scheduleAt(time, () -> {
             if (isRunning(name)) {
                 FleetSimulation.Process process = simulation.processes.get(name);
                 simulation.trace(name + " is paused");
@@ -212,10 +212,10 @@
         });
     }
 
-    private void kill(long at, String name) {
-        scheduleAt(at, () -> simulation.kill(name));
+    private void kill(long time, String name) {
+        scheduleAt(time, () -> simulation.kill(name));
         if (random.nextInt(4) > 0) {
-            restart(at + 20 * MILLISECOND + random.nextInt((int) (8 * SECOND)), name);
+            restart(time + 20 * MILLISECOND + random.nextInt((int) (8 * SECOND)), name);
         }
     }
 
@@ -231,12 +231,12 @@
      * Restarts a member with its stored incarnation, or with the lowest one, so that peers have to correct
      * it.
      */
-    private void restart(long at, String name) {
-        restart(at, name, random.nextBoolean());
+    private void restart(long time, String name) {
+        restart(time, name, random.nextBoolean());
     }
 
-    private void restart(long at, String name, boolean keepsIncarnation) {
-        scheduleAt(at, () -> {
+    private void restart(long time, String name, boolean keepsIncarnation) {
+        scheduleAt(time, () -> {
             FleetSimulation.Process process = simulation.processes.get(name);
             if ((process == null || process.dead) && simulation.currentAssignment.groupOf(name) >= 0) {
                 simulation.start(name, simulation.currentAssignment, keepsIncarnation
@@ -245,8 +245,8 @@
         });
     }
 
-    private void leave(long at, String name) {
-        scheduleAt(at, () -> {
+    private void leave(long time, String name) {
+        scheduleAt(time, () -> {
             if (isRunning(name)) {
                 FleetSimulation.Process process = simulation.processes.get(name);
                 simulation.trace(name + " leaves");
@@ -257,12 +257,12 @@
                 }
             }
         });
-        lastFaultAt = Math.max(lastFaultAt, at + 8 * SECOND);
+        lastFaultAt = Math.max(lastFaultAt, time + 8 * SECOND);
     }
 
-    private void blockDirection(long at, long end, String from, String to) {
+    private void blockDirection(long start, long end, String from, String to) {
         if (!from.equals(to)) {
-            scheduleAt(at, () -> simulation.changeBlockCount(from, to, 1));
+            scheduleAt(start, () -> simulation.changeBlockCount(from, to, 1));
             scheduleAt(end, () -> simulation.changeBlockCount(from, to, -1));
         }
     }
@@ -270,8 +270,8 @@
     /** Blocks one direction between a member and all others, or all others outside its group. */
     private void isolateInOneDirection(String name) {
         lossless = false;
-        List<String> group = simulation.currentAssignment.memberNames(simulation.currentAssignment.groupOf(
-            name));
+        List<String> group = simulation.currentAssignment.memberNames(
+            simulation.currentAssignment.groupOf(name));
         boolean inbound = random.nextBoolean(), outsideOnly = random.nextBoolean();
         long end = simulation.now + 3 * SECOND + random.nextInt((int) (6 * SECOND));
         for (String other : allNames()) {
@@ -282,27 +282,27 @@
     }
 
     /** Blocks one or both directions between two groups; the other groups still reach both. */
-    private void blockBetweenGroups(long at) {
-        List<String> first = randomGroup(), second = randomGroup();
-        long end = at + 3 * SECOND + random.nextInt((int) (9 * SECOND));
+    private void blockBetweenGroups(long start) {
+        List<String> firstGroup = randomGroup(), secondGroup = randomGroup();
+        long end = start + 3 * SECOND + random.nextInt((int) (9 * SECOND));
         boolean bothDirections = random.nextBoolean();
-        for (String from : first == second ? List.<String>of() : first) {
-            for (String to : second) {
-                blockDirection(at, end, from, to);
+        for (String from : firstGroup == secondGroup ? List.<String>of() : firstGroup) {
+            for (String to : secondGroup) {
+                blockDirection(start, end, from, to);
                 if (bothDirections) {
-                    blockDirection(at, end, to, from);
+                    blockDirection(start, end, to, from);
                 }
             }
         }
     }
 
-    private void partition(long at, List<String> members, List<String> firstSide) {
+    private void partition(long start, List<String> members, List<String> firstSide) {
         lossless = false;
-        long end = at + 2 * SECOND + random.nextInt((int) (14 * SECOND));
+        long end = start + 2 * SECOND + random.nextInt((int) (14 * SECOND));
         for (String a : members) {
             for (String b : members) {
                 if (firstSide.contains(a) != firstSide.contains(b)) {
-                    blockDirection(at, end, a, b);
+                    blockDirection(start, end, a, b);
                 }
             }
         }
@@ -372,16 +372,16 @@
         }
     }
 
-    private void degradeNetwork(long at) {
+    private void degradeNetwork(long time) {
         lossless = false;
         double lossRate = random.nextDouble() * 0.3;
-        scheduleAt(at, () -> {
+        scheduleAt(time, () -> {
             simulation.lossRate = lossRate;
             simulation.duplicationRate = 0.1;
             simulation.corruptionRate = 0.02;
             simulation.maxJitter = 30 * MILLISECOND;
         });
-        scheduleAt(at + 6 * SECOND, () -> {
+        scheduleAt(time + 6 * SECOND, () -> {
             simulation.lossRate = simulation.duplicationRate = simulation.corruptionRate = 0;
             simulation.maxJitter = 3 * MILLISECOND;
         });
--- a/fleet/src/test/java/dockrelay/fleet/group/FleetSimulation.java
+++ b/fleet/src/test/java/dockrelay/fleet/group/FleetSimulation.java
@@ -1,11 +1,11 @@
 package dockrelay.fleet.group;
 
+import dockrelay.fleet.MemberState;
 import dockrelay.fleet.MemberStateChange;
-import dockrelay.fleet.ProtocolTiming;
 import dockrelay.fleet.MemberStatus;
 import dockrelay.fleet.MembershipSnapshot;
 import dockrelay.fleet.MembershipSnapshot.Agreement;
-import dockrelay.fleet.MemberState;
+import dockrelay.fleet.ProtocolTiming;
 import dockrelay.fleet.VirtualNetwork;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
@@ -64,7 +64,7 @@
         Process(String name, GroupAssignment assignment, long incarnation) {
             this.name = name;
             this.assignment = assignment;
-            // lower ones belong to earlier processes
+            // Lower incarnations belong to earlier processes.
             this.firstIncarnation = incarnations.getOrDefault(name, 0L) + 1;
             this.membership = factory.create(name, assignment, incarnation, random.nextInt() | 1,
                 ProtocolTiming.DEFAULT, new Random(random.nextLong()), this, localTime());
@@ -130,7 +130,7 @@
                 if (bytes[3] == GroupMessage.Kind.GROUP_REPLY.ordinal()
                     || bytes[3] == GroupMessage.Kind.TABLE_REPLY.ordinal()) {
                     lastReplyAt.put(assignment.keyOf(assignment.groupOf(name)), now);
-                    if (checked) {
+                    if (checksInvariants) {
                         recordReportedCount(this);
                     }
                 }
@@ -175,7 +175,7 @@
     /** The side of each member in a partition; null if there is none. */
     Map<String, Integer> sides;
     final Factory factory;
-    private final boolean checked;
+    private final boolean checksInvariants;
     private final Map<Integer, Long> lastReplyAt = new HashMap<>();
     private final Map<Integer, List<long[]>> reportedCounts = new HashMap<>();
     private final Map<Integer, Integer> minReportedCounts = new HashMap<>();
@@ -191,14 +191,14 @@
         this(seed, assignment, factory, tracing, true);
     }
 
-    /** {@code watched} enables the checks of the invariants, which are too expensive for large fleets. */
+    /** {@code checksInvariants} is false for fleets that are too large for the checks. */
     FleetSimulation(long seed, GroupAssignment assignment, Factory factory, boolean tracing,
-        boolean checked) {
+        boolean checksInvariants) {
         super(seed, tracing);
         this.currentAssignment = assignment;
         this.factory = factory;
-        this.checked = checked;
-        if (checked) {
+        this.checksInvariants = checksInvariants;
+        if (checksInvariants) {
             schedule(CHECK_INTERVAL, this::checkInvariants);
         }
     }
@@ -247,7 +247,7 @@
     }
 
     /**
-     * Blocks one direction ({@code by} is 1) or unblocks it (-1); a direction may be blocked several times.
+     * Blocks one direction ({@code change} is 1) or unblocks it (-1); it may be blocked several times.
      */
     void changeBlockCount(String from, String to, int change) {
         blockCounts.merge(from + " " + to, change, (a, b) -> a + b == 0 ? null : a + b);
@@ -309,8 +309,8 @@
             liveCount += process.dead ? 0 : 1;
         }
         for (Process process : processes.values()) {
-            if (!process.isRunning() || lossRate > 0 || blocksByMember.getOrDefault(process.name,
-                0) >= liveCount / 2) {
+            if (!process.isRunning() || lossRate > 0
+                || blocksByMember.getOrDefault(process.name, 0) >= liveCount / 2) {
                 process.lastTroubleAt = now;
             }
         }
@@ -319,10 +319,13 @@
     /** Records how many members of its group a member counts at the time of a reply to others. */
     private void recordReportedCount(Process process) {
         int key = process.assignment.keyOf(process.assignment.groupOf(process.name));
-        int counted = process.membership.ownMembership().snapshot(process.localTime()).countedMembers();
-        reportedCounts.computeIfAbsent(key, unused -> new ArrayList<>()).add(new long[] {now, counted});
+        int countedMembers = process.membership.ownMembership().snapshot(process.localTime())
+            .countedMembers();
+        reportedCounts.computeIfAbsent(key, unused -> new ArrayList<>())
+            .add(new long[] {now, countedMembers});
     }
 
+    /** Updates the lowest count that each group's members reported lately. */
     private void updateMinReportedCounts() {
         minReportedCounts.clear();
         reportedCounts.forEach((key, reports) -> {
@@ -331,6 +334,7 @@
         });
     }
 
+    /** Checks the counts of a member: limits, its own rank, ages, and the sum over its groups. */
     private void checkInvariants(Process process) {
         long localTime = process.localTime();
         GroupAssignment assignment = process.assignment;
@@ -340,7 +344,7 @@
             throw new InvariantViolation(process.name + " has counts " + snapshot + " of "
                 + assignment.memberCount() + " names");
         }
-        // does not count itself any more
+        // A member that has left does not count itself.
         boolean hasLeft = process.membership.stateOf(process.name) == MemberState.LEFT;
         if (!hasLeft && (snapshot.ownRank() < 0 || snapshot.ownRank() >= snapshot.countedMembers())) {
             throw new InvariantViolation(process.name + " has a rank outside of its counted members: "
@@ -370,6 +374,7 @@
         }
     }
 
+    /** Checks what a member knows of another group against what that group reported and who is reachable. */
     private void checkInvariants(Process process, int group, GroupStatus status) {
         GroupAssignment assignment = process.assignment;
         int key = assignment.keyOf(group), nameCount = assignment.memberNames(group).size();
@@ -378,11 +383,11 @@
             throw new InvariantViolation(process.name + " counts more members in " + status
                 + " than it has names");
         }
-        if (status.reportAge() >= 0 && status.reportAge() * MAX_CLOCK_RATIO
-            + 5 * MILLISECOND < timeSinceReply) {
-            throw new InvariantViolation(
-                String.format("%s has data of %s with age %.3f s; the last reply was %.3f s ago",
-                process.name, status.label(), status.reportAge() / 1e6, timeSinceReply / 1e6));
+        if (status.reportAge() >= 0
+            && status.reportAge() * MAX_CLOCK_RATIO + 5 * MILLISECOND < timeSinceReply) {
+            throw new InvariantViolation(String.format(
+                "%s has data of %s with age %.3f s; the last reply was %.3f s ago", process.name,
+                status.label(), status.reportAge() / 1e6, timeSinceReply / 1e6));
         }
         boolean excluded = status.countedMembers() == 0;
         if (timeSinceReply > ProtocolTiming.DEFAULT.reportExpiry() * MAX_CLOCK_RATIO && !excluded
@@ -430,13 +435,13 @@
             MembershipSnapshot snapshot = process.membership.snapshot(process.localTime());
             boolean listsDiffer = hasMemberWithDifferentList();
             if (process.assignment != currentAssignment) {
-                boolean countsTooFew = snapshot.countedMembers() < Math.min(liveCount,
-                    snapshot.configuredMembers() - 1);
-                error = countsTooFew || snapshot.agreement() == Agreement.ALL ? process.name
-                    + " with a different list has " + snapshot + " of " + liveCount : null;
+                boolean countsTooFew = snapshot.countedMembers()
+                    < Math.min(liveCount, snapshot.configuredMembers() - 1);
+                error = countsTooFew || snapshot.agreement() == Agreement.ALL
+                    ? process.name + " with a different list has " + snapshot + " of " + liveCount : null;
             } else if (listsDiffer) {
-                error = snapshot.countedMembers() < liveCount ? process.name + " counts too few members: "
-                    + snapshot + " of " + liveCount : null;
+                error = snapshot.countedMembers() < liveCount
+                    ? process.name + " counts too few members: " + snapshot + " of " + liveCount : null;
             } else {
                 error = countError(process, snapshot);
                 if (error == null && snapshot.agreement() != Agreement.MINORITY
@@ -454,6 +459,7 @@
             && process.assignment != currentAssignment);
     }
 
+    /** Returns null if a member's counts follow from the views within the groups, else what is wrong. */
     private String countError(Process process, MembershipSnapshot snapshot) {
         List<GroupStatus> statuses = process.membership.groupStatuses(process.localTime());
         int expectedMembers = 0, expectedPresent = 0, leftMembers = 0;
@@ -480,9 +486,9 @@
         Agreement expected = 2 * expectedPresent <= currentAssignment.memberCount() - leftMembers
             ? Agreement.MINORITY : allAgree ? Agreement.ALL : Agreement.MAJORITY;
         return snapshot.agreement() != expected || snapshot.countedMembers() != Math.max(1, expectedMembers)
-            || snapshot.presentMembers() != expectedPresent ? process.name + " has " + snapshot
-            + ", expected " + expected + " " + expectedMembers + " " + expectedPresent
-            + "; views within the groups: " + describeGroupViews() : null;
+            || snapshot.presentMembers() != expectedPresent
+            ? process.name + " has " + snapshot + ", expected " + expected + " " + expectedMembers + " "
+                + expectedPresent + "; views within the groups: " + describeGroupViews() : null;
     }
 
     private String describeGroupViews() {
@@ -498,6 +504,10 @@
         return text.toString();
     }
 
+    /**
+     * Returns null if all live members see the right state of each member of their group, else what is
+     * wrong.
+     */
     private String groupViewError() {
         for (Process process : processes.values()) {
             if (process.dead || process.assignment != currentAssignment) {
--- a/fleet/src/test/java/dockrelay/fleet/group/GroupAssignmentTest.java
+++ b/fleet/src/test/java/dockrelay/fleet/group/GroupAssignmentTest.java
@@ -15,7 +15,7 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-/** Assignment of names to groups: sizes, stability under changes, and rejection of invalid lists. */
+/** Assignment of names to groups: sizes, stability under changes, and refusal of invalid lists. */
 class GroupAssignmentTest {
     private static Map<String, List<String>> randomZones(Random random, int zoneCount, int minNames,
         int maxNames) {
@@ -46,18 +46,18 @@
         for (int seed = 1; seed <= 50; seed++) {
             Random random = new Random(seed);
             Map<String, List<String>> zones = randomZones(random, 1 + random.nextInt(7), 1, 600);
-            GroupAssignment first = GroupAssignment.of(zones, GroupAssignment.DEFAULT_GROUP_SIZE);
-            List<String> order = new ArrayList<>(zones.keySet());
-            Collections.shuffle(order, random);
+            GroupAssignment original = GroupAssignment.of(zones, GroupAssignment.DEFAULT_GROUP_SIZE);
+            List<String> zoneOrder = new ArrayList<>(zones.keySet());
+            Collections.shuffle(zoneOrder, random);
             Map<String, List<String>> shuffledZones = new LinkedHashMap<>();
-            for (String zone : order) {
+            for (String zone : zoneOrder) {
                 List<String> names = new ArrayList<>(zones.get(zone));
                 Collections.shuffle(names, random);
                 shuffledZones.put(zone, names);
             }
-            GroupAssignment second = GroupAssignment.of(shuffledZones, GroupAssignment.DEFAULT_GROUP_SIZE);
-            assertEquals(labelByName(first), labelByName(second));
-            assertEquals(first.hash(), second.hash());
+            GroupAssignment shuffled = GroupAssignment.of(shuffledZones, GroupAssignment.DEFAULT_GROUP_SIZE);
+            assertEquals(labelByName(original), labelByName(shuffled));
+            assertEquals(original.hash(), shuffled.hash());
         }
     }
 
@@ -65,8 +65,8 @@
     void groupSizesStayWithinBounds() {
         for (int seed = 1; seed <= 400; seed++) {
             Random random = new Random(seed);
-            GroupAssignment assignment = GroupAssignment.of(randomZones(random, 1 + random.nextInt(3), 32,
-                1_500), GroupAssignment.DEFAULT_GROUP_SIZE);
+            GroupAssignment assignment = GroupAssignment.of(
+                randomZones(random, 1 + random.nextInt(3), 32, 1_500), GroupAssignment.DEFAULT_GROUP_SIZE);
             for (int group = 0; group < assignment.groupCount(); group++) {
                 int size = assignment.memberNames(group).size();
                 assertTrue(size >= 32 && size <= 128, "seed " + seed + ": " + size + " in "
@@ -77,8 +77,8 @@
 
     @Test
     void noGroupExceedsMaximumForAnyTargetSize() {
-        for (int targetSize = GroupAssignment.MIN_GROUP_SIZE; targetSize
-            <= GroupAssignment.MAX_GROUP_SIZE; targetSize += 16) {
+        for (int targetSize = GroupAssignment.MIN_GROUP_SIZE; targetSize <= GroupAssignment.MAX_GROUP_SIZE;
+            targetSize += 16) {
             for (int nameCount = 20; nameCount < 1_000; nameCount += 7) {
                 Map<String, List<String>> zones = randomZones(new Random(nameCount), 1, nameCount, nameCount);
                 GroupAssignment assignment = GroupAssignment.of(zones, targetSize);
--- a/fleet/src/test/java/dockrelay/fleet/group/GroupMessageTest.java
+++ b/fleet/src/test/java/dockrelay/fleet/group/GroupMessageTest.java
@@ -8,15 +8,15 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import dockrelay.fleet.MemberState;
 import dockrelay.fleet.MemberStatus;
 import dockrelay.fleet.MembershipSnapshot.Agreement;
-import dockrelay.fleet.MemberState;
-import dockrelay.fleet.group.GroupMessage.RelayedSummary;
+import dockrelay.fleet.group.GroupMessage.DecodeException;
 import dockrelay.fleet.group.GroupMessage.Kind;
 import dockrelay.fleet.group.GroupMessage.RefusalReason;
-import dockrelay.fleet.group.GroupMessage.UnreachableSet;
+import dockrelay.fleet.group.GroupMessage.RelayedSummary;
 import dockrelay.fleet.group.GroupMessage.TableRow;
-import dockrelay.fleet.group.GroupMessage.DecodeException;
+import dockrelay.fleet.group.GroupMessage.UnreachableSet;
 import dockrelay.fleet.wire.WireFormat;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
@@ -27,35 +27,36 @@
 import java.util.function.IntUnaryOperator;
 import org.junit.jupiter.api.Test;
 
-/** Encoding, rejection and handling of messages between groups, and lookup of a member by name. */
+/** Encoding, refusal and handling of messages between groups, and lookup of a member by name. */
 class GroupMessageTest {
     private static GroupSummary randomSummary(Random random) {
-        int[] speakers = random.ints(random.nextInt(4)).toArray();
+        int[] representatives = random.ints(random.nextInt(4)).toArray();
         return new GroupSummary(random.nextInt(), random.nextInt(), random.nextInt(), random.nextInt(),
             random.nextInt(128), random.nextInt(128), random.nextInt(128), random.nextInt(128),
-            Agreement.values()[random.nextInt(3)], random.nextInt(128), speakers, random.nextInt());
+            Agreement.values()[random.nextInt(3)], random.nextInt(128), representatives, random.nextInt());
     }
 
     @Test
     void encodedMessagesDecode() throws DecodeException {
         for (int seed = 1; seed <= 500; seed++) {
             Random random = new Random(seed);
-            GroupSummary summary = randomSummary(random), relayed = randomSummary(random);
+            GroupSummary summary = randomSummary(random), relayedSummary = randomSummary(random);
             GroupMessage decoded = GroupMessage.decode(new MessageWriter(Kind.GROUP_REPLY, 7, 8, seed)
                 .summary(summary).unreachable(new byte[] {1, 2})
-                .relayedSummaries(List.of(new RelayedSummary(relayed, 1_234_567))).finish());
+                .relayedSummaries(List.of(new RelayedSummary(relayedSummary, 1_234_567))).finish());
             assertEquals(Kind.GROUP_REPLY, decoded.kind);
             assertEquals(List.of(7, 8, seed), List.of(decoded.senderId, decoded.listHash, decoded.sequence));
             assertEquals(summary, decoded.summary);
-            // the age is rounded up
-            assertEquals(List.of(new RelayedSummary(relayed, 1_235_000)), decoded.relayedSummaries);
+            // The age is rounded up.
+            assertEquals(List.of(new RelayedSummary(relayedSummary, 1_235_000)), decoded.relayedSummaries);
             assertEquals(2, decoded.unreachable.length);
             List<TableRow> rows = new ArrayList<>();
             boolean keyed = random.nextBoolean();
             for (int i = 0; i < 40; i++) {
                 boolean otherList = random.nextInt(5) == 0;
-                rows.add(new TableRow(i, keyed ? 1 + random.nextInt(99) : 0, otherList, otherList
-                    ? random.nextInt() : 0, keyed || otherList ? random.nextInt() : 0, random.nextInt(128),
+                rows.add(new TableRow(i, keyed ? 1 + random.nextInt(99) : 0, otherList,
+                    otherList ? random.nextInt() : 0, keyed || otherList ? random.nextInt() : 0,
+                    random.nextInt(128),
                     random.nextInt(128), random.nextInt(128), random.nextInt(128),
                     Agreement.values()[random.nextInt(3)], random.nextInt(128), random.nextInt(65)));
             }
@@ -113,11 +114,11 @@
     @Test
     void rowWithOmittedCountsTakesFourBytes() {
         TableRow row = new TableRow(9, 0, false, 0, 0, 41, 0, 7, 41, Agreement.ALL, 41, 3);
-        TableRow keyed = new TableRow(9, 5, false, 0, 1, 41, 0, 7, 41, Agreement.ALL, 41, 3);
-        int emptyMessageBytes = new MessageWriter(Kind.TABLE_REPLY, 7, 8, 9).finish().remaining() + 3;
-        assertEquals(emptyMessageBytes + 4, encodedBytes(List.of(row), false, index -> 48));
-        assertEquals(emptyMessageBytes + 8, encodedBytes(List.of(row), false, null));
-        assertEquals(emptyMessageBytes + 19, encodedBytes(List.of(keyed), true, index -> 48));
+        TableRow keyedRow = new TableRow(9, 5, false, 0, 1, 41, 0, 7, 41, Agreement.ALL, 41, 3);
+        int bytesWithoutRow = new MessageWriter(Kind.TABLE_REPLY, 7, 8, 9).finish().remaining() + 3;
+        assertEquals(bytesWithoutRow + 4, encodedBytes(List.of(row), false, index -> 48));
+        assertEquals(bytesWithoutRow + 8, encodedBytes(List.of(row), false, null));
+        assertEquals(bytesWithoutRow + 19, encodedBytes(List.of(keyedRow), true, index -> 48));
     }
 
     /** Groups with the same unreachable groups and similar ages share an entry of two bitmaps. */
@@ -127,8 +128,8 @@
         byte[] commonBitmap = {0, 0, 1, 2, 3}, differentBitmap = {0, 0, 1, 2, 1};
         List<UnreachableSet> sets = new ArrayList<>();
         for (int group = 0; group < 24; group++) {
-            int age = random.nextInt(60) + (group == 9 ? 64 : 0);
-            sets.add(new UnreachableSet(group, group == 7 ? differentBitmap : commonBitmap, age));
+            int ageUnits = random.nextInt(60) + (group == 9 ? 64 : 0);
+            sets.add(new UnreachableSet(group, group == 7 ? differentBitmap : commonBitmap, ageUnits));
         }
         ByteBuffer datagram = new MessageWriter(Kind.TABLE_REPLY, 7, 8, 9).sharedUnreachableSets(sets)
             .finish();
@@ -138,11 +139,11 @@
         assertEquals(24, decodedSets.size());
         for (UnreachableSet decodedSet : decodedSets) {
             UnreachableSet originalSet = sets.get(decodedSet.group());
-            assertTrue(Arrays.equals(originalSet.unreachable(), decodedSet.unreachable()), "bitmap of group "
-                + decodedSet.group());
+            assertTrue(Arrays.equals(originalSet.unreachable(), decodedSet.unreachable()),
+                "bitmap of group " + decodedSet.group());
             assertTrue(decodedSet.ageUnits() >= originalSet.ageUnits()
-                && decodedSet.ageUnits() - originalSet.ageUnits() < 64, "age understated or too high: "
-                + decodedSet);
+                && decodedSet.ageUnits() - originalSet.ageUnits() < 64,
+                "age understated or too high: " + decodedSet);
         }
         assertTrue(new MessageWriter(Kind.TABLE_REPLY, 7, 8, 9).unreachableSets(sets).finish().remaining()
             > datagram.remaining() + 30, "the plain format should take more bytes");
@@ -180,20 +181,22 @@
     void malformedMessagesAreRefusedWithTheirReason() throws DecodeException {
         ByteBuffer datagram = new MessageWriter(Kind.GROUP_REPLY, 7, 8, 9)
             .summary(randomSummary(new Random(1))).finish();
-        byte[] valid = new byte[datagram.remaining()];
-        datagram.get(valid);
-        for (int i = 0; i < valid.length; i++) {
-            byte[] corrupted = valid.clone();
-            corrupted[i] ^= 0x40;
-            assertEquals(i < 2 ? RefusalReason.FOREIGN : RefusalReason.CHECKSUM, refusalReason(corrupted));
-            byte[] truncated = Arrays.copyOf(valid, i);
-            assertEquals(i < 2 ? RefusalReason.FOREIGN : RefusalReason.CHECKSUM, refusalReason(truncated));
+        byte[] validMessage = new byte[datagram.remaining()];
+        datagram.get(validMessage);
+        for (int i = 0; i < validMessage.length; i++) {
+            byte[] corruptedMessage = validMessage.clone();
+            corruptedMessage[i] ^= 0x40;
+            assertEquals(i < 2 ? RefusalReason.FOREIGN : RefusalReason.CHECKSUM,
+                refusalReason(corruptedMessage));
+            byte[] truncatedMessage = Arrays.copyOf(validMessage, i);
+            assertEquals(i < 2 ? RefusalReason.FOREIGN : RefusalReason.CHECKSUM,
+                refusalReason(truncatedMessage));
         }
         assertEquals(RefusalReason.NEWER,
-            refusalReason(withByteAndChecksum(valid, 2, GroupMessage.VERSION + 1)));
-        assertEquals(RefusalReason.CUT, refusalReason(withByteAndChecksum(valid, 3, 99)));
-        assertEquals(RefusalReason.CUT, refusalReason(withByteAndChecksum(valid, 17, 99)));
-        assertNull(GroupMessage.decode(ByteBuffer.wrap(withByteAndChecksum(valid, 16, 77))).summary,
+            refusalReason(withByteAndChecksum(validMessage, 2, GroupMessage.VERSION + 1)));
+        assertEquals(RefusalReason.CUT, refusalReason(withByteAndChecksum(validMessage, 3, 99)));
+        assertEquals(RefusalReason.CUT, refusalReason(withByteAndChecksum(validMessage, 17, 99)));
+        assertNull(GroupMessage.decode(ByteBuffer.wrap(withByteAndChecksum(validMessage, 16, 77))).summary,
             "an unknown section should be skipped");
     }
 
@@ -217,8 +220,7 @@
     }
 
     /**
-     * Random content with a valid checksum is handled or rejected without an error, and does no lasting
-     * harm.
+     * Random content with a valid checksum is handled or refused without an error, and does no lasting harm.
      */
     @Test
     void randomContentDoesNoLastingHarm() {
@@ -278,26 +280,26 @@
         FleetSimulation simulation = startedSimulation();
         simulation.kill("b4");
         simulation.runUntil(12 * SECOND);
-        FleetSimulation.Process asker = simulation.processes.get("a1");
+        FleetSimulation.Process requester = simulation.processes.get("a1");
         for (String name : List.of("b1", "b4", "a2", "nobody")) {
-            asker.membership.findMember(asker.localTime(), name);
+            requester.membership.findMember(requester.localTime(), name);
         }
-        asker.scheduleTick();
+        requester.scheduleTick();
         simulation.runUntil(13 * SECOND);
-        assertEquals(MemberState.PRESENT, asker.lookupResults.get("b1").state());
-        assertEquals(MemberState.GONE, asker.lookupResults.get("b4").state());
-        assertEquals(MemberState.PRESENT, asker.lookupResults.get("a2").state());
-        assertTrue(asker.lookupResults.containsKey("nobody"));
-        assertNull(asker.lookupResults.get("nobody"));
+        assertEquals(MemberState.PRESENT, requester.lookupResults.get("b1").state());
+        assertEquals(MemberState.GONE, requester.lookupResults.get("b4").state());
+        assertEquals(MemberState.PRESENT, requester.lookupResults.get("a2").state());
+        assertTrue(requester.lookupResults.containsKey("nobody"));
+        assertNull(requester.lookupResults.get("nobody"));
         simulation.currentAssignment.memberNames(simulation.currentAssignment.groupOf("c1"))
             .forEach(simulation::kill);
-        asker.membership.findMember(asker.localTime(), "c1");
-        asker.scheduleTick();
-        assertFalse(asker.lookupResults.containsKey("c1"));
+        requester.membership.findMember(requester.localTime(), "c1");
+        requester.scheduleTick();
+        assertFalse(requester.lookupResults.containsKey("c1"));
         simulation.runUntil(17 * SECOND);
-        assertTrue(asker.lookupResults.containsKey("c1"),
+        assertTrue(requester.lookupResults.containsKey("c1"),
             "a lookup without an answer should end without a result");
-        assertNull(asker.lookupResults.get("c1"));
+        assertNull(requester.lookupResults.get("c1"));
     }
 
     @Test
--- a/fleet/src/test/java/dockrelay/fleet/group/GroupScalingTest.java
+++ b/fleet/src/test/java/dockrelay/fleet/group/GroupScalingTest.java
@@ -28,8 +28,9 @@
     private static final int MAX_TABLES = Representatives.MIN_COUNT, MAX_MEAN_TABLES = 3;
 
     /**
-     * The same with a seventh of the members lost. If all representatives took over a dead one's queries and
-     * sent whole tables to each other, the growth would be 91 and 0.93.
+     * The same for the busiest member with a seventh of the members lost. If all representatives took over a
+     * dead one's queries and sent whole tables to each other, the growth would be 91 bytes and 0.93
+     * datagrams.
      */
     private static final int[] GROUP_COUNTS_WITH_LOSS = {6, 36};
     private static final double MAX_BUSIEST_BYTES_WITH_LOSS = 80, MAX_BUSIEST_DATAGRAMS_WITH_LOSS = 0.75;
@@ -85,26 +86,26 @@
 
     /** Returns the exceeded bounds with the measured values. */
     private static List<String> exceededBounds(List<Cost> costs) {
-        List<String> exceeded = new ArrayList<>();
+        List<String> violations = new ArrayList<>();
         for (int i = 1; i < costs.size(); i++) {
-            Cost previous = costs.get(i - 1), cost = costs.get(i);
+            Cost previousCost = costs.get(i - 1), cost = costs.get(i);
             double addedGroups = GROUP_COUNTS[i] - GROUP_COUNTS[i - 1];
-            checkGrowth(exceeded, "mean bytes", (cost.meanBytes - previous.meanBytes) / addedGroups,
+            checkGrowth(violations, "mean bytes", (cost.meanBytes - previousCost.meanBytes) / addedGroups,
                 MAX_MEAN_BYTES);
-            checkGrowth(exceeded, "maximum bytes", (cost.maxBytes - previous.maxBytes) / addedGroups,
+            checkGrowth(violations, "maximum bytes", (cost.maxBytes - previousCost.maxBytes) / addedGroups,
                 MAX_BUSIEST_BYTES);
-            checkGrowth(exceeded, "mean datagrams",
-                (cost.meanDatagrams - previous.meanDatagrams) / addedGroups, MAX_MEAN_DATAGRAMS);
-            checkGrowth(exceeded, "maximum datagrams",
-                (cost.maxDatagrams - previous.maxDatagrams) / addedGroups, MAX_BUSIEST_DATAGRAMS);
+            checkGrowth(violations, "mean datagrams",
+                (cost.meanDatagrams - previousCost.meanDatagrams) / addedGroups, MAX_MEAN_DATAGRAMS);
+            checkGrowth(violations, "maximum datagrams",
+                (cost.maxDatagrams - previousCost.maxDatagrams) / addedGroups, MAX_BUSIEST_DATAGRAMS);
         }
-        return exceeded;
+        return violations;
     }
 
-    private static void checkGrowth(List<String> exceeded, String label, double slope, double bound) {
+    private static void checkGrowth(List<String> violations, String label, double slope, double bound) {
         System.out.printf("%s: %.2f per second and additional group%n", label, slope);
         if (slope > bound) {
-            exceeded.add(label + " grows by " + slope + " per second and group");
+            violations.add(label + " grows by " + slope + " per second and group");
         }
     }
 
@@ -149,23 +150,23 @@
 
     @Test
     void trafficAfterWideLossGrowsOnlySlightlyPerGroup() {
-        List<String> exceeded = new ArrayList<>();
+        List<String> violations = new ArrayList<>();
         double[] smallFleet = measureWithLoss(GROUP_COUNTS_WITH_LOSS[0]),
             largeFleet = measureWithLoss(GROUP_COUNTS_WITH_LOSS[1]);
         double addedGroups = GROUP_COUNTS_WITH_LOSS[1] - GROUP_COUNTS_WITH_LOSS[0];
-        checkGrowth(exceeded, "maximum bytes with a seventh lost",
+        checkGrowth(violations, "maximum bytes with a seventh lost",
             (largeFleet[0] - smallFleet[0]) / addedGroups, MAX_BUSIEST_BYTES_WITH_LOSS);
-        checkGrowth(exceeded, "maximum datagrams with a seventh lost",
+        checkGrowth(violations, "maximum datagrams with a seventh lost",
             (largeFleet[1] - smallFleet[1]) / addedGroups, MAX_BUSIEST_DATAGRAMS_WITH_LOSS);
-        assertEquals(List.of(), exceeded);
+        assertEquals(List.of(), violations);
     }
 
     /** Guards the bounds themselves: a fleet in a single group exceeds them. */
     @Test
     void singleGroupExceedsTheBounds() {
-        List<String> exceeded = exceededBounds(measureSizes(true, 2));
-        System.out.println("in one group: " + exceeded);
-        assertTrue(exceeded.stream().anyMatch(message -> message.startsWith("mean bytes")),
-            exceeded.toString());
+        List<String> violations = exceededBounds(measureSizes(true, 2));
+        System.out.println("in one group: " + violations);
+        assertTrue(violations.stream().anyMatch(message -> message.startsWith("mean bytes")),
+            violations.toString());
     }
 }
--- a/fleet/src/test/java/dockrelay/fleet/group/NewMemberTest.java
+++ b/fleet/src/test/java/dockrelay/fleet/group/NewMemberTest.java
@@ -4,9 +4,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 
+import dockrelay.fleet.MemberState;
 import dockrelay.fleet.MemberStateChange;
 import dockrelay.fleet.MemberStatus;
-import dockrelay.fleet.MemberState;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.List;
@@ -64,7 +64,7 @@
         FleetSimulation simulation = new FleetSimulation(seed, assignment(names),
             (self, assignment, incarnation, instanceId, timing, random, callbacks, now) ->
             new GroupedMembership(self, assignment, incarnation, instanceId, timing, random,
-            new RecordingCallbacks(callbacks, self, suspicions), now), false, false);
+                new RecordingCallbacks(callbacks, self, suspicions), now), false, false);
         simulation.startAll(SECOND);
         simulation.runUntil(STARTUP_TIME);
         return simulation;
@@ -87,11 +87,12 @@
                 List<String> names = names(memberCount), extendedNames = new ArrayList<>(names);
                 extendedNames.add("newcomer");
                 FleetSimulation simulation = convergedSimulation(seed, names, suspicions);
-                suspicions.clear(); // suspicions while the fleet started
+                suspicions.clear(); // those from the start of the fleet
                 GroupAssignment newAssignment = assignment(extendedNames);
                 simulation.start("newcomer", newAssignment, 1);
-                names.forEach(name -> simulation.schedule((long) (simulation.random.nextDouble()
-                    * LIST_ROLLOUT_TIME), () -> simulation.configure(name, newAssignment)));
+                names.forEach(name -> simulation.schedule(
+                    (long) (simulation.random.nextDouble() * LIST_ROLLOUT_TIME),
+                    () -> simulation.configure(name, newAssignment)));
                 simulation.runUntil(STARTUP_TIME + LIST_ROLLOUT_TIME + OBSERVATION_TIME);
                 assertEquals(List.of(), suspicions, "members: " + memberCount + ", seed " + seed);
                 assertEquals(0, simulation.falseDeclarations, simulation.lastFalseDeclaration);
--- a/fleet/src/test/java/dockrelay/fleet/group/SingleGroupTest.java
+++ b/fleet/src/test/java/dockrelay/fleet/group/SingleGroupTest.java
@@ -4,10 +4,10 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 
 import dockrelay.fleet.MemberStateChange;
-import dockrelay.fleet.Membership;
-import dockrelay.fleet.ProtocolTiming;
 import dockrelay.fleet.MemberStatus;
+import dockrelay.fleet.Membership;
 import dockrelay.fleet.MembershipSnapshot;
+import dockrelay.fleet.ProtocolTiming;
 import dockrelay.fleet.VirtualNetwork;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
@@ -24,8 +24,8 @@
 class SingleGroupTest {
     /** The operations that both implementations have in common. */
     private record Operations(Supplier<Long> nextTickAt, java.util.function.LongConsumer tick,
-                           Receiver receive, Function<Long, MembershipSnapshot> snapshot,
-                           java.util.function.LongConsumer leave, BiConsumer<Long, List<String>> configure) {
+        Receiver receive, Function<Long, MembershipSnapshot> snapshot,
+        java.util.function.LongConsumer leave, BiConsumer<Long, List<String>> configure) {
     }
 
     private interface Receiver {
@@ -54,8 +54,8 @@
         GroupedMembership membership = new GroupedMembership(self, assignment(names, groupSize), incarnation,
             instanceId, ProtocolTiming.DEFAULT, random, callbacks, now);
         return new Operations(membership::nextTickAt, membership::tick, membership::receive,
-            membership::snapshot, membership::leave, (time, newNames) -> membership.configure(time,
-            assignment(newNames, groupSize)));
+            membership::snapshot, membership::leave,
+            (time, newNames) -> membership.configure(time, assignment(newNames, groupSize)));
     }
 
     /** A run in which members start, die, are cut off, lose datagrams, leave and receive another list. */
@@ -76,10 +76,11 @@
                 names.add("n" + i);
             }
             names.forEach(name -> schedule(random.nextInt((int) SECOND), () -> start(name, 1)));
-            String restarting = randomMember(), leaving = randomMember(), isolated = randomMember();
-            schedule(6 * SECOND, () -> members.remove(restarting));
-            schedule(9 * SECOND, () -> start(restarting, 2));
-            schedule(10 * SECOND, () -> isolatedMember = isolated);
+            String restartingMember = randomMember(), leavingMember = randomMember(),
+                nextIsolatedMember = randomMember();
+            schedule(6 * SECOND, () -> members.remove(restartingMember));
+            schedule(9 * SECOND, () -> start(restartingMember, 2));
+            schedule(10 * SECOND, () -> isolatedMember = nextIsolatedMember);
             schedule(13 * SECOND, () -> isolatedMember = null);
             schedule(14 * SECOND, () -> lossRate = 0.2);
             schedule(16 * SECOND, () -> lossRate = 0);
@@ -90,10 +91,10 @@
                 start("one-more", 1);
             });
             schedule(20 * SECOND, () -> {
-                members.get(leaving).leave.accept(now);
-                scheduleTick(leaving);
+                members.get(leavingMember).leave.accept(now);
+                scheduleTick(leavingMember);
             });
-            schedule(25 * SECOND, () -> members.remove(leaving));
+            schedule(25 * SECOND, () -> members.remove(leavingMember));
             for (int step = 1; step < 60; step++) {
                 schedule(step * SECOND / 2, () -> members.forEach((name, member) ->
                     addToChecksum((name + member.snapshot.apply(now)).getBytes())));
@@ -113,13 +114,13 @@
             members.put(name, factory.create(name, names, incarnation, random.nextInt() | 1,
                 new Random(random.nextLong()), new GroupedMembership.Callbacks() {
                     @Override
-                    public void send(String to, ByteBuffer datagram) {
+                    public void send(String receiver, ByteBuffer datagram) {
                         byte[] bytes = new byte[datagram.remaining()];
                         datagram.get(bytes);
-                        addToChecksum((now + name + to).getBytes());
+                        addToChecksum((now + name + receiver).getBytes());
                         addToChecksum(bytes);
                         sentDatagrams++;
-                        transmit(name, to, bytes);
+                        transmit(name, receiver, bytes);
                     }
 
                     @Override
@@ -128,17 +129,17 @@
                     }
 
                     @Override
-                    public void incarnationChanged(long own) {
-                        addToChecksum((name + own).getBytes());
+                    public void incarnationChanged(long ownIncarnation) {
+                        addToChecksum((name + ownIncarnation).getBytes());
                     }
 
                     @Override
-                    public void nameConflict(String whose, String why) {
-                        addToChecksum(why.getBytes());
+                    public void nameConflict(String memberName, String reason) {
+                        addToChecksum(reason.getBytes());
                     }
 
                     @Override
-                    public void memberLookupCompleted(String whose, MemberStatus row) {
+                    public void memberLookupCompleted(String memberName, MemberStatus status) {
                     }
                 }, now));
             scheduleTick(name);
@@ -174,13 +175,14 @@
     void singleGroupBehavesLikePlainMembership() {
         long datagrams = 0;
         for (int seed = 1; seed <= 60; seed++) {
-            SimulatedRun plain = new SimulatedRun(seed, SingleGroupTest::plainMembership);
-            SimulatedRun grouped = new SimulatedRun(seed, (self, names, incarnation, instanceId, random,
-                callbacks, startTime) -> groupedMembership(self, names, incarnation, instanceId, random,
-                callbacks, startTime, GroupAssignment.DEFAULT_GROUP_SIZE));
-            assertEquals(plain.sentDatagrams, grouped.sentDatagrams, "seed " + seed);
-            assertEquals(plain.checksum.getValue(), grouped.checksum.getValue(), "seed " + seed);
-            datagrams += plain.sentDatagrams;
+            SimulatedRun plainRun = new SimulatedRun(seed, SingleGroupTest::plainMembership);
+            SimulatedRun groupedRun = new SimulatedRun(seed,
+                (self, names, incarnation, instanceId, random, callbacks, startTime) ->
+                groupedMembership(self, names, incarnation, instanceId, random, callbacks, startTime,
+                    GroupAssignment.DEFAULT_GROUP_SIZE));
+            assertEquals(plainRun.sentDatagrams, groupedRun.sentDatagrams, "seed " + seed);
+            assertEquals(plainRun.checksum.getValue(), groupedRun.checksum.getValue(), "seed " + seed);
+            datagrams += plainRun.sentDatagrams;
         }
         System.out.println(datagrams + " datagrams, equal with one group and without groups");
     }
@@ -188,10 +190,10 @@
     /** Guards the comparison itself: with several groups the checksums differ. */
     @Test
     void severalGroupsBehaveDifferently() {
-        SimulatedRun plain = new SimulatedRun(3, SingleGroupTest::plainMembership);
-        SimulatedRun grouped = new SimulatedRun(3, (self, names, incarnation, instanceId, random, callbacks,
-            startTime) -> groupedMembership(self, names, incarnation, instanceId, random, callbacks,
-            startTime, 2));
-        assertNotEquals(plain.checksum.getValue(), grouped.checksum.getValue());
+        SimulatedRun plainRun = new SimulatedRun(3, SingleGroupTest::plainMembership);
+        SimulatedRun groupedRun = new SimulatedRun(3,
+            (self, names, incarnation, instanceId, random, callbacks, startTime) ->
+            groupedMembership(self, names, incarnation, instanceId, random, callbacks, startTime, 2));
+        assertNotEquals(plainRun.checksum.getValue(), groupedRun.checksum.getValue());
     }
 }
--- a/fleet/src/test/java/dockrelay/fleet/group/TableClientTest.java
+++ b/fleet/src/test/java/dockrelay/fleet/group/TableClientTest.java
@@ -88,10 +88,11 @@
         simulation.runUntil(14 * SECOND);
         simulation.start("z0-0", simulation.currentAssignment, 2);
         simulation.runUntil(18 * SECOND);
-        FleetSimulation.Process restarted = simulation.processes.get("z0-0");
-        assertTrue(restarted.membership.isRepresentative());
-        assertEquals(GROUP_COUNT + 1, restarted.membership.snapshot(restarted.localTime()).countedMembers());
-        assertEquals(GROUP_COUNT, restarted.membership.groupStatuses(restarted.localTime()).stream()
-            .filter(GroupStatus::fresh).count());
+        FleetSimulation.Process restartedMember = simulation.processes.get("z0-0");
+        assertTrue(restartedMember.membership.isRepresentative());
+        assertEquals(GROUP_COUNT + 1, restartedMember.membership.snapshot(restartedMember.localTime())
+            .countedMembers());
+        assertEquals(GROUP_COUNT, restartedMember.membership.groupStatuses(restartedMember.localTime())
+            .stream().filter(GroupStatus::fresh).count());
     }
 }
